--- a/bench/flownet/balancer.go
+++ b/bench/flownet/balancer.go
@@ -40,13 +40,13 @@
 // balancerPart is the deciding part of a balancer, of the product or of a
 // baseline.
 type balancerPart interface {
-	Arrive(now time.Duration, packet []byte) []relay.Effect
+	HandleClientPacket(now time.Duration, packet []byte) []relay.Effect
 	Receive(now time.Duration, from segment.Address, message relay.Message) []relay.Effect
 	Install(now time.Duration, snapshot *directory.Snapshot) []relay.Effect
-	Confirm(now time.Duration)
+	MarkConfirmed(now time.Duration)
 	Tick(now time.Duration) []relay.Effect
 	Isolated() bool
-	Current(now, through time.Duration) []relay.Effect
+	MarkCurrentThrough(now, through time.Duration) []relay.Effect
 }
 
 // balancerNode is one machine with a balancer.
@@ -200,7 +200,7 @@
 	case received.message != nil:
 		n.execute(n.part.Receive(now, received.from, *received.message))
 	case received.packet != nil:
-		n.execute(n.part.Arrive(now, received.packet))
+		n.execute(n.part.HandleClientPacket(now, received.packet))
 	}
 }
 
@@ -226,7 +226,7 @@
 		changed = n.follower.Watched(now, reply.changes, n.world.random.Float64())
 	}
 	if n.follower.Following() {
-		n.part.Confirm(now)
+		n.part.MarkConfirmed(now)
 		n.tell(n.spread.Answered(now))
 	}
 	n.installIf(now, changed)
@@ -288,20 +288,20 @@
 	n.fetching = 0
 	changed := n.exchange.Fetched(now, state)
 	n.tell(n.spread.Took(now, asked, directory.Peer(from), state))
-	n.part.Confirm(n.spread.Confirmed())
+	n.part.MarkConfirmed(n.spread.Confirmed())
 	n.installIf(now, changed)
 }
 
 func (n *balancerNode) execute(effects []relay.Effect) {
 	for _, effect := range effects {
 		switch effect.Kind {
-		case relay.EffectPeer:
+		case relay.EffectSendMessage:
 			n.world.sendMessage(n.id, segment.Address{IP: n.ip, Port: peerPort}, effect.To, effect.Message)
-		case relay.EffectClient:
+		case relay.EffectSendToClient:
 			n.world.sendToClient(n.id, effect.To, effect.Packet)
 		case relay.EffectEvent:
 			n.world.ledger.decided(effect.Event)
-		case relay.EffectConfirm:
+		case relay.EffectConfirmDirectory:
 			n.wantConfirmation()
 		}
 	}
--- a/bench/flownet/baseline.go
+++ b/bench/flownet/baseline.go
@@ -18,7 +18,7 @@
 	effects  []relay.Effect
 }
 
-func (b *hashBalancer) Arrive(_ time.Duration, packet []byte) []relay.Effect {
+func (b *hashBalancer) HandleClientPacket(_ time.Duration, packet []byte) []relay.Effect {
 	b.effects = b.effects[:0]
 	header, outcome := b.config.Codec.Decode(packet)
 	if outcome != segment.Decoded || b.snapshot == nil {
@@ -42,7 +42,7 @@
 		return nil
 	}
 	return append(b.effects, relay.Effect{
-		Kind: relay.EffectPeer, To: best.Endpoint.Address().WithPort(b.config.AgentPort),
+		Kind: relay.EffectSendMessage, To: best.Endpoint.Address().WithPort(b.config.AgentPort),
 		Message: relay.Message{Kind: relay.KindForward, Service: best.Endpoint.Service, Packet: packet},
 	})
 }
@@ -56,26 +56,26 @@
 	return nil
 }
 
-func (b *hashBalancer) Confirm(time.Duration) {}
+func (b *hashBalancer) MarkConfirmed(time.Duration) {}
 
-// Current implements balancerPart.
-func (b *hashBalancer) Current(time.Duration, time.Duration) []relay.Effect { return nil }
-func (b *hashBalancer) Tick(time.Duration) []relay.Effect                   { return nil }
-func (b *hashBalancer) Isolated() bool                                      { return false }
+// MarkCurrentThrough implements balancerPart.
+func (b *hashBalancer) MarkCurrentThrough(time.Duration, time.Duration) []relay.Effect { return nil }
+func (b *hashBalancer) Tick(time.Duration) []relay.Effect                              { return nil }
+func (b *hashBalancer) Isolated() bool                                                 { return false }
 
 // hashAgent gives its endpoint every packet.
 type hashAgent struct{ config relay.AgentConfig }
 
 func (a *hashAgent) Receive(_ time.Duration, _ segment.Address, message relay.Message) []relay.Effect {
-	return []relay.Effect{{Kind: relay.EffectEndpoint, Packet: message.Packet}}
+	return []relay.Effect{{Kind: relay.EffectSendToEndpoint, Packet: message.Packet}}
 }
 
-func (a *hashAgent) Emitted(_ time.Duration, packet []byte) []relay.Effect {
+func (a *hashAgent) HandleEndpointPacket(_ time.Duration, packet []byte) []relay.Effect {
 	header, _ := a.config.Codec.Decode(packet)
 	if header.Flags.Has(segment.Returned) {
 		return nil
 	}
-	return []relay.Effect{{Kind: relay.EffectClient, To: header.Destination, Packet: packet}}
+	return []relay.Effect{{Kind: relay.EffectSendToClient, To: header.Destination, Packet: packet}}
 }
 
 func (a *hashAgent) Tick(time.Duration) []relay.Effect { return nil }
@@ -86,6 +86,6 @@
 type unboundedAgent struct{ *relay.Agent }
 
 func (a *unboundedAgent) Receive(now time.Duration, from segment.Address, message relay.Message) []relay.Effect {
-	message.Terms.Slots = 0
+	message.Parameters.Slots = 0
 	return a.Agent.Receive(now, from, message)
 }
--- a/bench/flownet/confirm.go
+++ b/bench/flownet/confirm.go
@@ -70,6 +70,6 @@
 func (n *balancerNode) currentThrough(now, through time.Duration, current bool) {
 	if current {
 		n.answerThrough(now, through)
-		n.execute(n.part.Current(now, through))
+		n.execute(n.part.MarkCurrentThrough(now, through))
 	}
 }
--- a/bench/flownet/planted.go
+++ b/bench/flownet/planted.go
@@ -67,8 +67,8 @@
 	codec segment.Codec
 }
 
-func (b *resettingBalancer) Arrive(now time.Duration, packet []byte) []relay.Effect {
-	effects := b.Balancer.Arrive(now, packet)
+func (b *resettingBalancer) HandleClientPacket(now time.Duration, packet []byte) []relay.Effect {
+	effects := b.Balancer.HandleClientPacket(now, packet)
 	unknown := slices.ContainsFunc(effects, func(effect relay.Effect) bool {
 		return effect.Kind == relay.EffectEvent && effect.Event.Kind == relay.EventLocating
 	})
@@ -78,7 +78,7 @@
 	header, _ := b.codec.Decode(packet)
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 	return append(effects, relay.Effect{
-		Kind: relay.EffectClient, To: key.Client, Packet: b.codec.AppendReset(nil, key, header.Acknowledgment),
+		Kind: relay.EffectSendToClient, To: key.Client, Packet: b.codec.AppendReset(nil, key, header.Acknowledgment),
 	})
 }
 
@@ -89,13 +89,13 @@
 	effects := a.Agent.Receive(now, from, message)
 	if message.Kind == relay.KindLocate {
 		claim := relay.Message{Kind: relay.KindOwned, Service: message.Service, Flow: message.Flow}
-		return append(effects, relay.Effect{Kind: relay.EffectPeer, To: from, Message: claim})
+		return append(effects, relay.Effect{Kind: relay.EffectSendMessage, To: from, Message: claim})
 	}
-	delivered := slices.ContainsFunc(effects, func(effect relay.Effect) bool { return effect.Kind == relay.EffectEndpoint })
+	delivered := slices.ContainsFunc(effects, func(effect relay.Effect) bool { return effect.Kind == relay.EffectSendToEndpoint })
 	if delivered || len(message.Packet) == 0 {
 		return effects
 	}
-	return append(effects, relay.Effect{Kind: relay.EffectEndpoint, Packet: message.Packet})
+	return append(effects, relay.Effect{Kind: relay.EffectSendToEndpoint, Packet: message.Packet})
 }
 
 // alteringAgent changes the last byte of packets for its endpoint.
@@ -104,7 +104,7 @@
 func (a *alteringAgent) Receive(now time.Duration, from segment.Address, message relay.Message) []relay.Effect {
 	effects := slices.Clone(a.Agent.Receive(now, from, message))
 	for index := range effects {
-		if effects[index].Kind == relay.EffectEndpoint {
+		if effects[index].Kind == relay.EffectSendToEndpoint {
 			altered := slices.Clone(effects[index].Packet)
 			altered[len(altered)-1]++
 			effects[index].Packet = altered
@@ -117,7 +117,7 @@
 type eagerAgent struct{ *relay.Agent }
 
 func (a *eagerAgent) Receive(now time.Duration, from segment.Address, message relay.Message) []relay.Effect {
-	message.Terms.Cold = relay.Cold{}
+	message.Parameters.ColdStart = relay.ColdStart{}
 	return a.Agent.Receive(now, from, message)
 }
 
--- a/bench/flownet/side.go
+++ b/bench/flownet/side.go
@@ -18,7 +18,7 @@
 // agentPart is the deciding part of an agent, of the product or of a baseline.
 type agentPart interface {
 	Receive(now time.Duration, from segment.Address, message relay.Message) []relay.Effect
-	Emitted(now time.Duration, packet []byte) []relay.Effect
+	HandleEndpointPacket(now time.Duration, packet []byte) []relay.Effect
 	Tick(now time.Duration) []relay.Effect
 	Stop(now time.Duration) []relay.Effect
 }
@@ -60,8 +60,8 @@
 func (n *agentNode) begin(first bool) {
 	w := n.side.world
 	n.part = w.options.newAgent(relay.AgentConfig{
-		Service: n.side.service.Name, Codec: w.codec, Complete: first, FlowLifetime: time.Minute, FlowLimit: 10_000,
-		ColdBound: relay.ColdBound{Overrun: coldOverrun, Slack: coldSlack}, Outliers: outlier.DefaultLimits(),
+		Service: n.side.service.Name, Codec: w.codec, StartedWithEndpoint: first, FlowLifetime: time.Minute, FlowLimit: 10_000,
+		ColdStartLimit: relay.ColdStartLimit{Overrun: coldOverrun, Slack: coldSlack}, OutlierLimits: outlier.DefaultLimits(),
 		QueuePolicy: requestqueue.Policy{Discipline: queueDiscipline},
 	})
 	w.net.Schedule(n.id, tickInterval, tickTimer)
@@ -84,18 +84,18 @@
 		n.execute(n.part.Receive(now, received.from, *received.message))
 		return
 	}
-	n.execute(n.part.Emitted(now, received.packet))
+	n.execute(n.part.HandleEndpointPacket(now, received.packet))
 }
 
 func (n *agentNode) execute(effects []relay.Effect) {
 	w := n.side.world
 	for _, effect := range effects {
 		switch effect.Kind {
-		case relay.EffectPeer:
+		case relay.EffectSendMessage:
 			w.sendMessage(n.id, segment.Address{IP: n.side.ip, Port: packetPort}, effect.To, effect.Message)
-		case relay.EffectClient:
+		case relay.EffectSendToClient:
 			w.sendToClient(n.id, effect.To, effect.Packet)
-		case relay.EffectEndpoint:
+		case relay.EffectSendToEndpoint:
 			copied := append([]byte(nil), effect.Packet...)
 			w.net.Send(n.id, n.side.endpoint.id, simnet.Payload, len(copied), datagram{port: endpointPort, packet: copied})
 		case relay.EffectEvent:
--- a/bench/flownet/spread.go
+++ b/bench/flownet/spread.go
@@ -73,7 +73,7 @@
 	if lacks {
 		n.exchange.Lacks(now, simnet.NodeID(update.SourceOf(directory.Peer(from))))
 	}
-	n.part.Confirm(n.spread.Confirmed())
+	n.part.MarkConfirmed(n.spread.Confirmed())
 	n.installIf(now, changed)
 	switch {
 	case update.Confirms && update.Asks:
--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -15,17 +15,17 @@
 	// Service is the service of the endpoint beside the agent.
 	Service string
 	Codec   segment.Codec
-	// Complete is set if the agent starts together with its endpoint, so that
+	// StartedWithEndpoint is set if the agent starts together with its endpoint, so that
 	// no flow can have been opened before.
-	Complete bool
+	StartedWithEndpoint bool
 	// FlowLifetime is the longest time for which a flow may last.
 	FlowLifetime time.Duration
 	// FlowLimit is the largest number of flows remembered.
 	FlowLimit int
-	// ColdBound is what a cold endpoint may get beyond its rate.
-	ColdBound ColdBound
-	// Outliers are the limits within which the endpoint counts as well.
-	Outliers outlier.Limits
+	// ColdStartLimit is what a cold endpoint may get beyond its rate.
+	ColdStartLimit ColdStartLimit
+	// OutlierLimits are the limits within which the endpoint counts as well.
+	OutlierLimits outlier.Limits
 	// QueuePolicy decides which request that waits is served first.
 	QueuePolicy requestqueue.Policy
 }
@@ -117,7 +117,7 @@
 	begun   bool
 	now     time.Duration
 	// terms are those of the message in hand.
-	terms   Terms
+	terms   FlowParameters
 	flows   map[segment.FlowKey]*agentFlow
 	running uint32
 	queue   queue
@@ -147,14 +147,14 @@
 		flows:     make(map[segment.FlowKey]*agentFlow),
 		surveys:   make(map[segment.FlowKey]*survey),
 		balancers: make(map[segment.Address]knownBalancer),
-		cold:      newColdLimit(config.ColdBound),
-		detector:  outlier.NewDetector(config.Outliers),
+		cold:      newColdLimit(config.ColdStartLimit),
+		detector:  outlier.NewDetector(config.OutlierLimits),
 		queue:     newQueue(config.QueuePolicy),
 	}
 }
 
-// Flows returns the number of flows remembered.
-func (a *Agent) Flows() int { return len(a.flows) }
+// FlowCount returns the number of flows remembered.
+func (a *Agent) FlowCount() int { return len(a.flows) }
 
 // Load returns how busy and how well the endpoint is.
 func (a *Agent) Load() Load { return a.loadFor("") }
@@ -164,8 +164,8 @@
 	pace := uint32(min(a.meter.Pace().Microseconds(), math.MaxUint32))
 	hold := uint32(math.Ceil(a.cold.wait(a.now).Seconds() * 1000))
 	return Load{
-		Running: a.running, Waiting: uint32(len(a.queue.waiting)), Refusing: a.refusing(), Pace: pace, Hold: hold,
-		Report: a.detector.Report(a.now, zone), Used: a.pending(),
+		Running: a.running, Waiting: uint32(len(a.queue.waiting)), Refusing: a.refusing(), ServiceTime: pace, ColdWait: hold,
+		Report: a.detector.Report(a.now, zone), Pending: a.pending(),
 	}
 }
 
@@ -176,12 +176,12 @@
 
 func (a *Agent) begin(now time.Duration) {
 	a.effects = a.effects[:0]
-	a.terms = Terms{}
+	a.terms = FlowParameters{}
 	a.now = now
 	if !a.begun {
 		a.begun = true
 		a.started = now
-		if !a.config.Complete {
+		if !a.config.StartedWithEndpoint {
 			a.cold.started(now)
 		}
 	}
@@ -189,7 +189,7 @@
 
 // complete reports whether the agent knows all flows that its endpoint holds.
 func (a *Agent) complete(now time.Duration) bool {
-	return a.config.Complete || now-a.started > a.config.FlowLifetime
+	return a.config.StartedWithEndpoint || now-a.started > a.config.FlowLifetime
 }
 
 // Stop makes the agent take no more new flows and tells balancers so. The
@@ -207,7 +207,7 @@
 // until the next call.
 func (a *Agent) Receive(now time.Duration, from segment.Address, message Message) []Effect {
 	a.begin(now)
-	a.terms = message.Terms
+	a.terms = message.Parameters
 	a.receive(now, from, message)
 	a.noteStarts(now)
 	a.tellChanges()
@@ -268,7 +268,7 @@
 
 // bringBack returns a packet to the balancer it came from.
 func (a *Agent) bringBack(to segment.Address, key segment.FlowKey, header segment.Header, packet []byte, reason string) {
-	message := Message{Kind: KindUnknown, Service: a.config.Service, Sequence: header.Sequence, Packet: packet}
+	message := Message{Kind: KindNotOwned, Service: a.config.Service, Sequence: header.Sequence, Packet: packet}
 	event := EventNotOwned
 	if header.Opening() {
 		message.Kind = KindReturned
@@ -291,7 +291,7 @@
 const reasonCold = "cold"
 
 func (a *Agent) receiveOpening(now time.Duration, from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
-	a.learnCold(now, message.Terms.Cold)
+	a.learnCold(now, message.Parameters.ColdStart)
 	known, exists := a.flows[key]
 	if exists && known.sequence == header.Sequence && known.state <= stateOpen {
 		a.receiveCopy(now, from, key, known, header, message)
@@ -305,19 +305,19 @@
 		a.bringBack(from, key, header, message.Packet, "flow_limit")
 		return
 	}
-	if a.overloaded(message.Terms) {
+	if a.overloaded(message.Parameters) {
 		a.bringBack(from, key, header, message.Packet, "overload")
 		return
 	}
-	if !message.LastResort && a.busy(message.Terms) {
+	if !message.LastResort && a.busy(message.Parameters) {
 		a.bringBack(from, key, header, message.Packet, reasonBusy)
 		return
 	}
-	if !message.LastResort && !message.Insist && !a.trusts(now, message.Zone) {
+	if !message.LastResort && !message.IgnoreEjection && !a.trusts(now, message.Zone) {
 		a.bringBack(from, key, header, message.Packet, reasonEjected)
 		return
 	}
-	if !a.cold.admits(now, message.Terms.Priority) {
+	if !a.cold.admits(now, message.Parameters.Priority) {
 		a.bringBack(from, key, header, message.Packet, reasonCold)
 		return
 	}
@@ -325,7 +325,7 @@
 	a.cold.gives(now)
 	opened := &agentFlow{
 		state: stateOffered, sequence: header.Sequence, balancer: from, zone: message.Zone, opened: now, touched: now, life: a.life,
-		work: work{terms: message.Terms, asked: now - milliseconds(message.Terms.Waited), sent: header.Sequence + 1},
+		work: work{terms: message.Parameters, asked: now - milliseconds(message.Parameters.Waited), sent: header.Sequence + 1},
 	}
 	a.flows[key] = opened
 	a.opening = append(a.opening, opened)
@@ -336,10 +336,10 @@
 
 // learnCold takes what a balancer tells of the endpoint's start. An agent that has just
 // been started does not know whether its endpoint has been, too.
-func (a *Agent) learnCold(now time.Duration, told Cold) {
+func (a *Agent) learnCold(now time.Duration, told ColdStart) {
 	first := a.cold.rate == 0
 	a.cold.learn(now, told)
-	if first && !a.config.Complete && a.cold.told == 0 {
+	if first && !a.config.StartedWithEndpoint && a.cold.told == 0 {
 		a.cold.ends = max(a.cold.ends, a.started+a.cold.lasts)
 	}
 }
@@ -347,7 +347,7 @@
 // receiveCopy handles a copy of an opening packet that the endpoint was given. One that it
 // has not answered may open a flow after it was restarted.
 func (a *Agent) receiveCopy(now time.Duration, from segment.Address, key segment.FlowKey, known *agentFlow, header segment.Header, message Message) {
-	if known.state == stateOffered && !a.cold.admits(now, message.Terms.Priority) {
+	if known.state == stateOffered && !a.cold.admits(now, message.Parameters.Priority) {
 		a.forget(now, key)
 		a.bringBack(from, key, header, message.Packet, reasonCold)
 		return
@@ -454,12 +454,12 @@
 }
 
 func (a *Agent) deliver(packet []byte) {
-	a.effects = append(a.effects, Effect{Kind: EffectEndpoint, Packet: packet})
+	a.effects = append(a.effects, Effect{Kind: EffectSendToEndpoint, Packet: packet})
 }
 
 func (a *Agent) send(to segment.Address, message Message) {
 	message.Load = a.loadFor(a.balancers[to].zone)
-	a.effects = append(a.effects, Effect{Kind: EffectPeer, To: to, Message: message})
+	a.effects = append(a.effects, Effect{Kind: EffectSendMessage, To: to, Message: message})
 }
 
 func (a *Agent) event(event Event) {
--- a/internal/relay/cold.go
+++ b/internal/relay/agent_coldstart.go
@@ -23,8 +23,8 @@
 	longestHold = 250 * time.Millisecond
 )
 
-// ColdBound is how much of the rate of a cold endpoint a fleet may exceed in any second.
-type ColdBound struct {
+// ColdStartLimit is how much of the rate of a cold endpoint a fleet may exceed in any second.
+type ColdStartLimit struct {
 	// Overrun is the factor, at least 1, and Slack the number of requests beside it.
 	Overrun float64
 	Slack   float64
@@ -38,7 +38,7 @@
 // 255 times in the 18 s after a loss of power under 1,555 requests a second, and a quarter
 // of all requests of the run with them; with it none fails (89 emulated machines).
 type coldLimit struct {
-	bound ColdBound
+	bound ColdStartLimit
 	// rate, in requests a second, and lasts are as told last; rate is 0 if there is no limit.
 	rate  float64
 	lasts time.Duration
@@ -62,21 +62,21 @@
 	neglected time.Duration
 }
 
-func newColdLimit(bound ColdBound) coldLimit {
+func newColdLimit(bound ColdStartLimit) coldLimit {
 	return coldLimit{bound: bound, relapse: newRelapse(), awaited: never, neglected: never, seen: -2 * urgentMemory}
 }
 
 // learn takes what a balancer tells. A later revision replaces what was known; of the same
 // one the least is right, since it takes time to be told.
-func (c *coldLimit) learn(now time.Duration, told Cold) {
+func (c *coldLimit) learn(now time.Duration, told ColdStart) {
 	c.rate = float64(told.Rate) / 1000
-	c.lasts = milliseconds(told.Lasts)
-	ends := now + milliseconds(told.Remains)
+	c.lasts = milliseconds(told.WarmupTime)
+	ends := now + milliseconds(told.Remaining)
 	switch {
-	case told.Remains == 0:
-	case told.Told > c.told:
-		c.ends, c.told = ends, told.Told
-	case told.Told == c.told:
+	case told.Remaining == 0:
+	case told.Revision > c.told:
+		c.ends, c.told = ends, told.Revision
+	case told.Revision == c.told:
 		c.ends = min(c.ends, ends)
 	}
 }
--- a/internal/relay/survey.go
+++ b/internal/relay/agent_survey.go
@@ -29,7 +29,7 @@
 	// pending are the agents that have not answered, and the service that each was asked
 	// about; unsure are those that do not know.
 	pending map[segment.Address]string
-	unsure  []Targets
+	unsure  []AgentGroup
 	// oldest is the greatest age of those that have answered.
 	oldest time.Duration
 	// reportAt is when the balancer is told who has not answered, never once it was.
@@ -54,7 +54,7 @@
 		Acknowledgment: message.Acknowledgment, Flags: message.Flags,
 	}
 	if len(message.Packet) > 0 {
-		question = Message{Kind: KindProbe, Service: message.Service, Terms: message.Terms, Packet: message.Packet}
+		question = Message{Kind: KindProbe, Service: message.Service, Parameters: message.Parameters, Packet: message.Packet}
 		a.receivePacket(now, from, question)
 	} else {
 		a.receiveVerify(now, from, question)
@@ -81,7 +81,7 @@
 		return
 	}
 	delete(known.pending, from)
-	known.oldest = max(known.oldest, message.Age)
+	known.oldest = max(known.oldest, message.Uptime)
 	if message.Kind == KindUncertain {
 		known.unsure = appendTarget(known.unsure, service, from)
 	}
@@ -94,19 +94,19 @@
 // reportSurvey tells the balancer of a survey what has been answered.
 func (a *Agent) reportSurvey(known *survey) {
 	a.send(known.balancer, Message{
-		Kind: KindSurveyed, Service: a.config.Service, Flow: FlowOf(known.flow), Sequence: known.number,
-		Age: known.oldest, Unsure: known.unsure, Silent: known.silent(),
+		Kind: KindSurveyResult, Service: a.config.Service, Flow: EncodeFlow(known.flow), Sequence: known.number,
+		Uptime: known.oldest, Uncertain: known.unsure, Unresponsive: known.silent(),
 	})
 }
 
 // silent returns the agents that have not answered, in the order of their addresses.
-func (s *survey) silent() []Targets {
+func (s *survey) silent() []AgentGroup {
 	addresses := make([]segment.Address, 0, len(s.pending))
 	for address := range s.pending {
 		addresses = append(addresses, address)
 	}
 	slices.SortFunc(addresses, segment.Address.Compare)
-	var groups []Targets
+	var groups []AgentGroup
 	for _, address := range addresses {
 		groups = appendTarget(groups, s.pending[address], address)
 	}
@@ -136,7 +136,7 @@
 }
 
 func flowBytes(s *survey) []byte {
-	encoded := FlowOf(s.flow)
+	encoded := EncodeFlow(s.flow)
 	return encoded[:]
 }
 
--- a/internal/relay/agent_test.go
+++ b/internal/relay/agent_test.go
@@ -23,7 +23,7 @@
 		Expect(told.To).To(Equal(balancerA))
 		Expect(told.Message.Kind).To(Equal(relay.KindPlaced))
 		Expect(told.Message.Flow.Key()).To(Equal(keyOf(1)))
-		Expect(ofKind(effects, relay.EffectClient)[0].To).To(Equal(clientAddress(1)))
+		Expect(ofKind(effects, relay.EffectSendToClient)[0].To).To(Equal(clientAddress(1)))
 	})
 
 	It("does not take packets for another service", func() {
@@ -43,10 +43,10 @@
 
 	It("brings back an opening packet that its endpoint did not take, as the client wrote it", func() {
 		agent.offer(0, 1, 100)
-		effects := agent.Emitted(millisecond, returned(opening(1, 100)))
+		effects := agent.HandleEndpointPacket(millisecond, returned(opening(1, 100)))
 		Expect(onlyMessage(effects).Message.Kind).To(Equal(relay.KindReturned))
 		Expect(onlyMessage(effects).Message.Packet).To(Equal(opening(1, 100)))
-		Expect(agent.Flows()).To(BeZero())
+		Expect(agent.FlowCount()).To(BeZero())
 	})
 
 	It("knows by the acknowledgment that the client chose another endpoint", func() {
@@ -55,7 +55,7 @@
 		for _, elsewhere := range []uint32{90501, 0x0100_0000, 0x9000_0000, 400} {
 			effects := agent.forward(millisecond, relay.KindForward, fromClient(1, segment.Acknowledge, 101, elsewhere, "request"))
 			Expect(delivered(effects)).To(BeEmpty(), "%x", elsewhere)
-			Expect(onlyMessage(effects).Message.Kind).To(Equal(relay.KindUnknown))
+			Expect(onlyMessage(effects).Message.Kind).To(Equal(relay.KindNotOwned))
 		}
 		Expect(delivered(agent.forward(millisecond, relay.KindForward, fromClient(1, segment.Acknowledge, 101, 501, "request")))).To(HaveLen(1))
 		effects := agent.forward(millisecond, relay.KindForward, fromClient(1, segment.Acknowledge, 101, 90501, "request"))
@@ -87,7 +87,7 @@
 		sequence := uint32(501)
 		for range 20 {
 			sequence += 1 << 24
-			agent.Emitted(0, fromEndpoint(1, segment.Acknowledge, sequence, 108, "data"))
+			agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Acknowledge, sequence, 108, "data"))
 			late := fromClient(1, segment.Acknowledge, 108, sequence-1000, "")
 			Expect(onlyMessage(agent.locate(0, late)).Message.Kind).To(Equal(relay.KindOwned))
 		}
@@ -125,16 +125,16 @@
 	It("resets a flow that its endpoint has lost, and only such a one", func() {
 		agent.open(0, 1)
 		stray := fromClient(2, segment.Acknowledge, 101, 501, "x")
-		Expect(resets(agent.Emitted(0, returned(stray)))).To(BeEmpty())
+		Expect(resets(agent.HandleEndpointPacket(0, returned(stray)))).To(BeEmpty())
 		request := fromClient(1, segment.Acknowledge, 101, 501, "request")
-		lost := resets(agent.Emitted(millisecond, returned(request)))
+		lost := resets(agent.HandleEndpointPacket(millisecond, returned(request)))
 		Expect(lost).To(HaveLen(1))
 		Expect(lost[0].Sequence).To(Equal(uint32(501)))
 	})
 
 	It("does not take a bounced copy of an opening packet for the loss of an open flow", func() {
 		agent.open(0, 1)
-		effects := agent.Emitted(millisecond, returned(opening(1, 100)))
+		effects := agent.HandleEndpointPacket(millisecond, returned(opening(1, 100)))
 		Expect(effects).To(BeEmpty())
 		Expect(delivered(agent.forward(millisecond, relay.KindForward, fromClient(1, segment.Acknowledge, 108, 501, "x")))).To(HaveLen(1))
 	})
@@ -145,7 +145,7 @@
 		BeforeEach(func() { agent = drive(newAgent(false)) })
 
 		It("learns of flows from what its endpoint writes", func() {
-			agent.Emitted(0, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
+			agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
 			Expect(delivered(agent.forward(millisecond, relay.KindForward, request))).To(HaveLen(1))
 		})
 
@@ -156,11 +156,11 @@
 		})
 
 		It("lets its endpoint tell, once, when it is asked to or taken for the owner", func() {
-			for _, kind := range []relay.Kind{relay.KindProbe, relay.KindForward} {
+			for _, kind := range []relay.MessageKind{relay.KindProbe, relay.KindForward} {
 				agent = drive(newAgent(false))
 				Expect(delivered(agent.forward(0, kind, request))).To(HaveLen(1))
-				Expect(resets(agent.Emitted(millisecond, returned(request)))).To(BeEmpty())
-				for _, again := range []relay.Kind{relay.KindProbe, relay.KindForward} {
+				Expect(resets(agent.HandleEndpointPacket(millisecond, returned(request)))).To(BeEmpty())
+				for _, again := range []relay.MessageKind{relay.KindProbe, relay.KindForward} {
 					Expect(delivered(agent.forward(200*millisecond, again, request))).To(BeEmpty())
 				}
 				Expect(agent.locate(200*millisecond, request)).To(BeEmpty())
@@ -169,7 +169,7 @@
 
 		It("owns the flow once its endpoint has answered, and tells the balancer", func() {
 			agent.forward(200*millisecond, relay.KindProbe, request)
-			effects := agent.Emitted(201*millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, ""))
+			effects := agent.HandleEndpointPacket(201*millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, ""))
 			Expect(onlyMessage(effects).Message.Kind).To(Equal(relay.KindOwned))
 			Expect(onlyMessage(effects).To).To(Equal(balancerB))
 		})
@@ -194,8 +194,8 @@
 			agent.Tick(0)
 			denied := verify(3*time.Second, service)
 			Expect(denied.Kind).To(Equal(relay.KindDenied))
-			Expect(denied.Flow).To(Equal(relay.FlowOf(keyOf(1))))
-			Expect(denied.Age).To(Equal(3 * time.Second))
+			Expect(denied.Flow).To(Equal(relay.EncodeFlow(keyOf(1))))
+			Expect(denied.Uptime).To(Equal(3 * time.Second))
 		})
 
 		It("denies it if its client chose another endpoint, also after a restart", func() {
@@ -213,11 +213,11 @@
 		It("does not know after a restart, until its endpoint has told", func() {
 			agent = drive(newAgent(false))
 			agent.Tick(0)
-			Expect(verify(time.Second, service)).To(And(HaveField("Kind", relay.KindUncertain), HaveField("Age", time.Second)))
+			Expect(verify(time.Second, service)).To(And(HaveField("Kind", relay.KindUncertain), HaveField("Uptime", time.Second)))
 			Expect(delivered(agent.forward(time.Second, relay.KindProbe, request))).To(HaveLen(1))
 			Expect(verify(time.Second, service).Kind).To(Equal(relay.KindUncertain))
 			Expect(delivered(agent.forward(time.Second, relay.KindProbe, request))).To(HaveLen(1), "the endpoint may not have been there")
-			told := onlyMessage(agent.Emitted(time.Second, returned(request)))
+			told := onlyMessage(agent.HandleEndpointPacket(time.Second, returned(request)))
 			Expect(told.To).To(Equal(balancerB))
 			Expect(told.Message.Kind).To(Equal(relay.KindDenied))
 			Expect(verify(time.Second, service).Kind).To(Equal(relay.KindDenied))
@@ -230,8 +230,8 @@
 			effects := agent.forward(400*millisecond, relay.KindForward, request)
 			Expect(delivered(effects)).To(HaveLen(1))
 			Expect(sent(effects)).To(BeEmpty())
-			told := onlyMessage(agent.Emitted(401*millisecond, returned(request)))
-			Expect(told.Message.Kind).To(Equal(relay.KindUnknown), "now it is certain that it does not")
+			told := onlyMessage(agent.HandleEndpointPacket(401*millisecond, returned(request)))
+			Expect(told.Message.Kind).To(Equal(relay.KindNotOwned), "now it is certain that it does not")
 			Expect(delivered(agent.forward(500*millisecond, relay.KindForward, request))).To(BeEmpty())
 		})
 
@@ -239,7 +239,7 @@
 			agent = drive(newAgent(false))
 			agent.forward(0, relay.KindForward, fromClient(1, segment.Acknowledge, 101, 501, ""))
 			agent.Receive(10*millisecond, balancerA, relay.Message{Kind: relay.KindProbe, Service: service, Packet: request})
-			told := onlyMessage(agent.Emitted(11*millisecond, returned(request)))
+			told := onlyMessage(agent.HandleEndpointPacket(11*millisecond, returned(request)))
 			Expect(told.To).To(Equal(balancerA))
 			Expect(told.Message.Kind).To(Equal(relay.KindDenied))
 		})
@@ -247,17 +247,17 @@
 		It("brings a packet back that its endpoint does not take, if it was taken for the owner", func() {
 			agent = drive(newAgent(false))
 			agent.forward(0, relay.KindForward, request)
-			told := onlyMessage(agent.Emitted(0, returned(request)))
-			Expect(told.Message.Kind).To(Equal(relay.KindUnknown))
+			told := onlyMessage(agent.HandleEndpointPacket(0, returned(request)))
+			Expect(told.Message.Kind).To(Equal(relay.KindNotOwned))
 			Expect(told.Message.Packet).To(Equal(request))
 		})
 
 		It("counts what it gave its endpoint as a probe as given once, for a flow that turns out to be its own", func() {
 			agent = drive(newAgent(false))
 			agent.forward(0, relay.KindProbe, request)
-			agent.Emitted(millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, ""))
+			agent.HandleEndpointPacket(millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, ""))
 			Expect(events(agent.forward(2*millisecond, relay.KindForward, request))).NotTo(ContainElement(relay.EventGiven))
-			answered := agent.Emitted(40*millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
+			answered := agent.HandleEndpointPacket(40*millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
 			Expect(events(answered)).To(ContainElement(relay.EventAnswered))
 			next := fromClient(1, segment.Acknowledge, 108, 507, "next")
 			Expect(events(agent.forward(50*millisecond, relay.KindForward, next))).To(ContainElement(relay.EventGiven))
@@ -265,7 +265,7 @@
 
 		It("does not take a copy of a request that its endpoint has acknowledged for a new one", func() {
 			agent = drive(newAgent(false))
-			agent.Emitted(0, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
+			agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
 			Expect(events(agent.forward(millisecond, relay.KindForward, request))).NotTo(ContainElement(relay.EventGiven))
 		})
 	})
@@ -279,7 +279,7 @@
 		agent.open(0, 1)
 		agent.forward(0, relay.KindForward, fromClient(1, segment.Acknowledge|segment.Finish, 108, 501, ""))
 		agent.Tick(20 * time.Second)
-		Expect(agent.Flows()).To(BeZero())
+		Expect(agent.FlowCount()).To(BeZero())
 		Expect(agent.Load().Running).To(BeZero())
 	})
 })
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -87,7 +87,7 @@
 	service  string
 	opened   time.Duration
 	touched  time.Duration
-	terms    Terms
+	terms    FlowParameters
 	// began is when the client began to open the flow, as far as its packets show.
 	began time.Duration
 	// offer is set while the state is flowOffering, search while it is
@@ -153,8 +153,8 @@
 	}
 }
 
-// Flows returns the number of flows remembered.
-func (b *Balancer) Flows() int { return len(b.flows) }
+// FlowCount returns the number of flows remembered.
+func (b *Balancer) FlowCount() int { return len(b.flows) }
 
 // Install makes later decisions use a snapshot of the directory, and tells the
 // agents of endpoints that are leaving so. The returned effects are valid until
@@ -190,12 +190,12 @@
 	}
 }
 
-// Confirm tells that the directory was current at a time.
-func (b *Balancer) Confirm(now time.Duration) { b.confirmed = max(b.confirmed, now) }
+// MarkConfirmed tells that the directory was current at a time.
+func (b *Balancer) MarkConfirmed(now time.Duration) { b.confirmed = max(b.confirmed, now) }
 
-// Arrive handles a client's packet. The returned effects are valid until the
+// HandleClientPacket handles a client's packet. The returned effects are valid until the
 // next call, and so must packet be.
-func (b *Balancer) Arrive(now time.Duration, packet []byte) []Effect {
+func (b *Balancer) HandleClientPacket(now time.Duration, packet []byte) []Effect {
 	b.effects = b.effects[:0]
 	header, outcome := b.config.Codec.Decode(packet)
 	if outcome != segment.Decoded {
@@ -284,9 +284,9 @@
 		b.receiveUncertain(now, from, message)
 	case KindDenied:
 		b.receiveDenied(now, from, message)
-	case KindSurveyed:
+	case KindSurveyResult:
 		b.receiveSurveyed(now, from, message)
-	case KindUnknown:
+	case KindNotOwned:
 		b.receiveUnknown(now, from, message)
 	case KindLeaving:
 		b.receiveLeaving(now, from)
@@ -364,7 +364,7 @@
 }
 
 func (b *Balancer) send(to segment.Address, message Message) {
-	b.effects = append(b.effects, Effect{Kind: EffectPeer, To: to, Message: message})
+	b.effects = append(b.effects, Effect{Kind: EffectSendMessage, To: to, Message: message})
 }
 
 func (b *Balancer) event(event Event) {
--- a/internal/relay/hold.go
+++ b/internal/relay/balancer_coldstart.go
@@ -9,16 +9,16 @@
 )
 
 // coldOf returns what the agent of an endpoint has to know of its start.
-func (b *Balancer) coldOf(now time.Duration, candidate directory.Candidate) Cold {
+func (b *Balancer) coldOf(now time.Duration, candidate directory.Candidate) ColdStart {
 	start, limited := b.snapshot.ColdStart(candidate.Endpoint.Service)
 	if !limited {
-		return Cold{}
+		return ColdStart{}
 	}
-	return Cold{
-		Rate:    uint32(min(start.Rate*1000, math.MaxUint32)),
-		Lasts:   uint32(start.Lasts.Milliseconds()),
-		Remains: uint32(max(candidate.WarmAt-now, 0).Milliseconds()),
-		Told:    uint64(candidate.Told),
+	return ColdStart{
+		Rate:       uint32(min(start.Rate*1000, math.MaxUint32)),
+		WarmupTime: uint32(start.Lasts.Milliseconds()),
+		Remaining:  uint32(max(candidate.WarmAt-now, 0).Milliseconds()),
+		Revision:   uint64(candidate.Told),
 	}
 }
 
@@ -27,7 +27,7 @@
 
 // noteHeld notes until when a cold endpoint takes no further request.
 func (b *Balancer) noteHeld(now time.Duration, id directory.EndpointID, load Load) {
-	b.healthOf(id).heldUntil = now + milliseconds(load.Hold)
+	b.healthOf(id).heldUntil = now + milliseconds(load.ColdWait)
 }
 
 // anyHeld reports whether an endpoint of a service takes no request only because it is
--- a/internal/relay/delegate.go
+++ b/internal/relay/balancer_survey.go
@@ -23,7 +23,7 @@
 	surveyCost = 3
 	// surveyRoom is how much a survey carries, in bytes, of a packet and of targets, each
 	// of which takes ipSize; groupSize and the name of the service come to each group.
-	surveyRoom = MaximumMessage - 200
+	surveyRoom = MaxMessageSize - 200
 	groupSize  = 12
 )
 
@@ -89,9 +89,9 @@
 	}
 	sought.delegated = append(sought.delegated, left)
 	message := Message{
-		Kind: KindSurvey, Service: surveyor.Endpoint.Service, Flow: FlowOf(sought.key), Sequence: left.number,
+		Kind: KindSurvey, Service: surveyor.Endpoint.Service, Flow: EncodeFlow(sought.key), Sequence: left.number,
 		Acknowledgment: sought.header.Acknowledgment, Flags: sought.header.Flags,
-		Terms: b.termsAt(sought.key, left.surveyor), Packet: packet,
+		Parameters: b.termsAt(sought.key, left.surveyor), Packet: packet,
 	}
 	for _, candidate := range left.asked {
 		message.Targets = appendTarget(message.Targets, candidate.Endpoint.Service, b.agentOf(candidate))
@@ -114,15 +114,15 @@
 	if index < 0 {
 		return
 	}
-	unsure := addressesOf(message.Unsure)
-	silent := addressesOf(message.Silent)
+	unsure := addressesOf(message.Uncertain)
+	silent := addressesOf(message.Unresponsive)
 	for _, candidate := range sought.delegated[index].asked {
 		agent := b.agentOf(candidate)
 		if slices.Contains(silent, agent) {
 			continue
 		}
 		sought.replies[agent] = reply{
-			denied: !slices.Contains(unsure, agent), probed: sought.replies[agent].probed, began: now - message.Age,
+			denied: !slices.Contains(unsure, agent), probed: sought.replies[agent].probed, began: now - message.Uptime,
 		}
 	}
 	b.conclude(now, known)
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -25,13 +25,13 @@
 
 	It("sends nobody anything before it has a directory", func() {
 		starting := newBalancer()
-		Expect(starting.Arrive(0, opening(1, 100))).To(BeEmpty())
-		Expect(starting.Arrive(0, fromClient(1, segment.Acknowledge, 101, 7, ""))).To(BeEmpty())
+		Expect(starting.HandleClientPacket(0, opening(1, 100))).To(BeEmpty())
+		Expect(starting.HandleClientPacket(0, fromClient(1, segment.Acknowledge, 101, 7, ""))).To(BeEmpty())
 		Expect(starting.Tick(time.Second)).To(BeEmpty())
 	})
 
 	It("offers a flow that busy agents return to others, and after three to the least busy of them", func() {
-		offer := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+		offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 		loads := []uint32{7, 4, 9}
 		tried := make(map[segment.Address]uint32)
 		for index, waiting := range loads {
@@ -39,7 +39,7 @@
 			Expect(offer.Message.LastResort).To(BeFalse())
 			tried[offer.To] = waiting
 			offer = onlyMessage(balancer.Receive(time.Duration(index+1)*millisecond, offer.To, relay.Message{
-				Kind: relay.KindReturned, LastResort: true, Load: relay.Load{Waiting: waiting, Used: waiting}, Packet: opening(1, 100),
+				Kind: relay.KindReturned, LastResort: true, Load: relay.Load{Waiting: waiting, Pending: waiting}, Packet: opening(1, 100),
 			}))
 		}
 		Expect(tried[offer.To]).To(Equal(uint32(4)))
@@ -49,17 +49,17 @@
 	It("gives a slow endpoint flows again, after a while in which its pace has not changed", func() {
 		tell := func(now time.Duration, number int, pace uint32) {
 			balancer.Receive(now, agentAddress(number), relay.Message{
-				Kind: relay.KindPong, Service: service, Load: relay.Load{Pace: pace},
+				Kind: relay.KindPong, Service: service, Load: relay.Load{ServiceTime: pace},
 			})
 		}
 		offeredToSlow := func(now time.Duration, first int) (count int) {
 			for number := first; number < first+30; number++ {
-				for _, effect := range sent(balancer.Arrive(now, opening(number, 100))) {
+				for _, effect := range sent(balancer.HandleClientPacket(now, opening(number, 100))) {
 					if effect.Message.Kind == relay.KindOffer && effect.To == agentAddress(0) {
 						count++
 					}
 				}
-				balancer.Arrive(now, fromClient(number, segment.Reset, 101, 0, ""))
+				balancer.HandleClientPacket(now, fromClient(number, segment.Reset, 101, 0, ""))
 			}
 			return count
 		}
@@ -73,7 +73,7 @@
 
 	It("goes elsewhere while an endpoint is told to be full, and comes back as the news ages", func() {
 		tell := func(now time.Duration, number int, used uint32) {
-			load := relay.Load{Used: used, Pace: 50_000}
+			load := relay.Load{Pending: used, ServiceTime: 50_000}
 			balancer.Receive(now, agentAddress(number), relay.Message{Kind: relay.KindPong, Service: service, Load: load})
 		}
 		for number := range 3 {
@@ -85,9 +85,9 @@
 			counts := make(map[segment.Address]int)
 			for range 30 {
 				number++
-				to := onlyMessage(balancer.Arrive(now, opening(number, 100))).To
+				to := onlyMessage(balancer.HandleClientPacket(now, opening(number, 100))).To
 				counts[to]++
-				balancer.Arrive(now, fromClient(number, segment.Reset, 101, 0, ""))
+				balancer.HandleClientPacket(now, fromClient(number, segment.Reset, 101, 0, ""))
 			}
 			return counts
 		}
@@ -96,18 +96,18 @@
 	})
 
 	It("tells agents for how long the client has tried, by the copy of its packet and by earlier offers", func() {
-		offer := onlyMessage(balancer.Arrive(0, fromClient(1, segment.Synchronize, 100, 600, "")))
-		Expect(offer.Message.Terms.Waited).To(Equal(uint32(600)))
-		Expect(onlyMessage(balancer.Tick(50 * millisecond)).Message.Terms.Waited).To(Equal(uint32(650)))
+		offer := onlyMessage(balancer.HandleClientPacket(0, fromClient(1, segment.Synchronize, 100, 600, "")))
+		Expect(offer.Message.Parameters.Waited).To(Equal(uint32(600)))
+		Expect(onlyMessage(balancer.Tick(50 * millisecond)).Message.Parameters.Waited).To(Equal(uint32(650)))
 	})
 
 	It("offers a new flow to one endpoint and its later packets to the same", func() {
-		offer := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+		offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 		Expect(offer.Message.Kind).To(Equal(relay.KindOffer))
 		Expect(offer.Message.Service).To(Equal(service))
-		Expect(offer.Message.Terms).To(Equal(relay.Terms{Slots: 4, Target: 250, Timeout: 2000}))
+		Expect(offer.Message.Parameters).To(Equal(relay.FlowParameters{Slots: 4, LatencyTarget: 250, Timeout: 2000}))
 		placed(balancer, millisecond, offer.To, 1, 100)
-		forward := onlyMessage(balancer.Arrive(2*millisecond, fromClient(1, segment.Acknowledge, 101, 501, "request")))
+		forward := onlyMessage(balancer.HandleClientPacket(2*millisecond, fromClient(1, segment.Acknowledge, 101, 501, "request")))
 		Expect(forward.To).To(Equal(offer.To))
 		Expect(forward.Message.Kind).To(Equal(relay.KindForward))
 	})
@@ -115,7 +115,7 @@
 	It("spreads flows evenly by what is outstanding", func() {
 		counts := map[segment.Address]int{}
 		for number := range 30 {
-			offer := onlyMessage(balancer.Arrive(0, opening(number, 100)))
+			offer := onlyMessage(balancer.HandleClientPacket(0, opening(number, 100)))
 			counts[offer.To]++
 			placed(balancer, 0, offer.To, number, 100)
 		}
@@ -130,7 +130,7 @@
 		install(0)
 		counts := map[segment.Address]int{}
 		for number := range 39 {
-			offer := onlyMessage(balancer.Arrive(0, opening(number, 100)))
+			offer := onlyMessage(balancer.HandleClientPacket(0, opening(number, 100)))
 			counts[offer.To]++
 			placed(balancer, 0, offer.To, number, 100)
 		}
@@ -139,14 +139,14 @@
 
 	// tell lets an agent tell how long its endpoint takes for answers.
 	tell := func(now time.Duration, number int, pace time.Duration) {
-		load := relay.Load{Pace: uint32(pace.Microseconds())}
+		load := relay.Load{ServiceTime: uint32(pace.Microseconds())}
 		balancer.Receive(now, agentAddress(number), relay.Message{Kind: relay.KindPong, Service: service, Load: load})
 	}
 	// offered counts the flows offered by endpoint, among count that stay open.
 	offered := func(now time.Duration, count int) map[byte]int {
 		counted := make(map[byte]int)
 		for number := range count {
-			for _, each := range sent(balancer.Arrive(now, opening(number, 1))) {
+			for _, each := range sent(balancer.HandleClientPacket(now, opening(number, 1))) {
 				if each.Message.Kind == relay.KindOffer {
 					counted[each.To.IP[3]]++
 				}
@@ -177,7 +177,7 @@
 		}
 		pings := 0
 		for number := range 100 {
-			for _, each := range sent(balancer.Arrive(time.Duration(number)*10*millisecond, opening(number, 1))) {
+			for _, each := range sent(balancer.HandleClientPacket(time.Duration(number)*10*millisecond, opening(number, 1))) {
 				if each.Message.Kind == relay.KindPing {
 					Expect(each.To).To(Equal(agentAddress(2)))
 					pings++
@@ -195,7 +195,7 @@
 		install(0)
 		other := 0
 		for number := range 100 {
-			if onlyMessage(balancer.Arrive(0, opening(number, 100))).Message.Service == otherService {
+			if onlyMessage(balancer.HandleClientPacket(0, opening(number, 100))).Message.Service == otherService {
 				other++
 			}
 			Expect(other).To(BeNumerically("~", float64(number+1)/10, 1))
@@ -207,19 +207,19 @@
 		known.configure(directory.Share{Service: otherService, Weight: 90}, directory.Share{Service: service, Weight: 10})
 		install(0)
 		for number := range 10 {
-			Expect(onlyMessage(balancer.Arrive(0, opening(number, 100))).Message.Service).To(Equal(service))
+			Expect(onlyMessage(balancer.HandleClientPacket(0, opening(number, 100))).Message.Service).To(Equal(service))
 		}
 	})
 
 	It("repeats an opening packet to the same endpoint", func() {
-		first := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+		first := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 		placed(balancer, millisecond, first.To, 1, 100)
-		again := onlyMessage(balancer.Arrive(200*millisecond, opening(1, 100)))
+		again := onlyMessage(balancer.HandleClientPacket(200*millisecond, opening(1, 100)))
 		Expect(again.To).To(Equal(first.To))
 	})
 
 	It("offers a silent opening packet to another endpoint before the client repeats it", func() {
-		first := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+		first := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 		balancer.Tick(millisecond)
 		next := balancer.NextTick(millisecond)
 		Expect(next).To(BeNumerically("<", 200*millisecond))
@@ -232,7 +232,7 @@
 	It("bounds what it offers again for silence", func() {
 		offers := 0
 		for number := range 200 {
-			balancer.Arrive(0, opening(number, 100))
+			balancer.HandleClientPacket(0, opening(number, 100))
 		}
 		for now := time.Duration(0); now < time.Second; now += 10 * millisecond {
 			for _, each := range sent(balancer.Tick(now)) {
@@ -246,7 +246,7 @@
 
 	It("offers a returned packet to all others, then refuses the client at once", func() {
 		tried := map[segment.Address]bool{}
-		effects := balancer.Arrive(0, opening(1, 100))
+		effects := balancer.HandleClientPacket(0, opening(1, 100))
 		for range 3 {
 			offer := onlyMessage(effects)
 			Expect(tried).NotTo(HaveKey(offer.To))
@@ -254,7 +254,7 @@
 			effects = balancer.Receive(millisecond, offer.To, relay.Message{Kind: relay.KindReturned, Packet: opening(1, 100)})
 		}
 		Expect(resets(effects)).To(HaveLen(1))
-		Expect(balancer.Flows()).To(BeZero())
+		Expect(balancer.FlowCount()).To(BeZero())
 	})
 
 	It("gives no new flow to an endpoint that is draining or gone", func() {
@@ -264,7 +264,7 @@
 		Expect(onlyMessage(told).To).To(Equal(agentAddress(0)))
 		Expect(onlyMessage(told).Message.Kind).To(Equal(relay.KindDrain))
 		for number := range 20 {
-			Expect(onlyMessage(balancer.Arrive(0, opening(number, 100))).To).To(Equal(agentAddress(2)))
+			Expect(onlyMessage(balancer.HandleClientPacket(0, opening(number, 100))).To).To(Equal(agentAddress(2)))
 		}
 	})
 
@@ -281,8 +281,8 @@
 			known.gone(time.Second, number)
 		}
 		install(time.Second)
-		Expect(sent(balancer.Arrive(2*time.Second, opening(1, 100)))).To(HaveLen(1))
-		Expect(resets(balancer.Arrive(3*time.Second, opening(2, 100)))).To(HaveLen(1))
+		Expect(sent(balancer.HandleClientPacket(2*time.Second, opening(1, 100)))).To(HaveLen(1))
+		Expect(resets(balancer.HandleClientPacket(3*time.Second, opening(2, 100)))).To(HaveLen(1))
 	})
 
 	It("spreads flows over all endpoints while their entries return one by one after an outage of the store", func() {
@@ -293,12 +293,12 @@
 		install(time.Second)
 		offered := make(map[segment.Address]int)
 		for number := range 30 {
-			offered[onlyMessage(balancer.Arrive(time.Second, opening(number, 100))).To]++
+			offered[onlyMessage(balancer.HandleClientPacket(time.Second, opening(number, 100))).To]++
 		}
 		Expect(offered).To(Equal(map[segment.Address]int{agentAddress(0): 10, agentAddress(1): 10, agentAddress(2): 10}))
 		now := 2600 * time.Millisecond
 		for number := range 20 {
-			Expect(onlyMessage(balancer.Arrive(now, opening(100+number, 100))).To).To(Equal(agentAddress(1)), "but not for long")
+			Expect(onlyMessage(balancer.HandleClientPacket(now, opening(100+number, 100))).To).To(Equal(agentAddress(1)), "but not for long")
 		}
 	})
 
@@ -306,7 +306,7 @@
 		known.gone(time.Second, 0)
 		install(time.Second)
 		for number := range 20 {
-			Expect(onlyMessage(balancer.Arrive(time.Second, opening(number, 100))).To).NotTo(Equal(agentAddress(0)))
+			Expect(onlyMessage(balancer.HandleClientPacket(time.Second, opening(number, 100))).To).NotTo(Equal(agentAddress(0)))
 		}
 	})
 
@@ -317,7 +317,7 @@
 		known.endpoint(time.Second, 7, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP; e.Service = "other" })
 		install(time.Second)
 		for number := range 20 {
-			Expect(onlyMessage(balancer.Arrive(time.Second, opening(number, 100))).To).NotTo(Equal(agentAddress(0)))
+			Expect(onlyMessage(balancer.HandleClientPacket(time.Second, opening(number, 100))).To).NotTo(Equal(agentAddress(0)))
 		}
 	})
 
@@ -327,7 +327,7 @@
 			known.gone(0, number)
 		}
 		install(0)
-		Expect(sent(balancer.Arrive(0, opening(1, 100)))).To(BeEmpty())
+		Expect(sent(balancer.HandleClientPacket(0, opening(1, 100)))).To(BeEmpty())
 	})
 
 	It("leaves out an endpoint that does not answer, and tries it again later with one flow", func() {
@@ -347,7 +347,7 @@
 		toVictim := 0
 		for number := range 200 {
 			now += 10 * millisecond
-			toVictim += answer(balancer.Arrive(now, opening(number, 100)), number)
+			toVictim += answer(balancer.HandleClientPacket(now, opening(number, 100)), number)
 			for _, offer := range sent(balancer.Tick(now)) {
 				header, _ := codec.Decode(offer.Message.Packet)
 				placed(balancer, now, offer.To, int(header.Source.Port)-40000, 100)
@@ -363,7 +363,7 @@
 				Kind: relay.KindReturned, Service: service, Sequence: 100, LastResort: last, Packet: opening(1, 100),
 			})
 		}
-		first := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+		first := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 		second := onlyMessage(bring(first.To, true))
 		Expect(second.Message.LastResort).To(BeFalse())
 		third := onlyMessage(bring(second.To, false))
@@ -378,24 +378,24 @@
 		unrouted := codec.Encode(segment.Header{Source: clientAddress(1), Destination: noRoute, Flags: segment.Synchronize}, nil)
 
 		It("is reset while the directory is current", func() {
-			Expect(resets(balancer.Arrive(time.Second, unrouted))).To(HaveLen(1))
+			Expect(resets(balancer.HandleClientPacket(time.Second, unrouted))).To(HaveLen(1))
 		})
 
 		It("is not reset if the directory may be out of date", func() {
-			Expect(resets(balancer.Arrive(time.Minute, unrouted))).To(BeEmpty())
+			Expect(resets(balancer.HandleClientPacket(time.Minute, unrouted))).To(BeEmpty())
 		})
 	})
 
 	It("keeps open flows of a route that a configuration drops where they are", func() {
-		offer := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+		offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 		placed(balancer, 0, offer.To, 1, 100)
 		known.configure()
 		install(0)
-		Expect(onlyMessage(balancer.Arrive(0, fromClient(1, segment.Acknowledge, 101, 501, "x"))).To).To(Equal(offer.To))
+		Expect(onlyMessage(balancer.HandleClientPacket(0, fromClient(1, segment.Acknowledge, 101, 501, "x"))).To).To(Equal(offer.To))
 	})
 
 	DescribeTable("drops what no client can have written", func(packet []byte, expected relay.EventKind) {
-		effects := balancer.Arrive(0, packet)
+		effects := balancer.HandleClientPacket(0, packet)
 		Expect(events(effects)).To(ConsistOf(expected))
 		Expect(sent(effects)).To(BeEmpty())
 	},
@@ -409,7 +409,7 @@
 		endure := func(from, to time.Duration) int {
 			pings := 0
 			for now := from; now < to; now += 10 * millisecond {
-				balancer.Arrive(now, opening(int(now/millisecond), 100))
+				balancer.HandleClientPacket(now, opening(int(now/millisecond), 100))
 				for _, each := range sent(balancer.Tick(now)) {
 					if each.Message.Kind == relay.KindPing {
 						pings++
@@ -435,7 +435,7 @@
 		})
 
 		It("does not take calm for being cut off", func() {
-			offer := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+			offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 			placed(balancer, millisecond, offer.To, 1, 100)
 			balancer.Tick(time.Minute)
 			Expect(sent(balancer.Tick(2 * time.Minute))).To(BeEmpty())
@@ -444,11 +444,11 @@
 	})
 
 	It("forgets flows whose clients have closed them", func() {
-		offer := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+		offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 		placed(balancer, 0, offer.To, 1, 100)
-		balancer.Arrive(millisecond, fromClient(1, segment.Acknowledge|segment.Finish, 101, 501, ""))
-		Expect(onlyMessage(balancer.Arrive(2*millisecond, fromClient(1, segment.Acknowledge, 102, 502, ""))).To).To(Equal(offer.To))
+		balancer.HandleClientPacket(millisecond, fromClient(1, segment.Acknowledge|segment.Finish, 101, 501, ""))
+		Expect(onlyMessage(balancer.HandleClientPacket(2*millisecond, fromClient(1, segment.Acknowledge, 102, 502, ""))).To).To(Equal(offer.To))
 		balancer.Tick(10 * time.Second)
-		Expect(balancer.Flows()).To(BeZero())
+		Expect(balancer.FlowCount()).To(BeZero())
 	})
 })
--- a/internal/relay/room.go
+++ b/internal/relay/capacity.go
@@ -51,7 +51,7 @@
 // overloaded reports whether the endpoint would take longer for the requests
 // that wait than a client waits for an answer, so that a new flow is better
 // offered to another or refused before anything of it has run.
-func (a *Agent) overloaded(terms Terms) bool {
+func (a *Agent) overloaded(terms FlowParameters) bool {
 	a.pace.slots = terms.Slots
 	if terms.Slots == 0 || terms.Timeout == 0 {
 		return false
@@ -63,7 +63,7 @@
 // busy reports whether a new request would have to wait. A balancer knows only the flows
 // that it has placed itself, among hundreds next to nothing, so that it may find one that is
 // not.
-func (a *Agent) busy(terms Terms) bool {
+func (a *Agent) busy(terms FlowParameters) bool {
 	return terms.Slots > 0 && a.pending() >= a.pace.limit()
 }
 
--- a/internal/relay/room_test.go
+++ b/internal/relay/capacity_test.go
@@ -17,19 +17,19 @@
 	BeforeEach(func() { agent = drive(newAgent(true)) })
 
 	answerRequest := func(now time.Duration, number int) {
-		agent.Emitted(now, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
+		agent.HandleEndpointPacket(now, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
 	}
 
 	It("counts requests at the endpoint, those that wait and those that are about to come", func() {
 		agent.open(0, 0)
 		agent.offer(0, 1, 100)
-		Expect(agent.Load().Used).To(Equal(uint32(2)), "one at the endpoint and one to come")
+		Expect(agent.Load().Pending).To(Equal(uint32(2)), "one at the endpoint and one to come")
 		agent.lastResort = true
 		for number := 2; number < 5; number++ {
 			agent.open(0, number)
 		}
 		Expect(agent.Load().Waiting).To(Equal(uint32(1)))
-		Expect(agent.Load().Used).To(Equal(uint32(5)))
+		Expect(agent.Load().Pending).To(Equal(uint32(5)))
 	})
 
 	It("counts no request that waits and is late already, since a new one goes before it", func() {
@@ -37,29 +37,29 @@
 		for number := range 5 {
 			agent.open(0, number)
 		}
-		Expect(agent.Load().Used).To(Equal(uint32(5)), "three at the endpoint and two that wait")
+		Expect(agent.Load().Pending).To(Equal(uint32(5)), "three at the endpoint and two that wait")
 		agent.Tick(300 * millisecond)
 		Expect(agent.Load().Waiting).To(Equal(uint32(2)))
-		Expect(agent.Load().Used).To(Equal(uint32(3)))
+		Expect(agent.Load().Pending).To(Equal(uint32(3)))
 	})
 
 	It("counts no flow that was opened ahead of need", func() {
 		agent.offer(0, 0, 100)
 		agent.answer(millisecond, 0, 500)
-		Expect(agent.Load().Used).To(Equal(uint32(1)))
+		Expect(agent.Load().Pending).To(Equal(uint32(1)))
 		agent.Tick(time.Second)
-		Expect(agent.Load().Used).To(BeZero())
+		Expect(agent.Load().Pending).To(BeZero())
 	})
 
 	It("counts neither what is answered nor what has ended", func() {
 		agent.open(0, 0)
 		answerRequest(work, 0)
-		Expect(agent.Load().Used).To(BeZero())
+		Expect(agent.Load().Pending).To(BeZero())
 		agent.offer(work, 1, 100)
 		agent.forward(work, relay.KindForward, fromClient(1, segment.Reset, 101, 0, ""))
 		agent.answer(work, 1, 500)
-		agent.Emitted(work, fromEndpoint(1, segment.Reset, 501, 101, ""))
-		Expect(agent.Load().Used).To(BeZero())
+		agent.HandleEndpointPacket(work, fromEndpoint(1, segment.Reset, 501, 101, ""))
+		Expect(agent.Load().Pending).To(BeZero())
 	})
 
 	It("takes the wait at the endpoint out of its pace", func() {
@@ -69,7 +69,7 @@
 		answerRequest(work, 0)
 		answerRequest(work, 1)
 		answerRequest(2*work, 2)
-		Expect(agent.Load().Pace).To(Equal(uint32(work.Microseconds())))
+		Expect(agent.Load().ServiceTime).To(Equal(uint32(work.Microseconds())))
 	})
 
 	It("counts a request that takes long as a slot less, not as slowness", func() {
@@ -80,9 +80,9 @@
 			now += work
 			answerRequest(now, number)
 		}
-		Expect(agent.Load().Used).To(Equal(uint32(1)))
+		Expect(agent.Load().Pending).To(Equal(uint32(1)))
 		answerRequest(now, 0)
-		Expect(agent.Load().Pace).To(Equal(uint32(work.Microseconds())))
-		Expect(agent.Load().Used).To(BeZero())
+		Expect(agent.Load().ServiceTime).To(Equal(uint32(work.Microseconds())))
+		Expect(agent.Load().Pending).To(BeZero())
 	})
 })
--- a/internal/relay/closed_zone_test.go
+++ b/internal/relay/closed_zone_test.go
@@ -60,16 +60,16 @@
 	It("offers new flows to the endpoints of other zones only, and again once it is open", func() {
 		closeZone(0, otherZone)
 		for number := range 20 {
-			Expect(offeredTo(balancer.Arrive(0, opening(number, 100)))).To(Equal([]segment.Address{opened}))
+			Expect(offeredTo(balancer.HandleClientPacket(0, opening(number, 100)))).To(Equal([]segment.Address{opened}))
 		}
 		known.zone(time.Second, otherZone, false)
 		install(time.Second)
-		Expect(offeredTo(balancer.Arrive(time.Second, opening(21, 100)))).To(Equal([]segment.Address{shut}))
+		Expect(offeredTo(balancer.HandleClientPacket(time.Second, opening(21, 100)))).To(Equal([]segment.Address{shut}))
 	})
 
 	It("makes no further offer to it when others return a flow or are silent", func() {
 		closeZone(0, otherZone)
-		balancer.Arrive(0, opening(1, 100))
+		balancer.HandleClientPacket(0, opening(1, 100))
 		Expect(offeredTo(balancer.Tick(50 * millisecond))).To(BeEmpty())
 		effects := returnedBy(60*millisecond, opened, false)
 		Expect(offeredTo(effects)).To(BeEmpty())
@@ -79,7 +79,7 @@
 	It("does not ask an endpoint there as the last resort that has returned the flow before", func() {
 		known.endpoint(0, 2, inZone(ownZone))
 		install(0)
-		tried := offeredTo(balancer.Arrive(0, opening(1, 100)))
+		tried := offeredTo(balancer.HandleClientPacket(0, opening(1, 100)))
 		for len(tried) < 3 {
 			last := tried[len(tried)-1]
 			tried = append(tried, offeredTo(returnedBy(millisecond, last, last == shut))...)
@@ -93,15 +93,15 @@
 	It("offers a copy of an opening packet elsewhere if the zone was closed since the first", func() {
 		known.endpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 		install(0)
-		Expect(offeredTo(balancer.Arrive(0, opening(1, 100)))).To(Equal([]segment.Address{shut}))
+		Expect(offeredTo(balancer.HandleClientPacket(0, opening(1, 100)))).To(Equal([]segment.Address{shut}))
 		known.endpoint(0, 2, inZone(ownZone))
 		closeZone(100*millisecond, otherZone)
-		copied := balancer.Arrive(200*millisecond, fromClient(1, segment.Synchronize, 100, 1, ""))
+		copied := balancer.HandleClientPacket(200*millisecond, fromClient(1, segment.Synchronize, 100, 1, ""))
 		Expect(offeredTo(copied)).To(Equal([]segment.Address{agentAddress(2)}))
 	})
 
 	It("offers a packet that came before the directory was known to another zone", func() {
-		balancer.Arrive(0, opening(1, 100))
+		balancer.HandleClientPacket(0, opening(1, 100))
 		known.zone(0, otherZone, true)
 		Expect(offeredTo(install(10 * millisecond))).To(Equal([]segment.Address{opened}))
 	})
@@ -113,14 +113,14 @@
 		known.gone(0, 1)
 		install(0)
 		for number := range 10 {
-			Expect(offeredTo(balancer.Arrive(millisecond, opening(number, 100)))).To(Equal([]segment.Address{opened}))
+			Expect(offeredTo(balancer.HandleClientPacket(millisecond, opening(number, 100)))).To(Equal([]segment.Address{opened}))
 		}
 	})
 
 	It("refuses a flow at once if all endpoints of its service are in it", func() {
 		known.gone(0, 0)
 		closeZone(0, otherZone)
-		effects := balancer.Arrive(10*time.Second, opening(1, 100))
+		effects := balancer.HandleClientPacket(10*time.Second, opening(1, 100))
 		Expect(sent(effects)).To(BeEmpty())
 		Expect(resets(effects)).To(HaveLen(1))
 		Expect(effects[0].Event.Reason).To(Equal("zone_closed"))
@@ -131,17 +131,17 @@
 		known.configure(directory.Share{Service: service, Weight: 9}, directory.Share{Service: otherService, Weight: 1})
 		closeZone(0, otherZone)
 		for number := range 10 {
-			Expect(offeredTo(balancer.Arrive(0, opening(number, 100)))).To(Equal([]segment.Address{opened}))
+			Expect(offeredTo(balancer.HandleClientPacket(0, opening(number, 100)))).To(Equal([]segment.Address{opened}))
 		}
 	})
 
 	It("carries on the open flows of its endpoints", func() {
 		known.endpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 		install(0)
-		balancer.Arrive(0, opening(1, 100))
-		balancer.Receive(0, shut, relay.Message{Kind: relay.KindPlaced, Service: service, Flow: relay.FlowOf(keyOf(1)), Sequence: 100})
+		balancer.HandleClientPacket(0, opening(1, 100))
+		balancer.Receive(0, shut, relay.Message{Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 100})
 		closeZone(time.Second, otherZone)
-		forward := onlyMessage(balancer.Arrive(2*time.Second, fromClient(1, segment.Acknowledge, 101, 501, "request")))
+		forward := onlyMessage(balancer.HandleClientPacket(2*time.Second, fromClient(1, segment.Acknowledge, 101, 501, "request")))
 		Expect(forward.To).To(Equal(shut))
 		Expect(forward.Message.Kind).To(Equal(relay.KindForward))
 	})
--- a/internal/relay/cold_test.go
+++ b/internal/relay/coldstart_test.go
@@ -18,12 +18,12 @@
 )
 
 // coldBound is what the agents of the specs may exceed the rate by.
-var coldBound = relay.ColdBound{Overrun: 1.5, Slack: 5}
+var coldBound = relay.ColdStartLimit{Overrun: 1.5, Slack: 5}
 
-func newColdAgent(complete bool, bound relay.ColdBound) *relay.Agent {
+func newColdAgent(complete bool, bound relay.ColdStartLimit) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
-		Service: service, Codec: codec, Complete: complete, FlowLifetime: flowLifetime, FlowLimit: 100000, ColdBound: bound,
-		Outliers: outlier.DefaultLimits(),
+		Service: service, Codec: codec, StartedWithEndpoint: complete, FlowLifetime: flowLifetime, FlowLimit: 100000, ColdStartLimit: bound,
+		OutlierLimits: outlier.DefaultLimits(),
 	})
 }
 
@@ -33,7 +33,7 @@
 	agent  *relay.Agent
 	number int
 	// told is what balancers tell of the endpoint.
-	told     relay.Cold
+	told     relay.ColdStart
 	priority uint8
 	got      []time.Duration
 	// down is set while the endpoint answers nothing or, with bounces, takes nothing.
@@ -49,18 +49,18 @@
 // deliver offers a copy of the opening packet with a number.
 func (c *coldEndpoint) deliver(now time.Duration, number int, copied uint32) []relay.Effect {
 	effects := c.agent.Receive(now, balancerA, relay.Message{
-		Kind: relay.KindOffer, Service: service, Terms: relay.Terms{Cold: c.told, Priority: c.priority},
+		Kind: relay.KindOffer, Service: service, Parameters: relay.FlowParameters{ColdStart: c.told, Priority: c.priority},
 		Packet: fromClient(number, segment.Synchronize, 100, copied, ""),
 	})
-	if len(ofKind(effects, relay.EffectEndpoint)) > 0 {
+	if len(ofKind(effects, relay.EffectSendToEndpoint)) > 0 {
 		if c.down && c.bounces {
 			packet := fromClient(number, segment.Synchronize, 100, copied, "")
 			codec.MarkReturned(packet)
-			return append(effects, c.agent.Emitted(now, packet)...)
+			return append(effects, c.agent.HandleEndpointPacket(now, packet)...)
 		}
 		c.got = append(c.got, now)
 		if !c.down {
-			c.agent.Emitted(now, fromEndpoint(number, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
+			c.agent.HandleEndpointPacket(now, fromEndpoint(number, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
 		}
 	}
 	return effects
@@ -90,9 +90,9 @@
 
 var _ = Describe("Agent, beside a cold endpoint", func() {
 	rate := uint32(coldRate * 1000)
-	told := func(remains time.Duration, revision uint64) relay.Cold {
-		return relay.Cold{
-			Rate: rate, Lasts: uint32(coldLasts.Milliseconds()), Remains: uint32(remains.Milliseconds()), Told: revision,
+	told := func(remains time.Duration, revision uint64) relay.ColdStart {
+		return relay.ColdStart{
+			Rate: rate, WarmupTime: uint32(coldLasts.Milliseconds()), Remaining: uint32(remains.Milliseconds()), Revision: revision,
 		}
 	}
 	allowed := int(coldBound.Overrun*coldRate + coldBound.Slack)
@@ -109,7 +109,7 @@
 		Expect(len(endpoint.got)).To(BeNumerically(">", 100))
 	})
 
-	DescribeTable("keeps to other bounds", func(bound relay.ColdBound, perSecond float64) {
+	DescribeTable("keeps to other bounds", func(bound relay.ColdStartLimit, perSecond float64) {
 		cold := told(coldLasts, 7)
 		cold.Rate = uint32(perSecond * 1000)
 		endpoint := &coldEndpoint{agent: newColdAgent(true, bound), told: cold}
@@ -117,9 +117,9 @@
 		Expect(endpoint.most(0, coldLasts)).To(BeNumerically("<=", bound.Overrun*perSecond+bound.Slack))
 		Expect(len(endpoint.got)).To(BeNumerically(">=", perSecond*coldLasts.Seconds()/2))
 	},
-		Entry("no slack", relay.ColdBound{Overrun: 1}, 8.0),
-		Entry("a factor only", relay.ColdBound{Overrun: 1.5}, 20.0),
-		Entry("slack only", relay.ColdBound{Overrun: 1, Slack: 3}, 30.0),
+		Entry("no slack", relay.ColdStartLimit{Overrun: 1}, 8.0),
+		Entry("a factor only", relay.ColdStartLimit{Overrun: 1.5}, 20.0),
+		Entry("slack only", relay.ColdStartLimit{Overrun: 1, Slack: 3}, 30.0),
 	)
 
 	It("keeps to the bound though it is restarted itself and does not know what it let through", func() {
@@ -178,7 +178,7 @@
 		request := fromClient(1, segment.Acknowledge, 101, 501, "request")
 		endpoint.agent.Receive(time.Second, balancerA, relay.Message{Kind: relay.KindForward, Service: service, Packet: request})
 		codec.MarkReturned(request)
-		endpoint.agent.Emitted(time.Second, request)
+		endpoint.agent.HandleEndpointPacket(time.Second, request)
 		endpoint.press(time.Second, 2*time.Second)
 		Expect(endpoint.most(time.Second, 2*time.Second)).To(BeNumerically("<=", allowed))
 	})
@@ -242,7 +242,7 @@
 				lost := fromClient(endpoint.number, segment.Acknowledge, 101, 501, "request")
 				endpoint.agent.Receive(now, balancerA, relay.Message{Kind: relay.KindForward, Service: service, Packet: lost})
 				codec.MarkReturned(lost)
-				endpoint.agent.Emitted(now, lost)
+				endpoint.agent.HandleEndpointPacket(now, lost)
 			}
 		}
 		endpoint.offer(now)
@@ -251,7 +251,7 @@
 	DescribeTable("lets an endpoint recover whose rate nobody has told", func(carries int, bounces bool) {
 		endpoint := &relapsing{carries: carries}
 		endpoint.bounces = bounces
-		endpoint.agent = newColdAgent(false, relay.ColdBound{Overrun: 1})
+		endpoint.agent = newColdAgent(false, relay.ColdStartLimit{Overrun: 1})
 		for now := time.Duration(0); now < 12*time.Second; now += 5 * millisecond {
 			step(endpoint, now)
 		}
@@ -268,7 +268,7 @@
 	)
 
 	It("does not bound an endpoint that fails long after its start", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(false, relay.ColdBound{Overrun: 1})}
+		endpoint := &coldEndpoint{agent: newColdAgent(false, relay.ColdStartLimit{Overrun: 1})}
 		endpoint.press(0, 10*millisecond)
 		endpoint.press(20*time.Second, 20*time.Second+10*millisecond)
 		endpoint.down = true
@@ -279,13 +279,13 @@
 	})
 
 	It("takes the flows that one restart has lost for one", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(true, relay.ColdBound{Overrun: 1})}
+		endpoint := &coldEndpoint{agent: newColdAgent(true, relay.ColdStartLimit{Overrun: 1})}
 		endpoint.press(0, 10*millisecond)
 		for number := 1; number <= 10; number++ {
 			request := fromClient(number, segment.Acknowledge, 101, 501, "request")
 			endpoint.agent.Receive(time.Second, balancerA, relay.Message{Kind: relay.KindForward, Service: service, Packet: request})
 			codec.MarkReturned(request)
-			endpoint.agent.Emitted(time.Second, request)
+			endpoint.agent.HandleEndpointPacket(time.Second, request)
 		}
 		endpoint.press(time.Second, 1100*millisecond)
 		Expect(endpoint.got).To(HaveLen(110))
@@ -297,8 +297,8 @@
 		answer := onlyMessage(endpoint.offer(100 * millisecond))
 		Expect(answer.Message.Kind).To(Equal(relay.KindReturned))
 		Expect(answer.Message.LastResort).To(BeFalse())
-		Expect(answer.Message.Load.Hold).To(BeNumerically(">", 0))
-		Expect(answer.Message.Load.Hold).To(BeNumerically("<=", 1000/coldRate+1))
+		Expect(answer.Message.Load.ColdWait).To(BeNumerically(">", 0))
+		Expect(answer.Message.Load.ColdWait).To(BeNumerically("<=", 1000/coldRate+1))
 	})
 
 	It("limits nothing where there is no rate", func() {
@@ -316,7 +316,7 @@
 
 	returned := func(now time.Duration, from segment.Address, number int, hold uint32) []relay.Effect {
 		return balancer.Receive(now, from, relay.Message{
-			Kind: relay.KindReturned, Service: service, Load: relay.Load{Hold: hold}, Packet: opening(number, 100),
+			Kind: relay.KindReturned, Service: service, Load: relay.Load{ColdWait: hold}, Packet: opening(number, 100),
 		})
 	}
 
@@ -340,29 +340,29 @@
 	})
 
 	It("tells agents what their endpoints carry, for how long, and when that was announced", func() {
-		offer := onlyMessage(balancer.Arrive(500*millisecond, opening(1, 100)))
-		Expect(offer.Message.Terms.Cold.Rate).To(Equal(uint32(12000)))
-		Expect(offer.Message.Terms.Cold.Lasts).To(Equal(uint32(2000)))
-		Expect(offer.Message.Terms.Cold.Remains).To(Equal(uint32(1500)))
-		Expect(offer.Message.Terms.Cold.Told).To(BeNumerically(">", 0))
+		offer := onlyMessage(balancer.HandleClientPacket(500*millisecond, opening(1, 100)))
+		Expect(offer.Message.Parameters.ColdStart.Rate).To(Equal(uint32(12000)))
+		Expect(offer.Message.Parameters.ColdStart.WarmupTime).To(Equal(uint32(2000)))
+		Expect(offer.Message.Parameters.ColdStart.Remaining).To(Equal(uint32(1500)))
+		Expect(offer.Message.Parameters.ColdStart.Revision).To(BeNumerically(">", 0))
 	})
 
 	It("offers a returned flow to another, and refuses at once what none takes for now", func() {
-		first := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+		first := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 		second := onlyMessage(returned(millisecond, first.To, 1, 80))
 		Expect(second.To).NotTo(Equal(first.To))
 		refused := returned(2*millisecond, second.To, 1, 50)
 		Expect(sent(refused)).To(BeEmpty())
 		Expect(resets(refused)).To(HaveLen(1))
 		Expect(ofKind(refused, relay.EffectEvent)[0].Event.Reason).To(Equal("cold"))
-		Expect(resets(balancer.Arrive(3*millisecond, opening(2, 100)))).To(HaveLen(1))
+		Expect(resets(balancer.HandleClientPacket(3*millisecond, opening(2, 100)))).To(HaveLen(1))
 	})
 
 	It("offers flows again once an endpoint takes another", func() {
-		first := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+		first := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 		second := onlyMessage(returned(millisecond, first.To, 1, 80))
 		returned(2*millisecond, second.To, 1, 50)
-		Expect(onlyMessage(balancer.Arrive(60*millisecond, opening(3, 100))).To).To(Equal(second.To))
+		Expect(onlyMessage(balancer.HandleClientPacket(60*millisecond, opening(3, 100))).To).To(Equal(second.To))
 	})
 
 	It("takes the endpoints of a zone that was opened again for cold before they say so", func() {
@@ -372,8 +372,8 @@
 		known.zone(time.Second, otherZone, true)
 		known.zone(5*time.Second, otherZone, false)
 		balancer.Install(5*time.Second, known.machine.Snapshot())
-		offer := onlyMessage(balancer.Arrive(5*time.Second, opening(1, 100)))
-		Expect(offer.Message.Terms.Cold.Remains).To(Equal(uint32(2000)))
-		Expect(offer.Message.Terms.Cold.Told).To(Equal(uint64(known.revision)))
+		offer := onlyMessage(balancer.HandleClientPacket(5*time.Second, opening(1, 100)))
+		Expect(offer.Message.Parameters.ColdStart.Remaining).To(Equal(uint32(2000)))
+		Expect(offer.Message.Parameters.ColdStart.Revision).To(Equal(uint64(known.revision)))
 	})
 })
--- a/internal/relay/effect.go
+++ b/internal/relay/effect.go
@@ -12,17 +12,17 @@
 
 // The kinds of effects.
 const (
-	// EffectPeer: send Message to the daemon at To.
-	EffectPeer EffectKind = iota
-	// EffectClient: send Packet to the client at To.
-	EffectClient
-	// EffectEndpoint: hand Packet to the endpoint beside the agent.
-	EffectEndpoint
+	// EffectSendMessage: send Message to the daemon at To.
+	EffectSendMessage EffectKind = iota
+	// EffectSendToClient: send Packet to the client at To.
+	EffectSendToClient
+	// EffectSendToEndpoint: hand Packet to the endpoint beside the agent.
+	EffectSendToEndpoint
 	// EffectEvent: Event happened; it can be logged and counted.
 	EffectEvent
-	// EffectConfirm: the directory has to be confirmed as of now or later, which
+	// EffectConfirmDirectory: the directory has to be confirmed as of now or later, which
 	// Current tells.
-	EffectConfirm
+	EffectConfirmDirectory
 )
 
 // Effect is one thing that the caller has to do. Packets share memory with the
@@ -120,7 +120,7 @@
 	Kind EventKind
 	Flow segment.FlowKey
 	// Class is that of the flow, if there is one.
-	Class Class
+	Class TrafficClass
 	// Request is the identifier of the request, if a packet has shown one.
 	Request string
 	// Peer is the daemon concerned, if any.
--- a/internal/relay/judgement.go
+++ b/internal/relay/ejection.go
@@ -79,7 +79,7 @@
 // returnsTo reports whether a balancer learns of a change by the return of a flow.
 func (a *Agent) returnsTo(balancer segment.Address) bool {
 	return slices.ContainsFunc(a.effects, func(effect Effect) bool {
-		return effect.Kind == EffectPeer && effect.Message.Kind == KindReturned && effect.To == balancer
+		return effect.Kind == EffectSendMessage && effect.Message.Kind == KindReturned && effect.To == balancer
 	})
 }
 
--- a/internal/relay/health_test.go
+++ b/internal/relay/ejection_test.go
@@ -22,7 +22,7 @@
 	offerIn := func(zone string, now time.Duration, from segment.Address, insist bool) []relay.Effect {
 		number++
 		return agent.Receive(now, from, relay.Message{
-			Kind: relay.KindOffer, Service: service, Zone: zone, Terms: agent.terms, Insist: insist, Packet: opening(number, 100),
+			Kind: relay.KindOffer, Service: service, Zone: zone, Parameters: agent.terms, IgnoreEjection: insist, Packet: opening(number, 100),
 		})
 	}
 	// answers lets the endpoint answer a new flow of a zone's balancer.
@@ -30,7 +30,7 @@
 		offerIn(zone, now, from, true)
 		agent.answer(now, number, 500)
 		agent.forward(now, relay.KindForward, fromClient(number, segment.Acknowledge, 101, 501, "request"))
-		return agent.Emitted(now, fromEndpoint(number, segment.Acknowledge, 501, 108, data))
+		return agent.HandleEndpointPacket(now, fromEndpoint(number, segment.Acknowledge, 501, 108, data))
 	}
 	returnsNew := func(zone string, now time.Duration) bool {
 		return len(delivered(offerIn(zone, now, balancerA, false))) == 0
@@ -76,7 +76,7 @@
 			offerIn(ownZone, 0, balancerA, true)
 			agent.answer(0, number, 500)
 			agent.forward(0, relay.KindForward, fromClient(number, segment.Acknowledge, 101, 501, "request"))
-			agent.Emitted(0, fromEndpoint(number, segment.Reset, 501, 108, ""))
+			agent.HandleEndpointPacket(0, fromEndpoint(number, segment.Reset, 501, 108, ""))
 		}
 		Expect(returnsNew(ownZone, 0)).To(BeTrue())
 	})
@@ -86,9 +86,9 @@
 			offerIn(ownZone, 0, balancerA, true)
 			agent.answer(0, number, 500)
 			agent.forward(0, relay.KindForward, fromClient(number, segment.Acknowledge, 101, 501, "request"))
-			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, 507, 108, segmenttest.FailureMark+" in a body that came first"))
-			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
-			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, 501, 108, segmenttest.FailureMark))
+			agent.HandleEndpointPacket(0, fromEndpoint(number, segment.Acknowledge, 507, 108, segmenttest.FailureMark+" in a body that came first"))
+			agent.HandleEndpointPacket(0, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
+			agent.HandleEndpointPacket(0, fromEndpoint(number, segment.Acknowledge, 501, 108, segmenttest.FailureMark))
 		}
 		Expect(returnsNew(ownZone, 0)).To(BeFalse())
 		Expect(agent.Load().Report).To(Equal(outlier.Report{Outcomes: 6}))
@@ -100,7 +100,7 @@
 		for range 3 {
 			agent.forward(0, relay.KindForward, fromClient(number, segment.Acknowledge, next, written, "request"))
 			next += 7
-			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, written, next, segmenttest.FailureMark))
+			agent.HandleEndpointPacket(0, fromEndpoint(number, segment.Acknowledge, written, next, segmenttest.FailureMark))
 			written += uint32(len(segmenttest.FailureMark))
 		}
 		Expect(agent.Load().Report.Failures).To(BeEquivalentTo(3))
@@ -111,7 +111,7 @@
 		offerIn(otherZone, 0, balancerB, false)
 		agent.answer(0, number, 500)
 		offerIn(ownZone, 0, balancerA, false)
-		effects := agent.Emitted(0, returned(opening(number, 100)))
+		effects := agent.HandleEndpointPacket(0, returned(opening(number, 100)))
 		Expect(sentTo(balancerA, effects)).To(HaveLen(1))
 		Expect(sentTo(balancerA, effects)[0].Message.Kind).To(Equal(relay.KindReturned))
 		Expect(sentTo(balancerB, effects)).To(HaveLen(1))
@@ -142,7 +142,7 @@
 			known.endpoint(0, each, nil)
 		}
 		balancer.Install(0, known.machine.Snapshot())
-		balancer.Confirm(0)
+		balancer.MarkConfirmed(0)
 	})
 
 	report := func(now time.Duration, endpoint int, report outlier.Report) []relay.Effect {
@@ -153,7 +153,7 @@
 	failing := outlier.Report{Outcomes: 10, Failures: 6, Reason: outlier.Failure, Hold: 1000}
 	arrive := func(now time.Duration) []relay.Effect {
 		number++
-		return balancer.Arrive(now, opening(number, 100))
+		return balancer.HandleClientPacket(now, opening(number, 100))
 	}
 	// offers counts the offers among effects by the number of the endpoint.
 	offers := func(effects []relay.Effect, counts map[int]int) {
@@ -238,7 +238,7 @@
 		for range 120 {
 			effects := arrive(millisecond)
 			offers(effects, counts)
-			if onlyMessage(effects).Message.Insist {
+			if onlyMessage(effects).Message.IgnoreEjection {
 				insisted++
 			}
 		}
@@ -261,7 +261,7 @@
 		effects := arrive(millisecond)
 		for range 3 {
 			message := onlyMessage(effects)
-			Expect(message.Message.Insist).To(BeFalse())
+			Expect(message.Message.IgnoreEjection).To(BeFalse())
 			effects = balancer.Receive(millisecond, message.To, relay.Message{
 				Kind: relay.KindReturned, Service: service, LastResort: true, Packet: opening(number, 100),
 				Load: relay.Load{Report: outlier.Report{Reason: outlier.Return, Hold: 299}},
--- a/internal/relay/emitted.go
+++ b/internal/relay/endpointpacket.go
@@ -6,9 +6,9 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// Emitted handles a packet that the endpoint wrote or did not take. The
+// HandleEndpointPacket handles a packet that the endpoint wrote or did not take. The
 // returned effects are valid until the next call.
-func (a *Agent) Emitted(now time.Duration, packet []byte) []Effect {
+func (a *Agent) HandleEndpointPacket(now time.Duration, packet []byte) []Effect {
 	a.begin(now)
 	header, outcome := a.config.Codec.Decode(packet)
 	if outcome != segment.Decoded {
@@ -106,7 +106,7 @@
 	if header.Flags.Has(segment.Finish) || header.Flags.Has(segment.Reset) {
 		a.end(now, known)
 	}
-	a.effects = append(a.effects, Effect{Kind: EffectClient, To: key.Client, Packet: packet})
+	a.effects = append(a.effects, Effect{Kind: EffectSendToClient, To: key.Client, Packet: packet})
 }
 
 // adopt remembers a flow that the endpoint turns out to hold.
@@ -127,7 +127,7 @@
 		a.occupy(known.work.since, known)
 	}
 	if !known.balancer.IsZero() && known.state == stateOpen {
-		a.send(known.balancer, Message{Kind: KindOwned, Service: a.config.Service, Flow: FlowOf(key), Load: a.Load()})
+		a.send(known.balancer, Message{Kind: KindOwned, Service: a.config.Service, Flow: EncodeFlow(key), Load: a.Load()})
 	}
 	return known
 }
@@ -143,6 +143,6 @@
 		return
 	}
 	a.send(known.balancer, Message{
-		Kind: KindPlaced, Service: a.config.Service, Flow: FlowOf(key), Sequence: known.sequence, Load: a.Load(),
+		Kind: KindPlaced, Service: a.config.Service, Flow: EncodeFlow(key), Sequence: known.sequence, Load: a.Load(),
 	})
 }
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -132,14 +132,14 @@
 		known.endpoint(0, number, nil)
 	}
 	balancer.Install(0, known.machine.Snapshot())
-	balancer.Confirm(0)
+	balancer.MarkConfirmed(0)
 	return balancer, known
 }
 
 // placed lets an agent tell a balancer that its endpoint has answered a flow.
 func placed(balancer *relay.Balancer, now time.Duration, agent segment.Address, number int, sequence uint32) []relay.Effect {
 	return balancer.Receive(now, agent, relay.Message{
-		Kind: relay.KindPlaced, Service: service, Flow: relay.FlowOf(keyOf(number)), Sequence: sequence,
+		Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(keyOf(number)), Sequence: sequence,
 	})
 }
 
@@ -149,13 +149,13 @@
 
 func newAgentWith(complete bool, policy requestqueue.Policy) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
-		Service: service, Codec: codec, Complete: complete, FlowLifetime: flowLifetime, FlowLimit: 1000,
-		Outliers: outlier.DefaultLimits(), QueuePolicy: policy,
+		Service: service, Codec: codec, StartedWithEndpoint: complete, FlowLifetime: flowLifetime, FlowLimit: 1000,
+		OutlierLimits: outlier.DefaultLimits(), QueuePolicy: policy,
 	})
 }
 
 // sent returns the messages among effects, with their receivers.
-func sent(effects []relay.Effect) []relay.Effect { return ofKind(effects, relay.EffectPeer) }
+func sent(effects []relay.Effect) []relay.Effect { return ofKind(effects, relay.EffectSendMessage) }
 
 // sentTo returns the messages to one receiver.
 func sentTo(to segment.Address, effects []relay.Effect) []relay.Effect {
@@ -191,7 +191,7 @@
 // resets returns the resets to clients among effects.
 func resets(effects []relay.Effect) []segment.Header {
 	var found []segment.Header
-	for _, effect := range ofKind(effects, relay.EffectClient) {
+	for _, effect := range ofKind(effects, relay.EffectSendToClient) {
 		header, _ := codec.Decode(effect.Packet)
 		if header.Flags.Has(segment.Reset) {
 			found = append(found, header)
@@ -204,21 +204,21 @@
 type drivenAgent struct {
 	*relay.Agent
 	// terms are those of what is offered, and lastResort is set if others have returned it.
-	terms      relay.Terms
+	terms      relay.FlowParameters
 	lastResort bool
 }
 
 func drive(agent *relay.Agent) *drivenAgent {
-	return &drivenAgent{Agent: agent, terms: relay.Terms{Slots: 2, Target: 250, Timeout: 2000}}
+	return &drivenAgent{Agent: agent, terms: relay.FlowParameters{Slots: 2, LatencyTarget: 250, Timeout: 2000}}
 }
 
 func (a *drivenAgent) offer(now time.Duration, number int, sequence uint32) []relay.Effect {
 	return a.Receive(now, balancerA, relay.Message{
-		Kind: relay.KindOffer, Service: service, Terms: a.terms, LastResort: a.lastResort, Packet: opening(number, sequence),
+		Kind: relay.KindOffer, Service: service, Parameters: a.terms, LastResort: a.lastResort, Packet: opening(number, sequence),
 	})
 }
 
-func (a *drivenAgent) forward(now time.Duration, kind relay.Kind, packet []byte) []relay.Effect {
+func (a *drivenAgent) forward(now time.Duration, kind relay.MessageKind, packet []byte) []relay.Effect {
 	return a.Receive(now, balancerB, relay.Message{Kind: kind, Service: service, Packet: packet})
 }
 
@@ -227,7 +227,7 @@
 }
 
 func (a *drivenAgent) answer(now time.Duration, number int, sequence uint32) []relay.Effect {
-	return a.Emitted(now, fromEndpoint(number, segment.Synchronize|segment.Acknowledge, sequence, 101, ""))
+	return a.HandleEndpointPacket(now, fromEndpoint(number, segment.Synchronize|segment.Acknowledge, sequence, 101, ""))
 }
 
 // open opens a flow whose endpoint's initial sequence number is 500.
@@ -242,13 +242,15 @@
 	header, _ := codec.Decode(packet)
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 	return relay.Message{
-		Kind: relay.KindLocate, Service: service, Flow: relay.FlowOf(key),
+		Kind: relay.KindLocate, Service: service, Flow: relay.EncodeFlow(key),
 		Flags: header.Flags, Acknowledgment: header.Acknowledgment,
 	}
 }
 
 // delivered returns what an agent gave its endpoint.
-func delivered(effects []relay.Effect) []relay.Effect { return ofKind(effects, relay.EffectEndpoint) }
+func delivered(effects []relay.Effect) []relay.Effect {
+	return ofKind(effects, relay.EffectSendToEndpoint)
+}
 
 // returned is a packet as an endpoint returns it that does not take it.
 func returned(packet []byte) []byte {
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -11,7 +11,7 @@
 // FuzzReceive gives both parts any datagram as a message of another daemon.
 func FuzzReceive(f *testing.F) {
 	for kind := relay.KindOffer; kind <= relay.KindDrain; kind++ {
-		message := relay.Message{Kind: kind, Service: service, Flow: relay.FlowOf(keyOf(1)), Packet: opening(1, 100)}
+		message := relay.Message{Kind: kind, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Packet: opening(1, 100)}
 		encoded, err := message.MarshalMsg(nil)
 		if err != nil {
 			f.Fatal(err)
@@ -29,7 +29,7 @@
 		agent := newAgent(false)
 		balancer := newBalancer()
 		balancer.Install(0, known.machine.Snapshot())
-		balancer.Arrive(0, opening(1, 100))
+		balancer.HandleClientPacket(0, opening(1, 100))
 		for step := range 3 {
 			now := time.Duration(step) * time.Second
 			agent.Receive(now, balancerA, message)
@@ -53,14 +53,14 @@
 		balancer := newBalancer()
 		balancer.Install(0, known.machine.Snapshot())
 		for step := range 3 {
-			balancer.Arrive(time.Duration(step)*time.Second, packet)
+			balancer.HandleClientPacket(time.Duration(step)*time.Second, packet)
 		}
 		for _, complete := range []bool{false, true} {
 			agent := newAgent(complete)
 			for kind := relay.KindOffer; kind <= relay.KindProbe; kind++ {
 				agent.Receive(0, balancerA, relay.Message{Kind: kind, Service: service, Packet: append([]byte(nil), packet...)})
 			}
-			agent.Emitted(0, append([]byte(nil), packet...))
+			agent.HandleEndpointPacket(0, append([]byte(nil), packet...))
 			agent.Tick(time.Minute)
 		}
 	})
--- a/internal/relay/observed.go
+++ b/internal/relay/loadstats.go
@@ -9,24 +9,24 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// Class is what load is told apart by: the service of a flow and the priority of its route.
-type Class struct {
+// TrafficClass is what load is told apart by: the service of a flow and the priority of its route.
+type TrafficClass struct {
 	Service string
 	// Priority is meaningful only if Prioritized is set: an agent that was started after
 	// its endpoint does not know the routes of all flows.
-	Priority    uint8
-	Prioritized bool
+	Priority      uint8
+	PriorityKnown bool
 }
 
 // severalServices is the service of a flow for which none was chosen, on a route that has
 // several.
 const severalServices = "several"
 
-// Waiting is what waits of a class.
-type Waiting struct {
+// QueueStats is what waits of a class.
+type QueueStats struct {
 	Requests int
-	// Longest is for how long the client of one of them has been waiting.
-	Longest time.Duration
+	// LongestWait is for how long the client of one of them has been waiting.
+	LongestWait time.Duration
 }
 
 // EndpointLoad is what an agent observes of its endpoint.
@@ -36,14 +36,14 @@
 	// known, and Occupied how many it was given and has not answered.
 	Slots    uint32
 	Occupied uint32
-	// Pace is the mean time from request to answer, 0 if that is not known.
-	Pace    time.Duration
-	Waiting map[Class]Waiting
+	// ResponseTime is the mean time from request to answer, 0 if that is not known.
+	ResponseTime time.Duration
+	Waiting      map[TrafficClass]QueueStats
 }
 
 // Capacity returns how many requests a second the endpoint can answer, 0 if that is not
 // known.
-func (l EndpointLoad) Capacity() float64 { return capacity(l.Slots, l.Pace) }
+func (l EndpointLoad) Capacity() float64 { return capacity(l.Slots, l.ResponseTime) }
 
 // capacity is that of slots with a mean time to an answer (Little's law).
 func capacity(slots uint32, pace time.Duration) float64 {
@@ -53,34 +53,34 @@
 	return float64(slots) / pace.Seconds()
 }
 
-// Observe returns how much the endpoint can do and what waits for it.
-func (a *Agent) Observe(now time.Duration) EndpointLoad {
+// EndpointLoad returns how much the endpoint can do and what waits for it.
+func (a *Agent) EndpointLoad(now time.Duration) EndpointLoad {
 	observed := EndpointLoad{
 		Service: a.config.Service, Slots: a.pace.slots, Occupied: a.pace.occupied,
-		Pace:    time.Duration(a.pace.working * float64(time.Second)),
-		Waiting: make(map[Class]Waiting),
+		ResponseTime: time.Duration(a.pace.working * float64(time.Second)),
+		Waiting:      make(map[TrafficClass]QueueStats),
 	}
 	for _, waiting := range a.queue.waiting {
 		class := a.classOf(waiting.flow.work.terms)
 		sum := observed.Waiting[class]
 		sum.Requests++
-		sum.Longest = max(sum.Longest, now-waiting.flow.work.asked)
+		sum.LongestWait = max(sum.LongestWait, now-waiting.flow.work.asked)
 		observed.Waiting[class] = sum
 	}
 	return observed
 }
 
-func (a *Agent) classOf(terms Terms) Class {
-	if terms == (Terms{}) {
-		return Class{Service: a.config.Service}
+func (a *Agent) classOf(terms FlowParameters) TrafficClass {
+	if terms == (FlowParameters{}) {
+		return TrafficClass{Service: a.config.Service}
 	}
-	return Class{Service: a.config.Service, Priority: terms.Priority, Prioritized: true}
+	return TrafficClass{Service: a.config.Service, Priority: terms.Priority, PriorityKnown: true}
 }
 
 // classify returns the class of an event: that of its flow or, if that is not known, of the
 // message in hand.
-func (a *Agent) classify(event Event) Class {
-	if known, exists := a.flows[event.Flow]; exists && known.work.terms != (Terms{}) {
+func (a *Agent) classify(event Event) TrafficClass {
+	if known, exists := a.flows[event.Flow]; exists && known.work.terms != (FlowParameters{}) {
 		return a.classOf(known.work.terms)
 	}
 	return a.classOf(a.terms)
@@ -96,8 +96,8 @@
 	Capacity float64
 }
 
-// Observe returns the load of each service, in the order of their names.
-func (b *Balancer) Observe() []ServiceLoad {
+// ServiceLoads returns the load of each service, in the order of their names.
+func (b *Balancer) ServiceLoads() []ServiceLoad {
 	sums := make(map[string]*ServiceLoad)
 	measured := make(map[string]uint32)
 	for _, candidate := range b.snapshot.All() {
@@ -143,12 +143,12 @@
 }
 
 // classify returns the class of an event, that of its flow's route.
-func (b *Balancer) classify(event Event) Class {
+func (b *Balancer) classify(event Event) TrafficClass {
 	route, exists := b.snapshot.Route(event.Flow.Service)
 	if !exists {
-		return Class{}
+		return TrafficClass{}
 	}
-	class := Class{Service: severalServices, Priority: route.Priority, Prioritized: true}
+	class := TrafficClass{Service: severalServices, Priority: route.Priority, PriorityKnown: true}
 	known, exists := b.flows[event.Flow]
 	switch {
 	case exists && known.service != "":
--- a/internal/relay/observed_test.go
+++ b/internal/relay/loadstats_test.go
@@ -12,8 +12,8 @@
 )
 
 // classesOf returns the classes of the events of a kind.
-func classesOf(effects []relay.Effect, kind relay.EventKind) []relay.Class {
-	var classes []relay.Class
+func classesOf(effects []relay.Effect, kind relay.EventKind) []relay.TrafficClass {
+	var classes []relay.TrafficClass
 	for _, effect := range ofKind(effects, relay.EffectEvent) {
 		if effect.Event.Kind == kind {
 			classes = append(classes, effect.Event.Class)
@@ -22,8 +22,8 @@
 	return classes
 }
 
-func classOf(priority uint8) relay.Class {
-	return relay.Class{Service: service, Priority: priority, Prioritized: true}
+func classOf(priority uint8) relay.TrafficClass {
+	return relay.TrafficClass{Service: service, Priority: priority, PriorityKnown: true}
 }
 
 var _ = Describe("Load of an endpoint", func() {
@@ -34,7 +34,7 @@
 		agent = drive(newAgent(true))
 		agent.lastResort = true
 		agent.open(0, 0)
-		agent.Emitted(20*millisecond, fromEndpoint(0, segment.Acknowledge, 501, 108, "answer"))
+		agent.HandleEndpointPacket(20*millisecond, fromEndpoint(0, segment.Acknowledge, 501, 108, "answer"))
 		for number := 1; number < 4; number++ {
 			agent.open(20*millisecond, number)
 		}
@@ -46,37 +46,37 @@
 		agent.open(40*millisecond, 11)
 		agent.terms.Priority = 2
 		agent.open(45*millisecond, 12)
-		observed := agent.Observe(50 * millisecond)
+		observed := agent.EndpointLoad(50 * millisecond)
 		Expect(observed.Service).To(Equal(service))
 		Expect(observed.Slots).To(Equal(uint32(2)))
 		Expect(observed.Occupied).To(Equal(uint32(3)))
-		Expect(observed.Pace).To(Equal(20 * millisecond))
+		Expect(observed.ResponseTime).To(Equal(20 * millisecond))
 		Expect(observed.Capacity()).To(BeNumerically("~", 100))
-		Expect(observed.Waiting).To(Equal(map[relay.Class]relay.Waiting{
-			classOf(1): {Requests: 2, Longest: 20 * millisecond},
-			classOf(2): {Requests: 1, Longest: 5 * millisecond},
+		Expect(observed.Waiting).To(Equal(map[relay.TrafficClass]relay.QueueStats{
+			classOf(1): {Requests: 2, LongestWait: 20 * millisecond},
+			classOf(2): {Requests: 1, LongestWait: 5 * millisecond},
 		}))
 	})
 
 	It("has no capacity before the first answer", func() {
-		Expect(newAgent(true).Observe(0).Capacity()).To(BeZero())
+		Expect(newAgent(true).EndpointLoad(0).Capacity()).To(BeZero())
 	})
 
 	It("is told apart by the priority of a flow, of the offer if that was returned", func() {
 		agent.terms.Priority = 3
 		agent.lastResort = false
-		Expect(classesOf(agent.offer(30*millisecond, 20, 100), relay.EventReturned)).To(Equal([]relay.Class{classOf(3)}))
+		Expect(classesOf(agent.offer(30*millisecond, 20, 100), relay.EventReturned)).To(Equal([]relay.TrafficClass{classOf(3)}))
 		agent.terms.Priority = 0
-		answered := agent.Emitted(60*millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
-		Expect(classesOf(answered, relay.EventAnswered)).To(Equal([]relay.Class{classOf(0)}))
+		answered := agent.HandleEndpointPacket(60*millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
+		Expect(classesOf(answered, relay.EventAnswered)).To(Equal([]relay.TrafficClass{classOf(0)}))
 	})
 
 	It("leaves the priority open of a flow that was opened before the agent was started", func() {
 		agent := drive(newAgent(false))
 		agent.forward(0, relay.KindForward, fromClient(1, segment.Acknowledge, 101, 501, "request"))
-		effects := agent.Emitted(millisecond, returned(fromClient(1, segment.Acknowledge, 101, 501, "request")))
+		effects := agent.HandleEndpointPacket(millisecond, returned(fromClient(1, segment.Acknowledge, 101, 501, "request")))
 		for _, effect := range ofKind(effects, relay.EffectEvent) {
-			Expect(effect.Event.Class).To(Equal(relay.Class{Service: service}))
+			Expect(effect.Event.Class).To(Equal(relay.TrafficClass{Service: service}))
 		}
 		Expect(ofKind(effects, relay.EffectEvent)).NotTo(BeEmpty())
 	})
@@ -85,7 +85,7 @@
 var _ = Describe("Load of services", func() {
 	pace := func(balancer *relay.Balancer, number int, took time.Duration) {
 		balancer.Receive(0, agentAddress(number), relay.Message{
-			Kind: relay.KindPong, Service: service, Load: relay.Load{Pace: uint32(took.Microseconds())},
+			Kind: relay.KindPong, Service: service, Load: relay.Load{ServiceTime: uint32(took.Microseconds())},
 		})
 	}
 
@@ -94,24 +94,24 @@
 		known.endpoint(0, 3, func(each *directory.Endpoint) { each.Service = otherService })
 		known.endpoint(0, 4, func(each *directory.Endpoint) { each.Draining = true })
 		balancer.Install(0, known.machine.Snapshot())
-		Expect(balancer.Observe()).To(Equal([]relay.ServiceLoad{
+		Expect(balancer.ServiceLoads()).To(Equal([]relay.ServiceLoad{
 			{Service: otherService, Endpoints: 1, Slots: 4},
 			{Service: service, Endpoints: 3, Slots: 12},
 		}))
 		pace(balancer, 0, 20*millisecond)
 		pace(balancer, 1, 40*millisecond)
 		pace(balancer, 4, millisecond)
-		Expect(balancer.Observe()[1].Capacity).To(BeNumerically("~", (200+100)*1.5))
+		Expect(balancer.ServiceLoads()[1].Capacity).To(BeNumerically("~", (200+100)*1.5))
 	})
 
 	It("is told apart by the service and priority of the route of a refused flow", func() {
 		balancer, known := newBalancer(), newFleet()
 		known.configure(directory.Share{Service: service, Weight: 1})
 		balancer.Install(0, known.machine.Snapshot())
-		Expect(classesOf(balancer.Arrive(0, opening(1, 100)), relay.EventNoEndpoint)).To(Equal([]relay.Class{classOf(0)}))
+		Expect(classesOf(balancer.HandleClientPacket(0, opening(1, 100)), relay.EventNoEndpoint)).To(Equal([]relay.TrafficClass{classOf(0)}))
 		known.configure(directory.Share{Service: service, Weight: 1}, directory.Share{Service: otherService, Weight: 1})
 		balancer.Install(0, known.machine.Snapshot())
-		Expect(classesOf(balancer.Arrive(0, opening(2, 100)), relay.EventNoEndpoint)[0].Service).To(Equal("several"))
+		Expect(classesOf(balancer.HandleClientPacket(0, opening(2, 100)), relay.EventNoEndpoint)[0].Service).To(Equal("several"))
 	})
 
 	It("shows how long it took to find out that no endpoint holds a flow", func() {
@@ -121,11 +121,11 @@
 		known.endpoint(0, 0, nil)
 		known.follow(0)
 		balancer.Install(asked, known.machine.Snapshot())
-		balancer.Arrive(asked, fromClient(1, segment.Acknowledge, 101, 501, "request"))
+		balancer.HandleClientPacket(asked, fromClient(1, segment.Acknowledge, 101, 501, "request"))
 		balancer.Tick(asked + 10*millisecond)
-		balancer.Current(asked+12*millisecond, asked)
+		balancer.MarkCurrentThrough(asked+12*millisecond, asked)
 		effects := balancer.Receive(asked+25*millisecond, agentAddress(0), relay.Message{
-			Kind: relay.KindDenied, Service: service, Flow: relay.FlowOf(keyOf(1)), Age: asked,
+			Kind: relay.KindDenied, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Uptime: asked,
 		})
 		Expect(resets(effects)).To(HaveLen(1))
 		found := ofKind(effects, relay.EffectEvent)
--- a/internal/relay/locate.go
+++ b/internal/relay/locate.go
@@ -123,7 +123,7 @@
 	}
 	b.event(Event{Kind: EventLocating, Flow: key, Version: b.snapshot.Version()})
 	question := Message{
-		Kind: KindLocate, Flow: FlowOf(key), Acknowledgment: header.Acknowledgment, Flags: header.Flags,
+		Kind: KindLocate, Flow: EncodeFlow(key), Acknowledgment: header.Acknowledgment, Flags: header.Flags,
 	}
 	probing := sought.nextProbes(now)
 	for _, candidate := range asked {
@@ -230,7 +230,7 @@
 	if !slices.Contains(known.search.uncertain, from) {
 		known.search.uncertain = append(known.search.uncertain, from)
 	}
-	b.replied(now, known, from, reply{began: now - message.Age})
+	b.replied(now, known, from, reply{began: now - message.Uptime})
 }
 
 // receiveOwned handles that an agent owns a flow.
@@ -255,11 +255,11 @@
 
 // termsAt returns the terms of a flow that was opened before, for the agent that may
 // own it: it may have been restarted.
-func (b *Balancer) termsAt(key segment.FlowKey, agent segment.Address) Terms {
+func (b *Balancer) termsAt(key segment.FlowKey, agent segment.Address) FlowParameters {
 	route, routed := b.snapshot.Route(key.Service)
 	candidate, exists := b.snapshot.At(agent.IP)
 	if !routed || !exists {
-		return Terms{}
+		return FlowParameters{}
 	}
 	terms := termsOf(route)
 	terms.Slots = candidate.Endpoint.Slots
@@ -269,7 +269,7 @@
 // forwardHeld sends the owner of a flow the packets that waited for it.
 func (b *Balancer) forwardHeld(known *balancerFlow, held [][]byte) {
 	for _, packet := range held {
-		b.send(known.agent, Message{Kind: KindForward, Service: known.service, Terms: known.terms, Packet: packet})
+		b.send(known.agent, Message{Kind: KindForward, Service: known.service, Parameters: known.terms, Packet: packet})
 		if header, outcome := b.config.Codec.Decode(packet); outcome == segment.Decoded {
 			b.noteClosing(known, header)
 		}
--- a/internal/relay/locate_test.go
+++ b/internal/relay/locate_test.go
@@ -28,7 +28,7 @@
 		// own lets an agent answer that it owns the flow.
 		own := func(now time.Duration, number int) []relay.Effect {
 			return balancer.Receive(now, agentAddress(number), relay.Message{
-				Kind: relay.KindOwned, Service: service, Flow: relay.FlowOf(keyOf(1)),
+				Kind: relay.KindOwned, Service: service, Flow: relay.EncodeFlow(keyOf(1)),
 			})
 		}
 
@@ -36,7 +36,7 @@
 			known.endpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 			known.gone(0, 1)
 			install(0)
-			asked := sent(balancer.Arrive(0, request))
+			asked := sent(balancer.HandleClientPacket(0, request))
 			Expect(asked).To(HaveLen(3))
 			for _, each := range asked {
 				Expect(each.Message.Kind).To(Equal(relay.KindLocate))
@@ -45,24 +45,24 @@
 
 		It("is never reset", func() {
 			for step := range 20 {
-				Expect(resets(balancer.Arrive(time.Duration(step)*200*millisecond, request))).To(BeEmpty())
+				Expect(resets(balancer.HandleClientPacket(time.Duration(step)*200*millisecond, request))).To(BeEmpty())
 			}
 		})
 
 		It("goes to its owner once that has answered", func() {
-			balancer.Arrive(0, request)
+			balancer.HandleClientPacket(0, request)
 			forwarded := onlyMessage(own(millisecond, 2))
 			Expect(forwarded.To).To(Equal(agentAddress(2)))
 			Expect(forwarded.Message.Kind).To(Equal(relay.KindForward))
 			Expect(forwarded.Message.Packet).To(Equal(request), "the packet that waited")
-			Expect(onlyMessage(balancer.Arrive(2*millisecond, request)).To).To(Equal(agentAddress(2)))
+			Expect(onlyMessage(balancer.HandleClientPacket(2*millisecond, request)).To).To(Equal(agentAddress(2)))
 		})
 
 		It("has its packets held in their order, each once, and no search for each", func() {
 			second := fromClient(1, segment.Acknowledge, 108, 501, "second")
-			Expect(sent(balancer.Arrive(0, request))).To(HaveLen(3))
+			Expect(sent(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
 			for _, packet := range [][]byte{second, request, second} {
-				Expect(sent(balancer.Arrive(10*millisecond, packet))).To(BeEmpty())
+				Expect(sent(balancer.HandleClientPacket(10*millisecond, packet))).To(BeEmpty())
 			}
 			forwarded := sent(own(20*millisecond, 0))
 			Expect(forwarded).To(HaveLen(2))
@@ -72,10 +72,10 @@
 
 		It("is sought without its data, which may be long", func() {
 			long := fromClient(1, segment.Acknowledge, 101, 501, strings.Repeat("x", 1200))
-			for _, each := range sent(balancer.Arrive(0, long)) {
+			for _, each := range sent(balancer.HandleClientPacket(0, long)) {
 				Expect(each.Message.Packet).To(BeEmpty())
 				Expect(each.Message.Acknowledgment).To(Equal(uint32(501)))
-				Expect(each.Message.Flow).To(Equal(relay.FlowOf(keyOf(1))))
+				Expect(each.Message.Flow).To(Equal(relay.EncodeFlow(keyOf(1))))
 			}
 		})
 
@@ -83,15 +83,15 @@
 			known.gone(0, 0)
 			known.endpoint(0, 9, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP })
 			install(0)
-			Expect(sent(balancer.Arrive(0, request))).To(HaveLen(3))
-			Expect(sent(balancer.Arrive(200*millisecond, request))).To(HaveLen(3))
+			Expect(sent(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
+			Expect(sent(balancer.HandleClientPacket(200*millisecond, request))).To(HaveLen(3))
 		})
 
 		It("takes no more than a part of the network if there are many such flows", func() {
 			asked := 0
 			for number := range 10_000 {
 				now := time.Duration(number) * millisecond / 2
-				asked += len(sent(balancer.Arrive(now, fromClient(number%900, segment.Acknowledge, 101, 501, "x"))))
+				asked += len(sent(balancer.HandleClientPacket(now, fromClient(number%900, segment.Acknowledge, 101, 501, "x"))))
 			}
 			Expect(asked).To(BeNumerically("<=", 1000+5*2000))
 			Expect(asked).To(BeNumerically(">", 5*1900))
@@ -100,15 +100,15 @@
 		It("is sought among all endpoints after a search in vain, since routes may have changed", func() {
 			known.endpoint(0, 9, func(e *directory.Endpoint) { e.Service = otherService })
 			install(0)
-			Expect(sent(balancer.Arrive(0, request))).To(HaveLen(3))
-			Expect(sent(balancer.Arrive(200*millisecond, request))).To(HaveLen(4))
+			Expect(sent(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
+			Expect(sent(balancer.HandleClientPacket(200*millisecond, request))).To(HaveLen(4))
 		})
 
 		It("is sought again if the believed owner does not know it", func() {
-			offer := onlyMessage(balancer.Arrive(0, opening(1, 100)))
+			offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
 			placed(balancer, 0, offer.To, 1, 100)
-			balancer.Arrive(millisecond, request)
-			asked := sent(balancer.Receive(2*millisecond, offer.To, relay.Message{Kind: relay.KindUnknown, Packet: request}))
+			balancer.HandleClientPacket(millisecond, request)
+			asked := sent(balancer.Receive(2*millisecond, offer.To, relay.Message{Kind: relay.KindNotOwned, Packet: request}))
 			Expect(asked).To(HaveLen(3))
 			for _, each := range asked {
 				Expect(each.Message.Kind).To(Equal(relay.KindLocate))
@@ -119,9 +119,9 @@
 
 	It("ends a search that agents answer with its packet again and again", func() {
 		request := fromClient(1, segment.Acknowledge, 101, 501, "request")
-		asked := len(sent(balancer.Arrive(0, request)))
+		asked := len(sent(balancer.HandleClientPacket(0, request)))
 		for range 1000 {
-			asked += len(sent(balancer.Receive(millisecond, agentAddress(0), relay.Message{Kind: relay.KindUnknown, Packet: request})))
+			asked += len(sent(balancer.Receive(millisecond, agentAddress(0), relay.Message{Kind: relay.KindNotOwned, Packet: request})))
 		}
 		Expect(asked).To(BeNumerically("<", 200))
 	})
@@ -131,7 +131,7 @@
 
 		probes := func(now time.Duration) []segment.Address {
 			var probed []segment.Address
-			for _, each := range sent(balancer.Arrive(now, request)) {
+			for _, each := range sent(balancer.HandleClientPacket(now, request)) {
 				if each.Message.Kind == relay.KindProbe {
 					probed = append(probed, each.To)
 				}
@@ -143,7 +143,7 @@
 			Expect(probes(0)).To(BeEmpty())
 			for number := range 3 {
 				balancer.Receive(millisecond, agentAddress(number), relay.Message{
-					Kind: relay.KindUncertain, Service: service, Flow: relay.FlowOf(keyOf(1)),
+					Kind: relay.KindUncertain, Service: service, Flow: relay.EncodeFlow(keyOf(1)),
 				})
 			}
 		})
--- a/internal/relay/message_gen.go
+++ b/internal/relay/message_gen.go
@@ -13,7 +13,133 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *Cold) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *AgentGroup) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > zdc5d9100limitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	z.Service, err = dc.ReadString()
+	if err != nil {
+		err = msgp.WrapError(err, "Service")
+		return
+	}
+	z.Port, err = dc.ReadUint16()
+	if err != nil {
+		err = msgp.WrapError(err, "Port")
+		return
+	}
+	z.IPs, err = dc.ReadBytesLimit(z.IPs, zdc5d9100limitArrays)
+	if err == nil && z.IPs == nil {
+		z.IPs = []byte{}
+	}
+	if err != nil {
+		err = msgp.WrapError(err, "IPs")
+		return
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *AgentGroup) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 3
+	err = en.Append(0x93)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Service)
+	if err != nil {
+		err = msgp.WrapError(err, "Service")
+		return
+	}
+	err = en.WriteUint16(z.Port)
+	if err != nil {
+		err = msgp.WrapError(err, "Port")
+		return
+	}
+	err = en.WriteBytes(z.IPs)
+	if err != nil {
+		err = msgp.WrapError(err, "IPs")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *AgentGroup) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 3
+	o = append(o, 0x93)
+	o = msgp.AppendString(o, z.Service)
+	o = msgp.AppendUint16(o, z.Port)
+	o = msgp.AppendBytes(o, z.IPs)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *AgentGroup) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	z.Service, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Service")
+		return
+	}
+	z.Port, bts, err = msgp.ReadUint16Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Port")
+		return
+	}
+	var zb0002 uint32
+	zb0002, bts, err = msgp.ReadBytesHeader(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "IPs")
+		return
+	}
+	if zb0002 > zdc5d9100limitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if z.IPs == nil || uint32(cap(z.IPs)) < zb0002 {
+		z.IPs = make([]byte, zb0002)
+	} else {
+		z.IPs = z.IPs[:zb0002]
+	}
+	if uint32(len(bts)) < zb0002 {
+		err = msgp.ErrShortBytes
+		return
+	}
+	copy(z.IPs, bts[:zb0002])
+	bts = bts[zb0002:]
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *AgentGroup) Msgsize() (s int) {
+	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.IPs)
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *ColdStart) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -33,26 +159,26 @@
 		err = msgp.WrapError(err, "Rate")
 		return
 	}
-	z.Lasts, err = dc.ReadUint32()
+	z.WarmupTime, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Lasts")
+		err = msgp.WrapError(err, "WarmupTime")
 		return
 	}
-	z.Remains, err = dc.ReadUint32()
+	z.Remaining, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Remains")
+		err = msgp.WrapError(err, "Remaining")
 		return
 	}
-	z.Told, err = dc.ReadUint64()
+	z.Revision, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Told")
+		err = msgp.WrapError(err, "Revision")
 		return
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Cold) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *ColdStart) EncodeMsg(en *msgp.Writer) (err error) {
 	// array header, size 4
 	err = en.Append(0x94)
 	if err != nil {
@@ -63,38 +189,38 @@
 		err = msgp.WrapError(err, "Rate")
 		return
 	}
-	err = en.WriteUint32(z.Lasts)
+	err = en.WriteUint32(z.WarmupTime)
 	if err != nil {
-		err = msgp.WrapError(err, "Lasts")
+		err = msgp.WrapError(err, "WarmupTime")
 		return
 	}
-	err = en.WriteUint32(z.Remains)
+	err = en.WriteUint32(z.Remaining)
 	if err != nil {
-		err = msgp.WrapError(err, "Remains")
+		err = msgp.WrapError(err, "Remaining")
 		return
 	}
-	err = en.WriteUint64(z.Told)
+	err = en.WriteUint64(z.Revision)
 	if err != nil {
-		err = msgp.WrapError(err, "Told")
+		err = msgp.WrapError(err, "Revision")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Cold) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ColdStart) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 4
 	o = append(o, 0x94)
 	o = msgp.AppendUint32(o, z.Rate)
-	o = msgp.AppendUint32(o, z.Lasts)
-	o = msgp.AppendUint32(o, z.Remains)
-	o = msgp.AppendUint64(o, z.Told)
+	o = msgp.AppendUint32(o, z.WarmupTime)
+	o = msgp.AppendUint32(o, z.Remaining)
+	o = msgp.AppendUint64(o, z.Revision)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Cold) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ColdStart) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -110,19 +236,19 @@
 		err = msgp.WrapError(err, "Rate")
 		return
 	}
-	z.Lasts, bts, err = msgp.ReadUint32Bytes(bts)
+	z.WarmupTime, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Lasts")
+		err = msgp.WrapError(err, "WarmupTime")
 		return
 	}
-	z.Remains, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Remaining, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Remains")
+		err = msgp.WrapError(err, "Remaining")
 		return
 	}
-	z.Told, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Revision, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Told")
+		err = msgp.WrapError(err, "Revision")
 		return
 	}
 	o = bts
@@ -130,7 +256,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Cold) Msgsize() (s int) {
+func (z *ColdStart) Msgsize() (s int) {
 	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint64Size
 	return
 }
@@ -205,7 +331,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Flow) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *EncodedFlow) DecodeMsg(dc *msgp.Reader) (err error) {
 	err = dc.ReadExactBytes((z)[:])
 	if err != nil {
 		err = msgp.WrapError(err)
@@ -215,7 +341,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Flow) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *EncodedFlow) EncodeMsg(en *msgp.Writer) (err error) {
 	err = en.WriteBytes((z)[:])
 	if err != nil {
 		err = msgp.WrapError(err)
@@ -225,14 +351,14 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Flow) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *EncodedFlow) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	o = msgp.AppendBytes(o, (z)[:])
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Flow) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *EncodedFlow) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	bts, err = msgp.ReadExactBytes(bts, (z)[:])
 	if err != nil {
 		err = msgp.WrapError(err)
@@ -243,60 +369,167 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Flow) Msgsize() (s int) {
+func (z *EncodedFlow) Msgsize() (s int) {
 	s = msgp.ArrayHeaderSize + (flowSize * (msgp.ByteSize))
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Kind) DecodeMsg(dc *msgp.Reader) (err error) {
-	{
-		var zb0001 uint8
-		zb0001, err = dc.ReadUint8()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		(*z) = Kind(zb0001)
+func (z *FlowParameters) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > zdc5d9100limitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if zb0001 != 6 {
+		err = msgp.ArrayError{Wanted: 6, Got: zb0001}
+		return
+	}
+	z.Slots, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Slots")
+		return
+	}
+	z.Priority, err = dc.ReadUint8()
+	if err != nil {
+		err = msgp.WrapError(err, "Priority")
+		return
+	}
+	z.LatencyTarget, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "LatencyTarget")
+		return
+	}
+	z.Timeout, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Timeout")
+		return
+	}
+	z.Waited, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Waited")
+		return
+	}
+	err = z.ColdStart.DecodeMsg(dc)
+	if err != nil {
+		err = msgp.WrapError(err, "ColdStart")
+		return
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Kind) EncodeMsg(en *msgp.Writer) (err error) {
-	err = en.WriteUint8(uint8(z))
+func (z *FlowParameters) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 6
+	err = en.Append(0x96)
 	if err != nil {
-		err = msgp.WrapError(err)
+		return
+	}
+	err = en.WriteUint32(z.Slots)
+	if err != nil {
+		err = msgp.WrapError(err, "Slots")
+		return
+	}
+	err = en.WriteUint8(z.Priority)
+	if err != nil {
+		err = msgp.WrapError(err, "Priority")
+		return
+	}
+	err = en.WriteUint32(z.LatencyTarget)
+	if err != nil {
+		err = msgp.WrapError(err, "LatencyTarget")
+		return
+	}
+	err = en.WriteUint32(z.Timeout)
+	if err != nil {
+		err = msgp.WrapError(err, "Timeout")
+		return
+	}
+	err = en.WriteUint32(z.Waited)
+	if err != nil {
+		err = msgp.WrapError(err, "Waited")
+		return
+	}
+	err = z.ColdStart.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "ColdStart")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Kind) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *FlowParameters) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	o = msgp.AppendUint8(o, uint8(z))
+	// array header, size 6
+	o = append(o, 0x96)
+	o = msgp.AppendUint32(o, z.Slots)
+	o = msgp.AppendUint8(o, z.Priority)
+	o = msgp.AppendUint32(o, z.LatencyTarget)
+	o = msgp.AppendUint32(o, z.Timeout)
+	o = msgp.AppendUint32(o, z.Waited)
+	o, err = z.ColdStart.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "ColdStart")
+		return
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Kind) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	{
-		var zb0001 uint8
-		zb0001, bts, err = msgp.ReadUint8Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		(*z) = Kind(zb0001)
+func (z *FlowParameters) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 6 {
+		err = msgp.ArrayError{Wanted: 6, Got: zb0001}
+		return
+	}
+	z.Slots, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Slots")
+		return
+	}
+	z.Priority, bts, err = msgp.ReadUint8Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Priority")
+		return
+	}
+	z.LatencyTarget, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "LatencyTarget")
+		return
+	}
+	z.Timeout, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Timeout")
+		return
+	}
+	z.Waited, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Waited")
+		return
+	}
+	bts, err = z.ColdStart.UnmarshalMsg(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "ColdStart")
+		return
 	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Kind) Msgsize() (s int) {
-	s = msgp.Uint8Size
+func (z *FlowParameters) Msgsize() (s int) {
+	s = 1 + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size + z.ColdStart.Msgsize()
 	return
 }
 
@@ -331,14 +564,14 @@
 		err = msgp.WrapError(err, "Refusing")
 		return
 	}
-	z.Pace, err = dc.ReadUint32()
+	z.ServiceTime, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Pace")
+		err = msgp.WrapError(err, "ServiceTime")
 		return
 	}
-	z.Hold, err = dc.ReadUint32()
+	z.ColdWait, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Hold")
+		err = msgp.WrapError(err, "ColdWait")
 		return
 	}
 	err = z.Report.DecodeMsg(dc)
@@ -346,9 +579,9 @@
 		err = msgp.WrapError(err, "Report")
 		return
 	}
-	z.Used, err = dc.ReadUint32()
+	z.Pending, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Used")
+		err = msgp.WrapError(err, "Pending")
 		return
 	}
 	return
@@ -376,14 +609,14 @@
 		err = msgp.WrapError(err, "Refusing")
 		return
 	}
-	err = en.WriteUint32(z.Pace)
+	err = en.WriteUint32(z.ServiceTime)
 	if err != nil {
-		err = msgp.WrapError(err, "Pace")
+		err = msgp.WrapError(err, "ServiceTime")
 		return
 	}
-	err = en.WriteUint32(z.Hold)
+	err = en.WriteUint32(z.ColdWait)
 	if err != nil {
-		err = msgp.WrapError(err, "Hold")
+		err = msgp.WrapError(err, "ColdWait")
 		return
 	}
 	err = z.Report.EncodeMsg(en)
@@ -391,9 +624,9 @@
 		err = msgp.WrapError(err, "Report")
 		return
 	}
-	err = en.WriteUint32(z.Used)
+	err = en.WriteUint32(z.Pending)
 	if err != nil {
-		err = msgp.WrapError(err, "Used")
+		err = msgp.WrapError(err, "Pending")
 		return
 	}
 	return
@@ -407,14 +640,14 @@
 	o = msgp.AppendUint32(o, z.Running)
 	o = msgp.AppendUint32(o, z.Waiting)
 	o = msgp.AppendBool(o, z.Refusing)
-	o = msgp.AppendUint32(o, z.Pace)
-	o = msgp.AppendUint32(o, z.Hold)
+	o = msgp.AppendUint32(o, z.ServiceTime)
+	o = msgp.AppendUint32(o, z.ColdWait)
 	o, err = z.Report.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "Report")
 		return
 	}
-	o = msgp.AppendUint32(o, z.Used)
+	o = msgp.AppendUint32(o, z.Pending)
 	return
 }
 
@@ -445,14 +678,14 @@
 		err = msgp.WrapError(err, "Refusing")
 		return
 	}
-	z.Pace, bts, err = msgp.ReadUint32Bytes(bts)
+	z.ServiceTime, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Pace")
+		err = msgp.WrapError(err, "ServiceTime")
 		return
 	}
-	z.Hold, bts, err = msgp.ReadUint32Bytes(bts)
+	z.ColdWait, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Hold")
+		err = msgp.WrapError(err, "ColdWait")
 		return
 	}
 	bts, err = z.Report.UnmarshalMsg(bts)
@@ -460,9 +693,9 @@
 		err = msgp.WrapError(err, "Report")
 		return
 	}
-	z.Used, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Pending, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Used")
+		err = msgp.WrapError(err, "Pending")
 		return
 	}
 	o = bts
@@ -498,7 +731,7 @@
 			err = msgp.WrapError(err, "Kind")
 			return
 		}
-		z.Kind = Kind(zb0002)
+		z.Kind = MessageKind(zb0002)
 	}
 	z.Service, err = dc.ReadString()
 	if err != nil {
@@ -534,9 +767,9 @@
 		err = msgp.WrapError(err, "LastResort")
 		return
 	}
-	z.Insist, err = dc.ReadBool()
+	z.IgnoreEjection, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Insist")
+		err = msgp.WrapError(err, "IgnoreEjection")
 		return
 	}
 	z.Zone, err = dc.ReadString()
@@ -544,9 +777,9 @@
 		err = msgp.WrapError(err, "Zone")
 		return
 	}
-	z.Age, err = dc.ReadDuration()
+	z.Uptime, err = dc.ReadDuration()
 	if err != nil {
-		err = msgp.WrapError(err, "Age")
+		err = msgp.WrapError(err, "Uptime")
 		return
 	}
 	{
@@ -571,7 +804,7 @@
 	if cap(z.Targets) >= int(zb0005) {
 		z.Targets = (z.Targets)[:zb0005]
 	} else {
-		z.Targets = make([]Targets, zb0005)
+		z.Targets = make([]AgentGroup, zb0005)
 	}
 	for za0002 := range z.Targets {
 		var zb0006 uint32
@@ -610,23 +843,23 @@
 	var zb0007 uint32
 	zb0007, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Unsure")
+		err = msgp.WrapError(err, "Uncertain")
 		return
 	}
 	if zb0007 > zdc5d9100limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Unsure) >= int(zb0007) {
-		z.Unsure = (z.Unsure)[:zb0007]
+	if cap(z.Uncertain) >= int(zb0007) {
+		z.Uncertain = (z.Uncertain)[:zb0007]
 	} else {
-		z.Unsure = make([]Targets, zb0007)
+		z.Uncertain = make([]AgentGroup, zb0007)
 	}
-	for za0003 := range z.Unsure {
+	for za0003 := range z.Uncertain {
 		var zb0008 uint32
 		zb0008, err = dc.ReadArrayHeader()
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003)
+			err = msgp.WrapError(err, "Uncertain", za0003)
 			return
 		}
 		if zb0008 > zdc5d9100limitArrays {
@@ -637,45 +870,45 @@
 			err = msgp.ArrayError{Wanted: 3, Got: zb0008}
 			return
 		}
-		z.Unsure[za0003].Service, err = dc.ReadString()
+		z.Uncertain[za0003].Service, err = dc.ReadString()
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003, "Service")
+			err = msgp.WrapError(err, "Uncertain", za0003, "Service")
 			return
 		}
-		z.Unsure[za0003].Port, err = dc.ReadUint16()
+		z.Uncertain[za0003].Port, err = dc.ReadUint16()
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003, "Port")
+			err = msgp.WrapError(err, "Uncertain", za0003, "Port")
 			return
 		}
-		z.Unsure[za0003].IPs, err = dc.ReadBytesLimit(z.Unsure[za0003].IPs, zdc5d9100limitArrays)
-		if err == nil && z.Unsure[za0003].IPs == nil {
-			z.Unsure[za0003].IPs = []byte{}
+		z.Uncertain[za0003].IPs, err = dc.ReadBytesLimit(z.Uncertain[za0003].IPs, zdc5d9100limitArrays)
+		if err == nil && z.Uncertain[za0003].IPs == nil {
+			z.Uncertain[za0003].IPs = []byte{}
 		}
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003, "IPs")
+			err = msgp.WrapError(err, "Uncertain", za0003, "IPs")
 			return
 		}
 	}
 	var zb0009 uint32
 	zb0009, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Silent")
+		err = msgp.WrapError(err, "Unresponsive")
 		return
 	}
 	if zb0009 > zdc5d9100limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Silent) >= int(zb0009) {
-		z.Silent = (z.Silent)[:zb0009]
+	if cap(z.Unresponsive) >= int(zb0009) {
+		z.Unresponsive = (z.Unresponsive)[:zb0009]
 	} else {
-		z.Silent = make([]Targets, zb0009)
+		z.Unresponsive = make([]AgentGroup, zb0009)
 	}
-	for za0004 := range z.Silent {
+	for za0004 := range z.Unresponsive {
 		var zb0010 uint32
 		zb0010, err = dc.ReadArrayHeader()
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004)
+			err = msgp.WrapError(err, "Unresponsive", za0004)
 			return
 		}
 		if zb0010 > zdc5d9100limitArrays {
@@ -686,28 +919,28 @@
 			err = msgp.ArrayError{Wanted: 3, Got: zb0010}
 			return
 		}
-		z.Silent[za0004].Service, err = dc.ReadString()
+		z.Unresponsive[za0004].Service, err = dc.ReadString()
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004, "Service")
+			err = msgp.WrapError(err, "Unresponsive", za0004, "Service")
 			return
 		}
-		z.Silent[za0004].Port, err = dc.ReadUint16()
+		z.Unresponsive[za0004].Port, err = dc.ReadUint16()
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004, "Port")
+			err = msgp.WrapError(err, "Unresponsive", za0004, "Port")
 			return
 		}
-		z.Silent[za0004].IPs, err = dc.ReadBytesLimit(z.Silent[za0004].IPs, zdc5d9100limitArrays)
-		if err == nil && z.Silent[za0004].IPs == nil {
-			z.Silent[za0004].IPs = []byte{}
+		z.Unresponsive[za0004].IPs, err = dc.ReadBytesLimit(z.Unresponsive[za0004].IPs, zdc5d9100limitArrays)
+		if err == nil && z.Unresponsive[za0004].IPs == nil {
+			z.Unresponsive[za0004].IPs = []byte{}
 		}
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004, "IPs")
+			err = msgp.WrapError(err, "Unresponsive", za0004, "IPs")
 			return
 		}
 	}
-	err = z.Terms.DecodeMsg(dc)
+	err = z.Parameters.DecodeMsg(dc)
 	if err != nil {
-		err = msgp.WrapError(err, "Terms")
+		err = msgp.WrapError(err, "Parameters")
 		return
 	}
 	err = z.Load.DecodeMsg(dc)
@@ -768,9 +1001,9 @@
 		err = msgp.WrapError(err, "LastResort")
 		return
 	}
-	err = en.WriteBool(z.Insist)
+	err = en.WriteBool(z.IgnoreEjection)
 	if err != nil {
-		err = msgp.WrapError(err, "Insist")
+		err = msgp.WrapError(err, "IgnoreEjection")
 		return
 	}
 	err = en.WriteString(z.Zone)
@@ -778,9 +1011,9 @@
 		err = msgp.WrapError(err, "Zone")
 		return
 	}
-	err = en.WriteDuration(z.Age)
+	err = en.WriteDuration(z.Uptime)
 	if err != nil {
-		err = msgp.WrapError(err, "Age")
+		err = msgp.WrapError(err, "Uptime")
 		return
 	}
 	err = en.WriteBytes([]byte(z.ReplyTo))
@@ -815,63 +1048,63 @@
 			return
 		}
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Unsure)))
+	err = en.WriteArrayHeader(uint32(len(z.Uncertain)))
 	if err != nil {
-		err = msgp.WrapError(err, "Unsure")
+		err = msgp.WrapError(err, "Uncertain")
 		return
 	}
-	for za0003 := range z.Unsure {
+	for za0003 := range z.Uncertain {
 		// array header, size 3
 		err = en.Append(0x93)
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Unsure[za0003].Service)
+		err = en.WriteString(z.Uncertain[za0003].Service)
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003, "Service")
+			err = msgp.WrapError(err, "Uncertain", za0003, "Service")
 			return
 		}
-		err = en.WriteUint16(z.Unsure[za0003].Port)
+		err = en.WriteUint16(z.Uncertain[za0003].Port)
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003, "Port")
+			err = msgp.WrapError(err, "Uncertain", za0003, "Port")
 			return
 		}
-		err = en.WriteBytes(z.Unsure[za0003].IPs)
+		err = en.WriteBytes(z.Uncertain[za0003].IPs)
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003, "IPs")
+			err = msgp.WrapError(err, "Uncertain", za0003, "IPs")
 			return
 		}
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Silent)))
+	err = en.WriteArrayHeader(uint32(len(z.Unresponsive)))
 	if err != nil {
-		err = msgp.WrapError(err, "Silent")
+		err = msgp.WrapError(err, "Unresponsive")
 		return
 	}
-	for za0004 := range z.Silent {
+	for za0004 := range z.Unresponsive {
 		// array header, size 3
 		err = en.Append(0x93)
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Silent[za0004].Service)
+		err = en.WriteString(z.Unresponsive[za0004].Service)
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004, "Service")
+			err = msgp.WrapError(err, "Unresponsive", za0004, "Service")
 			return
 		}
-		err = en.WriteUint16(z.Silent[za0004].Port)
+		err = en.WriteUint16(z.Unresponsive[za0004].Port)
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004, "Port")
+			err = msgp.WrapError(err, "Unresponsive", za0004, "Port")
 			return
 		}
-		err = en.WriteBytes(z.Silent[za0004].IPs)
+		err = en.WriteBytes(z.Unresponsive[za0004].IPs)
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004, "IPs")
+			err = msgp.WrapError(err, "Unresponsive", za0004, "IPs")
 			return
 		}
 	}
-	err = z.Terms.EncodeMsg(en)
+	err = z.Parameters.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Terms")
+		err = msgp.WrapError(err, "Parameters")
 		return
 	}
 	err = z.Load.EncodeMsg(en)
@@ -899,9 +1132,9 @@
 	o = msgp.AppendUint32(o, z.Acknowledgment)
 	o = msgp.AppendUint8(o, uint8(z.Flags))
 	o = msgp.AppendBool(o, z.LastResort)
-	o = msgp.AppendBool(o, z.Insist)
+	o = msgp.AppendBool(o, z.IgnoreEjection)
 	o = msgp.AppendString(o, z.Zone)
-	o = msgp.AppendDuration(o, z.Age)
+	o = msgp.AppendDuration(o, z.Uptime)
 	o = msgp.AppendBytes(o, []byte(z.ReplyTo))
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Targets)))
 	for za0002 := range z.Targets {
@@ -911,25 +1144,25 @@
 		o = msgp.AppendUint16(o, z.Targets[za0002].Port)
 		o = msgp.AppendBytes(o, z.Targets[za0002].IPs)
 	}
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Unsure)))
-	for za0003 := range z.Unsure {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Uncertain)))
+	for za0003 := range z.Uncertain {
 		// array header, size 3
 		o = append(o, 0x93)
-		o = msgp.AppendString(o, z.Unsure[za0003].Service)
-		o = msgp.AppendUint16(o, z.Unsure[za0003].Port)
-		o = msgp.AppendBytes(o, z.Unsure[za0003].IPs)
+		o = msgp.AppendString(o, z.Uncertain[za0003].Service)
+		o = msgp.AppendUint16(o, z.Uncertain[za0003].Port)
+		o = msgp.AppendBytes(o, z.Uncertain[za0003].IPs)
 	}
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Silent)))
-	for za0004 := range z.Silent {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Unresponsive)))
+	for za0004 := range z.Unresponsive {
 		// array header, size 3
 		o = append(o, 0x93)
-		o = msgp.AppendString(o, z.Silent[za0004].Service)
-		o = msgp.AppendUint16(o, z.Silent[za0004].Port)
-		o = msgp.AppendBytes(o, z.Silent[za0004].IPs)
+		o = msgp.AppendString(o, z.Unresponsive[za0004].Service)
+		o = msgp.AppendUint16(o, z.Unresponsive[za0004].Port)
+		o = msgp.AppendBytes(o, z.Unresponsive[za0004].IPs)
 	}
-	o, err = z.Terms.MarshalMsg(o)
+	o, err = z.Parameters.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Terms")
+		err = msgp.WrapError(err, "Parameters")
 		return
 	}
 	o, err = z.Load.MarshalMsg(o)
@@ -960,7 +1193,7 @@
 			err = msgp.WrapError(err, "Kind")
 			return
 		}
-		z.Kind = Kind(zb0002)
+		z.Kind = MessageKind(zb0002)
 	}
 	z.Service, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
@@ -996,9 +1229,9 @@
 		err = msgp.WrapError(err, "LastResort")
 		return
 	}
-	z.Insist, bts, err = msgp.ReadBoolBytes(bts)
+	z.IgnoreEjection, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Insist")
+		err = msgp.WrapError(err, "IgnoreEjection")
 		return
 	}
 	z.Zone, bts, err = msgp.ReadStringBytes(bts)
@@ -1006,9 +1239,9 @@
 		err = msgp.WrapError(err, "Zone")
 		return
 	}
-	z.Age, bts, err = msgp.ReadDurationBytes(bts)
+	z.Uptime, bts, err = msgp.ReadDurationBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Age")
+		err = msgp.WrapError(err, "Uptime")
 		return
 	}
 	{
@@ -1050,7 +1283,7 @@
 	if cap(z.Targets) >= int(zb0006) {
 		z.Targets = (z.Targets)[:zb0006]
 	} else {
-		z.Targets = make([]Targets, zb0006)
+		z.Targets = make([]AgentGroup, zb0006)
 	}
 	for za0002 := range z.Targets {
 		var zb0007 uint32
@@ -1098,122 +1331,122 @@
 	var zb0009 uint32
 	zb0009, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Unsure")
+		err = msgp.WrapError(err, "Uncertain")
 		return
 	}
 	if zb0009 > zdc5d9100limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Unsure) >= int(zb0009) {
-		z.Unsure = (z.Unsure)[:zb0009]
+	if cap(z.Uncertain) >= int(zb0009) {
+		z.Uncertain = (z.Uncertain)[:zb0009]
 	} else {
-		z.Unsure = make([]Targets, zb0009)
+		z.Uncertain = make([]AgentGroup, zb0009)
 	}
-	for za0003 := range z.Unsure {
+	for za0003 := range z.Uncertain {
 		var zb0010 uint32
 		zb0010, bts, err = msgp.ReadArrayHeaderBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003)
+			err = msgp.WrapError(err, "Uncertain", za0003)
 			return
 		}
 		if zb0010 != 3 {
 			err = msgp.ArrayError{Wanted: 3, Got: zb0010}
 			return
 		}
-		z.Unsure[za0003].Service, bts, err = msgp.ReadStringBytes(bts)
+		z.Uncertain[za0003].Service, bts, err = msgp.ReadStringBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003, "Service")
+			err = msgp.WrapError(err, "Uncertain", za0003, "Service")
 			return
 		}
-		z.Unsure[za0003].Port, bts, err = msgp.ReadUint16Bytes(bts)
+		z.Uncertain[za0003].Port, bts, err = msgp.ReadUint16Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003, "Port")
+			err = msgp.WrapError(err, "Uncertain", za0003, "Port")
 			return
 		}
 		var zb0011 uint32
 		zb0011, bts, err = msgp.ReadBytesHeader(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Unsure", za0003, "IPs")
+			err = msgp.WrapError(err, "Uncertain", za0003, "IPs")
 			return
 		}
 		if zb0011 > zdc5d9100limitArrays {
 			err = msgp.ErrLimitExceeded
 			return
 		}
-		if z.Unsure[za0003].IPs == nil || uint32(cap(z.Unsure[za0003].IPs)) < zb0011 {
-			z.Unsure[za0003].IPs = make([]byte, zb0011)
+		if z.Uncertain[za0003].IPs == nil || uint32(cap(z.Uncertain[za0003].IPs)) < zb0011 {
+			z.Uncertain[za0003].IPs = make([]byte, zb0011)
 		} else {
-			z.Unsure[za0003].IPs = z.Unsure[za0003].IPs[:zb0011]
+			z.Uncertain[za0003].IPs = z.Uncertain[za0003].IPs[:zb0011]
 		}
 		if uint32(len(bts)) < zb0011 {
 			err = msgp.ErrShortBytes
 			return
 		}
-		copy(z.Unsure[za0003].IPs, bts[:zb0011])
+		copy(z.Uncertain[za0003].IPs, bts[:zb0011])
 		bts = bts[zb0011:]
 	}
 	var zb0012 uint32
 	zb0012, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Silent")
+		err = msgp.WrapError(err, "Unresponsive")
 		return
 	}
 	if zb0012 > zdc5d9100limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Silent) >= int(zb0012) {
-		z.Silent = (z.Silent)[:zb0012]
+	if cap(z.Unresponsive) >= int(zb0012) {
+		z.Unresponsive = (z.Unresponsive)[:zb0012]
 	} else {
-		z.Silent = make([]Targets, zb0012)
+		z.Unresponsive = make([]AgentGroup, zb0012)
 	}
-	for za0004 := range z.Silent {
+	for za0004 := range z.Unresponsive {
 		var zb0013 uint32
 		zb0013, bts, err = msgp.ReadArrayHeaderBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004)
+			err = msgp.WrapError(err, "Unresponsive", za0004)
 			return
 		}
 		if zb0013 != 3 {
 			err = msgp.ArrayError{Wanted: 3, Got: zb0013}
 			return
 		}
-		z.Silent[za0004].Service, bts, err = msgp.ReadStringBytes(bts)
+		z.Unresponsive[za0004].Service, bts, err = msgp.ReadStringBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004, "Service")
+			err = msgp.WrapError(err, "Unresponsive", za0004, "Service")
 			return
 		}
-		z.Silent[za0004].Port, bts, err = msgp.ReadUint16Bytes(bts)
+		z.Unresponsive[za0004].Port, bts, err = msgp.ReadUint16Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004, "Port")
+			err = msgp.WrapError(err, "Unresponsive", za0004, "Port")
 			return
 		}
 		var zb0014 uint32
 		zb0014, bts, err = msgp.ReadBytesHeader(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0004, "IPs")
+			err = msgp.WrapError(err, "Unresponsive", za0004, "IPs")
 			return
 		}
 		if zb0014 > zdc5d9100limitArrays {
 			err = msgp.ErrLimitExceeded
 			return
 		}
-		if z.Silent[za0004].IPs == nil || uint32(cap(z.Silent[za0004].IPs)) < zb0014 {
-			z.Silent[za0004].IPs = make([]byte, zb0014)
+		if z.Unresponsive[za0004].IPs == nil || uint32(cap(z.Unresponsive[za0004].IPs)) < zb0014 {
+			z.Unresponsive[za0004].IPs = make([]byte, zb0014)
 		} else {
-			z.Silent[za0004].IPs = z.Silent[za0004].IPs[:zb0014]
+			z.Unresponsive[za0004].IPs = z.Unresponsive[za0004].IPs[:zb0014]
 		}
 		if uint32(len(bts)) < zb0014 {
 			err = msgp.ErrShortBytes
 			return
 		}
-		copy(z.Silent[za0004].IPs, bts[:zb0014])
+		copy(z.Unresponsive[za0004].IPs, bts[:zb0014])
 		bts = bts[zb0014:]
 	}
-	bts, err = z.Terms.UnmarshalMsg(bts)
+	bts, err = z.Parameters.UnmarshalMsg(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Terms")
+		err = msgp.WrapError(err, "Parameters")
 		return
 	}
 	bts, err = z.Load.UnmarshalMsg(bts)
@@ -1253,298 +1486,65 @@
 		s += 1 + msgp.StringPrefixSize + len(z.Targets[za0002].Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.Targets[za0002].IPs)
 	}
 	s += msgp.ArrayHeaderSize
-	for za0003 := range z.Unsure {
-		s += 1 + msgp.StringPrefixSize + len(z.Unsure[za0003].Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.Unsure[za0003].IPs)
+	for za0003 := range z.Uncertain {
+		s += 1 + msgp.StringPrefixSize + len(z.Uncertain[za0003].Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.Uncertain[za0003].IPs)
 	}
 	s += msgp.ArrayHeaderSize
-	for za0004 := range z.Silent {
-		s += 1 + msgp.StringPrefixSize + len(z.Silent[za0004].Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.Silent[za0004].IPs)
+	for za0004 := range z.Unresponsive {
+		s += 1 + msgp.StringPrefixSize + len(z.Unresponsive[za0004].Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.Unresponsive[za0004].IPs)
 	}
-	s += z.Terms.Msgsize() + z.Load.Msgsize() + msgp.BytesPrefixSize + len(z.Packet)
+	s += z.Parameters.Msgsize() + z.Load.Msgsize() + msgp.BytesPrefixSize + len(z.Packet)
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Targets) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > zdc5d9100limitArrays {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	z.Service, err = dc.ReadString()
-	if err != nil {
-		err = msgp.WrapError(err, "Service")
-		return
-	}
-	z.Port, err = dc.ReadUint16()
-	if err != nil {
-		err = msgp.WrapError(err, "Port")
-		return
-	}
-	z.IPs, err = dc.ReadBytesLimit(z.IPs, zdc5d9100limitArrays)
-	if err == nil && z.IPs == nil {
-		z.IPs = []byte{}
-	}
-	if err != nil {
-		err = msgp.WrapError(err, "IPs")
-		return
+func (z *MessageKind) DecodeMsg(dc *msgp.Reader) (err error) {
+	{
+		var zb0001 uint8
+		zb0001, err = dc.ReadUint8()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = MessageKind(zb0001)
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Targets) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 3
-	err = en.Append(0x93)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Service)
-	if err != nil {
-		err = msgp.WrapError(err, "Service")
-		return
-	}
-	err = en.WriteUint16(z.Port)
-	if err != nil {
-		err = msgp.WrapError(err, "Port")
-		return
-	}
-	err = en.WriteBytes(z.IPs)
-	if err != nil {
-		err = msgp.WrapError(err, "IPs")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Targets) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 3
-	o = append(o, 0x93)
-	o = msgp.AppendString(o, z.Service)
-	o = msgp.AppendUint16(o, z.Port)
-	o = msgp.AppendBytes(o, z.IPs)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Targets) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	z.Service, bts, err = msgp.ReadStringBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Service")
-		return
-	}
-	z.Port, bts, err = msgp.ReadUint16Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Port")
-		return
-	}
-	var zb0002 uint32
-	zb0002, bts, err = msgp.ReadBytesHeader(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "IPs")
-		return
-	}
-	if zb0002 > zdc5d9100limitArrays {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if z.IPs == nil || uint32(cap(z.IPs)) < zb0002 {
-		z.IPs = make([]byte, zb0002)
-	} else {
-		z.IPs = z.IPs[:zb0002]
-	}
-	if uint32(len(bts)) < zb0002 {
-		err = msgp.ErrShortBytes
-		return
-	}
-	copy(z.IPs, bts[:zb0002])
-	bts = bts[zb0002:]
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Targets) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.IPs)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Terms) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
+func (z MessageKind) EncodeMsg(en *msgp.Writer) (err error) {
+	err = en.WriteUint8(uint8(z))
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > zdc5d9100limitArrays {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if zb0001 != 6 {
-		err = msgp.ArrayError{Wanted: 6, Got: zb0001}
-		return
-	}
-	z.Slots, err = dc.ReadUint32()
-	if err != nil {
-		err = msgp.WrapError(err, "Slots")
-		return
-	}
-	z.Priority, err = dc.ReadUint8()
-	if err != nil {
-		err = msgp.WrapError(err, "Priority")
-		return
-	}
-	z.Target, err = dc.ReadUint32()
-	if err != nil {
-		err = msgp.WrapError(err, "Target")
-		return
-	}
-	z.Timeout, err = dc.ReadUint32()
-	if err != nil {
-		err = msgp.WrapError(err, "Timeout")
-		return
-	}
-	z.Waited, err = dc.ReadUint32()
-	if err != nil {
-		err = msgp.WrapError(err, "Waited")
-		return
-	}
-	err = z.Cold.DecodeMsg(dc)
-	if err != nil {
-		err = msgp.WrapError(err, "Cold")
-		return
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Terms) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 6
-	err = en.Append(0x96)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint32(z.Slots)
-	if err != nil {
-		err = msgp.WrapError(err, "Slots")
-		return
-	}
-	err = en.WriteUint8(z.Priority)
-	if err != nil {
-		err = msgp.WrapError(err, "Priority")
-		return
-	}
-	err = en.WriteUint32(z.Target)
-	if err != nil {
-		err = msgp.WrapError(err, "Target")
-		return
-	}
-	err = en.WriteUint32(z.Timeout)
-	if err != nil {
-		err = msgp.WrapError(err, "Timeout")
-		return
-	}
-	err = en.WriteUint32(z.Waited)
-	if err != nil {
-		err = msgp.WrapError(err, "Waited")
-		return
-	}
-	err = z.Cold.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Cold")
-		return
-	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Terms) MarshalMsg(b []byte) (o []byte, err error) {
+func (z MessageKind) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// array header, size 6
-	o = append(o, 0x96)
-	o = msgp.AppendUint32(o, z.Slots)
-	o = msgp.AppendUint8(o, z.Priority)
-	o = msgp.AppendUint32(o, z.Target)
-	o = msgp.AppendUint32(o, z.Timeout)
-	o = msgp.AppendUint32(o, z.Waited)
-	o, err = z.Cold.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Cold")
-		return
-	}
+	o = msgp.AppendUint8(o, uint8(z))
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Terms) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 6 {
-		err = msgp.ArrayError{Wanted: 6, Got: zb0001}
-		return
-	}
-	z.Slots, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Slots")
-		return
-	}
-	z.Priority, bts, err = msgp.ReadUint8Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Priority")
-		return
-	}
-	z.Target, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Target")
-		return
-	}
-	z.Timeout, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Timeout")
-		return
-	}
-	z.Waited, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Waited")
-		return
-	}
-	bts, err = z.Cold.UnmarshalMsg(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Cold")
-		return
+func (z *MessageKind) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	{
+		var zb0001 uint8
+		zb0001, bts, err = msgp.ReadUint8Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = MessageKind(zb0001)
 	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Terms) Msgsize() (s int) {
-	s = 1 + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size + z.Cold.Msgsize()
+func (z MessageKind) Msgsize() (s int) {
+	s = msgp.Uint8Size
 	return
 }
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -87,11 +87,11 @@
 	return "no_candidate"
 }
 
-func termsOf(route *directory.Route) Terms {
-	return Terms{
-		Priority: route.Priority,
-		Target:   uint32(route.Target.Milliseconds()),
-		Timeout:  uint32(route.Timeout.Milliseconds()),
+func termsOf(route *directory.Route) FlowParameters {
+	return FlowParameters{
+		Priority:      route.Priority,
+		LatencyTarget: uint32(route.Target.Milliseconds()),
+		Timeout:       uint32(route.Timeout.Milliseconds()),
 	}
 }
 
@@ -105,10 +105,10 @@
 	known.touched = now
 	known.terms.Waited = known.waited(now)
 	if candidate, exists := b.snapshot.Candidate(known.endpoint); exists {
-		known.terms.Cold = b.coldOf(now, candidate)
+		known.terms.ColdStart = b.coldOf(now, candidate)
 	}
 	b.send(known.agent, Message{
-		Kind: KindOffer, Service: known.service, Zone: b.config.Zone, Terms: known.terms, Packet: packet,
+		Kind: KindOffer, Service: known.service, Zone: b.config.Zone, Parameters: known.terms, Packet: packet,
 	})
 }
 
@@ -141,10 +141,10 @@
 	b.awaitAgent(now)
 	opened.terms.Slots = chosen.Endpoint.Slots
 	opened.terms.Waited = opened.waited(now)
-	opened.terms.Cold = b.coldOf(now, chosen.Candidate)
+	opened.terms.ColdStart = b.coldOf(now, chosen.Candidate)
 	b.send(opened.agent, Message{
-		Kind: KindOffer, Service: opened.service, Zone: b.config.Zone, Terms: opened.terms,
-		Insist: chosen.overruled, Packet: opened.offer.packet,
+		Kind: KindOffer, Service: opened.service, Zone: b.config.Zone, Parameters: opened.terms,
+		IgnoreEjection: chosen.overruled, Packet: opened.offer.packet,
 	})
 	return true
 }
@@ -168,7 +168,7 @@
 
 func (b *Balancer) reset(key segment.FlowKey, header segment.Header) {
 	packet := b.config.Codec.AppendReset(nil, key, header.Acknowledgment)
-	b.effects = append(b.effects, Effect{Kind: EffectClient, To: key.Client, Packet: packet})
+	b.effects = append(b.effects, Effect{Kind: EffectSendToClient, To: key.Client, Packet: packet})
 }
 
 func (b *Balancer) receivePlaced(now time.Duration, from segment.Address, message Message) {
@@ -221,7 +221,7 @@
 	switch {
 	case message.LastResort:
 		known.offer.noteLastResort(from, message.Load)
-	case message.Load.Hold == 0:
+	case message.Load.ColdWait == 0:
 		b.healthOf(known.endpoint).avoid(now)
 	}
 	if known.offer.busy >= busyLimit && b.offerLastResort(now, known) {
@@ -242,8 +242,8 @@
 		return
 	}
 	o.busy++
-	if o.lastResort.IsZero() || load.Used < o.used {
-		o.lastResort, o.used = agent, load.Used
+	if o.lastResort.IsZero() || load.Pending < o.used {
+		o.lastResort, o.used = agent, load.Pending
 	}
 }
 
@@ -276,12 +276,12 @@
 	b.moveTo(known, agent)
 	if exists {
 		known.terms.Slots = candidate.Endpoint.Slots
-		known.terms.Cold = b.coldOf(now, candidate)
+		known.terms.ColdStart = b.coldOf(now, candidate)
 	}
 	known.offer.deadline = now + offerTimeout
 	b.event(Event{Kind: EventOfferedAgain, Flow: known.offer.key, Peer: agent, Reason: "last_resort"})
 	b.send(agent, Message{
-		Kind: KindOffer, Service: known.service, Zone: b.config.Zone, Terms: known.terms, LastResort: true,
+		Kind: KindOffer, Service: known.service, Zone: b.config.Zone, Parameters: known.terms, LastResort: true,
 		Packet: known.offer.packet,
 	})
 	return true
--- a/internal/relay/owner.go
+++ b/internal/relay/ownership.go
@@ -22,7 +22,7 @@
 
 // deny tells a balancer that the endpoint does not hold a flow.
 func (a *Agent) deny(now time.Duration, to segment.Address, key segment.FlowKey) {
-	a.send(to, Message{Kind: KindDenied, Service: a.config.Service, Flow: FlowOf(key), Age: now - a.started})
+	a.send(to, Message{Kind: KindDenied, Service: a.config.Service, Flow: EncodeFlow(key), Uptime: now - a.started})
 }
 
 // mayOwn reports whether the endpoint may hold a flow that this agent does not
@@ -48,7 +48,7 @@
 }
 
 func (a *Agent) sendUncertain(now time.Duration, to segment.Address, question Message) {
-	a.send(to, Message{Kind: KindUncertain, Service: a.config.Service, Flow: question.Flow, Age: now - a.started})
+	a.send(to, Message{Kind: KindUncertain, Service: a.config.Service, Flow: question.Flow, Uptime: now - a.started})
 }
 
 // receiveVerify answers whether the endpoint holds a flow. Of an endpoint of another
@@ -91,12 +91,12 @@
 func (a *Agent) receiveOwned(now time.Duration, from segment.Address, key segment.FlowKey, known *agentFlow, header segment.Header, message Message) {
 	known.touched = now
 	known.balancer = balancerOf(from, message)
-	known.work.learn(message.Terms)
+	known.work.learn(message.Parameters)
 	if known.state == stateAnswered {
 		known.state = stateOpen
 	}
 	if message.Kind != KindForward {
-		a.send(known.balancer, Message{Kind: KindOwned, Service: a.config.Service, Flow: FlowOf(key), Load: a.Load()})
+		a.send(known.balancer, Message{Kind: KindOwned, Service: a.config.Service, Flow: EncodeFlow(key), Load: a.Load()})
 	}
 	if header.Flags.Has(segment.Finish) || header.Flags.Has(segment.Reset) {
 		a.end(now, known)
@@ -115,7 +115,7 @@
 		state: stateProbed, balancer: balancerOf(from, message), prober: from,
 		forwarded: message.Kind == KindForward, touched: now,
 		work: work{
-			terms: message.Terms, asked: now, since: now, fed: now,
+			terms: message.Parameters, asked: now, since: now, fed: now,
 			request: a.config.Codec.RequestID(message.Packet), given: header.Length > 0,
 			sent: header.Sequence + uint32(header.Length),
 		},
--- a/internal/relay/demand_test.go
+++ b/internal/relay/persistentflow_test.go
@@ -24,22 +24,22 @@
 	// open opens a flow and returns the number of its endpoint.
 	open := func(now time.Duration) int {
 		number++
-		to := onlyMessage(balancer.Arrive(now, opening(number, 100))).To
+		to := onlyMessage(balancer.HandleClientPacket(now, opening(number, 100))).To
 		balancer.Receive(now, to, relay.Message{
-			Kind: relay.KindPlaced, Service: service, Flow: relay.FlowOf(keyOf(number)), Sequence: 100,
-			Load: relay.Load{Pace: uint32(pace.Microseconds())},
+			Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(keyOf(number)), Sequence: 100,
+			Load: relay.Load{ServiceTime: uint32(pace.Microseconds())},
 		})
 		return int(to.IP[3])
 	}
 	end := func(now time.Duration, flow int) {
-		balancer.Arrive(now, fromClient(flow, segment.Acknowledge|segment.Finish, 101, 501, ""))
+		balancer.HandleClientPacket(now, fromClient(flow, segment.Acknowledge|segment.Finish, 101, 501, ""))
 	}
 	// keep lets the kept flows make a request in each interval of some seconds.
 	keep := func(from, until, interval time.Duration) {
 		sequence := uint32(101)
 		for now := from; now < until; now += interval {
 			for flow := 1; flow <= keptFlows; flow++ {
-				balancer.Arrive(now, fromClient(flow, segment.Acknowledge, sequence, 501, "request"))
+				balancer.HandleClientPacket(now, fromClient(flow, segment.Acknowledge, sequence, 501, "request"))
 			}
 			sequence += 7
 			balancer.Tick(now)
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -21,7 +21,7 @@
 
 // work is the progress of the request of a flow.
 type work struct {
-	terms Terms
+	terms FlowParameters
 	// request is the identifier of the request, if its first packet showed one.
 	request string
 	// asked is when the client began with the request, as far as is known: when it
@@ -54,8 +54,8 @@
 }
 
 // learn takes terms for a flow that was opened before this agent was started.
-func (w *work) learn(terms Terms) {
-	if w.terms == (Terms{}) {
+func (w *work) learn(terms FlowParameters) {
+	if w.terms == (FlowParameters{}) {
 		w.terms = terms
 	}
 }
@@ -72,7 +72,7 @@
 func (w *work) wanted() requestqueue.Request {
 	return requestqueue.Request{
 		Priority: w.terms.Priority, Began: w.asked,
-		Objective: milliseconds(w.terms.Target), Timeout: milliseconds(w.terms.Timeout),
+		Objective: milliseconds(w.terms.LatencyTarget), Timeout: milliseconds(w.terms.Timeout),
 	}
 }
 
--- a/internal/relay/queue_test.go
+++ b/internal/relay/queue_test.go
@@ -27,7 +27,7 @@
 	}
 	// respond lets the endpoint answer the request of a flow.
 	respond := func(now time.Duration, number int) []relay.Effect {
-		return agent.Emitted(now, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
+		return agent.HandleEndpointPacket(now, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
 	}
 	given := func(effects []relay.Effect) []int {
 		var numbers []int
@@ -248,8 +248,8 @@
 			return "no such event"
 		}
 		fresh := newAgent(true)
-		fresh.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Terms: agent.terms, Packet: opening(9, 100)})
-		fresh.Emitted(0, fromEndpoint(9, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
+		fresh.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Parameters: agent.terms, Packet: opening(9, 100)})
+		fresh.HandleEndpointPacket(0, fromEndpoint(9, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
 		given := fresh.Receive(0, balancerA, relay.Message{
 			Kind: relay.KindForward, Service: service, Packet: fromClient(9, segment.Acknowledge, 101, 501, "id=q9 GET"),
 		})
@@ -259,7 +259,7 @@
 		Expect(named(agent.forward(2*millisecond, relay.KindForward, first), relay.EventHeld)).To(Equal("q10"))
 		Expect(named(respond(3*millisecond, 0), relay.EventAdmitted)).To(Equal("q10"))
 		Expect(named(respond(4*millisecond, 10), relay.EventAnswered)).To(Equal("q10"))
-		Expect(named(agent.Emitted(5*millisecond, returned(first)), relay.EventEndpointLostFlow)).To(Equal("q10"))
+		Expect(named(agent.HandleEndpointPacket(5*millisecond, returned(first)), relay.EventEndpointLostFlow)).To(Equal("q10"))
 		handshake(6*millisecond, 11)
 		agent.open(6*millisecond, 12)
 		agent.forward(7*millisecond, relay.KindForward, fromClient(11, segment.Acknowledge, 101, 501, "id=q11 GET"))
@@ -267,12 +267,12 @@
 	})
 
 	It("takes an answer for one that comes with the end of its flow, or after it", func() {
-		effects := agent.Emitted(50*millisecond, fromEndpoint(0, segment.Acknowledge|segment.Finish, 501, 108, "answer"))
+		effects := agent.HandleEndpointPacket(50*millisecond, fromEndpoint(0, segment.Acknowledge|segment.Finish, 501, 108, "answer"))
 		Expect(events(effects)).To(ContainElement(relay.EventAnswered))
 		Expect(agent.Load().Running).To(Equal(uint32(2)))
-		effects = agent.Emitted(50*millisecond, fromEndpoint(1, segment.Acknowledge|segment.Finish, 507, 108, ""))
+		effects = agent.HandleEndpointPacket(50*millisecond, fromEndpoint(1, segment.Acknowledge|segment.Finish, 507, 108, ""))
 		Expect(events(effects)).To(ContainElement(relay.EventAnswered))
-		effects = agent.Emitted(51*millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
+		effects = agent.HandleEndpointPacket(51*millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
 		Expect(events(effects)).NotTo(ContainElement(relay.EventAnswered), "once")
 	})
 
--- a/internal/relay/relay_bench_test.go
+++ b/internal/relay/relay_bench_test.go
@@ -61,11 +61,11 @@
 			b.ReportAllocs()
 			for number := range b.N {
 				packet := openingTo(number)
-				effects := balancer.Arrive(0, packet)
+				effects := balancer.HandleClientPacket(0, packet)
 				to := effects[0].To
 				header, _ := codec.Decode(packet)
 				key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-				balancer.Receive(0, to, relay.Message{Kind: relay.KindPlaced, Flow: relay.FlowOf(key), Sequence: 100})
+				balancer.Receive(0, to, relay.Message{Kind: relay.KindPlaced, Flow: relay.EncodeFlow(key), Sequence: 100})
 			}
 		})
 	}
@@ -74,11 +74,11 @@
 // BenchmarkBalancerForward measures a packet of a known flow.
 func BenchmarkBalancerForward(b *testing.B) {
 	balancer := benchmarkBalancer(benchmarkFleet(1500))
-	balancer.Arrive(0, opening(1, 100))
+	balancer.HandleClientPacket(0, opening(1, 100))
 	packet := fromClient(1, segment.Acknowledge, 101, 501, "request")
 	b.ReportAllocs()
 	for b.Loop() {
-		balancer.Arrive(0, packet)
+		balancer.HandleClientPacket(0, packet)
 	}
 }
 
@@ -91,10 +91,10 @@
 		balancer := benchmarkBalancer(machine)
 		for number := range flows {
 			packet := openingTo(number)
-			effects := balancer.Arrive(0, packet)
+			effects := balancer.HandleClientPacket(0, packet)
 			header, _ := codec.Decode(packet)
 			key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-			balancer.Receive(0, effects[0].To, relay.Message{Kind: relay.KindPlaced, Flow: relay.FlowOf(key), Sequence: 100})
+			balancer.Receive(0, effects[0].To, relay.Message{Kind: relay.KindPlaced, Flow: relay.EncodeFlow(key), Sequence: 100})
 		}
 		balancer.Tick(time.Second)
 		b.ReportMetric(float64(heap()-before)/flows, "B/flow")
@@ -109,11 +109,11 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		agent.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Packet: opening(1, 100)})
-		agent.Emitted(0, fromEndpoint(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
+		agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
 		agent.Receive(0, balancerA, relay.Message{
 			Kind: relay.KindForward, Service: service, Packet: fromClient(1, segment.Acknowledge, 101, 501, "request"),
 		})
-		agent.Emitted(0, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
+		agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
 		agent.Receive(0, balancerA, relay.Message{
 			Kind: relay.KindForward, Service: service, Packet: fromClient(1, segment.Acknowledge|segment.Finish, 108, 507, ""),
 		})
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -52,7 +52,7 @@
 		acknowledged = known.written
 	}
 	a.effects = append(a.effects, Effect{
-		Kind:   EffectClient,
+		Kind:   EffectSendToClient,
 		To:     key.Client,
 		Packet: a.config.Codec.AppendReset(nil, key, acknowledged),
 	})
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -34,7 +34,7 @@
 	})
 
 	It("lets it tell at once which flows it does not hold any more, when one of them shows that it has restarted", func() {
-		effects := agent.Emitted(time.Second, returned(request(0)))
+		effects := agent.HandleEndpointPacket(time.Second, returned(request(0)))
 		Expect(resets(effects)).To(HaveLen(1))
 		var asked []segment.Address
 		for _, effect := range delivered(effects) {
@@ -43,7 +43,7 @@
 		}
 		Expect(asked).To(ConsistOf(clientAddress(1), clientAddress(2)))
 		for number := 1; number < 3; number++ {
-			Expect(resets(agent.Emitted(time.Second, returned(request(number))))).To(HaveLen(1), "its client need not wait for its time-out")
+			Expect(resets(agent.HandleEndpointPacket(time.Second, returned(request(number))))).To(HaveLen(1), "its client need not wait for its time-out")
 		}
 		Expect(agent.Load().Running).To(BeZero())
 	})
@@ -54,37 +54,37 @@
 		effects := agent.answer(2*time.Second, 10, 900)
 		Expect(delivered(effects)).To(HaveLen(3))
 		for number := range 3 {
-			again := agent.Emitted(2*time.Second, fromEndpoint(number, segment.Acknowledge, 501, 108, ""))
+			again := agent.HandleEndpointPacket(2*time.Second, fromEndpoint(number, segment.Acknowledge, 501, 108, ""))
 			Expect(resets(again)).To(BeEmpty())
 		}
-		Expect(resets(agent.Emitted(2*time.Second, fromEndpoint(0, segment.Acknowledge, 501, 108, "answer")))).To(BeEmpty())
+		Expect(resets(agent.HandleEndpointPacket(2*time.Second, fromEndpoint(0, segment.Acknowledge, 501, 108, "answer")))).To(BeEmpty())
 		Expect(agent.Load().Running).To(Equal(uint32(4)))
 	})
 
 	It("does not ask it about flows that it has opened since", func() {
-		agent.Emitted(time.Second, returned(request(0)))
+		agent.HandleEndpointPacket(time.Second, returned(request(0)))
 		agent.lastResort = true
 		agent.open(1100*millisecond, 10)
-		effects := agent.Emitted(1200*millisecond, returned(request(1)))
+		effects := agent.HandleEndpointPacket(1200*millisecond, returned(request(1)))
 		Expect(delivered(effects)).To(BeEmpty())
 	})
 
 	It("resets at a place where the client takes it for one of its flow, however much was answered", func() {
-		agent.Emitted(100*millisecond, fromEndpoint(0, segment.Acknowledge, 501, 108, "answer"))
-		agent.Emitted(100*millisecond, fromEndpoint(0, segment.Acknowledge, 100_501, 108, "more"))
-		effects := agent.Emitted(time.Second, returned(request(0)))
+		agent.HandleEndpointPacket(100*millisecond, fromEndpoint(0, segment.Acknowledge, 501, 108, "answer"))
+		agent.HandleEndpointPacket(100*millisecond, fromEndpoint(0, segment.Acknowledge, 100_501, 108, "more"))
+		effects := agent.HandleEndpointPacket(time.Second, returned(request(0)))
 		Expect(resets(effects)).To(HaveLen(1))
 		Expect(resets(effects)[0].Sequence).To(BeNumerically("~", 100_505, 19_200))
 	})
 
 	It("denies a flow of the life before, and owns the one that its client opens anew at the same address", func() {
-		agent.Emitted(time.Second, returned(request(0)))
+		agent.HandleEndpointPacket(time.Second, returned(request(0)))
 		asked := question(request(0))
 		asked.Kind = relay.KindVerify
 		Expect(onlyMessage(agent.Receive(time.Second, balancerB, asked)).Message.Kind).To(Equal(relay.KindDenied))
 		agent.lastResort = true
 		agent.offer(1100*millisecond, 0, 7000)
-		agent.Emitted(1100*millisecond, fromEndpoint(0, segment.Synchronize|segment.Acknowledge, 900, 7001, ""))
+		agent.HandleEndpointPacket(1100*millisecond, fromEndpoint(0, segment.Synchronize|segment.Acknowledge, 900, 7001, ""))
 		again := fromClient(0, segment.Acknowledge, 7001, 901, "request")
 		agent.forward(1200*millisecond, relay.KindForward, again)
 		asked = question(again)
@@ -116,14 +116,14 @@
 			start(0, number, 1_000)
 		}
 		balancer.Install(0, known.machine.Snapshot())
-		balancer.Confirm(0)
+		balancer.MarkConfirmed(0)
 	})
 
 	// fill gives flows to both endpoints and returns how many each got.
 	fill := func(now time.Duration, first, count int) map[segment.Address]int {
 		given := make(map[segment.Address]int)
 		for number := first; number < first+count; number++ {
-			offered := onlyMessage(balancer.Arrive(now, opening(number, 100)))
+			offered := onlyMessage(balancer.HandleClientPacket(now, opening(number, 100)))
 			placed(balancer, now, offered.To, number, 100)
 			given[offered.To]++
 		}
@@ -139,14 +139,14 @@
 
 	It("holds nothing against it that the life before has done", func() {
 		for number := range 4 {
-			balancer.Arrive(0, opening(number, 100))
+			balancer.HandleClientPacket(0, opening(number, 100))
 		}
 		for step := range 10 {
 			balancer.Tick(time.Duration(step) * 50 * millisecond)
 		}
 		start(600*millisecond, 0, 2_000)
 		balancer.Install(600*millisecond, known.machine.Snapshot())
-		Expect(onlyMessage(balancer.Arrive(600*millisecond, opening(50, 100))).To).To(Equal(agentAddress(0)))
+		Expect(onlyMessage(balancer.HandleClientPacket(600*millisecond, opening(50, 100))).To).To(Equal(agentAddress(0)))
 	})
 
 	It("lets packets of a flow of the life before reach its agent, whose endpoint proves that it is dead", func() {
@@ -155,13 +155,13 @@
 		start(time.Second, 0, 2_000)
 		start(time.Second, 1, 2_000)
 		balancer.Install(time.Second, known.machine.Snapshot())
-		forwarded := onlyMessage(balancer.Arrive(time.Second, fromClient(0, segment.Acknowledge, 101, 501, "request")))
+		forwarded := onlyMessage(balancer.HandleClientPacket(time.Second, fromClient(0, segment.Acknowledge, 101, 501, "request")))
 		Expect(forwarded.Message.Kind).To(Equal(relay.KindForward))
 	})
 
 	It("does not hold an offer against it that the life before left without an answer", func() {
 		for number := range 8 {
-			balancer.Arrive(0, opening(number, 100))
+			balancer.HandleClientPacket(0, opening(number, 100))
 		}
 		start(10*millisecond, 0, 2_000)
 		balancer.Install(10*millisecond, known.machine.Snapshot())
--- a/internal/relay/pace.go
+++ b/internal/relay/servicetime.go
@@ -27,15 +27,15 @@
 // are kept open for many requests say little about that by their number.
 func (b *Balancer) notePace(now time.Duration, from segment.Address, load Load) {
 	candidate, exists := b.snapshot.At(from.IP)
-	if !exists || load.Pace == 0 {
+	if !exists || load.ServiceTime == 0 {
 		return
 	}
 	known := b.healthOf(candidate.ID)
 	if b.usual[candidate.Endpoint.Service].pace == 0 {
 		delete(b.usual, candidate.Endpoint.Service)
 	}
-	if known.pace != load.Pace {
-		known.pace, known.paceChanged = load.Pace, now
+	if known.pace != load.ServiceTime {
+		known.pace, known.paceChanged = load.ServiceTime, now
 	}
 	known.told = now
 }
--- a/internal/relay/stuck_test.go
+++ b/internal/relay/stuck_test.go
@@ -22,7 +22,7 @@
 	)
 	answered := func(at time.Duration, number int) {
 		agent.open(at, number)
-		agent.Emitted(at+quick, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
+		agent.HandleEndpointPacket(at+quick, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
 	}
 	// returnedAsLast reports whether an opening packet is returned for want of trust.
 	returnedAsLast := func(at time.Duration, number int) bool {
@@ -44,7 +44,7 @@
 		Expect(agent.Load().Report.Held()).To(Equal(time.Second))
 		Expect(agent.Load().Report.Reason).To(Equal(outlier.Hang))
 		effects := agent.Receive(stuckAt, balancerA, relay.Message{
-			Kind: relay.KindOffer, Service: service, Terms: agent.terms, LastResort: true, Packet: opening(4, 100),
+			Kind: relay.KindOffer, Service: service, Parameters: agent.terms, LastResort: true, Packet: opening(4, 100),
 		})
 		Expect(delivered(effects)).To(HaveLen(1))
 	})
--- a/internal/relay/survey_test.go
+++ b/internal/relay/survey_test.go
@@ -15,17 +15,17 @@
 var surveyRequest = fromClient(1, segment.Acknowledge, 101, 501, "request")
 
 // targets returns the agents with some numbers as a survey names them.
-func targets(numbers ...int) []relay.Targets {
-	group := relay.Targets{Service: service, Port: agentPort}
+func targets(numbers ...int) []relay.AgentGroup {
+	group := relay.AgentGroup{Service: service, Port: agentPort}
 	for _, number := range numbers {
 		address := agentAddress(number)
 		group.IPs = append(group.IPs, address.IP[:]...)
 	}
-	return []relay.Targets{group}
+	return []relay.AgentGroup{group}
 }
 
 // namedIn returns the addresses of all agents that a message names.
-func namedIn(groups []relay.Targets) []segment.Address {
+func namedIn(groups []relay.AgentGroup) []segment.Address {
 	var addresses []segment.Address
 	for _, group := range groups {
 		addresses = append(addresses, group.Addresses()...)
@@ -39,7 +39,7 @@
 	// survey makes the agent ask agents 1 and 2.
 	survey := func(now time.Duration, probing bool) []relay.Effect {
 		message := relay.Message{
-			Kind: relay.KindSurvey, Service: service, Flow: relay.FlowOf(keyOf(1)), Sequence: 5,
+			Kind: relay.KindSurvey, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 5,
 			Acknowledgment: 501, Flags: segment.Acknowledge, Targets: targets(1, 2),
 		}
 		if probing {
@@ -47,9 +47,9 @@
 		}
 		return agent.Receive(now, balancerA, message)
 	}
-	answer := func(now time.Duration, number int, kind relay.Kind, age time.Duration) []relay.Effect {
+	answer := func(now time.Duration, number int, kind relay.MessageKind, age time.Duration) []relay.Effect {
 		return agent.Receive(now, agentAddress(number), relay.Message{
-			Kind: kind, Service: service, Flow: relay.FlowOf(keyOf(1)), Age: age,
+			Kind: kind, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Uptime: age,
 		})
 	}
 
@@ -85,17 +85,17 @@
 		Expect(answer(millisecond, 1, relay.KindDenied, 7*time.Second)).To(BeEmpty(), "a copy")
 		told := onlyMessage(answer(millisecond, 2, relay.KindDenied, 5*time.Second))
 		Expect(told.To).To(Equal(balancerA))
-		Expect(told.Message.Kind).To(Equal(relay.KindSurveyed))
-		Expect(told.Message.Age).To(Equal(7 * time.Second))
-		Expect(told.Message.Unsure).To(BeEmpty())
-		Expect(told.Message.Silent).To(BeEmpty())
+		Expect(told.Message.Kind).To(Equal(relay.KindSurveyResult))
+		Expect(told.Message.Uptime).To(Equal(7 * time.Second))
+		Expect(told.Message.Uncertain).To(BeEmpty())
+		Expect(told.Message.Unresponsive).To(BeEmpty())
 		Expect(told.Message.Sequence).To(Equal(uint32(5)), "the number of the survey")
 	})
 
 	It("tells the balancer who do not know", func() {
 		survey(0, false)
 		answer(millisecond, 1, relay.KindUncertain, time.Second)
-		Expect(onlyMessage(answer(millisecond, 2, relay.KindDenied, time.Second)).Message.Unsure).To(Equal(targets(1)))
+		Expect(onlyMessage(answer(millisecond, 2, relay.KindDenied, time.Second)).Message.Uncertain).To(Equal(targets(1)))
 	})
 
 	It("tells the balancer in time who have not answered, and again once all have", func() {
@@ -104,10 +104,10 @@
 		Expect(sent(agent.Tick(59 * millisecond))).To(BeEmpty())
 		Expect(agent.NextTick(59 * millisecond)).To(Equal(60 * millisecond))
 		told := onlyMessage(agent.Tick(60 * millisecond)).Message
-		Expect(told.Kind).To(Equal(relay.KindSurveyed))
-		Expect(told.Silent).To(Equal(targets(2)))
+		Expect(told.Kind).To(Equal(relay.KindSurveyResult))
+		Expect(told.Unresponsive).To(Equal(targets(2)))
 		Expect(sent(agent.Tick(70*millisecond))).To(BeEmpty(), "once")
-		Expect(onlyMessage(answer(80*millisecond, 2, relay.KindDenied, time.Second)).Message.Silent).To(BeEmpty())
+		Expect(onlyMessage(answer(80*millisecond, 2, relay.KindDenied, time.Second)).Message.Unresponsive).To(BeEmpty())
 	})
 
 	It("believes nobody that was not asked, and nobody who answers late", func() {
@@ -120,13 +120,13 @@
 
 	It("answers another agent that it does not own the flow, and the balancer that it does", func() {
 		question := relay.Message{
-			Kind: relay.KindVerify, Service: service, Flow: relay.FlowOf(keyOf(1)),
+			Kind: relay.KindVerify, Service: service, Flow: relay.EncodeFlow(keyOf(1)),
 			Flags: segment.Acknowledge, Acknowledgment: 501, ReplyTo: relay.EncodeAddress(balancerA),
 		}
 		Expect(onlyMessage(agent.Receive(0, agentAddress(1), question)).To).To(Equal(agentAddress(1)))
 		offered := relay.Message{Kind: relay.KindOffer, Service: service, Packet: opening(1, 100)}
 		agent.Receive(0, balancerB, offered)
-		agent.Emitted(0, fromEndpoint(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
+		agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
 		owned := onlyMessage(agent.Receive(0, agentAddress(1), question))
 		Expect(owned.Message.Kind).To(Equal(relay.KindOwned))
 		Expect(owned.To).To(Equal(balancerA))
@@ -156,20 +156,20 @@
 		install()
 	})
 
-	report := func(from segment.Address, unsure, silent []relay.Targets) []relay.Effect {
+	report := func(from segment.Address, unsure, silent []relay.AgentGroup) []relay.Effect {
 		return balancer.Receive(asked+3*millisecond, from, relay.Message{
-			Kind: relay.KindSurveyed, Service: service, Flow: relay.FlowOf(keyOf(1)), Sequence: 1, Age: asked,
-			Unsure: unsure, Silent: silent,
+			Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 1, Uptime: asked,
+			Uncertain: unsure, Unresponsive: silent,
 		})
 	}
 	deny := func(from segment.Address) []relay.Effect {
 		return balancer.Receive(asked+3*millisecond, from, relay.Message{
-			Kind: relay.KindDenied, Service: service, Flow: relay.FlowOf(keyOf(1)), Age: asked,
+			Kind: relay.KindDenied, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Uptime: asked,
 		})
 	}
 
 	It("leaves a search to one of them", func() {
-		surveyor := onlyMessage(balancer.Arrive(asked, surveyRequest))
+		surveyor := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest))
 		Expect(surveyor.Message.Kind).To(Equal(relay.KindSurvey))
 		Expect(namedIn(surveyor.Message.Targets)).To(HaveLen(agents - 1))
 		Expect(namedIn(surveyor.Message.Targets)).NotTo(ContainElement(surveyor.To))
@@ -183,7 +183,7 @@
 			known.endpoint(0, number, func(e *directory.Endpoint) { e.Zone = []string{ownZone, otherZone}[number%2] })
 		}
 		install()
-		parts := sent(balancer.Arrive(asked, surveyRequest))
+		parts := sent(balancer.HandleClientPacket(asked, surveyRequest))
 		Expect(parts).To(HaveLen(2))
 		for _, part := range parts {
 			asked := append(namedIn(part.Message.Targets), part.To)
@@ -195,14 +195,14 @@
 	})
 
 	It("resets the flow once that one and all others have denied it, and the directory is confirmed", func() {
-		surveyor := onlyMessage(balancer.Arrive(asked, surveyRequest)).To
+		surveyor := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest)).To
 		Expect(resets(report(surveyor, nil, nil))).To(BeEmpty())
-		Expect(ofKind(deny(surveyor), relay.EffectConfirm)).To(HaveLen(1))
-		Expect(resets(balancer.Current(asked+9*millisecond, asked+4*millisecond))).To(HaveLen(1))
+		Expect(ofKind(deny(surveyor), relay.EffectConfirmDirectory)).To(HaveLen(1))
+		Expect(resets(balancer.MarkCurrentThrough(asked+9*millisecond, asked+4*millisecond))).To(HaveLen(1))
 	})
 
 	It("makes them ask their endpoints if some do not know, again through one of them", func() {
-		first := onlyMessage(balancer.Arrive(asked, surveyRequest))
+		first := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest))
 		Expect(sent(report(first.To, first.Message.Targets, nil))).To(BeEmpty(), "that one has not answered for itself")
 		second := onlyMessage(deny(first.To))
 		Expect(second.Message.Kind).To(Equal(relay.KindSurvey))
@@ -211,40 +211,40 @@
 	})
 
 	It("makes only those ask their endpoints that do not know", func() {
-		first := onlyMessage(balancer.Arrive(asked, surveyRequest))
+		first := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest))
 		unsure := first.Message.Targets[0].Addresses()[3]
 		deny(first.To)
-		probed := onlyMessage(report(first.To, []relay.Targets{{Service: service, Port: agentPort, IPs: unsure.IP[:]}}, nil))
+		probed := onlyMessage(report(first.To, []relay.AgentGroup{{Service: service, Port: agentPort, IPs: unsure.IP[:]}}, nil))
 		Expect(probed.Message.Kind).To(Equal(relay.KindProbe))
 		Expect(probed.To).To(Equal(unsure))
 	})
 
 	It("asks only those again that have not answered", func() {
-		first := onlyMessage(balancer.Arrive(asked, surveyRequest))
+		first := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest))
 		silent := first.Message.Targets[0].Addresses()[5]
 		deny(first.To)
-		Expect(sent(report(first.To, nil, []relay.Targets{{Service: service, Port: agentPort, IPs: silent.IP[:]}}))).To(BeEmpty())
+		Expect(sent(report(first.To, nil, []relay.AgentGroup{{Service: service, Port: agentPort, IPs: silent.IP[:]}}))).To(BeEmpty())
 		again := onlyMessage(balancer.Tick(asked + 100*millisecond))
 		Expect(again.To).To(Equal(silent))
 		Expect(again.Message.Kind).To(Equal(relay.KindVerify))
 	})
 
 	It("believes no other agent that says so", func() {
-		surveyor := onlyMessage(balancer.Arrive(asked, surveyRequest))
+		surveyor := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest))
 		report(surveyor.Message.Targets[0].Addresses()[0], nil, nil)
-		Expect(ofKind(deny(surveyor.To), relay.EffectConfirm)).To(BeEmpty())
+		Expect(ofKind(deny(surveyor.To), relay.EffectConfirmDirectory)).To(BeEmpty())
 	})
 
 	It("does not take the answer to an earlier survey for one about those that it asks now", func() {
-		surveyor := onlyMessage(balancer.Arrive(asked, surveyRequest)).To
+		surveyor := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest)).To
 		balancer.Receive(asked+3*millisecond, surveyor, relay.Message{
-			Kind: relay.KindSurveyed, Service: service, Flow: relay.FlowOf(keyOf(1)), Sequence: 7, Age: asked,
+			Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 7, Uptime: asked,
 		})
-		Expect(ofKind(deny(surveyor), relay.EffectConfirm)).To(BeEmpty())
+		Expect(ofKind(deny(surveyor), relay.EffectConfirmDirectory)).To(BeEmpty())
 	})
 
 	It("asks another each time that one does not answer", func() {
-		asking := map[segment.Address]bool{onlyMessage(balancer.Arrive(asked, surveyRequest)).To: true}
+		asking := map[segment.Address]bool{onlyMessage(balancer.HandleClientPacket(asked, surveyRequest)).To: true}
 		for round := range 8 {
 			again := onlyMessage(balancer.Tick(asked + time.Duration(round+1)*100*millisecond))
 			Expect(again.Message.Kind).To(Equal(relay.KindSurvey))
@@ -255,16 +255,16 @@
 	})
 
 	It("leaves nothing more to them while the client repeats its packet, and begins again when all rounds were in vain", func() {
-		balancer.Arrive(asked, surveyRequest)
-		Expect(sent(balancer.Arrive(asked+50*millisecond, surveyRequest))).To(BeEmpty())
-		Expect(sent(balancer.Arrive(asked+150*millisecond, surveyRequest))).To(BeEmpty())
+		balancer.HandleClientPacket(asked, surveyRequest)
+		Expect(sent(balancer.HandleClientPacket(asked+50*millisecond, surveyRequest))).To(BeEmpty())
+		Expect(sent(balancer.HandleClientPacket(asked+150*millisecond, surveyRequest))).To(BeEmpty())
 		ended := asked
 		for range 20 {
 			ended += 100 * millisecond
 			balancer.Tick(ended)
 		}
 		Expect(sent(balancer.Tick(ended + 100*millisecond))).To(BeEmpty())
-		Expect(onlyMessage(balancer.Arrive(ended+200*millisecond, surveyRequest)).Message.Kind).To(Equal(relay.KindSurvey))
+		Expect(onlyMessage(balancer.HandleClientPacket(ended+200*millisecond, surveyRequest)).Message.Kind).To(Equal(relay.KindSurvey))
 	})
 
 	It("does not ask all agents again and again if their answers prove nothing, since they are older than the directory", func() {
@@ -284,18 +284,18 @@
 				}
 				surveys++
 				balancer.Receive(now+millisecond, effect.To, relay.Message{
-					Kind: relay.KindUncertain, Service: service, Flow: relay.FlowOf(keyOf(1)), Age: asked,
+					Kind: relay.KindUncertain, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Uptime: asked,
 				})
 				balancer.Receive(now+millisecond, effect.To, relay.Message{
-					Kind: relay.KindSurveyed, Service: service, Flow: relay.FlowOf(keyOf(1)),
-					Sequence: effect.Message.Sequence, Age: asked, Unsure: effect.Message.Targets,
+					Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(keyOf(1)),
+					Sequence: effect.Message.Sequence, Uptime: asked, Uncertain: effect.Message.Targets,
 				})
 			}
 		}
 		for step := range 40 {
 			now := asked + time.Duration(step)*100*millisecond
 			answerAll(now, balancer.Tick(now))
-			answerAll(now, balancer.Arrive(now, surveyRequest))
+			answerAll(now, balancer.HandleClientPacket(now, surveyRequest))
 		}
 		Expect(surveys).To(BeNumerically("<=", 3))
 	})
@@ -305,7 +305,7 @@
 			balancer = newBalancer()
 			install()
 			packet := fromClient(1, segment.Acknowledge, 101, 501, string(make([]byte, length)))
-			Expect(sizeOf(onlyMessage(balancer.Arrive(asked, packet)))).To(BeNumerically("<=", relay.MaximumMessage))
+			Expect(sizeOf(onlyMessage(balancer.HandleClientPacket(asked, packet)))).To(BeNumerically("<=", relay.MaxMessageSize))
 		}
 	})
 })
@@ -348,9 +348,9 @@
 		searches := 0
 		for number := range 100 {
 			packet := fromClient(number, segment.Acknowledge, 101, 501, string(make([]byte, 900)))
-			for _, effect := range sent(balancer.Arrive(asked, packet)) {
+			for _, effect := range sent(balancer.HandleClientPacket(asked, packet)) {
 				Expect(effect.Message.Kind).To(Equal(relay.KindSurvey))
-				Expect(sizeOf(effect)).To(BeNumerically("<=", relay.MaximumMessage))
+				Expect(sizeOf(effect)).To(BeNumerically("<=", relay.MaxMessageSize))
 				searches++
 			}
 		}
@@ -359,16 +359,16 @@
 
 	It("hears of each agent once from several of them if the packet leaves little room", func() {
 		long := fromClient(1, segment.Acknowledge, 101, 501, string(make([]byte, 1200)))
-		first := onlyMessage(balancer.Arrive(asked, long))
-		balancer.Receive(asked, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.FlowOf(keyOf(1)), Age: asked})
+		first := onlyMessage(balancer.HandleClientPacket(asked, long))
+		balancer.Receive(asked, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.EncodeFlow(keyOf(1)), Uptime: asked})
 		parts := sent(balancer.Receive(asked, first.To, relay.Message{
-			Kind: relay.KindSurveyed, Flow: relay.FlowOf(keyOf(1)), Sequence: 1, Age: asked, Unsure: first.Message.Targets,
+			Kind: relay.KindSurveyResult, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 1, Uptime: asked, Uncertain: first.Message.Targets,
 		}))
 		Expect(len(parts)).To(BeNumerically("~", 3, 1))
 		reached := make(map[segment.Address]int)
 		for _, part := range parts {
 			Expect(part.Message.Packet).To(Equal(long))
-			Expect(sizeOf(part)).To(BeNumerically("<=", relay.MaximumMessage))
+			Expect(sizeOf(part)).To(BeNumerically("<=", relay.MaxMessageSize))
 			reached[part.To]++
 			for _, target := range namedIn(part.Message.Targets) {
 				reached[target]++
@@ -382,24 +382,24 @@
 
 	It("resets the flow once every part has denied it", func() {
 		long := fromClient(1, segment.Acknowledge, 101, 501, string(make([]byte, 1200)))
-		first := onlyMessage(balancer.Arrive(asked, long))
-		balancer.Receive(asked, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.FlowOf(keyOf(1)), Age: asked})
+		first := onlyMessage(balancer.HandleClientPacket(asked, long))
+		balancer.Receive(asked, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.EncodeFlow(keyOf(1)), Uptime: asked})
 		probing := slices.Clone(balancer.Receive(asked, first.To, relay.Message{
-			Kind: relay.KindSurveyed, Flow: relay.FlowOf(keyOf(1)), Sequence: 1, Age: asked, Unsure: first.Message.Targets,
+			Kind: relay.KindSurveyResult, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 1, Uptime: asked, Uncertain: first.Message.Targets,
 		}))
-		Expect(ofKind(probing, relay.EffectConfirm)).To(HaveLen(1), "the directory is confirmed while endpoints are asked")
+		Expect(ofKind(probing, relay.EffectConfirmDirectory)).To(HaveLen(1), "the directory is confirmed while endpoints are asked")
 		for _, part := range sent(probing) {
-			answered := func(kind relay.Kind) []relay.Effect {
+			answered := func(kind relay.MessageKind) []relay.Effect {
 				return balancer.Receive(asked+millisecond, part.To, relay.Message{
-					Kind: kind, Flow: relay.FlowOf(keyOf(1)), Sequence: part.Message.Sequence, Age: asked,
+					Kind: kind, Flow: relay.EncodeFlow(keyOf(1)), Sequence: part.Message.Sequence, Uptime: asked,
 				})
 			}
-			for _, kind := range []relay.Kind{relay.KindDenied, relay.KindSurveyed} {
+			for _, kind := range []relay.MessageKind{relay.KindDenied, relay.KindSurveyResult} {
 				effects := answered(kind)
-				Expect(ofKind(effects, relay.EffectConfirm)).To(BeEmpty(), "one confirmation is under way")
+				Expect(ofKind(effects, relay.EffectConfirmDirectory)).To(BeEmpty(), "one confirmation is under way")
 				Expect(resets(effects)).To(BeEmpty(), "it has not come")
 			}
 		}
-		Expect(resets(balancer.Current(asked+9*millisecond, asked+4*millisecond))).To(HaveLen(1))
+		Expect(resets(balancer.MarkCurrentThrough(asked+9*millisecond, asked+4*millisecond))).To(HaveLen(1))
 	})
 })
--- a/internal/relay/level.go
+++ b/internal/relay/utilization.go
@@ -40,6 +40,6 @@
 	if message.Kind == KindReturned {
 		own--
 	}
-	known.news = placement.News{Used: max(float64(message.Load.Used)-max(own, 0), 0), At: now, Known: true}
+	known.news = placement.News{Used: max(float64(message.Load.Pending)-max(own, 0), 0), At: now, Known: true}
 	b.levelOf(candidate, known.slowness(now, usual)).Note(now, known.news.Used/float64(candidate.Endpoint.Slots))
 }
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -111,10 +111,10 @@
 	})
 }
 
-// Current tells that the directory has everything which the store had accepted before
+// MarkCurrentThrough tells that the directory has everything which the store had accepted before
 // a time: flows that were open by then are held by endpoints that are known. The
 // returned effects are valid until the next call.
-func (b *Balancer) Current(now, through time.Duration) []Effect {
+func (b *Balancer) MarkCurrentThrough(now, through time.Duration) []Effect {
 	b.effects = b.effects[:0]
 	b.current = max(b.current, through)
 	for _, sought := range b.verifications {
@@ -130,10 +130,10 @@
 func (b *Balancer) verification(sought *search, candidate directory.Candidate) Message {
 	service := candidate.Endpoint.Service
 	if sought.replies[b.agentOf(candidate)].probed {
-		return Message{Kind: KindProbe, Service: service, Terms: b.termsAt(sought.key, b.agentOf(candidate)), Packet: sought.held[0]}
+		return Message{Kind: KindProbe, Service: service, Parameters: b.termsAt(sought.key, b.agentOf(candidate)), Packet: sought.held[0]}
 	}
 	return Message{
-		Kind: KindVerify, Service: service, Flow: FlowOf(sought.key),
+		Kind: KindVerify, Service: service, Flow: EncodeFlow(sought.key),
 		Acknowledgment: sought.header.Acknowledgment, Flags: sought.header.Flags,
 	}
 }
@@ -147,7 +147,7 @@
 // receiveDenied handles that an agent's endpoint does not hold a flow.
 func (b *Balancer) receiveDenied(now time.Duration, from segment.Address, message Message) {
 	if known, exists := b.soughtFlow(message); exists {
-		b.replied(now, known, from, reply{denied: true, began: now - message.Age})
+		b.replied(now, known, from, reply{denied: true, began: now - message.Uptime})
 	}
 }
 
@@ -201,7 +201,7 @@
 	}
 	if now >= sought.confirmAgain {
 		sought.confirmAgain = now + verifyInterval
-		b.effects = append(b.effects, Effect{Kind: EffectConfirm})
+		b.effects = append(b.effects, Effect{Kind: EffectConfirmDirectory})
 	}
 	return true
 }
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -37,21 +37,21 @@
 		agentAge = asked
 	})
 
-	answer := func(kind relay.Kind, now time.Duration, number int) []relay.Effect {
+	answer := func(kind relay.MessageKind, now time.Duration, number int) []relay.Effect {
 		return balancer.Receive(now, agentAddress(number), relay.Message{
-			Kind: kind, Service: service, Flow: relay.FlowOf(keyOf(1)), Age: agentAge,
+			Kind: kind, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Uptime: agentAge,
 		})
 	}
 	// verify lets the client's packet come and the search be verified.
 	verify := func() []relay.Effect {
-		balancer.Arrive(asked, request)
+		balancer.HandleClientPacket(asked, request)
 		return balancer.Tick(asked + 10*millisecond)
 	}
 	current := func(through time.Duration) []relay.Effect {
-		return balancer.Current(asked+12*millisecond, through)
+		return balancer.MarkCurrentThrough(asked+12*millisecond, through)
 	}
-	kindsTo := func(effects []relay.Effect) map[byte]relay.Kind {
-		kinds := make(map[byte]relay.Kind)
+	kindsTo := func(effects []relay.Effect) map[byte]relay.MessageKind {
+		kinds := make(map[byte]relay.MessageKind)
 		for _, each := range sent(effects) {
 			kinds[each.To.IP[3]] = each.Message.Kind
 		}
@@ -59,18 +59,18 @@
 	}
 
 	It("asks all agents for an answer in any case", func() {
-		Expect(kindsTo(verify())).To(Equal(map[byte]relay.Kind{0: relay.KindVerify, 1: relay.KindVerify, 2: relay.KindVerify}))
+		Expect(kindsTo(verify())).To(Equal(map[byte]relay.MessageKind{0: relay.KindVerify, 1: relay.KindVerify, 2: relay.KindVerify}))
 	})
 
 	It("asks for a confirmation of the directory once all agents have denied the flow, which costs a call", func() {
 		verify()
-		Expect(ofKind(answer(relay.KindDenied, asked+11*millisecond, 0), relay.EffectConfirm)).To(BeEmpty())
-		Expect(ofKind(answer(relay.KindDenied, asked+11*millisecond, 1), relay.EffectConfirm)).To(BeEmpty())
-		Expect(ofKind(answer(relay.KindDenied, asked+11*millisecond, 2), relay.EffectConfirm)).To(HaveLen(1))
+		Expect(ofKind(answer(relay.KindDenied, asked+11*millisecond, 0), relay.EffectConfirmDirectory)).To(BeEmpty())
+		Expect(ofKind(answer(relay.KindDenied, asked+11*millisecond, 1), relay.EffectConfirmDirectory)).To(BeEmpty())
+		Expect(ofKind(answer(relay.KindDenied, asked+11*millisecond, 2), relay.EffectConfirmDirectory)).To(HaveLen(1))
 	})
 
 	It("asks nobody again if the owner has answered", func() {
-		balancer.Arrive(asked, request)
+		balancer.HandleClientPacket(asked, request)
 		answer(relay.KindOwned, asked+millisecond, 1)
 		Expect(sent(balancer.Tick(asked + 10*millisecond))).To(BeEmpty())
 	})
@@ -99,7 +99,7 @@
 		for number := range 3 {
 			answer(relay.KindDenied, asked+13*millisecond, number)
 		}
-		effects := balancer.Arrive(asked+20*millisecond, request)
+		effects := balancer.HandleClientPacket(asked+20*millisecond, request)
 		Expect(resets(effects)).To(HaveLen(1))
 		Expect(sent(effects)).To(BeEmpty())
 	})
@@ -121,7 +121,7 @@
 		install()
 		Expect(resets(current(asked))).To(BeEmpty())
 		again := balancer.Tick(asked + 110*millisecond)
-		Expect(kindsTo(again)).To(Equal(map[byte]relay.Kind{3: relay.KindVerify}), "only that one")
+		Expect(kindsTo(again)).To(Equal(map[byte]relay.MessageKind{3: relay.KindVerify}), "only that one")
 		Expect(resets(answer(relay.KindDenied, asked+111*millisecond, 3))).To(HaveLen(1))
 	})
 
@@ -154,7 +154,7 @@
 		}
 		for now := asked + 20*millisecond; now < asked+30*time.Second; now += 200 * millisecond {
 			balancer.Tick(now)
-			Expect(resets(balancer.Current(now, now))).To(BeEmpty())
+			Expect(resets(balancer.MarkCurrentThrough(now, now))).To(BeEmpty())
 		}
 	})
 
@@ -181,9 +181,9 @@
 			answer(relay.KindDenied, asked+13*millisecond, number)
 		}
 		effects := balancer.Tick(asked + 200*millisecond)
-		Expect(ofKind(effects, relay.EffectConfirm)).To(HaveLen(1))
+		Expect(ofKind(effects, relay.EffectConfirmDirectory)).To(HaveLen(1))
 		Expect(sent(effects)).To(BeEmpty(), "all have answered")
-		Expect(resets(balancer.Current(asked+210*millisecond, asked+200*millisecond))).To(HaveLen(1))
+		Expect(resets(balancer.MarkCurrentThrough(asked+210*millisecond, asked+200*millisecond))).To(HaveLen(1))
 	})
 
 	It("resets nothing if it knows no endpoint, or more than it can ask", func() {
@@ -201,7 +201,7 @@
 				agent := endpointAddress(number)
 				agent.IP[2] = byte(number >> 8)
 				effects := balancer.Receive(asked+11*millisecond, agent.WithPort(agentPort), relay.Message{
-					Kind: relay.KindDenied, Service: service, Flow: relay.FlowOf(keyOf(1)), Age: agentAge,
+					Kind: relay.KindDenied, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Uptime: agentAge,
 				})
 				Expect(resets(effects)).To(BeEmpty())
 			}
@@ -215,10 +215,10 @@
 		Expect(sent(answer(relay.KindUncertain, asked+13*millisecond, 0))).To(BeEmpty())
 		Expect(sent(answer(relay.KindDenied, asked+13*millisecond, 1))).To(BeEmpty())
 		effects := answer(relay.KindUncertain, asked+14*millisecond, 2)
-		Expect(kindsTo(effects)).To(Equal(map[byte]relay.Kind{0: relay.KindProbe, 2: relay.KindProbe}))
+		Expect(kindsTo(effects)).To(Equal(map[byte]relay.MessageKind{0: relay.KindProbe, 2: relay.KindProbe}))
 		for _, each := range sent(effects) {
 			Expect(each.Message.Packet).To(Equal(request))
-			Expect(each.Message.Terms.Timeout).To(Equal(uint32(2000)), "the agent may know no terms")
+			Expect(each.Message.Parameters.Timeout).To(Equal(uint32(2000)), "the agent may know no terms")
 		}
 		Expect(resets(answer(relay.KindDenied, asked+16*millisecond, 0))).To(BeEmpty())
 		Expect(resets(answer(relay.KindDenied, asked+16*millisecond, 2))).To(HaveLen(1))
--- a/internal/relaydaemon/agent.go
+++ b/internal/relaydaemon/agent.go
@@ -24,14 +24,14 @@
 
 func newAgentRole(surroundings Surroundings, checked *settings.Relay, journal *journal, registered *registry.Registry) (*agentRole, error) {
 	agent := relay.NewAgent(relay.AgentConfig{
-		Service:      checked.Agent.Service,
-		Codec:        surroundings.Codec,
-		Complete:     checked.Agent.FirstStart,
-		FlowLifetime: checked.FlowLifetime,
-		FlowLimit:    checked.FlowLimit,
-		ColdBound:    relay.ColdBound{Overrun: checked.Agent.ColdOverrun, Slack: checked.Agent.ColdSlack},
-		Outliers:     checked.Agent.Outliers,
-		QueuePolicy:  checked.Agent.QueuePolicy,
+		Service:             checked.Agent.Service,
+		Codec:               surroundings.Codec,
+		StartedWithEndpoint: checked.Agent.FirstStart,
+		FlowLifetime:        checked.FlowLifetime,
+		FlowLimit:           checked.FlowLimit,
+		ColdStartLimit:      relay.ColdStartLimit{Overrun: checked.Agent.ColdOverrun, Slack: checked.Agent.ColdSlack},
+		OutlierLimits:       checked.Agent.Outliers,
+		QueuePolicy:         checked.Agent.QueuePolicy,
 	})
 	created := &agentRole{
 		*checked, newExecutor(agent, checked.Peers.Port(), journal), agent, newEndpointMetrics(registered, checked.Agent.Service),
@@ -50,13 +50,13 @@
 // emitted handles a packet of the endpoint. Only the endpoint may send to this
 // address, from the machine itself.
 func (r *agentRole) emitted(_ netip.AddrPort, packet []byte) {
-	r.executor.do(func(now time.Duration) []relay.Effect { return r.agent.Emitted(now, packet) })
+	r.executor.do(func(now time.Duration) []relay.Effect { return r.agent.HandleEndpointPacket(now, packet) })
 }
 
 // observe shows the load of the endpoint.
 func (r *agentRole) observe(now time.Duration) {
 	if r.metrics.due(now) {
-		r.metrics.observe(r.agent.Observe(now))
+		r.metrics.observe(r.agent.EndpointLoad(now))
 	}
 }
 
--- a/internal/relaydaemon/balancer.go
+++ b/internal/relaydaemon/balancer.go
@@ -133,7 +133,7 @@
 // observe shows the load of the services, and whether agents can be reached.
 func (r *balancerRole) observe(now time.Duration) {
 	if r.services.due(now) {
-		r.services.observe(r.balancer.Observe())
+		r.services.observe(r.balancer.ServiceLoads())
 	}
 	r.reportReach()
 }
@@ -153,7 +153,7 @@
 }
 
 func (r *balancerRole) arrive(_ netip.AddrPort, packet []byte) {
-	r.executor.do(func(now time.Duration) []relay.Effect { return r.balancer.Arrive(now, packet) })
+	r.executor.do(func(now time.Duration) []relay.Effect { return r.balancer.HandleClientPacket(now, packet) })
 }
 
 func (r *balancerRole) add(group *run.Group) {
@@ -280,7 +280,7 @@
 		}
 		changed := merge(now)
 		if r.follower.Following() {
-			r.balancer.Confirm(now)
+			r.balancer.MarkConfirmed(now)
 			r.updates.send(r.spread.Answered(now))
 		}
 		if !before && r.follower.Following() {
--- a/internal/relaydaemon/confirm.go
+++ b/internal/relaydaemon/confirm.go
@@ -71,7 +71,7 @@
 			return nil
 		}
 		r.updates.answerThrough(now, through)
-		return r.balancer.Current(now, through)
+		return r.balancer.MarkCurrentThrough(now, through)
 	})
 	return wanted
 }
--- a/internal/relaydaemon/executor.go
+++ b/internal/relaydaemon/executor.go
@@ -69,15 +69,15 @@
 	for index := range effects {
 		effect := &effects[index]
 		switch effect.Kind {
-		case relay.EffectPeer:
+		case relay.EffectSendMessage:
 			e.sendPeer(effect.To, &effect.Message)
-		case relay.EffectClient:
+		case relay.EffectSendToClient:
 			e.packets.send(effect.To.WithPort(e.clientPort), effect.Packet)
-		case relay.EffectEndpoint:
+		case relay.EffectSendToEndpoint:
 			e.packets.send(e.endpoint, effect.Packet)
 		case relay.EffectEvent:
 			e.journal.record(now, effect.Event)
-		case relay.EffectConfirm:
+		case relay.EffectConfirmDirectory:
 			e.confirm()
 		}
 	}
