--- a/internal/relaydaemon/load.go
+++ b/internal/relaydaemon/load.go
@@ -128,7 +128,7 @@
 // leave nothing out, unlike those of single decisions.
 type loadLog struct {
 	logger *log.Logger
-	counts map[relay.Class]*loadCount
+	counts map[relay.TrafficClass]*loadCount
 	// next is when lines may be due.
 	next     time.Duration
 	requests metrics.Counter
@@ -140,7 +140,7 @@
 func newLoadLog(logger *log.Logger, registered *registry.Registry) *loadLog {
 	return &loadLog{
 		logger: logger,
-		counts: make(map[relay.Class]*loadCount),
+		counts: make(map[relay.TrafficClass]*loadCount),
 		requests: registered.Counter("relay_requests_total", "Decisions about requests and flows, by service, priority and kind.",
 			serviceLabel, priorityLabel, kindLabel),
 		returned: registered.Counter("relay_returned_total", "New flows that an agent returned to their balancers, by service, priority and reason.",
@@ -175,11 +175,11 @@
 }
 
 // bounded returns the class under which an event counts.
-func (l *loadLog) bounded(class relay.Class) relay.Class {
+func (l *loadLog) bounded(class relay.TrafficClass) relay.TrafficClass {
 	if _, exists := l.counts[class]; exists || len(l.counts) < classLimit {
 		return class
 	}
-	return relay.Class{Service: otherValue}
+	return relay.TrafficClass{Service: otherValue}
 }
 
 // flush writes the lines that are due.
@@ -199,22 +199,22 @@
 	}
 }
 
-func compareClasses(a, b relay.Class) int {
+func compareClasses(a, b relay.TrafficClass) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(priorityOf(a), priorityOf(b)))
 }
 
-func fieldsOfClass(class relay.Class) []any {
+func fieldsOfClass(class relay.TrafficClass) []any {
 	return []any{serviceLabel, serviceOf(class), priorityLabel, priorityOf(class)}
 }
 
-func labelsOf(class relay.Class) []string {
+func labelsOf(class relay.TrafficClass) []string {
 	return []string{serviceLabel, serviceOf(class), priorityLabel, priorityOf(class)}
 }
 
-func serviceOf(class relay.Class) string { return cmp.Or(class.Service, unknownValue) }
+func serviceOf(class relay.TrafficClass) string { return cmp.Or(class.Service, unknownValue) }
 
-func priorityOf(class relay.Class) string {
-	if !class.Prioritized {
+func priorityOf(class relay.TrafficClass) string {
+	if !class.PriorityKnown {
 		return unknownValue
 	}
 	return strconv.Itoa(int(class.Priority))
--- a/internal/relaydaemon/load_test.go
+++ b/internal/relaydaemon/load_test.go
@@ -32,8 +32,8 @@
 		registered *registry.Registry
 		watch      *journal
 	)
-	urgent := relay.Class{Service: "lookup", Priority: 0, Prioritized: true}
-	common := relay.Class{Service: "lookup", Priority: 2, Prioritized: true}
+	urgent := relay.TrafficClass{Service: "lookup", Priority: 0, PriorityKnown: true}
+	common := relay.TrafficClass{Service: "lookup", Priority: 2, PriorityKnown: true}
 
 	BeforeEach(func() {
 		written = &bytes.Buffer{}
@@ -41,7 +41,7 @@
 		watch = newJournal(logging.New(written, log.InfoLevel, "side-1", "zone-1"), registered)
 	})
 
-	record := func(now time.Duration, class relay.Class, kind relay.EventKind, reason string, elapsed time.Duration) {
+	record := func(now time.Duration, class relay.TrafficClass, kind relay.EventKind, reason string, elapsed time.Duration) {
 		watch.record(now, relay.Event{Kind: kind, Class: class, Reason: reason, Elapsed: elapsed})
 	}
 	// lines returns the lines about load, and forgets them.
@@ -105,7 +105,7 @@
 		record(0, common, relay.EventAdmitted, requestqueue.ReasonNewest.String(), 30*time.Millisecond)
 		record(0, common, relay.EventReturned, "busy", 0)
 		record(0, urgent, relay.EventNoEndpoint, "all_returned", 0)
-		record(0, relay.Class{Service: "lookup"}, relay.EventGiven, "", 0)
+		record(0, relay.TrafficClass{Service: "lookup"}, relay.EventGiven, "", 0)
 		record(0, common, relay.EventOwnerless, "", 25*time.Millisecond)
 		Expect(scrape(registered)).To(And(
 			ContainSubstring(`vanetiller_relay_requests_total{kind="held",priority="2",service="lookup"} 1`),
@@ -120,7 +120,7 @@
 
 	It("tells no more classes apart than its bound", func() {
 		for number := range 2 * classLimit {
-			record(0, relay.Class{Service: strconv.Itoa(number)}, relay.EventGiven, "", 0)
+			record(0, relay.TrafficClass{Service: strconv.Itoa(number)}, relay.EventGiven, "", 0)
 		}
 		Expect(scrape(registered)).To(ContainSubstring(`{kind="given",priority="unknown",service="other"} ` + strconv.Itoa(classLimit)))
 		Expect(watch.load.counts).To(HaveLen(classLimit + 1))
@@ -129,8 +129,8 @@
 	It("shows what an endpoint can do and what waits, and that nothing does any more", func() {
 		shown := newEndpointMetrics(registered, "lookup")
 		shown.observe(relay.EndpointLoad{
-			Service: "lookup", Slots: 2, Occupied: 3, Pace: 20 * time.Millisecond,
-			Waiting: map[relay.Class]relay.Waiting{common: {Requests: 4, Longest: time.Second}},
+			Service: "lookup", Slots: 2, Occupied: 3, ResponseTime: 20 * time.Millisecond,
+			Waiting: map[relay.TrafficClass]relay.QueueStats{common: {Requests: 4, LongestWait: time.Second}},
 		})
 		Expect(scrape(registered)).To(And(
 			ContainSubstring(`vanetiller_relay_endpoint_capacity{service="lookup"} 100`),
--- a/internal/relaydaemon/loadmetrics.go
+++ b/internal/relaydaemon/loadmetrics.go
@@ -34,7 +34,7 @@
 	waiting  metrics.Gauge
 	longest  metrics.Gauge
 	// shown are the classes that waited when last seen.
-	shown map[relay.Class]relay.Waiting
+	shown map[relay.TrafficClass]relay.QueueStats
 }
 
 func newEndpointMetrics(registered *registry.Registry, service string) *endpointMetrics {
@@ -55,7 +55,7 @@
 func (m *endpointMetrics) observe(load relay.EndpointLoad) {
 	m.slots.Set(float64(load.Slots))
 	m.occupied.Set(float64(load.Occupied))
-	m.pace.Set(load.Pace.Seconds())
+	m.pace.Set(load.ResponseTime.Seconds())
 	m.capacity.Set(load.Capacity())
 	for class := range m.shown {
 		m.show(class, load.Waiting[class])
@@ -66,10 +66,10 @@
 	m.shown = load.Waiting
 }
 
-func (m *endpointMetrics) show(class relay.Class, waiting relay.Waiting) {
+func (m *endpointMetrics) show(class relay.TrafficClass, waiting relay.QueueStats) {
 	labels := labelsOf(class)
 	m.waiting.With(labels...).Set(float64(waiting.Requests))
-	m.longest.With(labels...).Set(waiting.Longest.Seconds())
+	m.longest.With(labels...).Set(waiting.LongestWait.Seconds())
 }
 
 // serviceMetrics show what a balancer takes the endpoints of each service to be able to do.
--- a/internal/relaydaemon/peerfetch.go
+++ b/internal/relaydaemon/peerfetch.go
@@ -135,7 +135,7 @@
 		}
 		changed := p.exchange.Fetched(now, state)
 		p.role.updates.send(p.role.spread.Took(now, at, directory.Peer(from), state))
-		p.role.balancer.Confirm(p.role.spread.Confirmed())
+		p.role.balancer.MarkConfirmed(p.role.spread.Confirmed())
 		p.role.executor.journal.logger.Info("directory fetched", "peer", from.String(), "changed", changed,
 			"took_ms", (now - at).Milliseconds(),
 			"endpoints", len(state.Endpoints), "revision", uint64(state.Complete))
--- a/internal/relaydaemon/socket.go
+++ b/internal/relaydaemon/socket.go
@@ -36,7 +36,7 @@
 func (s *socket) run(ctx context.Context) error {
 	stopped := context.AfterFunc(ctx, func() { s.connection.Close() })
 	defer stopped()
-	buffer := make([]byte, relay.MaximumMessage)
+	buffer := make([]byte, relay.MaxMessageSize)
 	for {
 		length, from, err := s.connection.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil {
--- a/internal/relaydaemon/updates.go
+++ b/internal/relaydaemon/updates.go
@@ -75,7 +75,7 @@
 	if lacks {
 		role.peers.lacks(now, membership.Address(update.SourceOf(from)))
 	}
-	role.balancer.Confirm(role.spread.Confirmed())
+	role.balancer.MarkConfirmed(role.spread.Confirmed())
 	effects := role.installIf(changed, now)
 	switch {
 	case update.Confirms && update.Asks:
