--- a/bench/flownet/balancer.go
+++ b/bench/flownet/balancer.go
@@ -57,20 +57,20 @@
 	zone  int
 
 	part      balancerPart
-	directory *directory.Machine
+	directory *directory.Replica
 	follower  *directory.Follower
 	confirmer *directory.Confirmer
 	// confirming is the confirmer's call that is under way, and confirmed when it
 	// was sent.
 	confirming directory.Call
 	confirmed  time.Duration
-	exchange   *directory.Exchange[simnet.NodeID]
+	exchange   *directory.PeerFetcher[simnet.NodeID]
 	// spread decides who asks the store, and heard is when others were last found running.
-	spread *directory.Spread
+	spread *directory.Disseminator
 	heard  map[simnet.NodeID]time.Duration
 	// questions are those of others that wait for a confirmation, and asked is the time
 	// of its own question with a number.
-	questions directory.Questions
+	questions directory.ConfirmationQueue
 	asked     time.Duration
 	question  uint32
 	watcher   directory.Peer
@@ -104,14 +104,14 @@
 		ApplyTimeout: applyTimeout, DrainTimeout: drainTimeout,
 		Random: rand.New(rand.NewPCG(w.random.Uint64(), 1)),
 	})
-	n.directory = directory.New()
+	n.directory = directory.NewReplica()
 	self := directory.Member{Peer: directory.Peer(n.id), Zone: n.zone}
-	n.spread = directory.NewSpread(n.directory, timing, self, w.seedPeers(n), rand.New(rand.NewPCG(w.random.Uint64(), 3)))
+	n.spread = directory.NewDisseminator(n.directory, timing, self, w.seedPeers(n), rand.New(rand.NewPCG(w.random.Uint64(), 3)))
 	n.heard = make(map[simnet.NodeID]time.Duration)
 	n.follower = directory.NewFollower(n.directory, timing, n.spread)
 	n.confirmer = directory.NewConfirmer(n.directory)
-	n.confirmed, n.questions, n.asked = 0, directory.Questions{}, 0
-	n.exchange = directory.NewExchange(n.directory, timing, w.seeds(n), rand.New(rand.NewPCG(w.random.Uint64(), 2)))
+	n.confirmed, n.questions, n.asked = 0, directory.ConfirmationQueue{}, 0
+	n.exchange = directory.NewPeerFetcher(n.directory, timing, w.seeds(n), rand.New(rand.NewPCG(w.random.Uint64(), 2)))
 	n.fetching = 0
 	n.stopping = false
 	n.calling = false
@@ -144,7 +144,7 @@
 	n.call = call
 	n.number++
 	sent := storeCall{
-		listing: call.Listing, after: call.After, since: call.AfterRevision, wait: call.Wait, number: n.number,
+		listing: call.Listing, after: call.AfterKey, since: call.AfterRevision, wait: call.Wait, number: n.number,
 	}
 	n.world.ledger.called(call)
 	if !n.cut {
@@ -174,7 +174,7 @@
 }
 
 func (n *balancerNode) failed(now time.Duration, failure error) {
-	n.follower.Failed(now, failure, n.world.random.Float64())
+	n.follower.HandleFailure(now, failure, n.world.random.Float64())
 	n.exchange.StoreFailed()
 }
 
@@ -192,7 +192,7 @@
 	case received.digest != nil:
 		n.exchange.ReceiveDigest(now, from, *received.digest)
 	case received.fetch != nil:
-		n.spread.Fetched(now, directory.Peer(from))
+		n.spread.StateSent(now, directory.Peer(from))
 		state := n.spread.State(now, *received.fetch)
 		n.world.net.Send(n.id, from, simnet.Control, 1000, datagram{port: peerPort, state: &state})
 	case received.state != nil:
@@ -218,16 +218,16 @@
 		n.failed(now, reply.failure)
 		return
 	case n.call.Listing:
-		changed = n.follower.Listed(now, reply.page)
-		if n.follower.Following() {
-			n.spread.Listed()
+		changed = n.follower.HandlePage(now, reply.page)
+		if n.follower.InSync() {
+			n.spread.StoreListed()
 		}
 	default:
-		changed = n.follower.Watched(now, reply.changes, n.world.random.Float64())
+		changed = n.follower.HandleChanges(now, reply.changes, n.world.random.Float64())
 	}
-	if n.follower.Following() {
+	if n.follower.InSync() {
 		n.part.Confirm(now)
-		n.tell(n.spread.Answered(now))
+		n.tell(n.spread.StoreAnswered(now))
 	}
 	n.installIf(now, changed)
 }
@@ -267,9 +267,9 @@
 		n.exchange.FetchFailed()
 	}
 	n.tell(n.spread.Repeat(now))
-	n.tell(n.spread.Renewal(now))
+	n.tell(n.spread.RenewalRequest(now))
 	if now%startInterval < tickInterval {
-		if question, exists := n.spread.Question(now); exists {
+		if question, exists := n.spread.StartupRequest(now); exists {
 			n.tell([]directory.Outgoing{question})
 		}
 	}
@@ -287,8 +287,8 @@
 	asked := n.fetching
 	n.fetching = 0
 	changed := n.exchange.Fetched(now, state)
-	n.tell(n.spread.Took(now, asked, directory.Peer(from), state))
-	n.part.Confirm(n.spread.Confirmed())
+	n.tell(n.spread.StateFetched(now, asked, directory.Peer(from), state))
+	n.part.Confirm(n.spread.ConfirmedAt())
 	n.installIf(now, changed)
 }
 
--- a/bench/flownet/baseline.go
+++ b/bench/flownet/baseline.go
@@ -31,7 +31,7 @@
 	}
 	var best directory.Candidate
 	var highest uint64
-	for _, candidate := range b.snapshot.Candidates(route.Shares[0].Service) {
+	for _, candidate := range b.snapshot.Candidates(route.WeightedServices[0].Service) {
 		digest := xxhash.NewWithSeed(key.Hash())
 		_, _ = digest.WriteString(candidate.ID.Name)
 		if score := digest.Sum64(); !candidate.Leaving && score >= highest {
--- a/bench/flownet/confirm.go
+++ b/bench/flownet/confirm.go
@@ -8,7 +8,7 @@
 
 func (n *balancerNode) wantConfirmation() {
 	if n.world.options.Planted != PlantedUnconfirmed {
-		n.confirmer.Want()
+		n.confirmer.Request()
 		return
 	}
 	now := n.world.net.Now()
@@ -20,13 +20,13 @@
 func (n *balancerNode) confirmNext(now time.Duration) {
 	if n.confirmed > 0 && now-n.confirmed > n.confirming.Timeout {
 		n.confirmed = 0
-		n.confirmer.Failed()
+		n.confirmer.HandleFailure()
 		n.questions.TakeThrough(now)
 	}
 	if n.askWatcher(now) {
 		return
 	}
-	n.confirmer.Serves(n.questions.Any())
+	n.confirmer.SetServesOthers(n.questions.Pending())
 	call, wanted := n.confirmer.Next(now)
 	if !wanted {
 		return
@@ -35,7 +35,7 @@
 	n.confirmed = now
 	n.world.ledger.called(call)
 	sent := storeCall{
-		listing: call.Listing, after: call.After, since: call.AfterRevision, wait: call.Wait, confirming: true,
+		listing: call.Listing, after: call.AfterKey, since: call.AfterRevision, wait: call.Wait, confirming: true,
 	}
 	if !n.cut {
 		n.world.net.Send(n.id, n.world.store.id, simnet.Control, 100, datagram{port: peerPort, call: &sent})
@@ -52,13 +52,13 @@
 	reply.changes.Items = planted.filter(reply.changes.Items)
 	switch {
 	case reply.failure != nil:
-		n.confirmer.Failed()
+		n.confirmer.HandleFailure()
 		n.questions.TakeThrough(now)
 	case n.confirming.Listing:
-		through, current := n.confirmer.Listed(reply.page)
+		through, current := n.confirmer.HandlePage(reply.page)
 		n.currentThrough(now, through, current)
 	default:
-		changed, through, current := n.confirmer.Watched(now, reply.changes)
+		changed, through, current := n.confirmer.HandleChanges(now, reply.changes)
 		if changed && n.directory.Ready() {
 			n.execute(n.part.Install(now, n.directory.Snapshot()))
 		}
--- a/bench/flownet/fault.go
+++ b/bench/flownet/fault.go
@@ -182,7 +182,7 @@
 	routes := slices.Clone(w.store.routes)
 	address := routeAddress(byte(100 + len(routes) + w.random.IntN(100)))
 	routes = append(routes, directory.Route{
-		Name: "added", IP: address.IP, Port: address.Port, Shares: []directory.Share{{Service: service.Name, Weight: 1}},
+		Name: "added", IP: address.IP, Port: address.Port, WeightedServices: []directory.WeightedService{{Service: service.Name, Weight: 1}},
 	})
 	w.store.configure(routes)
 	w.probeRoute(Class{
--- a/bench/flownet/ledger.go
+++ b/bench/flownet/ledger.go
@@ -96,7 +96,7 @@
 	switch {
 	case call.Listing:
 		kind = callListing
-	case call.Polls():
+	case call.IsPoll():
 		kind = callPoll
 	}
 	l.calls[kind]++
--- a/bench/flownet/planted.go
+++ b/bench/flownet/planted.go
@@ -52,7 +52,7 @@
 	case PlantedIgnoreZones:
 		return slices.DeleteFunc(slices.Clone(items), func(item directory.Item) bool { return item.Zone != "" })
 	case PlantedStayClosed:
-		return slices.DeleteFunc(slices.Clone(items), func(item directory.Item) bool { return item.Zone != "" && !item.Closed })
+		return slices.DeleteFunc(slices.Clone(items), func(item directory.Item) bool { return item.Zone != "" && !item.ZoneClosed })
 	case PlantedOldConfiguration:
 		return slices.DeleteFunc(slices.Clone(items), func(item directory.Item) bool {
 			return item.Configuration != nil && item.Revision > 1
--- a/bench/flownet/shape.go
+++ b/bench/flownet/shape.go
@@ -196,8 +196,8 @@
 	for _, class := range s.Classes {
 		routes = append(routes, directory.Route{
 			Name: class.Name, IP: class.Address.IP, Port: class.Address.Port,
-			Shares:   []directory.Share{{Service: class.Service, Weight: 1}},
-			Priority: class.Priority, Target: class.Target, Timeout: class.Timeout, Repeatable: class.Repeatable,
+			WeightedServices: []directory.WeightedService{{Service: class.Service, Weight: 1}},
+			Priority:         class.Priority, TargetLatency: class.Target, Timeout: class.Timeout, Retryable: class.Repeatable,
 		})
 	}
 	return routes
--- a/bench/flownet/side.go
+++ b/bench/flownet/side.go
@@ -46,7 +46,7 @@
 
 func (w *world) addSide(service Service, zone int, first bool) *side {
 	created := &side{world: w, ip: w.machine(), zone: zone, zoneName: w.zoneName(zone), service: service}
-	created.id = directory.Named(fmt.Sprintf("%s-%d", service.Name, created.ip[3]))
+	created.id = directory.NameOnlyID(fmt.Sprintf("%s-%d", service.Name, created.ip[3]))
 	created.agent = &agentNode{side: created}
 	created.agent.id = w.net.AddNode(simnet.ZoneID(zone), created.agent)
 	created.endpoint = newEndpoint(created)
--- a/bench/flownet/spread.go
+++ b/bench/flownet/spread.go
@@ -48,10 +48,10 @@
 	for _, each := range outgoing {
 		if n.world.options.Planted == PlantedEmptyUpdates {
 			each.Update.State.Endpoints = nil
-			each.Update.State.Version = 0
+			each.Update.State.ConfigurationVersion = 0
 		}
 		encoded, err := each.Update.MarshalMsg(nil)
-		if err != nil || len(encoded) > directory.MaximumUpdate {
+		if err != nil || len(encoded) > directory.MaxUpdateSize {
 			panic("flownet: an update cannot be sent")
 		}
 		var decoded directory.Update
@@ -71,15 +71,15 @@
 	changed, lacks, answers := n.spread.Receive(now, directory.Peer(from), update)
 	n.tell(answers)
 	if lacks {
-		n.exchange.Lacks(now, simnet.NodeID(update.SourceOf(directory.Peer(from))))
+		n.exchange.UpdateIncomplete(now, simnet.NodeID(update.SourceOrSender(directory.Peer(from))))
 	}
-	n.part.Confirm(n.spread.Confirmed())
+	n.part.Confirm(n.spread.ConfirmedAt())
 	n.installIf(now, changed)
 	switch {
-	case update.Confirms && update.Asks:
+	case update.Confirmation && update.RequestsChanges:
 		n.questions.Add(now, directory.Peer(from), update)
-		n.confirmer.Want()
-	case update.Confirms && !lacks && n.asked > 0 && update.Number == n.question:
+		n.confirmer.Request()
+	case update.Confirmation && !lacks && n.asked > 0 && update.RequestID == n.question:
 		asked := n.asked
 		n.asked = 0
 		n.currentThrough(now, asked, true)
@@ -95,22 +95,22 @@
 	if n.asked > 0 {
 		// It did not answer; the store is asked.
 		n.asked = 0
-		n.confirmer.Unanswered()
-		n.spread.Unanswered(now, n.watcher)
+		n.confirmer.WatcherTimedOut()
+		n.spread.WatcherTimedOut(now, n.watcher)
 		return false
 	}
-	watcher, exists := n.spread.Confirming(now)
-	if !exists || n.questions.Any() {
+	watcher, exists := n.spread.ConfirmationWatcher(now)
+	if !exists || n.questions.Pending() {
 		return false
 	}
-	if !n.confirmer.Ask(now) {
+	if !n.confirmer.BeginWithWatcher(now) {
 		return true
 	}
 	n.watcher = watcher
 	n.asked = now
 	n.question++
 	n.tell([]directory.Outgoing{{To: watcher, Update: directory.Update{
-		Asks: true, Confirms: true, Number: n.question, State: n.spread.Announced(now),
+		RequestsChanges: true, Confirmation: true, RequestID: n.question, State: n.spread.Summary(now),
 	}}})
 	return true
 }
@@ -119,6 +119,6 @@
 // is confirmed.
 func (n *balancerNode) answerThrough(now, through time.Duration) {
 	for _, each := range n.questions.TakeThrough(through) {
-		n.tell(n.spread.Answer(now, each.From, each.Update))
+		n.tell(n.spread.ConfirmationReplies(now, each.From, each.Update))
 	}
 }
--- a/bench/flownet/store.go
+++ b/bench/flownet/store.go
@@ -127,10 +127,10 @@
 		}
 	}
 	slices.Sort(keys)
-	page := directory.Page{At: s.revision, More: len(keys) > pageSize}
+	page := directory.Page{Revision: s.revision, More: len(keys) > pageSize}
 	for _, key := range keys[:min(len(keys), pageSize)] {
 		page.Items = append(page.Items, s.items[key])
-		page.Last = key
+		page.LastKey = key
 	}
 	return page
 }
@@ -204,7 +204,7 @@
 	if options := s.world.options; options.ColdRate > 0 && !options.Untold {
 		for _, service := range options.Shape.Services {
 			configuration.ColdStarts = append(configuration.ColdStarts, directory.ColdStart{
-				Service: service.Name, Lasts: coldTime, Rate: options.ColdRate,
+				Service: service.Name, Duration: coldTime, RequestsPerSecond: options.ColdRate,
 			})
 		}
 	}
@@ -228,13 +228,13 @@
 	reasons := directory.RefusalReasons()
 	name := fmt.Sprintf("other-%d", s.version)
 	s.put(directory.Item{
-		Key: "endpoints/" + name, EndpointID: directory.Named(name), Refused: reasons[int(s.version)%len(reasons)],
+		Key: "endpoints/" + name, EndpointID: directory.NameOnlyID(name), RefusalReason: reasons[int(s.version)%len(reasons)],
 	}, false)
 }
 
 // closeZone closes a zone to new flows, or opens it again.
 func (s *store) closeZone(zone string, closed bool) {
-	s.put(directory.Item{Key: "zones/" + zone, Zone: zone, Closed: closed}, !closed)
+	s.put(directory.Item{Key: "zones/" + zone, Zone: zone, ZoneClosed: closed}, !closed)
 	s.world.ledger.zone(zone, closed)
 }
 
--- a/bench/flownet/world.go
+++ b/bench/flownet/world.go
@@ -124,6 +124,6 @@
 func entryOf(s *side) *directory.Endpoint {
 	return &directory.Endpoint{
 		Service: s.service.Name, IP: s.ip, Port: endpointPort, Zone: s.zoneName, Slots: uint32(s.service.Slots), Draining: s.draining,
-		Warming: max(s.endpoint.coldUntil-s.world.net.Now(), 0),
+		ColdRemaining: max(s.endpoint.coldUntil-s.world.net.Now(), 0),
 	}
 }
--- a/bench/soak/client.go
+++ b/bench/soak/client.go
@@ -180,7 +180,7 @@
 		c.receiveReset(known)
 		return
 	}
-	if !codec.Sealed(packet) {
+	if !codec.ChecksumValid(packet) {
 		c.world.ledger.forged("a client")
 		return
 	}
--- a/bench/soak/endpoint.go
+++ b/bench/soak/endpoint.go
@@ -46,7 +46,7 @@
 
 // The offsets in the data of each packet of an answer, behind its head.
 const (
-	offsetKind = platformtest.AnswerHeadSize + iota
+	offsetKind = platformtest.ResponseHeadSize + iota
 	offsetPart
 	offsetRequest
 	answerSize = offsetRequest + 8
@@ -148,7 +148,7 @@
 	codec := e.world.codec
 	header, outcome := codec.Decode(packet)
 	foreign := header.Flags.Has(segment.Returned) || header.Flags.Has(segment.Synchronize|segment.Acknowledge)
-	if outcome != segment.Decoded || foreign || !codec.Sealed(packet) {
+	if outcome != segment.Decoded || foreign || !codec.ChecksumValid(packet) {
 		e.world.ledger.forged(e.id.String())
 		return
 	}
@@ -267,12 +267,12 @@
 
 // respond sends the answer. The mutex must be held.
 func (e *endpoint) respond(known *heldFlow) {
-	kind, head := answerServed, platformtest.AnswerHead(segment.AnswerSuccess)
+	kind, head := answerServed, platformtest.ResponseHead(segment.AnswerSuccess)
 	switch {
 	case known.refused:
-		kind, head = answerRefused, platformtest.AnswerHead(segment.AnswerRefusal)
+		kind, head = answerRefused, platformtest.ResponseHead(segment.AnswerRefusal)
 	case known.failed:
-		kind, head = answerFailed, platformtest.AnswerHead(segment.AnswerFailure)
+		kind, head = answerFailed, platformtest.ResponseHead(segment.AnswerFailure)
 	}
 	for part := range answerParts {
 		data := make([]byte, partSize)
--- a/bench/soak/fault.go
+++ b/bench/soak/fault.go
@@ -72,9 +72,9 @@
 	{name: "zone closed", calm: true, run: func(ctx context.Context, w *world, random *rand.Rand) {
 		w.closeZone(ctx, random.IntN(zoneCount))
 	}},
-	{name: "store busy", run: storeFault(platformtest.Busy)},
+	{name: "store busy", run: storeFault(platformtest.Unavailable)},
 	{name: "store throttles", run: storeFault(platformtest.Throttling)},
-	{name: "store silent", run: storeFault(platformtest.Silent)},
+	{name: "store silent", run: storeFault(platformtest.Unresponsive)},
 	{name: "store forgets", run: func(ctx context.Context, w *world, random *rand.Rand) { w.store.Compact() }},
 	{name: "all balancers killed", run: func(ctx context.Context, w *world, random *rand.Rand) {
 		for _, balancer := range w.balancers {
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -32,7 +32,7 @@
 func (c *clock) now() time.Duration { return c.at }
 
 func livingEndpoint(id string) *endpoint {
-	created := &endpoint{id: directory.Named(id)}
+	created := &endpoint{id: directory.NameOnlyID(id)}
 	created.living.Store(true)
 	return created
 }
@@ -96,29 +96,29 @@
 	})
 
 	It("sees a new flow at an endpoint that leaves, after its time and in calm", func() {
-		judged.left(directory.Named("e"))
+		judged.left(directory.NameOnlyID("e"))
 		time0.at += drainTimeout
-		judged.openedAt(directory.Named("e"), "")
+		judged.openedAt(directory.NameOnlyID("e"), "")
 		Expect(judged.broken).To(Equal(Broken{}))
 		time0.at += 2 * drainSlack
-		judged.openedAt(directory.Named("e"), "")
+		judged.openedAt(directory.NameOnlyID("e"), "")
 		Expect(judged.broken).To(Equal(Broken{LateOpenings: 1}))
 		judged.disturb()
-		judged.openedAt(directory.Named("e"), "")
+		judged.openedAt(directory.NameOnlyID("e"), "")
 		Expect(judged.broken).To(Equal(Broken{LateOpenings: 1}))
 	})
 
 	It("sees a new flow in a closed zone, after its time and in calm, until it is open again", func() {
 		Expect(judged.closeZone("z")).To(BeTrue())
 		Expect(judged.closeZone("y")).To(BeFalse(), "one at a time")
-		judged.openedAt(directory.Named("e"), "z")
+		judged.openedAt(directory.NameOnlyID("e"), "z")
 		time0.at += closeTimeout + 2*drainSlack
-		judged.openedAt(directory.Named("e"), "y")
+		judged.openedAt(directory.NameOnlyID("e"), "y")
 		Expect(judged.broken).To(Equal(Broken{}))
-		judged.openedAt(directory.Named("e"), "z")
+		judged.openedAt(directory.NameOnlyID("e"), "z")
 		Expect(judged.broken).To(Equal(Broken{ClosedOpenings: 1}))
 		judged.openZone()
-		judged.openedAt(directory.Named("e"), "z")
+		judged.openedAt(directory.NameOnlyID("e"), "z")
 		Expect(judged.broken.Total()).To(Equal(1))
 	})
 
@@ -342,7 +342,7 @@
 		socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		Expect(err).NotTo(HaveOccurred())
 		at := &endpoint{
-			world: w, id: directory.Named("e-1"), socket: socket, agent: agent.LocalAddr().(*net.UDPAddr), flows: make(map[segment.FlowKey]*heldFlow),
+			world: w, id: directory.NameOnlyID("e-1"), socket: socket, agent: agent.LocalAddr().(*net.UDPAddr), flows: make(map[segment.FlowKey]*heldFlow),
 		}
 		at.living.Store(true)
 		DeferCleanup(at.end)
--- a/bench/soak/world.go
+++ b/bench/soak/world.go
@@ -144,7 +144,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.identities++
-	return directory.Named(fmt.Sprint("e-", w.identities))
+	return directory.NameOnlyID(fmt.Sprint("e-", w.identities))
 }
 
 // startEndpoint begins a new incarnation of a machine's endpoint.
@@ -181,7 +181,9 @@
 }
 
 // putRubbish writes an entry that names no endpoint, at the address of one.
-func (w *world) putRubbish(random *rand.Rand) { w.store.PutRubbish(random, w.entry(w.anySide(random))) }
+func (w *world) putRubbish(random *rand.Rand) {
+	w.store.PutInvalidEndpoint(random, w.entry(w.anySide(random)))
+}
 
 // configure writes a new version of the configuration.
 func (w *world) configure() {
@@ -192,8 +194,8 @@
 	for service, spec := range services {
 		address := routeAddress(service)
 		configuration.Routes = append(configuration.Routes, directory.Route{
-			Name: spec.name, IP: address.IP, Port: address.Port, Shares: []directory.Share{{Service: spec.name, Weight: 1}},
-			Target: 250 * time.Millisecond, Timeout: requestTimeout - time.Duration(w.version%2)*time.Millisecond, Repeatable: true,
+			Name: spec.name, IP: address.IP, Port: address.Port, WeightedServices: []directory.WeightedService{{Service: spec.name, Weight: 1}},
+			TargetLatency: 250 * time.Millisecond, Timeout: requestTimeout - time.Duration(w.version%2)*time.Millisecond, Retryable: true,
 		})
 	}
 	w.store.PutConfiguration(configuration)
--- a/internal/daemon/balancer.go
+++ b/internal/daemon/balancer.go
@@ -103,12 +103,12 @@
 	}
 	pollerMetrics := newPollerMetrics(shared)
 	b.configuration = platform.NewPoller(platform.PollerConfig[platform.Configuration]{
-		Fetch:    client.Configuration,
-		Deliver:  b.deliver,
-		Confirm:  b.control.Confirm,
-		Interval: source.PollInterval,
-		Logger:   shared.logger.With("service", "configuration"),
-		Metrics:  pollerMetrics.of("configuration"),
+		Fetch:       client.Configuration,
+		Deliver:     b.deliver,
+		OnUnchanged: b.control.Confirm,
+		Interval:    source.PollInterval,
+		Logger:      shared.logger.With("service", "configuration"),
+		Metrics:     pollerMetrics.of("configuration"),
 	})
 	b.machines = platform.NewPoller(platform.PollerConfig[platform.Machines]{
 		Fetch:    client.Machines,
--- a/internal/directory/announce.go
+++ b/internal/directory/announce.go
@@ -32,19 +32,19 @@
 }
 
 // announce returns the updates for others, except for one: all changes since the last ones.
-func (s *Spread) announce(now time.Duration, to []Peer, except Peer) []Outgoing {
-	if !s.machine.Known() {
+func (s *Disseminator) announce(now time.Duration, to []Peer, except Peer) []Outgoing {
+	if !s.machine.Loaded() {
 		return nil
 	}
 	receivers := slices.DeleteFunc(slices.Clone(to), func(peer Peer) bool { return peer == except })
 	receivers = append(receivers, s.subscribed(now, receivers, except)...)
-	base := s.machine.Complete()
+	base := s.machine.AppliedRevision()
 	// What was announced before a refutation leads nowhere.
 	s.announcedRevisions = slices.DeleteFunc(s.announcedRevisions, func(revision Revision) bool { return revision > base })
 	if len(s.announcedRevisions) > 0 {
 		base = s.announcedRevisions[0]
 	}
-	s.announcedRevisions = append(s.announcedRevisions, s.machine.Complete())
+	s.announcedRevisions = append(s.announcedRevisions, s.machine.AppliedRevision())
 	s.announcedRevisions = s.announcedRevisions[max(len(s.announcedRevisions)-announcementOverlap, 0):]
 	s.announcedAt = now
 	s.announcedVersion = s.machine.Snapshot().Version()
@@ -54,7 +54,7 @@
 
 // Repeat returns the last updates again, once repeatDelay has passed. It is to be called about
 // as often.
-func (s *Spread) Repeat(now time.Duration) []Outgoing {
+func (s *Disseminator) Repeat(now time.Duration) []Outgoing {
 	due := s.repeat
 	if len(due.to) == 0 || now < due.at {
 		return nil
@@ -65,31 +65,31 @@
 
 // Renewal returns what asks a watcher for changes, if no confirmation has come in time. This
 // process is a subscriber of the watcher from then on.
-func (s *Spread) Renewal(now time.Duration) []Outgoing {
+func (s *Disseminator) RenewalRequest(now time.Duration) []Outgoing {
 	patience := time.Duration(renewalShare * float64(s.timing.watchWait()))
-	lasting := s.machine.Known() || s.machine.corrects()
+	lasting := s.machine.Loaded() || s.machine.corrects()
 	if !lasting || now-max(s.confirmed, s.renewed) < patience {
 		return nil
 	}
-	watcher, exists := s.Asker()
+	watcher, exists := s.AnyWatcher()
 	if !exists {
 		return nil
 	}
 	s.renewed = now
-	return s.address([]Update{{Asks: true, State: s.Announced(now)}}, []Peer{watcher})
+	return s.address([]Update{{RequestsChanges: true, State: s.Summary(now)}}, []Peer{watcher})
 }
 
 // Fetched notes that another process has been given the directory.
-func (s *Spread) Fetched(now time.Duration, by Peer) { s.subscribe(now, by) }
+func (s *Disseminator) StateSent(now time.Duration, by Peer) { s.subscribe(now, by) }
 
-func (s *Spread) subscribe(now time.Duration, peer Peer) {
+func (s *Disseminator) subscribe(now time.Duration, peer Peer) {
 	if _, exists := s.subscribers[peer]; exists || len(s.subscribers) < subscriberLimit {
 		s.subscribers[peer] = now
 	}
 }
 
 // subscribed returns those that have asked lately and are not among others, in order.
-func (s *Spread) subscribed(now time.Duration, others []Peer, except Peer) []Peer {
+func (s *Disseminator) subscribed(now time.Duration, others []Peer, except Peer) []Peer {
 	var peers []Peer
 	for peer, since := range s.subscribers {
 		if now-since > subscription {
@@ -105,15 +105,15 @@
 }
 
 // Announced returns how much is known, and of when that is.
-func (s *Spread) Announced(now time.Duration) State {
-	state := s.machine.stateFrom(s.machine.Complete())
+func (s *Disseminator) Summary(now time.Duration) State {
+	state := s.machine.stateFrom(s.machine.AppliedRevision())
 	state.Whole = false
 	return s.aged(now, state)
 }
 
 // aged completes a state with the time for which the directory is current.
-func (s *Spread) aged(now time.Duration, state State) State {
-	state.Members = s.members
+func (s *Disseminator) aged(now time.Duration, state State) State {
+	state.MemberCount = s.members
 	state.Age = now - s.confirmed
 	state.Confirmed = state.Age <= Retention
 	if !state.Confirmed {
@@ -123,15 +123,15 @@
 }
 
 // State returns what is known beyond a digest, with its age.
-func (s *Spread) State(now time.Duration, known Digest) State {
+func (s *Disseminator) State(now time.Duration, known Digest) State {
 	return s.aged(now, s.machine.StateAfter(now, known))
 }
 
-func (s *Spread) updates(now time.Duration, known Revision) []Update {
+func (s *Disseminator) updates(now time.Duration, known Revision) []Update {
 	return updatesOf(s.aged(now, s.machine.ChangesAfter(now, known)))
 }
 
-func (s *Spread) address(updates []Update, to []Peer) []Outgoing {
+func (s *Disseminator) address(updates []Update, to []Peer) []Outgoing {
 	outgoing := make([]Outgoing, 0, len(updates)*len(to))
 	for _, peer := range to {
 		for _, update := range updates {
--- a/internal/directory/confirmer.go
+++ b/internal/directory/confirmer.go
@@ -35,7 +35,7 @@
 // store accepted before a time. An answer to a watch proves that only for the time at
 // which the store gave it, and the next may be seconds away. It is deterministic.
 type Confirmer struct {
-	machine *Machine
+	machine *Replica
 	// servingInterval and ownInterval are the least times between two confirmations that others
 	// wait for, and between two that serve this balancer alone.
 	servingInterval time.Duration
@@ -61,7 +61,7 @@
 }
 
 // NewConfirmer returns a confirmer of what a machine knows.
-func NewConfirmer(machine *Machine) *Confirmer {
+func NewConfirmer(machine *Replica) *Confirmer {
 	return &Confirmer{
 		machine: machine, servingInterval: shortestServing, ownInterval: shortestOwn,
 		rush: rate.NewLimiter(confirmRate, confirmBurst),
@@ -70,7 +70,7 @@
 
 // Share tells how many balancers there are and how many calls a second the store
 // answers of all of them together.
-func (c *Confirmer) Share(balancers int, storeRate float64) {
+func (c *Confirmer) SetStoreRate(balancers int, storeRate float64) {
 	half := storeRate * confirmRateShare / 2
 	c.servingInterval = max(shortestServing, secondsOf(float64(askedAmong(balancers))/half))
 	c.ownInterval = max(shortestOwn, secondsOf(float64(balancers)/half))
@@ -85,10 +85,10 @@
 func secondsOf(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
 
 // Want asks for a confirmation that is begun from now on.
-func (c *Confirmer) Want() { c.wanted = true }
+func (c *Confirmer) Request() { c.wanted = true }
 
 // Wanted reports whether a confirmation was asked for that has not begun.
-func (c *Confirmer) Wanted() bool { return c.wanted }
+func (c *Confirmer) Requested() bool { return c.wanted }
 
 // Next returns the call to make now, false if there is none. An answer or Failed must
 // follow.
@@ -98,18 +98,18 @@
 	}
 	if c.target > 0 {
 		c.busy = true
-		return Call{AfterRevision: c.machine.Complete(), Wait: confirmWait, Timeout: callTimeout}, true
+		return Call{AfterRevision: c.machine.AppliedRevision(), Wait: confirmWait, Timeout: callTimeout}, true
 	}
-	if c.machine.Complete() == 0 || !c.Begin(now) {
+	if c.machine.AppliedRevision() == 0 || !c.BeginWithStore(now) {
 		return Call{}, false
 	}
 	c.busy = true
-	c.known = c.machine.Complete()
-	return Call{Listing: true, After: keyAfterAll, Timeout: callTimeout}, true
+	c.known = c.machine.AppliedRevision()
+	return Call{Listing: true, AfterKey: keyAfterAll, Timeout: callTimeout}, true
 }
 
 // Serves tells whether other balancers wait for a confirmation by this one.
-func (c *Confirmer) Serves(others bool) { c.serves = others }
+func (c *Confirmer) SetServesOthers(others bool) { c.serves = others }
 
 // interval is the least time between two confirmations now.
 func (c *Confirmer) interval() time.Duration {
@@ -121,7 +121,7 @@
 
 // Begin begins a confirmation by the store, within the bounds on calls. It reports whether one
 // is wanted and may begin.
-func (c *Confirmer) Begin(now time.Duration) bool {
+func (c *Confirmer) BeginWithStore(now time.Duration) bool {
 	if c.busy || !c.wanted || c.made && now < c.begun+c.interval() || !c.rush.AllowN(time.Unix(0, int64(now)), 1) {
 		return false
 	}
@@ -133,7 +133,7 @@
 
 // Ask begins a confirmation that a watcher shall make, which bounds the calls for all who
 // ask it. It reports whether one is wanted and may begin.
-func (c *Confirmer) Ask(now time.Duration) bool {
+func (c *Confirmer) BeginWithWatcher(now time.Duration) bool {
 	if c.busy || !c.wanted || now < c.nextAsk {
 		return false
 	}
@@ -144,18 +144,18 @@
 
 // Unanswered notes that a watcher which was asked has not answered: a confirmation is wanted
 // again.
-func (c *Confirmer) Unanswered() { c.wanted = true }
+func (c *Confirmer) WatcherTimedOut() { c.wanted = true }
 
 // Listed handles the revision of the store. It returns the time for which the
 // directory is confirmed, false if changes are missing or if the directory is ahead of the
 // store, since a peer announced a false revision.
-func (c *Confirmer) Listed(page Page) (time.Duration, bool) {
+func (c *Confirmer) HandlePage(page Page) (time.Duration, bool) {
 	c.busy = false
-	if page.At < c.known {
+	if page.Revision < c.known {
 		return 0, false
 	}
-	if page.At > c.machine.Complete() {
-		c.target = page.At
+	if page.Revision > c.machine.AppliedRevision() {
+		c.target = page.Revision
 		return 0, false
 	}
 	return c.begun, true
@@ -164,16 +164,16 @@
 // Watched handles the changes that were missing. It reports whether the snapshot
 // changed, and returns the time for which the directory is confirmed, false if it is
 // not.
-func (c *Confirmer) Watched(now time.Duration, changes Changes) (changed bool, confirmed time.Duration, current bool) {
-	changed = c.machine.Changes(now, changes.Items, changes.Through)
-	current = c.machine.Complete() >= c.target
+func (c *Confirmer) HandleChanges(now time.Duration, changes Changes) (changed bool, confirmed time.Duration, current bool) {
+	changed = c.machine.ApplyChanges(now, changes.Items, changes.Through)
+	current = c.machine.AppliedRevision() >= c.target
 	c.busy = false
 	c.target = 0
 	return changed, c.begun, current
 }
 
 // Failed handles a failed call. The confirmation is given up; who needs it asks again.
-func (c *Confirmer) Failed() {
+func (c *Confirmer) HandleFailure() {
 	c.busy = false
 	c.target = 0
 }
--- a/internal/directory/confirmer_test.go
+++ b/internal/directory/confirmer_test.go
@@ -12,19 +12,19 @@
 var _ = Describe("Confirmer", func() {
 	const millisecond = time.Millisecond
 	var (
-		machine   *directory.Machine
+		machine   *directory.Replica
 		confirmer *directory.Confirmer
 	)
 
 	BeforeEach(func() {
-		machine = directory.New()
-		machine.Listing(0, nil, 10)
+		machine = directory.NewReplica()
+		machine.ApplyListing(0, nil, 10)
 		confirmer = directory.NewConfirmer(machine)
 	})
 
 	begin := func(now time.Duration) directory.Call {
 		GinkgoHelper()
-		confirmer.Want()
+		confirmer.Request()
 		call, wanted := confirmer.Next(now)
 		Expect(wanted).To(BeTrue())
 		return call
@@ -34,9 +34,9 @@
 	callsIn := func(from, to time.Duration) int {
 		calls := 0
 		for now := from; now < to; now += millisecond {
-			confirmer.Want()
+			confirmer.Request()
 			if _, wanted := confirmer.Next(now); wanted {
-				confirmer.Listed(directory.Page{At: 10})
+				confirmer.HandlePage(directory.Page{Revision: 10})
 				calls++
 			}
 		}
@@ -50,20 +50,20 @@
 
 	It("confirms the directory for the time at which it asked, if the store has nothing newer", func() {
 		Expect(begin(5 * millisecond).Listing).To(BeTrue())
-		confirmed, current := confirmer.Listed(directory.Page{At: 10})
+		confirmed, current := confirmer.HandlePage(directory.Page{Revision: 10})
 		Expect(current).To(BeTrue())
 		Expect(confirmed).To(Equal(5 * millisecond))
 	})
 
 	It("fetches what is missing before it confirms", func() {
 		begin(5 * millisecond)
-		_, current := confirmer.Listed(directory.Page{At: 12})
+		_, current := confirmer.HandlePage(directory.Page{Revision: 12})
 		Expect(current).To(BeFalse())
 		call, wanted := confirmer.Next(9 * millisecond)
 		Expect(wanted).To(BeTrue())
 		Expect(call).To(And(HaveField("Listing", false), HaveField("AfterRevision", directory.Revision(10))))
 		items := []directory.Item{endpointItem("a", 12, endpoint("s", false))}
-		changed, confirmed, current := confirmer.Watched(12*millisecond, directory.Changes{Items: items, Through: 12})
+		changed, confirmed, current := confirmer.HandleChanges(12*millisecond, directory.Changes{Items: items, Through: 12})
 		Expect(changed).To(BeTrue())
 		Expect(current).To(BeTrue())
 		Expect(confirmed).To(Equal(5 * millisecond))
@@ -71,7 +71,7 @@
 
 	It("does not confirm a directory that is ahead of the store", func() {
 		begin(0)
-		_, current := confirmer.Listed(directory.Page{At: 9})
+		_, current := confirmer.HandlePage(directory.Page{Revision: 9})
 		Expect(current).To(BeFalse())
 		_, wanted := confirmer.Next(time.Second)
 		Expect(wanted).To(BeFalse(), "nothing is missing that could be fetched")
@@ -79,20 +79,20 @@
 
 	It("does not confirm if a watch that hears nothing answers less than the store has", func() {
 		begin(0)
-		confirmer.Listed(directory.Page{At: 12})
+		confirmer.HandlePage(directory.Page{Revision: 12})
 		confirmer.Next(millisecond)
-		_, _, current := confirmer.Watched(2*millisecond, directory.Changes{Through: 11})
+		_, _, current := confirmer.HandleChanges(2*millisecond, directory.Changes{Through: 11})
 		Expect(current).To(BeFalse())
 	})
 
 	It("asks again after a failure only if it is asked to, and not too often", func() {
 		begin(0)
-		confirmer.Failed()
+		confirmer.HandleFailure()
 		_, wanted := confirmer.Next(time.Second)
 		Expect(wanted).To(BeFalse())
 		begin(time.Second)
-		confirmer.Listed(directory.Page{At: 10})
-		confirmer.Want()
+		confirmer.HandlePage(directory.Page{Revision: 10})
+		confirmer.Request()
 		_, wanted = confirmer.Next(time.Second + millisecond)
 		Expect(wanted).To(BeFalse())
 		_, wanted = confirmer.Next(time.Second + 120*millisecond)
@@ -100,10 +100,10 @@
 	})
 
 	It("keeps all balancers together to a part of the store's rate", func() {
-		confirmer.Share(1100, 2000)
+		confirmer.SetStoreRate(1100, 2000)
 		begin(0)
-		confirmer.Listed(directory.Page{At: 10})
-		confirmer.Want()
+		confirmer.HandlePage(directory.Page{Revision: 10})
+		confirmer.Request()
 		_, wanted := confirmer.Next(2 * time.Second)
 		Expect(wanted).To(BeFalse())
 	})
@@ -116,37 +116,37 @@
 	})
 
 	It("calls often for all in a large fleet, since few are asked", func() {
-		confirmer.Share(1100, 2000)
-		confirmer.Serves(true)
+		confirmer.SetStoreRate(1100, 2000)
+		confirmer.SetServesOthers(true)
 		Expect(callsIn(0, time.Second)).To(BeNumerically(">=", 20))
 	})
 
 	It("calls the store if the balancer that was asked in its place does not answer", func() {
-		confirmer.Want()
-		Expect(confirmer.Ask(0)).To(BeTrue())
+		confirmer.Request()
+		Expect(confirmer.BeginWithWatcher(0)).To(BeTrue())
 		_, wanted := confirmer.Next(300 * millisecond)
 		Expect(wanted).To(BeFalse(), "an answer is awaited")
-		confirmer.Unanswered()
+		confirmer.WatcherTimedOut()
 		_, wanted = confirmer.Next(300 * millisecond)
 		Expect(wanted).To(BeTrue())
 	})
 
 	It("lets a balancer ask a watcher again as soon as that has answered, since it bounds the calls", func() {
-		confirmer.Want()
-		Expect(confirmer.Ask(0)).To(BeTrue())
-		Expect(confirmer.Ask(0)).To(BeFalse(), "nothing is wanted any more")
-		confirmer.Want()
-		Expect(confirmer.Ask(millisecond)).To(BeTrue())
+		confirmer.Request()
+		Expect(confirmer.BeginWithWatcher(0)).To(BeTrue())
+		Expect(confirmer.BeginWithWatcher(0)).To(BeFalse(), "nothing is wanted any more")
+		confirmer.Request()
+		Expect(confirmer.BeginWithWatcher(millisecond)).To(BeTrue())
 	})
 
 	It("calls more often while others wait for it", func() {
 		alone := callsIn(0, time.Second)
-		confirmer.Serves(true)
+		confirmer.SetServesOthers(true)
 		Expect(callsIn(time.Second, 2*time.Second)).To(BeNumerically(">=", 2*alone))
 	})
 
 	It("calls less often once a rush has lasted", func() {
-		confirmer.Serves(true)
+		confirmer.SetServesOthers(true)
 		rush := callsIn(0, 2*time.Second)
 		callsIn(2*time.Second, 10*time.Second)
 		Expect(callsIn(10*time.Second, 12*time.Second)).To(BeNumerically("<=", rush/3))
@@ -154,11 +154,11 @@
 
 	It("keeps the questions of many balancers to what a watcher can answer", func() {
 		const balancers, watchers, period = 1100, 5, 10 * time.Second
-		confirmer.Share(balancers, 2000)
+		confirmer.SetStoreRate(balancers, 2000)
 		asked := 0
 		for now := time.Duration(0); now < period; now += millisecond {
-			confirmer.Want()
-			if confirmer.Ask(now) {
+			confirmer.Request()
+			if confirmer.BeginWithWatcher(now) {
 				asked++
 			}
 		}
@@ -167,14 +167,14 @@
 	})
 
 	It("makes no call before the first listing, but lets a peer confirm, no more often", func() {
-		confirmer = directory.NewConfirmer(directory.New())
-		Expect(confirmer.Begin(0)).To(BeFalse(), "nobody wants it")
-		confirmer.Want()
+		confirmer = directory.NewConfirmer(directory.NewReplica())
+		Expect(confirmer.BeginWithStore(0)).To(BeFalse(), "nobody wants it")
+		confirmer.Request()
 		_, wanted := confirmer.Next(0)
 		Expect(wanted).To(BeFalse())
-		Expect(confirmer.Begin(0)).To(BeTrue())
-		confirmer.Want()
-		Expect(confirmer.Begin(millisecond)).To(BeFalse())
-		Expect(confirmer.Begin(120 * millisecond)).To(BeTrue())
+		Expect(confirmer.BeginWithStore(0)).To(BeTrue())
+		confirmer.Request()
+		Expect(confirmer.BeginWithStore(millisecond)).To(BeFalse())
+		Expect(confirmer.BeginWithStore(120 * millisecond)).To(BeTrue())
 	})
 })
--- a/internal/directory/difference_test.go
+++ b/internal/directory/delta_test.go
@@ -13,27 +13,27 @@
 
 var _ = Describe("StateAfter", func() {
 	It("leaves out what the other knows, but not what has gone", func() {
-		informed := directory.New()
-		informed.Changes(0, []directory.Item{
+		informed := directory.NewReplica()
+		informed.ApplyChanges(0, []directory.Item{
 			configurationItem(4, 2), endpointItem("old", 3, endpoint("s", false)),
 			endpointItem("left", 4, endpoint("s", false)), endpointItem("new", 8, endpoint("s", false)),
 		}, 8)
-		informed.Changes(0, []directory.Item{endpointItem("left", 5, nil)}, 9)
-		state := informed.StateAfter(0, directory.Digest{Version: 4, Complete: 7})
+		informed.ApplyChanges(0, []directory.Item{endpointItem("left", 5, nil)}, 9)
+		state := informed.StateAfter(0, directory.Digest{ConfigurationVersion: 4, Revision: 7})
 		Expect(state.Configuration).To(BeNil())
-		Expect(state.Complete).To(Equal(directory.Revision(9)))
+		Expect(state.Through).To(Equal(directory.Revision(9)))
 		var told []directory.EndpointID
 		for _, each := range state.Endpoints {
 			told = append(told, each.ID)
 		}
-		Expect(told).To(ConsistOf(directory.Named("left"), directory.Named("new")))
+		Expect(told).To(ConsistOf(directory.NameOnlyID("left"), directory.NameOnlyID("new")))
 	})
 
 	It("does not make a process ready that has no configuration", func() {
-		informed := directory.New()
-		informed.Changes(0, []directory.Item{configurationItem(4, 2)}, 8)
-		starting := directory.New()
-		starting.Adopt(0, informed.StateAfter(0, directory.Digest{Version: 4, Complete: 7}))
+		informed := directory.NewReplica()
+		informed.ApplyChanges(0, []directory.Item{configurationItem(4, 2)}, 8)
+		starting := directory.NewReplica()
+		starting.ApplyState(0, informed.StateAfter(0, directory.Digest{ConfigurationVersion: 4, Revision: 7}))
 		Expect(starting.Ready()).To(BeFalse())
 		Expect(starting.Digest()).To(Equal(directory.Digest{}))
 	})
@@ -64,20 +64,20 @@
 func TestDifference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		happened := history(t)
-		follow := func(name string) *directory.Machine {
-			machine := directory.New()
+		follow := func(name string) *directory.Replica {
+			machine := directory.NewReplica()
 			for _, item := range happened[:rapid.IntRange(0, len(happened)).Draw(t, name)] {
-				machine.Changes(0, []directory.Item{item}, item.Revision)
+				machine.ApplyChanges(0, []directory.Item{item}, item.Revision)
 			}
 			return machine
 		}
 		informed, asking := follow("informed"), follow("asking")
-		whole := directory.New()
-		whole.Adopt(0, asking.State(0))
-		part := directory.New()
-		part.Adopt(0, asking.State(0))
-		whole.Adopt(time.Second, informed.State(time.Second))
-		part.Adopt(time.Second, informed.StateAfter(time.Second, part.Digest()))
+		whole := directory.NewReplica()
+		whole.ApplyState(0, asking.FullState(0))
+		part := directory.NewReplica()
+		part.ApplyState(0, asking.FullState(0))
+		whole.ApplyState(time.Second, informed.FullState(time.Second))
+		part.ApplyState(time.Second, informed.StateAfter(time.Second, part.Digest()))
 		expected, got := whole.Snapshot(), part.Snapshot()
 		if expected.Version() != got.Version() || whole.Digest() != part.Digest() {
 			t.Fatalf("version and digest are %d, %v and not %d, %v", got.Version(), part.Digest(), expected.Version(), whole.Digest())
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -16,9 +16,9 @@
 
 //go:generate go tool msgp -tests=false
 //msgp:limit arrays:65536
-//msgp:ignore Candidate Snapshot Machine endpointRecord Item Page Changes StoreError Follower Confirmer Call Exchange Timing pacer
+//msgp:ignore Candidate Snapshot Replica endpointRecord Item Page Changes StoreError Follower Confirmer Call PeerFetcher Timing pacer
 //msgp:ignore Refusal refusals RefusalReason
-//msgp:tuple Share Route Configuration ColdStart Endpoint EndpointID
+//msgp:tuple WeightedService Route Configuration ColdStart Endpoint EndpointID
 
 // Revision orders the changes of the store. It rises with every change.
 type Revision uint64
@@ -35,8 +35,8 @@
 	Started int64
 }
 
-// Named returns the identifier of an endpoint that does not tell when it was started.
-func Named(name string) EndpointID { return EndpointID{Name: name} }
+// NameOnlyID returns the identifier of an endpoint that does not tell when it was started.
+func NameOnlyID(name string) EndpointID { return EndpointID{Name: name} }
 
 // String returns the name, and the time of the start if it is known.
 func (id EndpointID) String() string {
@@ -47,7 +47,7 @@
 }
 
 // Share is a service that takes part in a route.
-type Share struct {
+type WeightedService struct {
 	Service string
 	// Weight is the part of new flows relative to the other shares.
 	Weight uint32
@@ -55,18 +55,18 @@
 
 // Route tells which services take the new flows of one address.
 type Route struct {
-	Name   string
-	IP     [4]byte
-	Port   uint16
-	Shares []Share
+	Name             string
+	IP               [4]byte
+	Port             uint16
+	WeightedServices []WeightedService
 	// Priority orders routes under overload; 0 is served first.
 	Priority uint8
 	// Target is the latency objective and Timeout the longest useful time of a
 	// request.
-	Target  time.Duration
-	Timeout time.Duration
+	TargetLatency time.Duration
+	Timeout       time.Duration
 	// Repeatable is set if clients may send a request again after any failure.
-	Repeatable bool
+	Retryable bool
 }
 
 // Address returns the address that clients connect to.
@@ -89,10 +89,10 @@
 type ColdStart struct {
 	Service string
 	// Lasts is how long an endpoint is cold after a start.
-	Lasts time.Duration
+	Duration time.Duration
 	// Rate is how many requests a second it carries meanwhile. It is above 0: services
 	// without such a limit are left out.
-	Rate float64
+	RequestsPerSecond float64
 }
 
 // Endpoint is what an endpoint announces of itself.
@@ -107,7 +107,7 @@
 	Draining bool
 	// Warming is how much longer it is slow after its start, as of the time at
 	// which it was announced.
-	Warming time.Duration
+	ColdRemaining time.Duration
 }
 
 // Address returns the endpoint's own address.
@@ -127,9 +127,9 @@
 	EndpointID EndpointID
 	Endpoint   *Endpoint
 	// Refused is set for an entry that is there and cannot be used.
-	Refused RefusalReason
+	RefusalReason RefusalReason
 	// Zone is set for entries that close a zone, also when gone; Closed is set while
 	// the entry is there.
-	Zone   string
-	Closed bool
+	Zone       string
+	ZoneClosed bool
 }
--- a/internal/directory/directory_gen.go
+++ b/internal/directory/directory_gen.go
@@ -32,14 +32,14 @@
 		err = msgp.WrapError(err, "Service")
 		return
 	}
-	z.Lasts, err = dc.ReadDuration()
+	z.Duration, err = dc.ReadDuration()
 	if err != nil {
-		err = msgp.WrapError(err, "Lasts")
+		err = msgp.WrapError(err, "Duration")
 		return
 	}
-	z.Rate, err = dc.ReadFloat64()
+	z.RequestsPerSecond, err = dc.ReadFloat64()
 	if err != nil {
-		err = msgp.WrapError(err, "Rate")
+		err = msgp.WrapError(err, "RequestsPerSecond")
 		return
 	}
 	return
@@ -57,14 +57,14 @@
 		err = msgp.WrapError(err, "Service")
 		return
 	}
-	err = en.WriteDuration(z.Lasts)
+	err = en.WriteDuration(z.Duration)
 	if err != nil {
-		err = msgp.WrapError(err, "Lasts")
+		err = msgp.WrapError(err, "Duration")
 		return
 	}
-	err = en.WriteFloat64(z.Rate)
+	err = en.WriteFloat64(z.RequestsPerSecond)
 	if err != nil {
-		err = msgp.WrapError(err, "Rate")
+		err = msgp.WrapError(err, "RequestsPerSecond")
 		return
 	}
 	return
@@ -76,8 +76,8 @@
 	// array header, size 3
 	o = append(o, 0x93)
 	o = msgp.AppendString(o, z.Service)
-	o = msgp.AppendDuration(o, z.Lasts)
-	o = msgp.AppendFloat64(o, z.Rate)
+	o = msgp.AppendDuration(o, z.Duration)
+	o = msgp.AppendFloat64(o, z.RequestsPerSecond)
 	return
 }
 
@@ -98,14 +98,14 @@
 		err = msgp.WrapError(err, "Service")
 		return
 	}
-	z.Lasts, bts, err = msgp.ReadDurationBytes(bts)
+	z.Duration, bts, err = msgp.ReadDurationBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Lasts")
+		err = msgp.WrapError(err, "Duration")
 		return
 	}
-	z.Rate, bts, err = msgp.ReadFloat64Bytes(bts)
+	z.RequestsPerSecond, bts, err = msgp.ReadFloat64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Rate")
+		err = msgp.WrapError(err, "RequestsPerSecond")
 		return
 	}
 	o = bts
@@ -201,14 +201,14 @@
 			err = msgp.WrapError(err, "ColdStarts", za0002, "Service")
 			return
 		}
-		z.ColdStarts[za0002].Lasts, err = dc.ReadDuration()
+		z.ColdStarts[za0002].Duration, err = dc.ReadDuration()
 		if err != nil {
-			err = msgp.WrapError(err, "ColdStarts", za0002, "Lasts")
+			err = msgp.WrapError(err, "ColdStarts", za0002, "Duration")
 			return
 		}
-		z.ColdStarts[za0002].Rate, err = dc.ReadFloat64()
+		z.ColdStarts[za0002].RequestsPerSecond, err = dc.ReadFloat64()
 		if err != nil {
-			err = msgp.WrapError(err, "ColdStarts", za0002, "Rate")
+			err = msgp.WrapError(err, "ColdStarts", za0002, "RequestsPerSecond")
 			return
 		}
 	}
@@ -282,14 +282,14 @@
 			err = msgp.WrapError(err, "ColdStarts", za0002, "Service")
 			return
 		}
-		err = en.WriteDuration(z.ColdStarts[za0002].Lasts)
+		err = en.WriteDuration(z.ColdStarts[za0002].Duration)
 		if err != nil {
-			err = msgp.WrapError(err, "ColdStarts", za0002, "Lasts")
+			err = msgp.WrapError(err, "ColdStarts", za0002, "Duration")
 			return
 		}
-		err = en.WriteFloat64(z.ColdStarts[za0002].Rate)
+		err = en.WriteFloat64(z.ColdStarts[za0002].RequestsPerSecond)
 		if err != nil {
-			err = msgp.WrapError(err, "ColdStarts", za0002, "Rate")
+			err = msgp.WrapError(err, "ColdStarts", za0002, "RequestsPerSecond")
 			return
 		}
 	}
@@ -328,8 +328,8 @@
 		// array header, size 3
 		o = append(o, 0x93)
 		o = msgp.AppendString(o, z.ColdStarts[za0002].Service)
-		o = msgp.AppendDuration(o, z.ColdStarts[za0002].Lasts)
-		o = msgp.AppendFloat64(o, z.ColdStarts[za0002].Rate)
+		o = msgp.AppendDuration(o, z.ColdStarts[za0002].Duration)
+		o = msgp.AppendFloat64(o, z.ColdStarts[za0002].RequestsPerSecond)
 	}
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Services)))
 	for za0003 := range z.Services {
@@ -413,14 +413,14 @@
 			err = msgp.WrapError(err, "ColdStarts", za0002, "Service")
 			return
 		}
-		z.ColdStarts[za0002].Lasts, bts, err = msgp.ReadDurationBytes(bts)
+		z.ColdStarts[za0002].Duration, bts, err = msgp.ReadDurationBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "ColdStarts", za0002, "Lasts")
+			err = msgp.WrapError(err, "ColdStarts", za0002, "Duration")
 			return
 		}
-		z.ColdStarts[za0002].Rate, bts, err = msgp.ReadFloat64Bytes(bts)
+		z.ColdStarts[za0002].RequestsPerSecond, bts, err = msgp.ReadFloat64Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "ColdStarts", za0002, "Rate")
+			err = msgp.WrapError(err, "ColdStarts", za0002, "RequestsPerSecond")
 			return
 		}
 	}
@@ -513,9 +513,9 @@
 		err = msgp.WrapError(err, "Draining")
 		return
 	}
-	z.Warming, err = dc.ReadDuration()
+	z.ColdRemaining, err = dc.ReadDuration()
 	if err != nil {
-		err = msgp.WrapError(err, "Warming")
+		err = msgp.WrapError(err, "ColdRemaining")
 		return
 	}
 	return
@@ -558,9 +558,9 @@
 		err = msgp.WrapError(err, "Draining")
 		return
 	}
-	err = en.WriteDuration(z.Warming)
+	err = en.WriteDuration(z.ColdRemaining)
 	if err != nil {
-		err = msgp.WrapError(err, "Warming")
+		err = msgp.WrapError(err, "ColdRemaining")
 		return
 	}
 	return
@@ -577,7 +577,7 @@
 	o = msgp.AppendString(o, z.Zone)
 	o = msgp.AppendUint32(o, z.Slots)
 	o = msgp.AppendBool(o, z.Draining)
-	o = msgp.AppendDuration(o, z.Warming)
+	o = msgp.AppendDuration(o, z.ColdRemaining)
 	return
 }
 
@@ -623,9 +623,9 @@
 		err = msgp.WrapError(err, "Draining")
 		return
 	}
-	z.Warming, bts, err = msgp.ReadDurationBytes(bts)
+	z.ColdRemaining, bts, err = msgp.ReadDurationBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Warming")
+		err = msgp.WrapError(err, "ColdRemaining")
 		return
 	}
 	o = bts
@@ -815,23 +815,23 @@
 	var zb0002 uint32
 	zb0002, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Shares")
+		err = msgp.WrapError(err, "WeightedServices")
 		return
 	}
 	if zb0002 > zfeee5312limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Shares) >= int(zb0002) {
-		z.Shares = (z.Shares)[:zb0002]
+	if cap(z.WeightedServices) >= int(zb0002) {
+		z.WeightedServices = (z.WeightedServices)[:zb0002]
 	} else {
-		z.Shares = make([]Share, zb0002)
+		z.WeightedServices = make([]WeightedService, zb0002)
 	}
-	for za0002 := range z.Shares {
+	for za0002 := range z.WeightedServices {
 		var zb0003 uint32
 		zb0003, err = dc.ReadArrayHeader()
 		if err != nil {
-			err = msgp.WrapError(err, "Shares", za0002)
+			err = msgp.WrapError(err, "WeightedServices", za0002)
 			return
 		}
 		if zb0003 > zfeee5312limitArrays {
@@ -842,14 +842,14 @@
 			err = msgp.ArrayError{Wanted: 2, Got: zb0003}
 			return
 		}
-		z.Shares[za0002].Service, err = dc.ReadString()
+		z.WeightedServices[za0002].Service, err = dc.ReadString()
 		if err != nil {
-			err = msgp.WrapError(err, "Shares", za0002, "Service")
+			err = msgp.WrapError(err, "WeightedServices", za0002, "Service")
 			return
 		}
-		z.Shares[za0002].Weight, err = dc.ReadUint32()
+		z.WeightedServices[za0002].Weight, err = dc.ReadUint32()
 		if err != nil {
-			err = msgp.WrapError(err, "Shares", za0002, "Weight")
+			err = msgp.WrapError(err, "WeightedServices", za0002, "Weight")
 			return
 		}
 	}
@@ -858,9 +858,9 @@
 		err = msgp.WrapError(err, "Priority")
 		return
 	}
-	z.Target, err = dc.ReadDuration()
+	z.TargetLatency, err = dc.ReadDuration()
 	if err != nil {
-		err = msgp.WrapError(err, "Target")
+		err = msgp.WrapError(err, "TargetLatency")
 		return
 	}
 	z.Timeout, err = dc.ReadDuration()
@@ -868,9 +868,9 @@
 		err = msgp.WrapError(err, "Timeout")
 		return
 	}
-	z.Repeatable, err = dc.ReadBool()
+	z.Retryable, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Repeatable")
+		err = msgp.WrapError(err, "Retryable")
 		return
 	}
 	return
@@ -898,25 +898,25 @@
 		err = msgp.WrapError(err, "Port")
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Shares)))
+	err = en.WriteArrayHeader(uint32(len(z.WeightedServices)))
 	if err != nil {
-		err = msgp.WrapError(err, "Shares")
+		err = msgp.WrapError(err, "WeightedServices")
 		return
 	}
-	for za0002 := range z.Shares {
+	for za0002 := range z.WeightedServices {
 		// array header, size 2
 		err = en.Append(0x92)
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Shares[za0002].Service)
+		err = en.WriteString(z.WeightedServices[za0002].Service)
 		if err != nil {
-			err = msgp.WrapError(err, "Shares", za0002, "Service")
+			err = msgp.WrapError(err, "WeightedServices", za0002, "Service")
 			return
 		}
-		err = en.WriteUint32(z.Shares[za0002].Weight)
+		err = en.WriteUint32(z.WeightedServices[za0002].Weight)
 		if err != nil {
-			err = msgp.WrapError(err, "Shares", za0002, "Weight")
+			err = msgp.WrapError(err, "WeightedServices", za0002, "Weight")
 			return
 		}
 	}
@@ -925,9 +925,9 @@
 		err = msgp.WrapError(err, "Priority")
 		return
 	}
-	err = en.WriteDuration(z.Target)
+	err = en.WriteDuration(z.TargetLatency)
 	if err != nil {
-		err = msgp.WrapError(err, "Target")
+		err = msgp.WrapError(err, "TargetLatency")
 		return
 	}
 	err = en.WriteDuration(z.Timeout)
@@ -935,9 +935,9 @@
 		err = msgp.WrapError(err, "Timeout")
 		return
 	}
-	err = en.WriteBool(z.Repeatable)
+	err = en.WriteBool(z.Retryable)
 	if err != nil {
-		err = msgp.WrapError(err, "Repeatable")
+		err = msgp.WrapError(err, "Retryable")
 		return
 	}
 	return
@@ -951,17 +951,17 @@
 	o = msgp.AppendString(o, z.Name)
 	o = msgp.AppendBytes(o, (z.IP)[:])
 	o = msgp.AppendUint16(o, z.Port)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Shares)))
-	for za0002 := range z.Shares {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.WeightedServices)))
+	for za0002 := range z.WeightedServices {
 		// array header, size 2
 		o = append(o, 0x92)
-		o = msgp.AppendString(o, z.Shares[za0002].Service)
-		o = msgp.AppendUint32(o, z.Shares[za0002].Weight)
+		o = msgp.AppendString(o, z.WeightedServices[za0002].Service)
+		o = msgp.AppendUint32(o, z.WeightedServices[za0002].Weight)
 	}
 	o = msgp.AppendUint8(o, z.Priority)
-	o = msgp.AppendDuration(o, z.Target)
+	o = msgp.AppendDuration(o, z.TargetLatency)
 	o = msgp.AppendDuration(o, z.Timeout)
-	o = msgp.AppendBool(o, z.Repeatable)
+	o = msgp.AppendBool(o, z.Retryable)
 	return
 }
 
@@ -995,37 +995,37 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Shares")
+		err = msgp.WrapError(err, "WeightedServices")
 		return
 	}
 	if zb0002 > zfeee5312limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Shares) >= int(zb0002) {
-		z.Shares = (z.Shares)[:zb0002]
+	if cap(z.WeightedServices) >= int(zb0002) {
+		z.WeightedServices = (z.WeightedServices)[:zb0002]
 	} else {
-		z.Shares = make([]Share, zb0002)
+		z.WeightedServices = make([]WeightedService, zb0002)
 	}
-	for za0002 := range z.Shares {
+	for za0002 := range z.WeightedServices {
 		var zb0003 uint32
 		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Shares", za0002)
+			err = msgp.WrapError(err, "WeightedServices", za0002)
 			return
 		}
 		if zb0003 != 2 {
 			err = msgp.ArrayError{Wanted: 2, Got: zb0003}
 			return
 		}
-		z.Shares[za0002].Service, bts, err = msgp.ReadStringBytes(bts)
+		z.WeightedServices[za0002].Service, bts, err = msgp.ReadStringBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Shares", za0002, "Service")
+			err = msgp.WrapError(err, "WeightedServices", za0002, "Service")
 			return
 		}
-		z.Shares[za0002].Weight, bts, err = msgp.ReadUint32Bytes(bts)
+		z.WeightedServices[za0002].Weight, bts, err = msgp.ReadUint32Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Shares", za0002, "Weight")
+			err = msgp.WrapError(err, "WeightedServices", za0002, "Weight")
 			return
 		}
 	}
@@ -1034,9 +1034,9 @@
 		err = msgp.WrapError(err, "Priority")
 		return
 	}
-	z.Target, bts, err = msgp.ReadDurationBytes(bts)
+	z.TargetLatency, bts, err = msgp.ReadDurationBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Target")
+		err = msgp.WrapError(err, "TargetLatency")
 		return
 	}
 	z.Timeout, bts, err = msgp.ReadDurationBytes(bts)
@@ -1044,9 +1044,9 @@
 		err = msgp.WrapError(err, "Timeout")
 		return
 	}
-	z.Repeatable, bts, err = msgp.ReadBoolBytes(bts)
+	z.Retryable, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Repeatable")
+		err = msgp.WrapError(err, "Retryable")
 		return
 	}
 	o = bts
@@ -1056,15 +1056,15 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Route) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.Name) + msgp.ArrayHeaderSize + (4 * (msgp.ByteSize)) + msgp.Uint16Size + msgp.ArrayHeaderSize
-	for za0002 := range z.Shares {
-		s += 1 + msgp.StringPrefixSize + len(z.Shares[za0002].Service) + msgp.Uint32Size
+	for za0002 := range z.WeightedServices {
+		s += 1 + msgp.StringPrefixSize + len(z.WeightedServices[za0002].Service) + msgp.Uint32Size
 	}
 	s += msgp.Uint8Size + msgp.DurationSize + msgp.DurationSize + msgp.BoolSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Share) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *WeightedService) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -1093,7 +1093,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Share) EncodeMsg(en *msgp.Writer) (err error) {
+func (z WeightedService) EncodeMsg(en *msgp.Writer) (err error) {
 	// array header, size 2
 	err = en.Append(0x92)
 	if err != nil {
@@ -1113,7 +1113,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Share) MarshalMsg(b []byte) (o []byte, err error) {
+func (z WeightedService) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
@@ -1123,7 +1123,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Share) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *WeightedService) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -1149,7 +1149,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Share) Msgsize() (s int) {
+func (z WeightedService) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.Uint32Size
 	return
 }
--- a/internal/directory/spread.go
+++ b/internal/directory/disseminator.go
@@ -18,8 +18,8 @@
 // zone, which passes them on. Whoever has had no confirmation for too long polls the store
 // itself and announces the answer, those of low rank first: there is no election, and nobody
 // depends on a watcher. It is deterministic.
-type Spread struct {
-	machine *Machine
+type Disseminator struct {
+	machine *Replica
 	timing  Timing
 	random  *rand.Rand
 	self    Member
@@ -77,19 +77,19 @@
 
 // NewSpread returns the spread of a machine's directory, for a process which asks the seeds at
 // its start.
-func NewSpread(machine *Machine, timing Timing, self Member, seeds []Peer, random *rand.Rand) *Spread {
-	return &Spread{
+func NewDisseminator(machine *Replica, timing Timing, self Member, seeds []Peer, random *rand.Rand) *Disseminator {
+	return &Disseminator{
 		machine: machine, timing: timing, random: random, self: self, seeds: seeds, alone: true,
 		confirmed: math.MinInt64 / 2, subscribers: make(map[Peer]time.Duration), sources: sources{self: self.Peer},
 	}
 }
 
 // SetSeeds replaces the seeds.
-func (s *Spread) SetSeeds(seeds []Peer) { s.seeds = seeds }
+func (s *Disseminator) SetSeeds(seeds []Peer) { s.seeds = seeds }
 
 // Watching reports whether this process watches the store. While it knows no other balancer it
 // does so if it has listed the store itself or no other has a directory.
-func (s *Spread) Watching() bool {
+func (s *Disseminator) Watching() bool {
 	if s.alone {
 		return s.asked || !s.sources.others()
 	}
@@ -107,22 +107,22 @@
 )
 
 // noteMembers takes account of how many members another advertises.
-func (s *Spread) noteMembers(now time.Duration, advertised uint32) {
+func (s *Disseminator) noteMembers(now time.Duration, advertised uint32) {
 	if advertised >= s.advertisedMembers || now-s.advertisedAt > membershipMemory {
 		s.advertisedMembers, s.advertisedAt = advertised, now
 	}
 }
 
 // Alone reports whether no other balancer is known to run.
-func (s *Spread) Alone() bool { return s.alone }
+func (s *Disseminator) Alone() bool { return s.alone }
 
 // PollAt returns when this process asks the store even if it does not watch it.
-func (s *Spread) PollAt() time.Duration {
+func (s *Disseminator) PollAt() time.Duration {
 	return s.confirmed + s.timing.pollPatience() + time.Duration(s.place*float64(s.timing.pollSpread()))
 }
 
 // Confirmed returns the latest time for which the directory is known to be current.
-func (s *Spread) Confirmed() time.Duration { return s.confirmed }
+func (s *Disseminator) ConfirmedAt() time.Duration { return s.confirmed }
 
 const (
 	// askersOfWatcher is how many balancers ask the same watcher to confirm the directory. The
@@ -135,7 +135,7 @@
 
 // Asker returns a watcher which can tell of changes, false if that is this process or none
 // is known.
-func (s *Spread) Asker() (Peer, bool) {
+func (s *Disseminator) AnyWatcher() (Peer, bool) {
 	if s.Watching() {
 		return 0, false
 	}
@@ -144,7 +144,7 @@
 
 // Confirming returns the watcher to ask for a confirmation of the directory, false if that is
 // this process or none is known that answers.
-func (s *Spread) Confirming(now time.Duration) (Peer, bool) {
+func (s *Disseminator) ConfirmationWatcher(now time.Duration) (Peer, bool) {
 	if s.confirms && s.Watching() {
 		return 0, false
 	}
@@ -155,7 +155,7 @@
 	return s.anyOf(s.watchers[:min(len(s.watchers), askedAmong(int(s.members)))])
 }
 
-func (s *Spread) anyOf(watchers []Peer) (Peer, bool) {
+func (s *Disseminator) anyOf(watchers []Peer) (Peer, bool) {
 	if len(watchers) == 0 {
 		return 0, false
 	}
@@ -164,16 +164,16 @@
 
 // Unanswered notes that a watcher has not confirmed the directory in time. Any other is asked
 // for a while.
-func (s *Spread) Unanswered(now time.Duration, watcher Peer) {
+func (s *Disseminator) WatcherTimedOut(now time.Duration, watcher Peer) {
 	s.silentWatcher, s.askAnyUntil = watcher, now+askedElsewhere
 }
 
 // Listed notes that this process has listed the store itself.
-func (s *Spread) Listed() { s.asked = true }
+func (s *Disseminator) StoreListed() { s.asked = true }
 
 // Answered handles that the store has answered, so that the directory is current as of now,
 // and returns what to announce.
-func (s *Spread) Answered(now time.Duration) []Outgoing {
+func (s *Disseminator) StoreAnswered(now time.Duration) []Outgoing {
 	s.confirmed = max(s.confirmed, now)
 	outgoing := s.announce(now, slices.Concat(s.neighbours, s.heads), 0)
 	outgoing = append(outgoing, s.advertise(now, s.seeds)...)
@@ -182,26 +182,26 @@
 
 // Receive handles an update of another balancer. It reports whether the snapshot changed, and
 // whether it lacks what the other announces.
-func (s *Spread) Receive(now time.Duration, from Peer, update Update) (changed, lacks bool, answers []Outgoing) {
-	if s.machine.refutes(update.State.Complete) {
+func (s *Disseminator) Receive(now time.Duration, from Peer, update Update) (changed, lacks bool, answers []Outgoing) {
+	if s.machine.refutes(update.State.Through) {
 		return false, false, nil
 	}
 	before := s.machine.Digest()
-	if update.Asks && update.State.Complete > 0 {
+	if update.RequestsChanges && update.State.Through > 0 {
 		s.subscribe(now, from)
 	}
-	s.noteMembers(now, update.State.Members)
-	changed = s.machine.Adopt(now, update.State)
-	digest := Digest{update.State.Version, update.State.Complete}
-	lacks = s.machine.lacks(digest) || update.Source != 0 && !s.machine.Known()
+	s.noteMembers(now, update.State.MemberCount)
+	changed = s.machine.ApplyState(now, update.State)
+	digest := Digest{update.State.ConfigurationVersion, update.State.Through}
+	lacks = s.machine.lacks(digest) || update.Source != 0 && !s.machine.Loaded()
 	answers = s.noteSources(now, from, update)
 	if !lacks {
 		s.noteConfirmation(now, update.State)
 	}
-	if update.Asks && !update.Confirms {
+	if update.RequestsChanges && !update.Confirmation {
 		answers = append(answers, s.answer(now, from, update)...)
 	}
-	if !lacks && !update.Asks && s.passesOn(now, from, before) {
+	if !lacks && !update.RequestsChanges && s.passesOn(now, from, before) {
 		answers = append(answers, s.announce(now, s.neighbours, from)...)
 	}
 	return changed, lacks, answers
@@ -209,14 +209,14 @@
 
 // noteConfirmation takes account of a confirmed state, which was sent, or asked for, at a
 // time. One that is behind this directory does not confirm it.
-func (s *Spread) noteConfirmation(at time.Duration, state State) {
-	if state.Confirmed && state.Complete >= s.machine.Complete() {
+func (s *Disseminator) noteConfirmation(at time.Duration, state State) {
+	if state.Confirmed && state.Through >= s.machine.AppliedRevision() {
 		s.confirmed = max(s.confirmed, at-max(state.Age, 0))
 	}
 }
 
 // SourceOf returns who can be asked for what an update shows.
-func (u Update) SourceOf(sender Peer) Peer {
+func (u Update) SourceOrSender(sender Peer) Peer {
 	if u.Source != 0 {
 		return u.Source
 	}
@@ -224,7 +224,7 @@
 }
 
 // passesOn reports whether this process announces to its zone what came from another.
-func (s *Spread) passesOn(now time.Duration, from Peer, before Digest) bool {
+func (s *Disseminator) passesOn(now time.Duration, from Peer, before Digest) bool {
 	if !s.head || slices.Contains(s.neighbours, from) {
 		return false
 	}
@@ -232,37 +232,37 @@
 }
 
 // answer returns the changes that another process lacks, or a source for it.
-func (s *Spread) answer(now time.Duration, to Peer, question Update) []Outgoing {
-	known := question.State.Complete
+func (s *Disseminator) answer(now time.Duration, to Peer, question Update) []Outgoing {
+	known := question.State.Through
 	switch {
-	case known > 0 && s.machine.Known():
+	case known > 0 && s.machine.Loaded():
 		return s.address(s.updates(now, known), []Peer{to})
 	case known > 0:
 		return nil
 	}
 	s.sources.wait(to)
 	served := s.serveWaiting(now)
-	if !s.machine.Known() && !s.sources.others() {
-		served = append(served, Outgoing{To: to, Update: Update{State: s.Announced(now), Waits: true}})
+	if !s.machine.Loaded() && !s.sources.others() {
+		served = append(served, Outgoing{To: to, Update: Update{State: s.Summary(now), ListingStore: true}})
 	}
 	return served
 }
 
 // Answer returns the answer to a process that wanted a confirmation by the store.
-func (s *Spread) Answer(now time.Duration, to Peer, question Update) []Outgoing {
-	answers := s.address(s.updates(now, question.State.Complete), []Peer{to})
+func (s *Disseminator) ConfirmationReplies(now time.Duration, to Peer, question Update) []Outgoing {
+	answers := s.address(s.updates(now, question.State.Through), []Peer{to})
 	last := &answers[len(answers)-1].Update
-	last.Confirms, last.Number = true, question.Number
+	last.Confirmation, last.RequestID = true, question.RequestID
 	return answers
 }
 
 // Took handles that this process has adopted a state which it asked another for at a time. It
 // returns what to announce to its zone: a new configuration is not in any update.
-func (s *Spread) Took(now, asked time.Duration, from Peer, state State) []Outgoing {
-	if s.machine.refutes(state.Complete) {
+func (s *Disseminator) StateFetched(now, asked time.Duration, from Peer, state State) []Outgoing {
+	if s.machine.refutes(state.Through) {
 		return nil
 	}
-	if !s.machine.lacks(Digest{state.Version, state.Complete}) {
+	if !s.machine.lacks(Digest{state.ConfigurationVersion, state.Through}) {
 		s.noteConfirmation(asked, state)
 	}
 	var outgoing []Outgoing
@@ -276,7 +276,7 @@
 }
 
 // Lost forgets a process that has failed.
-func (s *Spread) Lost(peer Peer) {
+func (s *Disseminator) PeerLost(peer Peer) {
 	s.sources.forget(peer)
 	delete(s.subscribers, peer)
 }
--- a/internal/directory/spread_test.go
+++ b/internal/directory/disseminator_test.go
@@ -24,21 +24,21 @@
 
 // participant is one balancer of a fleet.
 type participant struct {
-	machine *directory.Machine
-	spread  *directory.Spread
+	machine *directory.Replica
+	spread  *directory.Disseminator
 }
 
 func newParticipant(self directory.Member, seeds ...directory.Peer) *participant {
-	machine := directory.New()
+	machine := directory.NewReplica()
 	random := rand.New(rand.NewPCG(uint64(self.Peer), 1))
-	return &participant{machine, directory.NewSpread(machine, timing, self, seeds, random)}
+	return &participant{machine, directory.NewDisseminator(machine, timing, self, seeds, random)}
 }
 
 // list makes the participant list the store itself.
 func (p *participant) list(now time.Duration, revision directory.Revision, items ...directory.Item) []directory.Outgoing {
-	p.machine.Listing(now, append(items, configurationItem(1, 1)), revision)
-	p.spread.Listed()
-	return p.spread.Answered(now)
+	p.machine.ApplyListing(now, append(items, configurationItem(1, 1)), revision)
+	p.spread.StoreListed()
+	return p.spread.StoreAnswered(now)
 }
 
 // announcing returns endpoints that are announced one after the other.
@@ -114,11 +114,11 @@
 	It("watches again once the only other, which had told it the directory, has failed", func() {
 		other, told := newParticipant(directory.Member{Peer: 1}), newParticipant(directory.Member{Peer: 2})
 		other.list(0, 5)
-		told.spread.Receive(0, 1, directory.Update{State: other.spread.Announced(0)})
-		told.machine.Adopt(0, other.spread.State(0, directory.Digest{}))
-		told.spread.Receive(0, 1, directory.Update{State: other.spread.Announced(0)})
+		told.spread.Receive(0, 1, directory.Update{State: other.spread.Summary(0)})
+		told.machine.ApplyState(0, other.spread.State(0, directory.Digest{}))
+		told.spread.Receive(0, 1, directory.Update{State: other.spread.Summary(0)})
 		Expect(told.spread.Watching()).To(BeFalse())
-		told.spread.Lost(1)
+		told.spread.PeerLost(1)
 		Expect(told.spread.Watching()).To(BeTrue())
 	})
 
@@ -137,10 +137,10 @@
 		informed := newParticipant(directory.Member{Peer: 9})
 		informed.list(0, 5)
 		informed.spread.SetMembers(fleetOf(300, 5))
-		early.spread.Receive(0, 9, directory.Update{State: informed.spread.Announced(0)})
+		early.spread.Receive(0, 9, directory.Update{State: informed.spread.Summary(0)})
 		Expect(early.spread.Watching()).To(BeFalse())
 		informed.spread.SetMembers(fleetOf(2, 1))
-		early.spread.Receive(6*time.Second, 9, directory.Update{State: informed.spread.Announced(6 * time.Second)})
+		early.spread.Receive(6*time.Second, 9, directory.Update{State: informed.spread.Summary(6 * time.Second)})
 		Expect(early.spread.Watching()).To(BeTrue(), "the fleet has shrunk")
 	})
 
@@ -148,7 +148,7 @@
 		alone, told, listed := newParticipant(directory.Member{Peer: 1}), newParticipant(directory.Member{Peer: 2}), newParticipant(directory.Member{Peer: 3})
 		listed.list(0, 5)
 		for _, each := range []*participant{told, listed} {
-			each.spread.Receive(0, 4, directory.Update{State: listed.spread.Announced(0)})
+			each.spread.Receive(0, 4, directory.Update{State: listed.spread.Summary(0)})
 		}
 		Expect(alone.spread.Watching()).To(BeTrue())
 		Expect(told.spread.Watching()).To(BeFalse())
@@ -170,9 +170,9 @@
 	It("tells its own zone and one balancer of every other, which tells its zone", func() {
 		all := fleet(30, 3)
 		teller := watching(all)[0]
-		all[teller].machine.Changes(time.Second, announcing(6, 2), 7)
+		all[teller].machine.ApplyChanges(time.Second, announcing(6, 2), 7)
 		reached := map[directory.Peer]bool{teller: true}
-		sent := all[teller].spread.Answered(time.Second)
+		sent := all[teller].spread.StoreAnswered(time.Second)
 		Expect(receiversOf(sent)).To(HaveLen(9 + 2))
 		for len(sent) > 0 {
 			each := sent[0]
@@ -185,48 +185,48 @@
 		}
 		Expect(reached).To(HaveLen(30))
 		for _, each := range all {
-			Expect(each.machine.Complete()).To(Equal(directory.Revision(7)))
+			Expect(each.machine.AppliedRevision()).To(Equal(directory.Revision(7)))
 			Expect(each.machine.Snapshot().All()).To(HaveLen(2))
-			Expect(each.spread.Confirmed()).To(Equal(time.Second))
+			Expect(each.spread.ConfirmedAt()).To(Equal(time.Second))
 		}
 	})
 
 	It("takes the age of what it is told into account", func() {
 		all := fleet(2, 1)
-		update := directory.Update{State: all[1].spread.Announced(700 * millisecond)}
+		update := directory.Update{State: all[1].spread.Summary(700 * millisecond)}
 		_, lacks, _ := all[2].spread.Receive(time.Second, 1, update)
 		Expect(lacks).To(BeFalse())
-		Expect(all[2].spread.Confirmed()).To(Equal(300 * millisecond))
+		Expect(all[2].spread.ConfirmedAt()).To(Equal(300 * millisecond))
 	})
 
 	It("believes no confirmation of what it does not know", func() {
 		all := fleet(2, 1)
-		all[1].machine.Changes(time.Second, []directory.Item{configurationItem(2, 6)}, 6)
-		for _, each := range all[1].spread.Answered(time.Second) {
+		all[1].machine.ApplyChanges(time.Second, []directory.Item{configurationItem(2, 6)}, 6)
+		for _, each := range all[1].spread.StoreAnswered(time.Second) {
 			_, lacks, _ := all[2].spread.Receive(time.Second, 1, each.Update)
 			Expect(lacks).To(BeTrue(), "the configuration has to be fetched")
 		}
-		Expect(all[2].spread.Confirmed()).To(BeZero())
-		Expect(all[2].machine.Digest()).To(Equal(directory.Digest{Version: 1, Complete: 5}))
-		all[2].machine.Adopt(time.Second, all[1].spread.State(time.Second, all[2].machine.Digest()))
-		Expect(all[2].machine.Digest()).To(Equal(directory.Digest{Version: 2, Complete: 6}))
+		Expect(all[2].spread.ConfirmedAt()).To(BeZero())
+		Expect(all[2].machine.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 1, Revision: 5}))
+		all[2].machine.ApplyState(time.Second, all[1].spread.State(time.Second, all[2].machine.Digest()))
+		Expect(all[2].machine.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 2, Revision: 6}))
 	})
 
 	It("tells its zone of a configuration that it had to fetch, if it is the first of its zone", func() {
 		all := fleet(30, 3)
 		teller := watching(all)[0]
-		all[teller].machine.Changes(time.Second, []directory.Item{configurationItem(2, 6)}, 6)
-		for peer := range receiversOf(all[teller].spread.Answered(time.Second)) {
+		all[teller].machine.ApplyChanges(time.Second, []directory.Item{configurationItem(2, 6)}, 6)
+		for peer := range receiversOf(all[teller].spread.StoreAnswered(time.Second)) {
 			digest := all[peer].machine.Digest()
 			state := all[teller].spread.State(time.Second, digest)
-			all[peer].machine.Adopt(time.Second, state)
-			told := receiversOf(all[peer].spread.Took(time.Second, time.Second, teller, state))
+			all[peer].machine.ApplyState(time.Second, state)
+			told := receiversOf(all[peer].spread.StateFetched(time.Second, time.Second, teller, state))
 			if peer%3 == teller%3 {
 				Expect(told).To(BeEmpty(), "it is in the zone of the watcher")
 				continue
 			}
 			Expect(told).To(HaveLen(9))
-			Expect(all[peer].spread.Took(time.Second, time.Second, teller, state)).To(BeEmpty(), "once")
+			Expect(all[peer].spread.StateFetched(time.Second, time.Second, teller, state)).To(BeEmpty(), "once")
 		}
 	})
 
@@ -237,27 +237,27 @@
 		if asking.spread.Watching() {
 			asking = all[2]
 		}
-		Expect(asking.spread.Renewal(time.Second)).To(BeEmpty())
-		due := asking.spread.Renewal(1400 * millisecond)
+		Expect(asking.spread.RenewalRequest(time.Second)).To(BeEmpty())
+		due := asking.spread.RenewalRequest(1400 * millisecond)
 		Expect(due).To(HaveLen(1))
 		Expect(due[0].To).To(BeElementOf(watching(all)))
-		Expect(due[0].Update).To(And(HaveField("Asks", true), HaveField("Confirms", false)))
+		Expect(due[0].Update).To(And(HaveField("RequestsChanges", true), HaveField("Confirmation", false)))
 		Expect(asking.spread.PollAt()).To(BeNumerically(">", 1400*millisecond), "before it asks the store")
-		Expect(asking.spread.Renewal(1500*millisecond)).To(BeEmpty(), "it waits for the answer")
+		Expect(asking.spread.RenewalRequest(1500*millisecond)).To(BeEmpty(), "it waits for the answer")
 		watcher.spread.SetMembers(fleetOf(2, 1))
-		watcher.spread.Answered(1300 * millisecond)
+		watcher.spread.StoreAnswered(1300 * millisecond)
 		_, _, answers := watcher.spread.Receive(1401*millisecond, 77, due[0].Update)
 		Expect(answers).To(HaveLen(1))
 		asking.spread.Receive(1402*millisecond, due[0].To, answers[0].Update)
-		Expect(asking.spread.Renewal(2500 * millisecond)).To(BeEmpty())
-		Expect(receiversOf(watcher.spread.Answered(20 * time.Second))).To(HaveKey(directory.Peer(77)))
+		Expect(asking.spread.RenewalRequest(2500 * millisecond)).To(BeEmpty())
+		Expect(receiversOf(watcher.spread.StoreAnswered(20 * time.Second))).To(HaveKey(directory.Peer(77)))
 	})
 
 	It("repeats what it has told, once and soon, so that a lost datagram does not last until it tells again", func() {
 		all := fleet(91, 5)
 		teller := all[watching(all)[0]]
-		teller.machine.Changes(time.Second, announcing(6, 1), 6)
-		lost := receiversOf(teller.spread.Answered(time.Second))
+		teller.machine.ApplyChanges(time.Second, announcing(6, 1), 6)
+		lost := receiversOf(teller.spread.StoreAnswered(time.Second))
 		Expect(teller.spread.Repeat(time.Second + 50*millisecond)).To(BeEmpty())
 		repeated := teller.spread.Repeat(time.Second + 100*millisecond)
 		Expect(receiversOf(repeated)).To(Equal(lost))
@@ -275,30 +275,30 @@
 	It("makes up for one update that was lost, and knows when it lacks more", func() {
 		all := fleet(2, 1)
 		tell := func(revision directory.Revision) []directory.Outgoing {
-			all[1].machine.Changes(time.Second, announcing(revision, 1), revision)
-			return all[1].spread.Answered(time.Second)
+			all[1].machine.ApplyChanges(time.Second, announcing(revision, 1), revision)
+			return all[1].spread.StoreAnswered(time.Second)
 		}
 		tell(6)
 		tell(7)
 		_, lacks, _ := all[2].spread.Receive(time.Second, 1, tell(8)[0].Update)
 		Expect(lacks).To(BeTrue())
-		all[2].machine.Adopt(time.Second, all[1].spread.State(time.Second, all[2].machine.Digest()))
+		all[2].machine.ApplyState(time.Second, all[1].spread.State(time.Second, all[2].machine.Digest()))
 		tell(9)
 		_, lacks, _ = all[2].spread.Receive(time.Second, 1, tell(10)[0].Update)
 		Expect(lacks).To(BeFalse())
-		Expect(all[2].machine.Complete()).To(Equal(directory.Revision(10)))
+		Expect(all[2].machine.AppliedRevision()).To(Equal(directory.Revision(10)))
 	})
 
 	It("divides many changes into datagrams, each of which can come alone, and announces too many", func() {
 		for _, count := range []int{1, 10, 30, 60, 300} {
 			all := fleet(2, 1)
-			all[1].machine.Changes(time.Second, announcing(6, count), directory.Revision(5+count))
-			parts := all[1].spread.Answered(time.Second)
+			all[1].machine.ApplyChanges(time.Second, announcing(6, count), directory.Revision(5+count))
+			parts := all[1].spread.StoreAnswered(time.Second)
 			lacking := false
 			for _, part := range parts {
 				encoded, err := part.Update.MarshalMsg(nil)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(len(encoded)).To(BeNumerically("<=", directory.MaximumUpdate))
+				Expect(len(encoded)).To(BeNumerically("<=", directory.MaxUpdateSize))
 				before := len(all[2].machine.Snapshot().All())
 				_, lacks, _ := all[2].spread.Receive(time.Second, 1, part.Update)
 				Expect(len(all[2].machine.Snapshot().All())).To(Equal(before + len(part.Update.State.Endpoints)))
@@ -317,10 +317,10 @@
 	It("tells those who have asked lately of what is new", func() {
 		source := newParticipant(directory.Member{Peer: 1})
 		source.list(0, 5)
-		source.spread.Fetched(0, 7)
-		source.machine.Changes(time.Second, announcing(6, 1), 6)
-		Expect(receiversOf(source.spread.Answered(time.Second))).To(HaveKey(directory.Peer(7)))
-		Expect(receiversOf(source.spread.Answered(32 * time.Second))).To(BeEmpty())
+		source.spread.StateSent(0, 7)
+		source.machine.ApplyChanges(time.Second, announcing(6, 1), 6)
+		Expect(receiversOf(source.spread.StoreAnswered(time.Second))).To(HaveKey(directory.Peer(7)))
+		Expect(receiversOf(source.spread.StoreAnswered(32 * time.Second))).To(BeEmpty())
 	})
 
 	It("has the same few watchers confirm the directory for all, and any other once one does not answer", func() {
@@ -329,7 +329,7 @@
 		var last *participant
 		for range 20 {
 			for _, each := range all {
-				if watcher, exists := each.spread.Confirming(0); exists {
+				if watcher, exists := each.spread.ConfirmationWatcher(0); exists {
 					asked[watcher]++
 					last = each
 				}
@@ -337,14 +337,14 @@
 		}
 		Expect(asked).To(HaveLen(2))
 		for watcher := range asked {
-			_, exists := all[watcher].spread.Confirming(0)
+			_, exists := all[watcher].spread.ConfirmationWatcher(0)
 			Expect(exists).To(BeFalse(), "it calls the store itself")
 		}
 		clear(asked)
-		silent, _ := last.spread.Confirming(0)
-		last.spread.Unanswered(0, silent)
+		silent, _ := last.spread.ConfirmationWatcher(0)
+		last.spread.WatcherTimedOut(0, silent)
 		for range 200 {
-			watcher, _ := last.spread.Confirming(time.Second)
+			watcher, _ := last.spread.ConfirmationWatcher(time.Second)
 			asked[watcher]++
 		}
 		Expect(len(asked)).To(BeNumerically(">=", 2))
@@ -357,13 +357,13 @@
 		other := newParticipant(directory.Member{Peer: 2})
 		other.spread.SetMembers([]directory.Member{{Peer: 1}, {Peer: 2}})
 		first := starting
-		if _, exists := starting.spread.Confirming(0); exists {
+		if _, exists := starting.spread.ConfirmationWatcher(0); exists {
 			first = other
 		}
-		_, exists := first.spread.Confirming(0)
+		_, exists := first.spread.ConfirmationWatcher(0)
 		Expect(exists).To(BeFalse())
-		first.spread.Receive(0, 3, directory.Update{State: directory.State{Members: 300}})
-		_, exists = first.spread.Confirming(0)
+		first.spread.Receive(0, 3, directory.Update{State: directory.State{MemberCount: 300}})
+		_, exists = first.spread.ConfirmationWatcher(0)
 		Expect(exists).To(BeTrue())
 	})
 
@@ -373,29 +373,29 @@
 		if asking.spread.Watching() {
 			asking = all[2]
 		}
-		watcher, exists := asking.spread.Confirming(0)
+		watcher, exists := asking.spread.ConfirmationWatcher(0)
 		Expect(exists).To(BeTrue())
 		Expect(watching(all)).To(ContainElement(watcher))
-		all[watcher].machine.Changes(time.Second, announcing(6, 3), 8)
-		question := directory.Update{Asks: true, Confirms: true, Number: 4, State: asking.spread.Announced(0)}
+		all[watcher].machine.ApplyChanges(time.Second, announcing(6, 3), 8)
+		question := directory.Update{RequestsChanges: true, Confirmation: true, RequestID: 4, State: asking.spread.Summary(0)}
 		_, _, answers := all[watcher].spread.Receive(0, 1, question)
 		Expect(answers).To(BeEmpty(), "the store has to be asked first")
-		answers = all[watcher].spread.Answer(time.Second, 1, question)
+		answers = all[watcher].spread.ConfirmationReplies(time.Second, 1, question)
 		Expect(answers).To(HaveLen(1))
-		Expect(answers[0].Update).To(And(HaveField("Confirms", true), HaveField("Number", uint32(4))))
+		Expect(answers[0].Update).To(And(HaveField("Confirmation", true), HaveField("RequestID", uint32(4))))
 		_, lacks, _ := asking.spread.Receive(time.Second, watcher, answers[0].Update)
 		Expect(lacks).To(BeFalse())
-		Expect(asking.machine.Complete()).To(Equal(directory.Revision(8)))
-		_, exists = all[watcher].spread.Confirming(0)
+		Expect(asking.machine.AppliedRevision()).To(Equal(directory.Revision(8)))
+		_, exists = all[watcher].spread.ConfirmationWatcher(0)
 		Expect(exists).To(BeFalse(), "it asks the store itself")
 	})
 })
 
 var _ = Describe("Questions", func() {
 	It("gives back those that came until a time, once, and keeps the later", func() {
-		var waiting directory.Questions
+		var waiting directory.ConfirmationQueue
 		for number := range 3 {
-			waiting.Add(time.Duration(number)*millisecond, directory.Peer(number), directory.Update{Number: uint32(number)})
+			waiting.Add(time.Duration(number)*millisecond, directory.Peer(number), directory.Update{RequestID: uint32(number)})
 		}
 		taken := waiting.TakeThrough(millisecond)
 		Expect(taken).To(HaveLen(2))
@@ -407,61 +407,61 @@
 
 var _ = Describe("Machine, told by others", func() {
 	It("learns from a whole state what has gone, and goes on from its revision", func() {
-		teller, told := directory.New(), directory.New()
-		told.Listing(0, []directory.Item{configurationItem(1, 1), endpointItem("old", 2, endpoint("s", false))}, 3)
-		teller.Listing(0, []directory.Item{configurationItem(1, 1), endpointItem("new", 8, endpoint("s", false))}, 9)
+		teller, told := directory.NewReplica(), directory.NewReplica()
+		told.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("old", 2, endpoint("s", false))}, 3)
+		teller.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("new", 8, endpoint("s", false))}, 9)
 		state := teller.StateAfter(0, told.Digest())
 		Expect(state.Whole).To(BeTrue(), "the teller does not know what happened since 3")
-		Expect(told.Adopt(0, state)).To(BeTrue())
-		Expect(told.Complete()).To(Equal(directory.Revision(9)))
-		candidate, _ := told.Snapshot().Candidate(directory.Named("old"))
+		Expect(told.ApplyState(0, state)).To(BeTrue())
+		Expect(told.AppliedRevision()).To(Equal(directory.Revision(9)))
+		candidate, _ := told.Snapshot().Candidate(directory.NameOnlyID("old"))
 		Expect(candidate.Gone).To(BeTrue())
 	})
 
 	It("does not bring back an entry that has lapsed, come back and lapsed again in a gap", func() {
-		told := directory.New()
-		told.Listing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 2)
-		told.Changes(0, []directory.Item{endpointItem("a", 3, nil)}, 3)
-		told.Listing(0, []directory.Item{configurationItem(1, 1)}, 6)
-		late := directory.New()
-		late.Listing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 4, endpoint("s", false))}, 4)
-		told.Adopt(0, late.ChangesAfter(0, 3))
-		told.Adopt(0, late.State(0))
-		candidate, _ := told.Snapshot().Candidate(directory.Named("a"))
+		told := directory.NewReplica()
+		told.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 2)
+		told.ApplyChanges(0, []directory.Item{endpointItem("a", 3, nil)}, 3)
+		told.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 6)
+		late := directory.NewReplica()
+		late.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 4, endpoint("s", false))}, 4)
+		told.ApplyState(0, late.ChangesAfter(0, 3))
+		told.ApplyState(0, late.FullState(0))
+		candidate, _ := told.Snapshot().Candidate(directory.NameOnlyID("a"))
 		Expect(candidate.Gone).To(BeTrue())
 	})
 
 	It("learns from a whole state of the end of an entry of whose return the teller has not heard", func() {
-		teller, told := directory.New(), directory.New()
-		teller.Listing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 2)
-		teller.Changes(0, []directory.Item{endpointItem("a", 3, nil)}, 3)
-		teller.Listing(0, []directory.Item{configurationItem(1, 1)}, 5)
-		told.Listing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 4, endpoint("s", false))}, 4)
-		told.Adopt(0, teller.StateAfter(0, told.Digest()))
-		candidate, _ := told.Snapshot().Candidate(directory.Named("a"))
+		teller, told := directory.NewReplica(), directory.NewReplica()
+		teller.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 2)
+		teller.ApplyChanges(0, []directory.Item{endpointItem("a", 3, nil)}, 3)
+		teller.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 5)
+		told.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 4, endpoint("s", false))}, 4)
+		told.ApplyState(0, teller.StateAfter(0, told.Digest()))
+		candidate, _ := told.Snapshot().Candidate(directory.NameOnlyID("a"))
 		Expect(candidate.Gone).To(BeTrue())
 	})
 
 	It("does not go on from changes that begin after what it knows", func() {
-		teller, told := directory.New(), directory.New()
-		told.Listing(0, []directory.Item{configurationItem(1, 1)}, 3)
-		teller.Listing(0, []directory.Item{configurationItem(1, 1)}, 3)
-		teller.Changes(0, []directory.Item{endpointItem("a", 4, endpoint("s", false))}, 4)
-		teller.Changes(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
-		teller.Changes(0, []directory.Item{endpointItem("b", 6, endpoint("s", false))}, 6)
+		teller, told := directory.NewReplica(), directory.NewReplica()
+		told.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 3)
+		teller.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 3)
+		teller.ApplyChanges(0, []directory.Item{endpointItem("a", 4, endpoint("s", false))}, 4)
+		teller.ApplyChanges(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
+		teller.ApplyChanges(0, []directory.Item{endpointItem("b", 6, endpoint("s", false))}, 6)
 		changes := teller.ChangesAfter(0, 5)
-		Expect(told.Follows(changes)).To(BeFalse())
-		Expect(told.Adopt(0, changes)).To(BeTrue(), "what it is told is true all the same")
-		Expect(told.Complete()).To(Equal(directory.Revision(3)))
+		Expect(told.CompletesWith(changes)).To(BeFalse())
+		Expect(told.ApplyState(0, changes)).To(BeTrue(), "what it is told is true all the same")
+		Expect(told.AppliedRevision()).To(Equal(directory.Revision(3)))
 	})
 
 	It("tells everything to who last heard before an endpoint that is forgotten by now", func() {
-		teller := directory.New()
-		teller.Listing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 3)
-		teller.Changes(0, []directory.Item{endpointItem("a", 4, nil)}, 4)
-		Expect(teller.StateAfter(0, directory.Digest{Version: 1, Complete: 3}).Whole).To(BeFalse())
+		teller := directory.NewReplica()
+		teller.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 3)
+		teller.ApplyChanges(0, []directory.Item{endpointItem("a", 4, nil)}, 4)
+		Expect(teller.StateAfter(0, directory.Digest{ConfigurationVersion: 1, Revision: 3}).Whole).To(BeFalse())
 		late := directory.Retention + time.Second
-		teller.Changes(late, nil, 5)
-		Expect(teller.StateAfter(late, directory.Digest{Version: 1, Complete: 3}).Whole).To(BeTrue())
+		teller.ApplyChanges(late, nil, 5)
+		Expect(teller.StateAfter(late, directory.Digest{ConfigurationVersion: 1, Revision: 3}).Whole).To(BeTrue())
 	})
 })
--- a/internal/directory/start_test.go
+++ b/internal/directory/fleet_start_test.go
@@ -59,7 +59,7 @@
 	peer     directory.Peer
 	link     link
 	follower *directory.Follower
-	exchange *directory.Exchange[directory.Peer]
+	exchange *directory.PeerFetcher[directory.Peer]
 	calling  bool
 	readyAt  time.Duration
 	begins   time.Duration
@@ -124,13 +124,13 @@
 			}
 		}
 		used := timing
-		used.ListingDelay = directory.FirstListing(isSeed, scenario.first, random.Float64())
+		used.ListingDelay = directory.FirstListingDelay(isSeed, scenario.first, random.Float64())
 		balancer := &startingBalancer{
 			participant: *newParticipant(member, others...), peer: member.Peer,
 			link: link{bandwidth: (20 + 180*random.Float64()) * 1e6 / 8}, away: isSeed && scenario.seedsAway,
 		}
 		balancer.follower = directory.NewFollower(balancer.machine, used, balancer.spread)
-		balancer.exchange = directory.NewExchange(balancer.machine, used, others, random)
+		balancer.exchange = directory.NewPeerFetcher(balancer.machine, used, others, random)
 		created.fleet[member.Peer] = balancer
 		balancer.begins = time.Duration(random.Float64() * float64(startWithin))
 		if isSeed {
@@ -147,7 +147,7 @@
 func (f *startingFleet) tick(b *startingBalancer) {
 	f.follow(b)
 	f.fetch(b)
-	if question, asks := b.spread.Question(f.now); asks {
+	if question, asks := b.spread.StartupRequest(f.now); asks {
 		f.send(b, []directory.Outgoing{question})
 	}
 	f.after(50*millisecond, func() { f.tick(b) })
@@ -173,14 +173,14 @@
 
 func (f *startingFleet) listed(b *startingBalancer, call directory.Call) {
 	b.calling = false
-	page := directory.Page{At: f.revision, More: len(call.After) < startPages-1, Last: call.After + "x"}
+	page := directory.Page{Revision: f.revision, More: len(call.AfterKey) < startPages-1, LastKey: call.AfterKey + "x"}
 	if !page.More {
 		page.Items = f.items
 	}
-	b.follower.Listed(f.now, page)
-	if b.follower.Following() {
-		b.spread.Listed()
-		f.send(b, b.spread.Answered(f.now))
+	b.follower.HandlePage(f.now, page)
+	if b.follower.InSync() {
+		b.spread.StoreListed()
+		f.send(b, b.spread.StoreAnswered(f.now))
 	}
 	f.noteReady(b)
 	f.follow(b)
@@ -199,11 +199,11 @@
 	f.fetches++
 	f.busiest[from]++
 	f.after(3*startDelay, func() {
-		source.spread.Fetched(f.now, b.peer)
+		source.spread.StateSent(f.now, b.peer)
 		state := source.spread.State(f.now, b.machine.Digest())
 		f.after(source.link.sends(f.now, startStateSize)-f.now, func() {
 			b.exchange.Fetched(f.now, state)
-			f.send(b, b.spread.Took(f.now, f.now, from, state))
+			f.send(b, b.spread.StateFetched(f.now, f.now, from, state))
 			f.noteReady(b)
 		})
 	})
@@ -219,7 +219,7 @@
 			_, lacks, answers := to.spread.Receive(f.now, from.peer, each.Update)
 			f.send(to, answers)
 			if lacks {
-				to.exchange.Lacks(f.now, each.Update.SourceOf(from.peer))
+				to.exchange.UpdateIncomplete(f.now, each.Update.SourceOrSender(from.peer))
 				f.fetch(to)
 			}
 			f.noteReady(to)
@@ -229,7 +229,7 @@
 }
 
 func (f *startingFleet) noteReady(b *startingBalancer) {
-	if b.readyAt == 0 && b.machine.Complete() > 0 {
+	if b.readyAt == 0 && b.machine.AppliedRevision() > 0 {
 		b.readyAt = f.now
 	}
 }
--- a/internal/directory/follower.go
+++ b/internal/directory/follower.go
@@ -85,7 +85,7 @@
 	// Listing is set for a page of a listing, otherwise the call is a watch.
 	Listing bool
 	// After is the key that the page comes after.
-	After string
+	AfterKey string
 	// AfterRevision is the revision whose changes are watched for, and Wait how
 	// long.
 	AfterRevision Revision
@@ -95,25 +95,25 @@
 }
 
 // Polls reports whether the call only asks what there is.
-func (c Call) Polls() bool { return !c.Listing && c.Wait == pollWait }
+func (c Call) IsPoll() bool { return !c.Listing && c.Wait == pollWait }
 
 // Duty decides whether a process watches the store, or else when it polls it.
-type Duty interface {
+type WatchPolicy interface {
 	Watching() bool
 	Alone() bool
 	PollAt() time.Duration
 	// SnapshotDue returns until when a process without a directory may expect a snapshot of
 	// another.
-	SnapshotDue() time.Duration
+	SnapshotDeadline() time.Duration
 }
 
 // Follower decides which calls keep a directory current: a listing, page by page, if no
 // snapshot of a peer has come, and then watches from the revision at which the listing began,
 // since the pages are no snapshot. It is deterministic.
 type Follower struct {
-	machine *Machine
+	machine *Replica
 	timing  Timing
-	duty    Duty
+	duty    WatchPolicy
 	begun   Revision
 	items   []Item
 	next    string
@@ -137,7 +137,7 @@
 }
 
 // NewFollower returns a follower that keeps the machine current.
-func NewFollower(machine *Machine, timing Timing, duty Duty) *Follower {
+func NewFollower(machine *Replica, timing Timing, duty WatchPolicy) *Follower {
 	// All that start together have one answer each at first.
 	changes := pacer{interval: timing.changeInterval(), tokens: 1}
 	return &Follower{machine: machine, timing: timing, duty: duty, changes: changes}
@@ -149,7 +149,7 @@
 
 // Share sets how many balancers may call the store, which answers rate calls a second of all
 // of them together.
-func (f *Follower) Share(balancers int, rate float64) {
+func (f *Follower) SetStoreRate(balancers int, rate float64) {
 	f.spacing = secondsOf(float64(balancers) / (rate * rateShare))
 }
 
@@ -162,13 +162,13 @@
 		f.started = now
 	}
 	f.asked = f.machine.latest
-	if f.machine.Complete() == 0 {
-		return f.page(), max(f.earliest, f.started+f.timing.ListingDelay, f.duty.SnapshotDue())
+	if f.machine.AppliedRevision() == 0 {
+		return f.page(), max(f.earliest, f.started+f.timing.ListingDelay, f.duty.SnapshotDeadline())
 	}
 	if f.relist {
 		return f.page(), f.earliest
 	}
-	poll := Call{AfterRevision: f.machine.Complete(), Wait: pollWait, Timeout: pollWait + callTimeout}
+	poll := Call{AfterRevision: f.machine.AppliedRevision(), Wait: pollWait, Timeout: pollWait + callTimeout}
 	switch {
 	case f.verify:
 		return poll, f.earliest
@@ -178,34 +178,34 @@
 	return poll, max(f.earliest, f.duty.PollAt())
 }
 
-func (f *Follower) page() Call { return Call{Listing: true, After: f.next, Timeout: callTimeout} }
+func (f *Follower) page() Call { return Call{Listing: true, AfterKey: f.next, Timeout: callTimeout} }
 
 func (f *Follower) watch() Call {
 	wait := f.timing.watchWait()
 	if f.duty.Alone() {
 		wait = f.timing.lonelyWait()
 	}
-	return Call{AfterRevision: f.machine.Complete(), Wait: wait, Timeout: wait + callTimeout}
+	return Call{AfterRevision: f.machine.AppliedRevision(), Wait: wait, Timeout: wait + callTimeout}
 }
 
 // Listed handles a page of a listing. It reports whether the snapshot changed.
-func (f *Follower) Listed(now time.Duration, page Page) bool {
+func (f *Follower) HandlePage(now time.Duration, page Page) bool {
 	f.failures = 0
 	f.earliest = 0
 	if f.next == "" {
-		f.checkRevision(page.At)
-		f.begun = page.At
+		f.checkRevision(page.Revision)
+		f.begun = page.Revision
 		f.items = f.items[:0]
 	}
 	f.items = append(f.items, page.Items...)
-	if page.More && page.Last != f.next {
-		f.next = page.Last
+	if page.More && page.LastKey != f.next {
+		f.next = page.LastKey
 		f.dropIfReceived()
 		return false
 	}
 	f.next = ""
 	f.relist = false
-	changed := f.machine.Listing(now, f.items, f.begun)
+	changed := f.machine.ApplyListing(now, f.items, f.begun)
 	f.items = nil
 	return changed
 }
@@ -213,7 +213,7 @@
 // dropIfReceived gives up a listing that is needed no more, since a snapshot of a peer has
 // come meanwhile.
 func (f *Follower) dropIfReceived() {
-	if f.machine.Complete() > 0 && !f.relist {
+	if f.machine.AppliedRevision() > 0 && !f.relist {
 		f.next = ""
 		f.items = nil
 	}
@@ -221,7 +221,7 @@
 
 // Watched handles the answer to a watch; random, from 0 to below 1, spreads the calls of
 // many processes. It reports whether the snapshot changed.
-func (f *Follower) Watched(now time.Duration, changes Changes, random float64) bool {
+func (f *Follower) HandleChanges(now time.Duration, changes Changes, random float64) bool {
 	f.failures = 0
 	f.earliest = 0
 	f.dropIfReceived()
@@ -233,7 +233,7 @@
 		spacing := f.spacing/2 + time.Duration(random*float64(f.spacing))
 		f.earliest = now + max(f.changes.spend(now), spacing)
 	}
-	changed := f.machine.Changes(now, changes.Items, changes.Through)
+	changed := f.machine.ApplyChanges(now, changes.Items, changes.Through)
 	if changes.Through < f.machine.latest {
 		f.verify = true
 		f.earliest = max(f.earliest, now+verifyDelay)
@@ -248,7 +248,7 @@
 	if at >= f.asked {
 		return false
 	}
-	f.machine.Refute(f.asked, at)
+	f.machine.Invalidate(f.asked, at)
 	return true
 }
 
@@ -263,7 +263,7 @@
 }
 
 // Failed handles a failed call. Lost history takes a new listing.
-func (f *Follower) Failed(now time.Duration, err error, random float64) {
+func (f *Follower) HandleFailure(now time.Duration, err error, random float64) {
 	var failed *StoreError
 	if errors.As(err, &failed) && failed.Failure == StoreCompacted {
 		f.Relist()
@@ -271,7 +271,7 @@
 	}
 	f.failures++
 	delay, longest := firstRetryDelay, longestRetryDelay
-	if f.machine.Complete() > 0 && !f.duty.Watching() {
+	if f.machine.AppliedRevision() > 0 && !f.duty.Watching() {
 		delay, longest = f.timing.pollRetry(), 2*f.timing.pollRetry()
 	}
 	for range f.failures - 1 {
@@ -290,8 +290,8 @@
 }
 
 // Following reports whether the last call succeeded and the directory is known.
-func (f *Follower) Following() bool {
-	return f.machine.Complete() > 0 && !f.relist && !f.verify && f.failures == 0
+func (f *Follower) InSync() bool {
+	return f.machine.AppliedRevision() > 0 && !f.relist && !f.verify && f.failures == 0
 }
 
 // pacer is a token bucket that earns a token in each interval.
--- a/internal/directory/fuzz_test.go
+++ b/internal/directory/fuzz_test.go
@@ -8,9 +8,9 @@
 
 // FuzzAdopt gives a machine any bytes as the state of a peer.
 func FuzzAdopt(f *testing.F) {
-	machine := directory.New()
-	machine.Changes(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 3, endpoint("s", true)), zoneItem(closedZone, 3, true)}, 3)
-	state := machine.State(0)
+	machine := directory.NewReplica()
+	machine.ApplyChanges(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 3, endpoint("s", true)), zoneItem(closedZone, 3, true)}, 3)
+	state := machine.FullState(0)
 	encoded, err := state.MarshalMsg(nil)
 	if err != nil {
 		f.Fatal(err)
@@ -21,8 +21,8 @@
 		if _, err := read.UnmarshalMsg(data); err != nil {
 			return
 		}
-		adopting := directory.New()
-		adopting.Adopt(0, read)
+		adopting := directory.NewReplica()
+		adopting.ApplyState(0, read)
 		adopting.Snapshot().All()
 	})
 }
@@ -31,10 +31,10 @@
 func FuzzUpdate(f *testing.F) {
 	teller := newParticipant(directory.Member{Peer: 1})
 	teller.list(0, 5, announcing(2, 3)...)
-	teller.spread.Fetched(0, 2)
-	teller.machine.Changes(0, []directory.Item{zoneItem(closedZone, 6, true)}, 6)
-	question := directory.Update{Asks: true, Confirms: true, Number: 3, State: teller.spread.Announced(0)}
-	for _, outgoing := range append(teller.spread.Answered(0), directory.Outgoing{Update: question}) {
+	teller.spread.StateSent(0, 2)
+	teller.machine.ApplyChanges(0, []directory.Item{zoneItem(closedZone, 6, true)}, 6)
+	question := directory.Update{RequestsChanges: true, Confirmation: true, RequestID: 3, State: teller.spread.Summary(0)}
+	for _, outgoing := range append(teller.spread.StoreAnswered(0), directory.Outgoing{Update: question}) {
 		encoded, err := outgoing.Update.MarshalMsg(nil)
 		if err != nil {
 			f.Fatal(err)
@@ -52,12 +52,12 @@
 			_, _, answers := told.spread.Receive(0, peer, read)
 			for _, answer := range answers {
 				encoded, err := answer.Update.MarshalMsg(nil)
-				if err != nil || len(encoded) > directory.MaximumUpdate {
+				if err != nil || len(encoded) > directory.MaxUpdateSize {
 					t.Fatalf("an answer of %d bytes: %v", len(encoded), err)
 				}
 			}
 		}
-		if age := told.spread.Confirmed(); age > 0 {
+		if age := told.spread.ConfirmedAt(); age > 0 {
 			t.Fatalf("confirmed in the future: %s", age)
 		}
 	})
--- a/internal/directory/refutation_test.go
+++ b/internal/directory/invalidation_test.go
@@ -18,40 +18,40 @@
 	value := endpoint("service", false)
 	value.IP = [4]byte{10, 9, 9, 9}
 	return directory.Update{State: directory.State{
-		Complete: forgedRevision, From: 1, Confirmed: true, Version: 1, Members: 1,
-		Endpoints: []directory.EndpointState{{ID: directory.Named("forged"), Revision: forgedRevision, Endpoint: *value}},
+		Through: forgedRevision, From: 1, Confirmed: true, ConfigurationVersion: 1, MemberCount: 1,
+		Endpoints: []directory.EndpointState{{ID: directory.NameOnlyID("forged"), Revision: forgedRevision, Endpoint: *value}},
 	}}
 }
 
 // watchingDuty is that of a process which always watches.
-type watchingDuty struct{ directory.Duty }
+type watchingPolicy struct{ directory.WatchPolicy }
 
-func (watchingDuty) Watching() bool             { return true }
-func (watchingDuty) Alone() bool                { return false }
-func (watchingDuty) SnapshotDue() time.Duration { return 0 }
+func (watchingPolicy) Watching() bool                  { return true }
+func (watchingPolicy) Alone() bool                     { return false }
+func (watchingPolicy) SnapshotDeadline() time.Duration { return 0 }
 
 var _ = Describe("A directory that was led ahead of the store", func() {
 	// poisoned returns a watcher that was at revision 5 and has taken a forged update.
 	poisoned := func() (*participant, *directory.Follower) {
 		created := newParticipant(directory.Member{Peer: 1})
-		follower := directory.NewFollower(created.machine, timing, watchingDuty{})
+		follower := directory.NewFollower(created.machine, timing, watchingPolicy{})
 		follower.Next(0)
-		follower.Listed(0, directory.Page{At: 5, Items: append(announcing(2, 3), configurationItem(1, 1))})
+		follower.HandlePage(0, directory.Page{Revision: 5, Items: append(announcing(2, 3), configurationItem(1, 1))})
 		_, lacks, _ := created.spread.Receive(0, 2, forgedUpdate())
 		Expect(lacks).To(BeFalse())
-		Expect(created.machine.Complete()).To(Equal(directory.Revision(forgedRevision)))
+		Expect(created.machine.AppliedRevision()).To(Equal(directory.Revision(forgedRevision)))
 		return created, follower
 	}
 	// refute lets the store answer that it is only at revision 7.
 	refute := func(follower *directory.Follower) {
 		follower.Next(time.Second)
-		follower.Watched(time.Second, directory.Changes{Through: 7}, 0)
+		follower.HandleChanges(time.Second, directory.Changes{Through: 7}, 0)
 	}
 
 	It("is listed anew, and has the changes that were hidden", func() {
 		each, follower := poisoned()
 		refute(follower)
-		Expect(follower.Following()).To(BeFalse())
+		Expect(follower.InSync()).To(BeFalse())
 		Expect(each.machine.Snapshot().All()).To(HaveLen(4), "it stays in force meanwhile")
 		call, at := follower.Next(time.Second)
 		Expect(call.Listing).To(BeTrue())
@@ -60,15 +60,15 @@
 		late := endpoint("service", false)
 		late.IP = [4]byte{10, 0, 7, 7}
 		items = append(items, endpointItem("late", 7, late))
-		Expect(follower.Listed(time.Second, directory.Page{At: 7, Items: items})).To(BeTrue())
-		Expect(each.machine.Digest()).To(Equal(directory.Digest{Version: 1, Complete: 7}))
+		Expect(follower.HandlePage(time.Second, directory.Page{Revision: 7, Items: items})).To(BeTrue())
+		Expect(each.machine.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 1, Revision: 7}))
 		for name, gone := range map[string]bool{"endpoint-001": false, "endpoint-002": true, "late": false, "forged": true} {
-			candidate, exists := each.machine.Snapshot().Candidate(directory.Named(name))
+			candidate, exists := each.machine.Snapshot().Candidate(directory.NameOnlyID(name))
 			Expect(exists).To(BeTrue())
 			Expect(candidate.Gone).To(Equal(gone), name)
 		}
-		Expect(follower.Following()).To(BeTrue())
-		Expect(each.machine.Refutations()).To(Equal(uint64(1)))
+		Expect(follower.InSync()).To(BeTrue())
+		Expect(each.machine.Invalidations()).To(Equal(uint64(1)))
 	})
 
 	It("does not take the false revision again, from an update, a state or a digest, until the store has it", func() {
@@ -78,70 +78,70 @@
 		other.spread.Receive(0, 3, forgedUpdate())
 		refute(follower)
 		follower.Next(time.Second)
-		follower.Listed(time.Second, directory.Page{At: 7, Items: []directory.Item{configurationItem(1, 1)}})
+		follower.HandlePage(time.Second, directory.Page{Revision: 7, Items: []directory.Item{configurationItem(1, 1)}})
 		_, lacks, answers := each.spread.Receive(time.Second, 2, forgedUpdate())
 		Expect(lacks).To(BeFalse())
 		Expect(answers).To(BeEmpty())
-		Expect(each.machine.Adopt(time.Second, other.spread.State(time.Second, directory.Digest{}))).To(BeFalse())
-		Expect(each.spread.Took(time.Second, time.Second, 2, other.spread.State(time.Second, directory.Digest{}))).To(BeEmpty())
-		exchange := directory.NewExchange[directory.Peer](each.machine, timing, nil, rand.New(rand.NewPCG(1, 1)))
+		Expect(each.machine.ApplyState(time.Second, other.spread.State(time.Second, directory.Digest{}))).To(BeFalse())
+		Expect(each.spread.StateFetched(time.Second, time.Second, 2, other.spread.State(time.Second, directory.Digest{}))).To(BeEmpty())
+		exchange := directory.NewPeerFetcher[directory.Peer](each.machine, timing, nil, rand.New(rand.NewPCG(1, 1)))
 		exchange.ReceiveDigest(time.Second, 2, other.machine.Digest())
 		exchange.Fetched(time.Second, directory.State{})
 		_, wanted := exchange.Next(time.Minute)
 		Expect(wanted).To(BeFalse())
-		Expect(each.machine.Complete()).To(Equal(directory.Revision(7)))
+		Expect(each.machine.AppliedRevision()).To(Equal(directory.Revision(7)))
 		follower.Next(time.Second)
-		follower.Watched(time.Second, directory.Changes{Through: forgedRevision}, 0)
+		follower.HandleChanges(time.Second, directory.Changes{Through: forgedRevision}, 0)
 		follower.Next(time.Second)
-		ahead := other.spread.Announced(time.Second)
-		ahead.Complete, ahead.From = forgedRevision+1, forgedRevision
+		ahead := other.spread.Summary(time.Second)
+		ahead.Through, ahead.From = forgedRevision+1, forgedRevision
 		each.spread.Receive(time.Second, 2, directory.Update{State: ahead})
-		Expect(each.machine.Complete()).To(Equal(directory.Revision(forgedRevision + 1)))
+		Expect(each.machine.AppliedRevision()).To(Equal(directory.Revision(forgedRevision + 1)))
 	})
 
 	It("is not confirmed by one that is behind it", func() {
 		each, _ := poisoned()
 		honest := newParticipant(directory.Member{Peer: 2})
 		honest.list(0, 5)
-		honest.machine.Changes(time.Second, nil, 7)
-		honest.spread.Answered(time.Second)
-		each.spread.Receive(time.Second, 2, directory.Update{State: honest.spread.Announced(time.Second)})
-		Expect(each.spread.Confirmed()).To(BeZero())
+		honest.machine.ApplyChanges(time.Second, nil, 7)
+		honest.spread.StoreAnswered(time.Second)
+		each.spread.Receive(time.Second, 2, directory.Update{State: honest.spread.Summary(time.Second)})
+		Expect(each.spread.ConfirmedAt()).To(BeZero())
 	})
 
 	It("is verified at once if the store has told less than a peer, which costs no listing if the peer is right", func() {
 		each, follower := poisoned()
-		follower.Watched(time.Second, directory.Changes{Through: 6}, 0)
-		Expect(follower.Following()).To(BeFalse(), "the answer confirms only what the store had")
+		follower.HandleChanges(time.Second, directory.Changes{Through: 6}, 0)
+		Expect(follower.InSync()).To(BeFalse(), "the answer confirms only what the store had")
 		call, at := follower.Next(time.Second)
-		Expect(call.Polls()).To(BeTrue())
+		Expect(call.IsPoll()).To(BeTrue())
 		Expect(at).To(BeNumerically("<=", 1200*millisecond))
-		follower.Watched(1200*millisecond, directory.Changes{Through: forgedRevision}, 0)
-		Expect(follower.Following()).To(BeTrue())
-		Expect(each.machine.Refutations()).To(BeZero())
+		follower.HandleChanges(1200*millisecond, directory.Changes{Through: forgedRevision}, 0)
+		Expect(follower.InSync()).To(BeTrue())
+		Expect(each.machine.Invalidations()).To(BeZero())
 	})
 
 	It("is refuted by an entry's revision as well", func() {
 		each, follower := poisoned()
 		refute(follower)
 		follower.Next(time.Second)
-		follower.Listed(time.Second, directory.Page{At: 7, Items: []directory.Item{configurationItem(1, 1)}})
+		follower.HandlePage(time.Second, directory.Page{Revision: 7, Items: []directory.Item{configurationItem(1, 1)}})
 		gap := forgedUpdate()
-		gap.State.Complete, gap.State.From = 900, 800
+		gap.State.Through, gap.State.From = 900, 800
 		each.spread.Receive(time.Second, 2, gap)
-		Expect(each.machine.Complete()).To(Equal(directory.Revision(7)), "it does not lead on")
+		Expect(each.machine.AppliedRevision()).To(Equal(directory.Revision(7)), "it does not lead on")
 		refute(follower)
-		Expect(each.machine.Refutations()).To(Equal(uint64(2)))
+		Expect(each.machine.Invalidations()).To(Equal(uint64(2)))
 	})
 
 	It("is given by a peer instead of the store where many are refuted", func() {
 		each, _ := poisoned()
-		each.machine.Refute(forgedRevision, 7)
+		each.machine.Invalidate(forgedRevision, 7)
 		honest := newParticipant(directory.Member{Peer: 2})
 		honest.list(0, 7, announcing(2, 3)...)
-		each.machine.Adopt(time.Second, honest.spread.State(time.Second, each.machine.Digest()))
-		Expect(each.machine.Complete()).To(Equal(directory.Revision(7)))
-		candidate, _ := each.machine.Snapshot().Candidate(directory.Named("forged"))
+		each.machine.ApplyState(time.Second, honest.spread.State(time.Second, each.machine.Digest()))
+		Expect(each.machine.AppliedRevision()).To(Equal(directory.Revision(7)))
+		candidate, _ := each.machine.Snapshot().Candidate(directory.NameOnlyID("forged"))
 		Expect(candidate.Gone).To(BeTrue())
 	})
 })
@@ -161,7 +161,7 @@
 	created.queue = nil
 	for _, each := range created.fleet {
 		each.spread.SetMembers(fleetOf(count, 5))
-		each.machine.Listing(0, created.items, created.revision)
+		each.machine.ApplyListing(0, created.items, created.revision)
 		each.begins = 0
 		created.after(time.Duration(each.peer)*time.Second/time.Duration(count), func() { created.tick(each) })
 	}
@@ -173,8 +173,8 @@
 	f.call(b)
 	f.fetch(b)
 	f.send(b, b.spread.Repeat(f.now))
-	f.send(b, b.spread.Renewal(f.now))
-	if _, corrected := f.correctedAt[b.peer]; !corrected && b.machine.Complete() == f.revision {
+	f.send(b, b.spread.RenewalRequest(f.now))
+	if _, corrected := f.correctedAt[b.peer]; !corrected && b.machine.AppliedRevision() == f.revision {
 		f.correctedAt[b.peer] = f.now
 	}
 	f.after(50*millisecond, func() { f.tick(b) })
@@ -211,9 +211,9 @@
 				changes.Items = append(changes.Items, item)
 			}
 		}
-		b.follower.Watched(f.now, changes, float64(b.peer%997)/997)
-		if b.follower.Following() {
-			f.send(b, b.spread.Answered(f.now))
+		b.follower.HandleChanges(f.now, changes, float64(b.peer%997)/997)
+		if b.follower.InSync() {
+			f.send(b, b.spread.StoreAnswered(f.now))
 		}
 		f.call(b)
 	})
@@ -222,14 +222,14 @@
 // listed is shadowed, since the balancer goes on by call.
 func (f *refutedFleet) listed(b *startingBalancer, call directory.Call) {
 	b.calling = false
-	page := directory.Page{At: f.revision, More: len(call.After) < startPages-1, Last: call.After + "x"}
+	page := directory.Page{Revision: f.revision, More: len(call.AfterKey) < startPages-1, LastKey: call.AfterKey + "x"}
 	if !page.More {
 		page.Items = f.items
 	}
-	b.follower.Listed(f.now, page)
-	if b.follower.Following() {
-		b.spread.Listed()
-		f.send(b, b.spread.Answered(f.now))
+	b.follower.HandlePage(f.now, page)
+	if b.follower.InSync() {
+		b.spread.StoreListed()
+		f.send(b, b.spread.StoreAnswered(f.now))
 	}
 	f.call(b)
 }
@@ -253,9 +253,9 @@
 		for peer, each := range fleet.fleet {
 			Expect(fleet.correctedAt).To(HaveKey(peer))
 			last = max(last, fleet.correctedAt[peer]-forged)
-			candidate, exists := each.machine.Snapshot().Candidate(directory.Named("hidden"))
+			candidate, exists := each.machine.Snapshot().Candidate(directory.NameOnlyID("hidden"))
 			Expect(exists && !candidate.Gone).To(BeTrue())
-			candidate, _ = each.machine.Snapshot().Candidate(directory.Named("forged"))
+			candidate, _ = each.machine.Snapshot().Candidate(directory.NameOnlyID("forged"))
 			Expect(candidate.Gone).To(BeTrue())
 		}
 		pages, watches := fleet.listings-listingsBefore, fleet.watches-watchesBefore
--- a/internal/directory/suppression.go
+++ b/internal/directory/listing_delay.go
@@ -22,7 +22,7 @@
 // others ask it. When the whole fleet starts for the first time there is no traffic that would
 // wait. Later there is: a process waits no longer than a seed takes to answer, and goes on
 // waiting only if one does.
-func FirstListing(seed, firstStart bool, random float64) time.Duration {
+func FirstListingDelay(seed, firstStart bool, random float64) time.Duration {
 	switch {
 	case seed:
 		return 0
--- a/internal/directory/rank.go
+++ b/internal/directory/membership.go
@@ -31,7 +31,7 @@
 
 // SetMembers replaces the live members, this process included. With an incomplete membership a
 // process takes itself for a watcher more often.
-func (s *Spread) SetMembers(members []Member) {
+func (s *Disseminator) SetMembers(members []Member) {
 	ordered := slices.Clone(members)
 	slices.SortFunc(ordered, compareRanks)
 	heads := firstOfZones(ordered)
@@ -75,7 +75,7 @@
 
 // chooseWatchers takes the first of zones and then others, so that a zone that is cut off
 // takes one of them at the most.
-func (s *Spread) chooseWatchers(ordered, heads []Member) {
+func (s *Disseminator) chooseWatchers(ordered, heads []Member) {
 	others := slices.DeleteFunc(slices.Clone(ordered), func(member Member) bool { return slices.Contains(heads, member) })
 	s.watchers, s.watching, s.confirms = nil, false, false
 	for index, member := range slices.Concat(heads, others)[:min(watchersAmong(len(ordered)), len(ordered))] {
--- a/internal/directory/model_test.go
+++ b/internal/directory/model_test.go
@@ -49,7 +49,7 @@
 	closed := make(map[string]directory.Item)
 	for _, item := range s.history[:revision] {
 		switch {
-		case item.Closed:
+		case item.ZoneClosed:
 			closed[item.Zone] = item
 		case item.Zone != "":
 			delete(closed, item.Zone)
@@ -144,8 +144,8 @@
 	created.store.write(configurationItem(1, 0))
 	members := fleetOf(balancers, 2)
 	for _, member := range members {
-		machine := directory.New()
-		spread := directory.NewSpread(machine, timing, member, nil, rand.New(rand.NewPCG(uint64(member.Peer), 1)))
+		machine := directory.NewReplica()
+		spread := directory.NewDisseminator(machine, timing, member, nil, rand.New(rand.NewPCG(uint64(member.Peer), 1)))
 		spread.SetMembers(members)
 		created.fleet = append(created.fleet, &participant{machine, spread})
 	}
@@ -183,7 +183,7 @@
 	case "refuse":
 		if spoiled, exists := m.anEndpoint(); exists {
 			item := endpointItem(spoiled.EndpointID.Name, 0, nil)
-			item.Refused = directory.RefusedUnreadable
+			item.RefusalReason = directory.RefusedUnreadable
 			m.store.write(item)
 		}
 	case "close":
@@ -197,23 +197,23 @@
 		_, version := m.store.at(m.store.revision())
 		m.store.write(configurationItem(version+1, 0))
 	case "list":
-		chosen.machine.Listing(m.now, m.store.page(m.store.revision()), m.store.revision())
-		m.send(peer, chosen.spread.Answered(m.now))
+		chosen.machine.ApplyListing(m.now, m.store.page(m.store.revision()), m.store.revision())
+		m.send(peer, chosen.spread.StoreAnswered(m.now))
 	case "watch":
-		if after := chosen.machine.Complete(); after > 0 {
-			chosen.machine.Changes(m.now, m.store.history[after:], m.store.revision())
-			m.send(peer, chosen.spread.Answered(m.now))
+		if after := chosen.machine.AppliedRevision(); after > 0 {
+			chosen.machine.ApplyChanges(m.now, m.store.history[after:], m.store.revision())
+			m.send(peer, chosen.spread.StoreAnswered(m.now))
 		}
 	case "repeat":
 		m.send(peer, chosen.spread.Repeat(m.now))
-		m.send(peer, chosen.spread.Renewal(m.now))
+		m.send(peer, chosen.spread.RenewalRequest(m.now))
 	case "deliver", "double", "lose":
 		m.deliver(t)
 	case "fetch":
 		other := rapid.IntRange(0, len(m.fleet)-1).Draw(t, "source")
 		state := m.planted.tells(m.fleet[other].spread.State(m.now, chosen.machine.Digest()), false)
-		chosen.machine.Adopt(m.now, state)
-		m.send(peer, chosen.spread.Took(m.now, m.now, directory.Peer(other+1), state))
+		chosen.machine.ApplyState(m.now, state)
+		m.send(peer, chosen.spread.StateFetched(m.now, m.now, directory.Peer(other+1), state))
 	case "restart":
 		*chosen = *newParticipant(directory.Member{Peer: peer, Zone: index % 2})
 		chosen.spread.SetMembers(fleetOf(len(m.fleet), 2))
@@ -248,7 +248,7 @@
 // wrong returns what a balancer believes that is not so at the revision up to which it
 // claims to know all changes, empty if there is nothing.
 func (m *spreadModel) wrong(each *participant) string {
-	complete := each.machine.Complete()
+	complete := each.machine.AppliedRevision()
 	if complete == 0 {
 		return ""
 	}
@@ -284,7 +284,7 @@
 // later changes than those up to the revision that it claims.
 func (m *spreadModel) wrongZone(each *participant, complete directory.Revision) string {
 	believed := make(map[string]bool)
-	for _, zone := range each.machine.Snapshot().Closed() {
+	for _, zone := range each.machine.Snapshot().ClosedZones() {
 		believed[zone.Zone] = true
 	}
 	closed := m.store.closedAt(complete)
--- a/internal/directory/exchange.go
+++ b/internal/directory/peer_fetcher.go
@@ -22,8 +22,8 @@
 // its start, since peers know of endpoints that have left and still have flows,
 // whenever it stays behind, as when no update reaches it, and at once if an update did not
 // hold what it lacks. It is deterministic.
-type Exchange[Peer comparable] struct {
-	machine *Machine
+type PeerFetcher[Peer comparable] struct {
+	machine *Replica
 	timing  Timing
 	random  *rand.Rand
 	seeds   []Peer
@@ -45,19 +45,19 @@
 }
 
 // NewExchange returns an exchange that first asks the seeds.
-func NewExchange[Peer comparable](machine *Machine, timing Timing, seeds []Peer, random *rand.Rand) *Exchange[Peer] {
-	return &Exchange[Peer]{machine: machine, timing: timing, seeds: seeds, random: random}
+func NewPeerFetcher[Peer comparable](machine *Replica, timing Timing, seeds []Peer, random *rand.Rand) *PeerFetcher[Peer] {
+	return &PeerFetcher[Peer]{machine: machine, timing: timing, seeds: seeds, random: random}
 }
 
 // SetSeeds replaces the seeds.
-func (e *Exchange[Peer]) SetSeeds(seeds []Peer) { e.seeds = seeds }
+func (e *PeerFetcher[Peer]) SetSeeds(seeds []Peer) { e.seeds = seeds }
 
 // StoreFailed notes that a call of the store has failed: a process that has started need not
 // wait for it.
-func (e *Exchange[Peer]) StoreFailed() { e.storeFailed = true }
+func (e *PeerFetcher[Peer]) StoreFailed() { e.storeFailed = true }
 
 // ReceiveDigest handles the digest of a peer.
-func (e *Exchange[Peer]) ReceiveDigest(now time.Duration, from Peer, digest Digest) {
+func (e *PeerFetcher[Peer]) ReceiveDigest(now time.Duration, from Peer, digest Digest) {
 	if !slices.Contains(e.peers, from) {
 		e.peers = append(e.peers, from)
 	}
@@ -75,7 +75,7 @@
 }
 
 // Lacks notes that an update of a peer did not hold all that this process lacks.
-func (e *Exchange[Peer]) Lacks(now time.Duration, from Peer) {
+func (e *PeerFetcher[Peer]) UpdateIncomplete(now time.Duration, from Peer) {
 	if !e.behind {
 		e.behind = true
 		e.since = now
@@ -85,7 +85,7 @@
 }
 
 // Any returns a peer or, if none is known, a seed; false if there are neither.
-func (e *Exchange[Peer]) Any() (Peer, bool) {
+func (e *PeerFetcher[Peer]) RandomPeer() (Peer, bool) {
 	known := e.peers
 	if len(known) == 0 {
 		known = e.seeds
@@ -98,13 +98,13 @@
 }
 
 // Lost forgets a peer that has failed or left.
-func (e *Exchange[Peer]) Lost(peer Peer) {
+func (e *PeerFetcher[Peer]) PeerLost(peer Peer) {
 	e.peers = slices.DeleteFunc(e.peers, func(known Peer) bool { return known == peer })
 }
 
 // Next returns the peer to fetch from now, false if there is nothing to fetch.
 // Fetched or FetchFailed must follow.
-func (e *Exchange[Peer]) Next(now time.Duration) (chosen Peer, wanted bool) {
+func (e *PeerFetcher[Peer]) Next(now time.Duration) (chosen Peer, wanted bool) {
 	if e.busy || now < e.next {
 		return chosen, false
 	}
@@ -116,15 +116,15 @@
 	return chosen, wanted
 }
 
-func (e *Exchange[Peer]) interval() time.Duration {
-	if !e.machine.Known() {
+func (e *PeerFetcher[Peer]) interval() time.Duration {
+	if !e.machine.Loaded() {
 		return startFetchInterval
 	}
 	return fetchInterval
 }
 
-func (e *Exchange[Peer]) choose(now time.Duration) (chosen Peer, wanted bool) {
-	if e.behind && (e.lacks || now-e.since >= e.timing.patience() || !e.machine.Known()) {
+func (e *PeerFetcher[Peer]) choose(now time.Duration) (chosen Peer, wanted bool) {
+	if e.behind && (e.lacks || now-e.since >= e.timing.patience() || !e.machine.Loaded()) {
 		return e.informed, true
 	}
 	known := slices.Concat(e.peers, e.seeds)
@@ -137,27 +137,27 @@
 // mayBegin reports whether it is time for the first fetch. Once the store has been listed, a
 // peer has little to add; all of it, asked for by all processes that start together, would
 // take the network from flows.
-func (e *Exchange[Peer]) mayBegin(now time.Duration) bool {
+func (e *PeerFetcher[Peer]) mayBegin(now time.Duration) bool {
 	if !e.hasBegun {
 		e.hasBegun = true
 		e.begun = now
 	}
-	return e.machine.Complete() > 0 || e.storeFailed || now-e.begun >= startPatience
+	return e.machine.AppliedRevision() > 0 || e.storeFailed || now-e.begun >= startPatience
 }
 
 // Fetched handles the state of a peer. It reports whether the snapshot changed.
-func (e *Exchange[Peer]) Fetched(now time.Duration, state State) bool {
+func (e *PeerFetcher[Peer]) Fetched(now time.Duration, state State) bool {
 	e.busy = false
 	e.behind = false
 	e.lacks = false
-	changed := e.machine.Adopt(now, state)
+	changed := e.machine.ApplyState(now, state)
 	// A peer that has just been started itself may have had no directory.
-	e.fetched = e.fetched || e.machine.Known()
+	e.fetched = e.fetched || e.machine.Loaded()
 	return changed
 }
 
 // FetchFailed notes that a peer did not answer.
-func (e *Exchange[Peer]) FetchFailed() {
+func (e *PeerFetcher[Peer]) FetchFailed() {
 	e.busy = false
 	e.behind = false
 	e.lacks = false
--- a/internal/directory/exchange_test.go
+++ b/internal/directory/peer_fetcher_test.go
@@ -12,16 +12,16 @@
 
 var _ = Describe("Exchange", func() {
 	var (
-		machine  *directory.Machine
-		exchange *directory.Exchange[string]
+		machine  *directory.Replica
+		exchange *directory.PeerFetcher[string]
 	)
 
-	newer := directory.Digest{Version: 9, Complete: 100}
+	newer := directory.Digest{ConfigurationVersion: 9, Revision: 100}
 
 	BeforeEach(func() {
-		machine = directory.New()
-		machine.Listing(0, []directory.Item{configurationItem(1, 1)}, 1)
-		exchange = directory.NewExchange(machine, timing, []string{"seed"}, rand.New(rand.NewPCG(1, 1)))
+		machine = directory.NewReplica()
+		machine.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 1)
+		exchange = directory.NewPeerFetcher(machine, timing, []string{"seed"}, rand.New(rand.NewPCG(1, 1)))
 	})
 
 	fetch := func(now time.Duration) string {
@@ -54,14 +54,14 @@
 	It("does not fetch what it knows", func() {
 		fetch(0)
 		exchange.Fetched(0, directory.State{})
-		machine.Changes(0, []directory.Item{configurationItem(9, 100)}, 100)
+		machine.ApplyChanges(0, []directory.Item{configurationItem(9, 100)}, 100)
 		exchange.ReceiveDigest(time.Second, "peer", newer)
 		Expect(fetch(time.Minute)).To(BeEmpty())
 	})
 
 	It("leaves the store some time to answer first, unless that fails", func() {
 		for _, fails := range []bool{false, true} {
-			starting := directory.NewExchange(directory.New(), timing, []string{"seed"}, rand.New(rand.NewPCG(1, 1)))
+			starting := directory.NewPeerFetcher(directory.NewReplica(), timing, []string{"seed"}, rand.New(rand.NewPCG(1, 1)))
 			_, wanted := starting.Next(time.Second)
 			Expect(wanted).To(BeFalse())
 			if fails {
@@ -77,7 +77,7 @@
 	})
 
 	It("goes on asking while it knows nothing, if a peer had nothing to tell", func() {
-		starting := directory.NewExchange(directory.New(), timing, []string{"seed"}, rand.New(rand.NewPCG(1, 1)))
+		starting := directory.NewPeerFetcher(directory.NewReplica(), timing, []string{"seed"}, rand.New(rand.NewPCG(1, 1)))
 		starting.StoreFailed()
 		_, wanted := starting.Next(0)
 		Expect(wanted).To(BeTrue())
@@ -87,7 +87,7 @@
 	})
 
 	It("fetches from a peer that knows something at once while it knows nothing itself", func() {
-		starting := directory.NewExchange[string](directory.New(), timing, nil, rand.New(rand.NewPCG(1, 1)))
+		starting := directory.NewPeerFetcher[string](directory.NewReplica(), timing, nil, rand.New(rand.NewPCG(1, 1)))
 		starting.ReceiveDigest(0, "peer", newer)
 		peer, wanted := starting.Next(0)
 		Expect(wanted).To(BeTrue())
@@ -95,12 +95,12 @@
 	})
 
 	It("asks peers that it hears of too, and forgets those that are lost", func() {
-		exchange = directory.NewExchange[string](machine, timing, nil, rand.New(rand.NewPCG(1, 1)))
+		exchange = directory.NewPeerFetcher[string](machine, timing, nil, rand.New(rand.NewPCG(1, 1)))
 		Expect(fetch(0)).To(BeEmpty())
 		exchange.ReceiveDigest(0, "peer", directory.Digest{})
 		Expect(fetch(0)).To(Equal("peer"))
 		exchange.FetchFailed()
-		exchange.Lost("peer")
+		exchange.PeerLost("peer")
 		Expect(fetch(time.Minute)).To(BeEmpty())
 	})
 })
--- a/internal/directory/refusal.go
+++ b/internal/directory/refusal.go
@@ -15,7 +15,7 @@
 // put it there.
 const (
 	// RefusedNot: it can be used.
-	RefusedNot RefusalReason = iota
+	NotRefused RefusalReason = iota
 	// RefusedUnreadable: its bytes cannot be read, or are too many.
 	RefusedUnreadable
 	// RefusedMissingField: a field is missing.
@@ -42,33 +42,33 @@
 func (r RefusalReason) String() string { return label.Of(refusalReasonNames, r) }
 
 // Refused reports whether an entry with this reason cannot be used.
-func (r RefusalReason) Refused() bool { return r != RefusedNot }
+func (r RefusalReason) Refused() bool { return r != NotRefused }
 
 const (
 	// MaximumSlots is more requests at the same time than a process on one machine works
 	// on: one that tells of more would get the flows of all others.
-	MaximumSlots = 1 << 16
+	MaxSlots = 1 << 16
 	// LongestWarming is longer than any process takes to become as fast as usual.
-	LongestWarming = time.Hour
+	MaxColdTime = time.Hour
 	// MaximumName bounds names, in bytes: as many as the store takes for a key.
-	MaximumName = 200
+	MaxNameLength = 200
 )
 
 // Check returns why an endpoint that announces itself so cannot be used.
-func (e *Endpoint) Check() RefusalReason {
-	named := len(e.Service) > 0 && len(e.Service) <= MaximumName && len(e.Zone) <= MaximumName
-	sized := e.Slots > 0 && e.Slots <= MaximumSlots
-	warming := e.Warming >= 0 && e.Warming <= LongestWarming
+func (e *Endpoint) Validate() RefusalReason {
+	named := len(e.Service) > 0 && len(e.Service) <= MaxNameLength && len(e.Zone) <= MaxNameLength
+	sized := e.Slots > 0 && e.Slots <= MaxSlots
+	warming := e.ColdRemaining >= 0 && e.ColdRemaining <= MaxColdTime
 	if !named || !sized || !warming || e.Port == 0 || e.IP == [4]byte{} {
 		return RefusedOutOfRange
 	}
-	return RefusedNot
+	return NotRefused
 }
 
 // usable reports whether what another process announces of an endpoint can be used.
 func (e *EndpointState) usable() bool {
-	named := len(e.ID.Name) > 0 && len(e.ID.Name) <= MaximumName
-	return named && e.GoneFor >= 0 && !e.Endpoint.Check().Refused()
+	named := len(e.ID.Name) > 0 && len(e.ID.Name) <= MaxNameLength
+	return named && e.GoneFor >= 0 && !e.Endpoint.Validate().Refused()
 }
 
 // Refusal is an entry of the store that is there and cannot be used.
@@ -96,13 +96,13 @@
 
 // note takes account of an entry of the store.
 func (r *refusals) note(item Item) {
-	if !item.Refused.Refused() {
+	if !item.RefusalReason.Refused() {
 		if known, exists := r.known[item.Key]; exists && known.Revision <= item.Revision {
 			delete(r.known, item.Key)
 		}
 		return
 	}
-	r.refuse(Refusal{item.Key, item.Revision, item.Refused})
+	r.refuse(Refusal{item.Key, item.Revision, item.RefusalReason})
 }
 
 // refuse notes that an entry cannot be used, unless that is known.
@@ -148,7 +148,7 @@
 }
 
 // Refused returns how many entries of the store cannot be used, by the reason.
-func (m *Machine) Refused() map[RefusalReason]int {
+func (m *Replica) RefusalCounts() map[RefusalReason]int {
 	counts := make(map[RefusalReason]int)
 	for _, each := range m.refusals.known {
 		counts[each.Reason]++
@@ -159,7 +159,7 @@
 
 // TakeRefusals returns the entries that have been refused since it was called last, each
 // once for a revision, in the order of their revisions.
-func (m *Machine) TakeRefusals() []Refusal {
+func (m *Replica) TakeRefusals() []Refusal {
 	taken := m.refusals.fresh
 	m.refusals.fresh = nil
 	slices.SortFunc(taken, func(a, b Refusal) int {
@@ -176,7 +176,7 @@
 // knownServices returns the services that are configured, or were given an address by an
 // earlier configuration: their endpoints may hold flows. An entry that names another takes
 // no address from an endpoint that has it.
-func (m *Machine) knownServices() serviceSet {
+func (m *Replica) knownServices() serviceSet {
 	if m.configuration == nil || len(m.configuration.Configuration.Services) == 0 {
 		return nil
 	}
@@ -185,7 +185,7 @@
 		known[service] = true
 	}
 	for _, route := range m.configuration.Configuration.Routes {
-		for _, share := range route.Shares {
+		for _, share := range route.WeightedServices {
 			known[share.Service] = true
 		}
 	}
--- a/internal/directory/machine.go
+++ b/internal/directory/replica.go
@@ -26,7 +26,7 @@
 }
 
 // Machine merges items of the store. It is not safe for concurrent use.
-type Machine struct {
+type Replica struct {
 	configuration *Item
 	// endpoints are the latest incarnations, by name: those before hold no flow any more.
 	endpoints map[string]*endpointRecord
@@ -56,8 +56,8 @@
 const formerServices = 4
 
 // New returns a machine without a directory.
-func New() *Machine {
-	return &Machine{
+func NewReplica() *Replica {
+	return &Replica{
 		endpoints: make(map[string]*endpointRecord),
 		refusals:  newRefusals(),
 		zones:     make(map[string]zoneRecord),
@@ -67,13 +67,13 @@
 }
 
 // knownFor returns for how long endpoints that leave have been remembered.
-func (m *Machine) knownFor(now time.Duration) time.Duration {
+func (m *Replica) knownFor(now time.Duration) time.Duration {
 	return min(max(now-m.since, 0), Retention)
 }
 
 // reachBack notes that endpoints which have left since a time are known. It reports
 // whether that is news.
-func (m *Machine) reachBack(since time.Duration) bool {
+func (m *Replica) reachBack(since time.Duration) bool {
 	if since >= m.since {
 		return false
 	}
@@ -82,34 +82,34 @@
 }
 
 // Snapshot returns the current view.
-func (m *Machine) Snapshot() *Snapshot { return m.snapshot }
+func (m *Replica) Snapshot() *Snapshot { return m.snapshot }
 
 // Complete returns the revision up to which all changes are known, 0 before the
 // first listing.
-func (m *Machine) Complete() Revision { return m.complete }
+func (m *Replica) AppliedRevision() Revision { return m.complete }
 
 // Known reports whether the endpoints are known, from a listing or from another process. There
 // may be no configuration yet when a whole fleet starts: it comes like any later change, and
 // nobody has to list the store for it.
-func (m *Machine) Known() bool { return m.complete > 0 }
+func (m *Replica) Loaded() bool { return m.complete > 0 }
 
 // Ready reports whether there is a configuration and the endpoints are known,
 // from a listing or from another process.
-func (m *Machine) Ready() bool {
+func (m *Replica) Ready() bool {
 	return m.configuration != nil && m.complete > 0
 }
 
 // Listing merges a full listing of the store that was begun at a revision:
 // whatever was known before and is not in it has gone. It reports whether the
 // snapshot changed.
-func (m *Machine) Listing(now time.Duration, items []Item, begun Revision) bool {
+func (m *Replica) ApplyListing(now time.Duration, items []Item, begun Revision) bool {
 	changed := false
 	listed := make(map[string]bool, len(items))
 	closed := make(map[string]bool)
 	m.refusals.forgetUnless(items)
 	for _, item := range items {
 		listed[item.EndpointID.Name] = item.Endpoint != nil
-		closed[item.Zone] = item.Closed
+		closed[item.Zone] = item.ZoneClosed
 		changed = m.merge(now, item) || changed
 	}
 	changed = m.leaveUnless(now, listed, begun) || changed
@@ -122,7 +122,7 @@
 
 // leaveUnless notes that endpoints have gone which are not among those that were there
 // at a revision. It reports whether there are any.
-func (m *Machine) leaveUnless(now time.Duration, there map[string]bool, at Revision) bool {
+func (m *Replica) leaveUnless(now time.Duration, there map[string]bool, at Revision) bool {
 	left := false
 	for name, known := range m.endpoints {
 		if !known.gone && !there[name] && known.revision <= at {
@@ -135,7 +135,7 @@
 
 // Changes merges all changes up to a revision, given that the machine knows all
 // changes before them. It reports whether the snapshot changed.
-func (m *Machine) Changes(now time.Duration, items []Item, through Revision) bool {
+func (m *Replica) ApplyChanges(now time.Duration, items []Item, through Revision) bool {
 	m.reached(through)
 	if m.corrects() {
 		// The call was made before the refutation.
@@ -148,7 +148,7 @@
 	return m.advance(now, through, changed)
 }
 
-func (m *Machine) advance(now time.Duration, through Revision, changed bool) bool {
+func (m *Replica) advance(now time.Duration, through Revision, changed bool) bool {
 	m.complete = max(m.complete, through)
 	m.latest = max(m.latest, m.complete)
 	if m.forget(now) || changed {
@@ -158,7 +158,7 @@
 	return false
 }
 
-func (m *Machine) merge(now time.Duration, item Item) bool {
+func (m *Replica) merge(now time.Duration, item Item) bool {
 	m.refusals.note(item)
 	if item.Configuration != nil {
 		return m.mergeConfiguration(item)
@@ -173,7 +173,7 @@
 }
 
 // mergeConfiguration never goes back to an older version.
-func (m *Machine) mergeConfiguration(item Item) bool {
+func (m *Replica) mergeConfiguration(item Item) bool {
 	current := m.configuration
 	if current != nil && item.Configuration.Version <= current.Configuration.Version {
 		return false
@@ -188,10 +188,10 @@
 // rememberServices keeps which services the addresses had that a configuration
 // changes or drops, so that their open flows can still be found. Snapshots share
 // the map, so it is replaced.
-func (m *Machine) rememberServices(before, after *Configuration) {
-	present := make(map[segment.Address][]Share, len(after.Routes))
+func (m *Replica) rememberServices(before, after *Configuration) {
+	present := make(map[segment.Address][]WeightedService, len(after.Routes))
 	for index := range after.Routes {
-		present[after.Routes[index].Address()] = after.Routes[index].Shares
+		present[after.Routes[index].Address()] = after.Routes[index].WeightedServices
 	}
 	former := maps.Clone(m.former)
 	if former == nil {
@@ -199,15 +199,15 @@
 	}
 	for index := range before.Routes {
 		route := &before.Routes[index]
-		if slices.Equal(present[route.Address()], route.Shares) {
+		if slices.Equal(present[route.Address()], route.WeightedServices) {
 			continue
 		}
-		former[route.Address()] = withServices(former[route.Address()], servicesOf(route.Shares))
+		former[route.Address()] = withServices(former[route.Address()], servicesOf(route.WeightedServices))
 	}
 	m.former = former
 }
 
-func servicesOf(shares []Share) []string {
+func servicesOf(shares []WeightedService) []string {
 	services := make([]string, 0, len(shares))
 	for _, share := range shares {
 		services = append(services, share.Service)
@@ -227,24 +227,24 @@
 
 // mergeEndpoint lets the later revision decide, whatever the starts: an endpoint's clock
 // may step back. What comes under the name of another incarnation replaces it.
-func (m *Machine) mergeEndpoint(now time.Duration, item Item) bool {
+func (m *Replica) mergeEndpoint(now time.Duration, item Item) bool {
 	known, exists := m.endpoints[item.EndpointID.Name]
 	if exists && item.Revision <= known.revision {
 		return false
 	}
 	if item.Endpoint == nil {
-		if !exists || known.gone && !item.Refused.Refused() {
+		if !exists || known.gone && !item.RefusalReason.Refused() {
 			return false
 		}
 		known.leave(now, item.Revision)
-		known.refused = item.Refused.Refused()
+		known.refused = item.RefusalReason.Refused()
 		return true
 	}
 	m.endpoints[item.EndpointID.Name] = &endpointRecord{
 		started:  item.EndpointID.Started,
 		revision: item.Revision,
 		endpoint: *item.Endpoint,
-		warmAt:   now + item.Endpoint.Warming,
+		warmAt:   now + item.Endpoint.ColdRemaining,
 	}
 	return true
 }
@@ -255,7 +255,7 @@
 	r.revision = max(r.revision, revision)
 }
 
-func (m *Machine) forget(now time.Duration) bool {
+func (m *Replica) forget(now time.Duration) bool {
 	m.forgetZones(now)
 	forgotten := false
 	for name, known := range m.endpoints {
@@ -268,7 +268,7 @@
 	return forgotten
 }
 
-func (m *Machine) rebuild() {
+func (m *Replica) rebuild() {
 	built := contents{former: m.former, since: m.since, closed: m.closedZones()}
 	if m.configuration != nil {
 		built.configuration = m.configuration.Configuration
@@ -288,15 +288,15 @@
 		gone := known.gone || latest[known.endpoint.IP] != known
 		zone := m.zones[known.endpoint.Zone]
 		candidates = append(candidates, Candidate{
-			ID:       EndpointID{name, known.started},
-			Endpoint: known.endpoint,
-			Leaving:  gone || known.endpoint.Draining,
-			Gone:     gone,
-			Refused:  known.refused,
-			GoneAt:   known.goneAt,
-			WarmAt:   m.warmAt(known, starts),
-			Told:     max(known.revision, zone.revision),
-			Closed:   zone.closed,
+			ID:             EndpointID{name, known.started},
+			Endpoint:       known.endpoint,
+			Leaving:        gone || known.endpoint.Draining,
+			Gone:           gone,
+			Refused:        known.refused,
+			GoneAt:         known.goneAt,
+			WarmAt:         m.warmAt(known, starts),
+			WarmAtRevision: max(known.revision, zone.revision),
+			ZoneClosed:     zone.closed,
 		})
 	}
 	m.refusals.setForeign(foreign)
@@ -307,7 +307,7 @@
 // latestAt returns, by address, the entry that was written last of those that are there and
 // of a known service. An endpoint that has been started again has a new entry, while that
 // of the one before, which writes no more, takes some time to lapse.
-func (m *Machine) latestAt(services serviceSet) map[[4]byte]*endpointRecord {
+func (m *Replica) latestAt(services serviceSet) map[[4]byte]*endpointRecord {
 	latest := make(map[[4]byte]*endpointRecord, len(m.endpoints))
 	for _, known := range m.endpoints {
 		other := latest[known.endpoint.IP]
--- a/internal/directory/machine_test.go
+++ b/internal/directory/replica_test.go
@@ -21,7 +21,7 @@
 }
 
 func endpointItem(id string, revision directory.Revision, value *directory.Endpoint) directory.Item {
-	return directory.Item{EndpointID: directory.Named(id), Revision: revision, Endpoint: value}
+	return directory.Item{EndpointID: directory.NameOnlyID(id), Revision: revision, Endpoint: value}
 }
 
 func configurationItem(version uint64, revision directory.Revision) directory.Item {
@@ -29,60 +29,60 @@
 }
 
 var _ = Describe("Machine", func() {
-	var machine *directory.Machine
+	var machine *directory.Replica
 
-	BeforeEach(func() { machine = directory.New() })
+	BeforeEach(func() { machine = directory.NewReplica() })
 
 	leaving := func(id string) bool {
-		candidate, exists := machine.Snapshot().Candidate(directory.Named(id))
+		candidate, exists := machine.Snapshot().Candidate(directory.NameOnlyID(id))
 		Expect(exists).To(BeTrue(), id)
 		return candidate.Leaving
 	}
 
 	It("is ready once it has a configuration and a listing", func() {
-		machine.Changes(0, []directory.Item{configurationItem(1, 5)}, 0)
+		machine.ApplyChanges(0, []directory.Item{configurationItem(1, 5)}, 0)
 		Expect(machine.Ready()).To(BeFalse())
-		machine.Listing(0, nil, 6)
+		machine.ApplyListing(0, nil, 6)
 		Expect(machine.Ready()).To(BeTrue())
 	})
 
 	It("never goes back to an older configuration, whatever its revision", func() {
-		machine.Changes(0, []directory.Item{configurationItem(7, 10)}, 10)
-		Expect(machine.Changes(0, []directory.Item{configurationItem(6, 11)}, 11)).To(BeFalse())
-		machine.Listing(0, []directory.Item{configurationItem(5, 12)}, 12)
+		machine.ApplyChanges(0, []directory.Item{configurationItem(7, 10)}, 10)
+		Expect(machine.ApplyChanges(0, []directory.Item{configurationItem(6, 11)}, 11)).To(BeFalse())
+		machine.ApplyListing(0, []directory.Item{configurationItem(5, 12)}, 12)
 		Expect(machine.Snapshot().Version()).To(Equal(uint64(7)))
 	})
 
 	It("keeps the newest revision of an endpoint in whatever order items come", func() {
-		machine.Changes(0, []directory.Item{endpointItem("a", 9, endpoint("s", true))}, 9)
-		machine.Changes(0, []directory.Item{endpointItem("a", 4, endpoint("s", false))}, 0)
+		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 9, endpoint("s", true))}, 9)
+		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 4, endpoint("s", false))}, 0)
 		Expect(leaving("a")).To(BeTrue())
 	})
 
 	It("takes what a listing does not have for gone, unless it came later", func() {
-		machine.Changes(0, []directory.Item{
+		machine.ApplyChanges(0, []directory.Item{
 			endpointItem("old", 3, endpoint("s", false)),
 			endpointItem("new", 30, endpoint("s", false)),
 		}, 3)
-		machine.Listing(time.Second, nil, 20)
+		machine.ApplyListing(time.Second, nil, 20)
 		Expect(leaving("old")).To(BeTrue())
 		Expect(leaving("new")).To(BeFalse())
 	})
 
 	It("lets an endpoint whose entry had lapsed come back", func() {
-		machine.Changes(0, []directory.Item{endpointItem("a", 3, endpoint("s", false))}, 3)
-		machine.Changes(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
+		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 3, endpoint("s", false))}, 3)
+		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
 		Expect(leaving("a")).To(BeTrue())
-		machine.Changes(0, []directory.Item{endpointItem("a", 8, endpoint("s", false))}, 8)
+		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 8, endpoint("s", false))}, 8)
 		Expect(leaving("a")).To(BeFalse())
 	})
 
 	It("remembers gone endpoints as long as their flows may last, then forgets them", func() {
-		machine.Changes(0, []directory.Item{endpointItem("a", 3, endpoint("s", false))}, 3)
-		machine.Changes(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
-		machine.Changes(directory.Retention, nil, 6)
+		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 3, endpoint("s", false))}, 3)
+		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
+		machine.ApplyChanges(directory.Retention, nil, 6)
 		Expect(machine.Snapshot().All()).To(HaveLen(1))
-		machine.Changes(directory.Retention+time.Second, nil, 7)
+		machine.ApplyChanges(directory.Retention+time.Second, nil, 7)
 		Expect(machine.Snapshot().All()).To(BeEmpty())
 	})
 
@@ -92,10 +92,10 @@
 			configuration := &directory.Configuration{Version: version}
 			for _, service := range services {
 				configuration.Routes = append(configuration.Routes, directory.Route{
-					IP: address.IP, Port: address.Port, Shares: []directory.Share{{Service: service, Weight: 1}},
+					IP: address.IP, Port: address.Port, WeightedServices: []directory.WeightedService{{Service: service, Weight: 1}},
 				})
 			}
-			machine.Changes(0, []directory.Item{{Configuration: configuration}}, directory.Revision(version))
+			machine.ApplyChanges(0, []directory.Item{{Configuration: configuration}}, directory.Revision(version))
 		}
 		configure(1, "a")
 		configure(2, "a")
@@ -108,98 +108,98 @@
 	})
 
 	It("finds the endpoint at an address, that which is there before one that has gone", func() {
-		machine.Changes(0, []directory.Item{endpointItem("a", 1, endpoint("s", false))}, 1)
-		machine.Changes(0, []directory.Item{endpointItem("a", 2, nil), endpointItem("b", 3, endpoint("t", false))}, 3)
-		found, exists := machine.Snapshot().At([4]byte{10, 0, 0, 1})
+		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 1, endpoint("s", false))}, 1)
+		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 2, nil), endpointItem("b", 3, endpoint("t", false))}, 3)
+		found, exists := machine.Snapshot().CandidateAt([4]byte{10, 0, 0, 1})
 		Expect(exists).To(BeTrue())
-		Expect(found.ID).To(Equal(directory.Named("b")))
+		Expect(found.ID).To(Equal(directory.NameOnlyID("b")))
 	})
 
 	It("tells how long a lapsed entry is gone, but never of an endpoint that drained", func() {
-		machine.Changes(0, []directory.Item{
+		machine.ApplyChanges(0, []directory.Item{
 			endpointItem("lapsed", 3, endpoint("s", false)), endpointItem("drained", 3, endpoint("s", true)),
 		}, 3)
-		machine.Changes(time.Second, []directory.Item{endpointItem("lapsed", 5, nil), endpointItem("drained", 5, nil)}, 5)
-		lapsed, _ := machine.Snapshot().Candidate(directory.Named("lapsed"))
-		drained, _ := machine.Snapshot().Candidate(directory.Named("drained"))
-		Expect(lapsed.LapsedSince(3 * time.Second)).To(Equal(2 * time.Second))
-		Expect(drained.LapsedSince(3 * time.Second)).To(BeNumerically(">", time.Hour))
+		machine.ApplyChanges(time.Second, []directory.Item{endpointItem("lapsed", 5, nil), endpointItem("drained", 5, nil)}, 5)
+		lapsed, _ := machine.Snapshot().Candidate(directory.NameOnlyID("lapsed"))
+		drained, _ := machine.Snapshot().Candidate(directory.NameOnlyID("drained"))
+		Expect(lapsed.ExpiredFor(3 * time.Second)).To(Equal(2 * time.Second))
+		Expect(drained.ExpiredFor(3 * time.Second)).To(BeNumerically(">", time.Hour))
 	})
 
 	It("gives another machine everything it knows, endpoints that have left included", func() {
-		machine.Changes(0, []directory.Item{
+		machine.ApplyChanges(0, []directory.Item{
 			configurationItem(4, 2), endpointItem("a", 3, endpoint("s", true)), endpointItem("b", 4, endpoint("s", false)),
 		}, 4)
-		machine.Changes(time.Second, []directory.Item{endpointItem("b", 5, nil)}, 5)
-		other := directory.New()
-		Expect(other.Adopt(time.Minute, machine.State(3*time.Second))).To(BeTrue())
+		machine.ApplyChanges(time.Second, []directory.Item{endpointItem("b", 5, nil)}, 5)
+		other := directory.NewReplica()
+		Expect(other.ApplyState(time.Minute, machine.FullState(3*time.Second))).To(BeTrue())
 		Expect(other.Ready()).To(BeTrue())
 		Expect(other.Snapshot().Version()).To(Equal(uint64(4)))
-		drained, _ := other.Snapshot().Candidate(directory.Named("a"))
+		drained, _ := other.Snapshot().Candidate(directory.NameOnlyID("a"))
 		Expect(drained.Draining()).To(BeTrue())
-		gone, _ := other.Snapshot().Candidate(directory.Named("b"))
-		Expect(gone.LapsedSince(time.Minute)).To(Equal(2 * time.Second))
+		gone, _ := other.Snapshot().Candidate(directory.NameOnlyID("b"))
+		Expect(gone.ExpiredFor(time.Minute)).To(Equal(2 * time.Second))
 	})
 
 	It("does not take an endpoint that has gone for one that is there, since another has not heard", func() {
-		stale := directory.New()
-		stale.Changes(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 50, endpoint("s", false))}, 80)
-		machine.Listing(0, []directory.Item{configurationItem(4, 2)}, 100)
-		machine.Adopt(time.Second, stale.State(time.Second))
+		stale := directory.NewReplica()
+		stale.ApplyChanges(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 50, endpoint("s", false))}, 80)
+		machine.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
+		machine.ApplyState(time.Second, stale.FullState(time.Second))
 		Expect(leaving("a")).To(BeTrue(), "its flows can be found, but it gets no new ones")
 	})
 
 	It("takes an endpoint from another that has heard of it first", func() {
-		informed := directory.New()
-		informed.Changes(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 120, endpoint("s", false))}, 120)
-		machine.Listing(0, []directory.Item{configurationItem(4, 2)}, 100)
-		machine.Adopt(time.Second, informed.State(time.Second))
+		informed := directory.NewReplica()
+		informed.ApplyChanges(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 120, endpoint("s", false))}, 120)
+		machine.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
+		machine.ApplyState(time.Second, informed.FullState(time.Second))
 		Expect(leaving("a")).To(BeFalse())
 	})
 
 	It("knows of endpoints that have left since its first listing, or since that of another which told it", func() {
-		Expect(machine.Snapshot().Since()).To(BeNumerically(">", time.Hour))
-		older := directory.New()
-		older.Listing(0, []directory.Item{configurationItem(4, 2)}, 10)
-		machine.Listing(20*time.Second, []directory.Item{configurationItem(4, 2)}, 10)
-		Expect(machine.Snapshot().Since()).To(Equal(20 * time.Second))
-		Expect(machine.Adopt(21*time.Second, older.State(21*time.Second))).To(BeTrue())
-		Expect(machine.Snapshot().Since()).To(BeZero())
-		Expect(older.State(time.Hour).KnownFor).To(Equal(directory.Retention), "it forgets them then")
+		Expect(machine.Snapshot().DeparturesKnownSince()).To(BeNumerically(">", time.Hour))
+		older := directory.NewReplica()
+		older.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 10)
+		machine.ApplyListing(20*time.Second, []directory.Item{configurationItem(4, 2)}, 10)
+		Expect(machine.Snapshot().DeparturesKnownSince()).To(Equal(20 * time.Second))
+		Expect(machine.ApplyState(21*time.Second, older.FullState(21*time.Second))).To(BeTrue())
+		Expect(machine.Snapshot().DeparturesKnownSince()).To(BeZero())
+		Expect(older.FullState(time.Hour).DepartureHistory).To(Equal(directory.Retention), "it forgets them then")
 	})
 
 	It("learns from another which has not heard for long what has left meanwhile", func() {
-		stale := directory.New()
-		stale.Listing(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 5, endpoint("s", false))}, 10)
-		machine.Listing(0, []directory.Item{configurationItem(4, 2)}, 100)
-		machine.Adopt(time.Second, stale.StateAfter(time.Second, machine.Digest()))
+		stale := directory.NewReplica()
+		stale.ApplyListing(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 5, endpoint("s", false))}, 10)
+		machine.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
+		machine.ApplyState(time.Second, stale.StateAfter(time.Second, machine.Digest()))
 		Expect(leaving("a")).To(BeTrue(), "its flows can be found")
 	})
 
 	It("learns from another which services addresses have had", func() {
-		route := directory.Route{IP: [4]byte{198, 51, 100, 1}, Port: 443, Shares: []directory.Share{{Service: "before", Weight: 1}}}
-		older := directory.New()
-		older.Changes(0, []directory.Item{{Revision: 1, Configuration: &directory.Configuration{Version: 1, Routes: []directory.Route{route}}}}, 1)
-		older.Changes(0, []directory.Item{{Revision: 2, Configuration: &directory.Configuration{Version: 2}}}, 2)
-		Expect(machine.Adopt(0, older.State(0))).To(BeTrue())
+		route := directory.Route{IP: [4]byte{198, 51, 100, 1}, Port: 443, WeightedServices: []directory.WeightedService{{Service: "before", Weight: 1}}}
+		older := directory.NewReplica()
+		older.ApplyChanges(0, []directory.Item{{Revision: 1, Configuration: &directory.Configuration{Version: 1, Routes: []directory.Route{route}}}}, 1)
+		older.ApplyChanges(0, []directory.Item{{Revision: 2, Configuration: &directory.Configuration{Version: 2}}}, 2)
+		Expect(machine.ApplyState(0, older.FullState(0))).To(BeTrue())
 		Expect(machine.Snapshot().FormerServices(route.Address())).To(Equal([]string{"before"}))
 	})
 
 	It("takes an endpoint for gone once another has come to its address, though its entry has not lapsed", func() {
-		machine.Changes(0, []directory.Item{endpointItem("z-first", 1, endpoint("s", false)), endpointItem("a-second", 2, endpoint("s", false))}, 2)
+		machine.ApplyChanges(0, []directory.Item{endpointItem("z-first", 1, endpoint("s", false)), endpointItem("a-second", 2, endpoint("s", false))}, 2)
 		Expect(leaving("z-first")).To(BeTrue())
 		Expect(leaving("a-second")).To(BeFalse())
-		machine.Changes(0, []directory.Item{endpointItem("m-third", 3, endpoint("s", false))}, 3)
+		machine.ApplyChanges(0, []directory.Item{endpointItem("m-third", 3, endpoint("s", false))}, 3)
 		Expect(leaving("a-second")).To(BeTrue())
-		found, _ := machine.Snapshot().At([4]byte{10, 0, 0, 1})
-		Expect(found.ID).To(Equal(directory.Named("m-third")))
+		found, _ := machine.Snapshot().CandidateAt([4]byte{10, 0, 0, 1})
+		Expect(found.ID).To(Equal(directory.NameOnlyID("m-third")))
 	})
 
 	It("keeps what it knows better than the other", func() {
-		machine.Changes(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 9, endpoint("s", true))}, 9)
-		stale := directory.New()
-		stale.Changes(0, []directory.Item{configurationItem(3, 1), endpointItem("a", 5, endpoint("s", false))}, 5)
-		Expect(machine.Adopt(0, stale.State(0))).To(BeFalse())
+		machine.ApplyChanges(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 9, endpoint("s", true))}, 9)
+		stale := directory.NewReplica()
+		stale.ApplyChanges(0, []directory.Item{configurationItem(3, 1), endpointItem("a", 5, endpoint("s", false))}, 5)
+		Expect(machine.ApplyState(0, stale.FullState(0))).To(BeFalse())
 		Expect(leaving("a")).To(BeTrue())
 		Expect(machine.Snapshot().Version()).To(Equal(uint64(4)))
 	})
@@ -209,30 +209,32 @@
 var timing = directory.Timing{ApplyTimeout: 3 * time.Second}
 
 // duty is a duty as a test wants it.
-type duty struct {
+type fakePolicy struct {
 	watching, alone bool
 	pollAt, toldBy  time.Duration
 }
 
-func (d *duty) Watching() bool             { return d.watching }
-func (d *duty) Alone() bool                { return d.alone }
-func (d *duty) PollAt() time.Duration      { return d.pollAt }
-func (d *duty) SnapshotDue() time.Duration { return d.toldBy }
+func (d *fakePolicy) Watching() bool                  { return d.watching }
+func (d *fakePolicy) Alone() bool                     { return d.alone }
+func (d *fakePolicy) PollAt() time.Duration           { return d.pollAt }
+func (d *fakePolicy) SnapshotDeadline() time.Duration { return d.toldBy }
 
 var _ = Describe("Follower", func() {
 	var (
-		machine  *directory.Machine
+		machine  *directory.Replica
 		follower *directory.Follower
-		given    *duty
+		given    *fakePolicy
 	)
 
 	BeforeEach(func() {
-		machine = directory.New()
-		given = &duty{watching: true, alone: true}
+		machine = directory.NewReplica()
+		given = &fakePolicy{watching: true, alone: true}
 		follower = directory.NewFollower(machine, timing, given)
 	})
 
-	fail := func(reason directory.StoreFailure) { follower.Failed(0, &directory.StoreError{Failure: reason}, 0) }
+	fail := func(reason directory.StoreFailure) {
+		follower.HandleFailure(0, &directory.StoreError{Failure: reason}, 0)
+	}
 	next := func() directory.Call {
 		call, _ := follower.Next(0)
 		return call
@@ -244,20 +246,20 @@
 
 	It("lists page by page, then watches from where the listing began", func() {
 		Expect(next()).To(HaveField("Listing", true))
-		follower.Listed(0, directory.Page{Items: []directory.Item{endpointItem("a", 3, endpoint("s", false))}, Last: "a", More: true, At: 5})
-		Expect(next()).To(And(HaveField("Listing", true), HaveField("After", "a")))
-		follower.Listed(0, directory.Page{Items: []directory.Item{endpointItem("b", 9, endpoint("s", false))}, Last: "b", At: 9})
+		follower.HandlePage(0, directory.Page{Items: []directory.Item{endpointItem("a", 3, endpoint("s", false))}, LastKey: "a", More: true, Revision: 5})
+		Expect(next()).To(And(HaveField("Listing", true), HaveField("AfterKey", "a")))
+		follower.HandlePage(0, directory.Page{Items: []directory.Item{endpointItem("b", 9, endpoint("s", false))}, LastKey: "b", Revision: 9})
 		Expect(next()).To(And(HaveField("Listing", false), HaveField("AfterRevision", directory.Revision(5))))
 		Expect(machine.Snapshot().All()).To(HaveLen(2))
 	})
 
 	It("lists anew when history is lost, without delay, and finds what left in the gap", func() {
-		follower.Listed(0, directory.Page{Items: []directory.Item{endpointItem("a", 3, endpoint("s", false))}, At: 5})
+		follower.HandlePage(0, directory.Page{Items: []directory.Item{endpointItem("a", 3, endpoint("s", false))}, Revision: 5})
 		fail(directory.StoreCompacted)
-		Expect(next()).To(And(HaveField("Listing", true), HaveField("After", "")))
+		Expect(next()).To(And(HaveField("Listing", true), HaveField("AfterKey", "")))
 		Expect(delay(0)).To(BeZero())
-		follower.Listed(0, directory.Page{At: 9})
-		candidate, _ := machine.Snapshot().Candidate(directory.Named("a"))
+		follower.HandlePage(0, directory.Page{Revision: 9})
+		candidate, _ := machine.Snapshot().Candidate(directory.NameOnlyID("a"))
 		Expect(candidate.Leaving).To(BeTrue())
 	})
 
@@ -269,28 +271,28 @@
 		}
 		Expect(delays[0]).To(Equal(60 * time.Millisecond))
 		Expect(delays[5]).To(Equal(500 * time.Millisecond))
-		follower.Failed(0, &directory.StoreError{Failure: directory.StoreUnavailable}, 0.9)
+		follower.HandleFailure(0, &directory.StoreError{Failure: directory.StoreUnavailable}, 0.9)
 		Expect(delay(0)).To(BeNumerically("<", delays[5]))
-		follower.Listed(0, directory.Page{At: 1})
+		follower.HandlePage(0, directory.Page{Revision: 1})
 		Expect(delay(0)).To(BeZero())
 	})
 
 	It("leaves time after changes by its share of the store's rate, and none without changes", func() {
-		follower.Share(1100, 2000)
-		follower.Listed(0, directory.Page{At: 5})
+		follower.SetStoreRate(1100, 2000)
+		follower.HandlePage(0, directory.Page{Revision: 5})
 		Expect(delay(0)).To(BeZero())
-		follower.Watched(0, directory.Changes{Items: []directory.Item{endpointItem("a", 6, endpoint("s", false))}, Through: 6}, 0.5)
+		follower.HandleChanges(0, directory.Changes{Items: []directory.Item{endpointItem("a", 6, endpoint("s", false))}, Through: 6}, 0.5)
 		Expect(delay(0)).To(Equal(1100 * time.Millisecond))
-		follower.Watched(0, directory.Changes{Through: 6}, 0.5)
+		follower.HandleChanges(0, directory.Changes{Through: 6}, 0.5)
 		Expect(delay(0)).To(BeZero())
-		follower.Share(10, 2000)
+		follower.SetStoreRate(10, 2000)
 		later := 10 * time.Second
-		follower.Watched(later, directory.Changes{Items: []directory.Item{endpointItem("a", 7, endpoint("s", true))}, Through: 7}, 0.5)
+		follower.HandleChanges(later, directory.Changes{Items: []directory.Item{endpointItem("a", 7, endpoint("s", true))}, Through: 7}, 0.5)
 		Expect(delay(later)).To(Equal(10 * time.Millisecond))
 	})
 
 	It("lets a watch that hangs be noticed soon after the time in which a change has to be in force", func() {
-		follower.Listed(0, directory.Page{At: 5})
+		follower.HandlePage(0, directory.Page{Revision: 5})
 		Expect(next()).To(And(HaveField("Wait", 2500*time.Millisecond), HaveField("Timeout", 3400*time.Millisecond)))
 		follower = directory.NewFollower(machine, directory.Timing{ApplyTimeout: 5 * time.Second}, given)
 		Expect(next().Wait).To(Equal(4500 * time.Millisecond))
@@ -301,7 +303,7 @@
 	It("gives up a watch whose connection has gone silent within half of the time to be in touch", func() {
 		bounded := directory.Timing{ApplyTimeout: 5 * time.Second, ContactTimeout: 5 * time.Second}
 		follower = directory.NewFollower(machine, bounded, given)
-		follower.Listed(0, directory.Page{At: 5})
+		follower.HandlePage(0, directory.Page{Revision: 5})
 		for _, alone := range []bool{true, false} {
 			given.alone = alone
 			Expect(next()).To(And(HaveField("Wait", 1600*time.Millisecond), HaveField("Timeout", 2500*time.Millisecond)))
@@ -311,37 +313,37 @@
 	})
 
 	It("asks for a long burst of changes at a bounded rate, and for the next change after it at once", func() {
-		follower.Listed(0, directory.Page{At: 5})
+		follower.HandlePage(0, directory.Page{Revision: 5})
 		var now time.Duration
 		calls := 0
 		for revision := directory.Revision(6); now < 6*time.Second; revision++ {
 			item := endpointItem("a", revision, endpoint("s", revision%2 == 0))
-			follower.Watched(now, directory.Changes{Items: []directory.Item{item}, Through: revision}, 0)
+			follower.HandleChanges(now, directory.Changes{Items: []directory.Item{item}, Through: revision}, 0)
 			Expect(delay(now)).To(BeNumerically("<=", 600*time.Millisecond), "news are late by no more")
 			now += max(delay(now), 5*time.Millisecond)
 			calls++
 		}
 		Expect(calls).To(BeNumerically("<=", 13))
 		now += 3 * time.Second
-		follower.Watched(now, directory.Changes{Items: []directory.Item{endpointItem("a", 1000, endpoint("s", true))}, Through: 1000}, 0)
+		follower.HandleChanges(now, directory.Changes{Items: []directory.Item{endpointItem("a", 1000, endpoint("s", true))}, Through: 1000}, 0)
 		Expect(delay(now)).To(BeZero())
 	})
 
 	It("watches for a shorter time if others depend on it, so that they hear often that nothing is new", func() {
-		follower.Listed(0, directory.Page{At: 5})
+		follower.HandlePage(0, directory.Page{Revision: 5})
 		given.alone = false
 		Expect(next()).To(And(HaveField("Wait", 1200*time.Millisecond), HaveField("Timeout", 2100*time.Millisecond)))
 	})
 
 	It("asks only what there is, and when it has to, if others watch", func() {
-		follower.Listed(0, directory.Page{At: 5})
-		*given = duty{pollAt: 7 * time.Second}
+		follower.HandlePage(0, directory.Page{Revision: 5})
+		*given = fakePolicy{pollAt: 7 * time.Second}
 		call, at := follower.Next(time.Second)
 		Expect(at).To(Equal(7 * time.Second))
 		Expect(call).To(Equal(directory.Call{AfterRevision: 5, Wait: time.Millisecond, Timeout: 901 * time.Millisecond}))
-		follower.Failed(7*time.Second, &directory.StoreError{Failure: directory.StoreUnavailable}, 0)
+		follower.HandleFailure(7*time.Second, &directory.StoreError{Failure: directory.StoreUnavailable}, 0)
 		Expect(delay(7 * time.Second)).To(Equal(500 * time.Millisecond))
-		follower.Failed(7*time.Second, &directory.StoreError{Failure: directory.StoreUnavailable}, 0)
+		follower.HandleFailure(7*time.Second, &directory.StoreError{Failure: directory.StoreUnavailable}, 0)
 		Expect(delay(7 * time.Second)).To(Equal(time.Second))
 	})
 
@@ -354,23 +356,23 @@
 		Expect(delay(1200*time.Millisecond)).To(Equal(200*time.Millisecond), "somebody is about to")
 		given.toldBy = 0
 		Expect(delay(1200 * time.Millisecond)).To(BeZero())
-		follower.Listed(1200*time.Millisecond, directory.Page{Last: "k", More: true, At: 5})
-		informed := directory.New()
-		informed.Listing(0, []directory.Item{configurationItem(1, 1)}, 6)
-		machine.Adopt(1300*time.Millisecond, informed.State(0))
+		follower.HandlePage(1200*time.Millisecond, directory.Page{LastKey: "k", More: true, Revision: 5})
+		informed := directory.NewReplica()
+		informed.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 6)
+		machine.ApplyState(1300*time.Millisecond, informed.FullState(0))
 		Expect(next()).To(And(HaveField("Listing", false), HaveField("AfterRevision", directory.Revision(6))))
 	})
 
 	It("takes a last page for the end of its listing though others have told it the directory meanwhile", func() {
 		first, second := endpointItem("a", 3, endpoint("s", false)), endpointItem("b", 4, endpoint("s", false))
 		second.Endpoint.IP = [4]byte{10, 0, 0, 2}
-		follower.Listed(0, directory.Page{Items: []directory.Item{first}, Last: "a", More: true, At: 5})
-		Expect(next()).To(HaveField("After", "a"))
-		informed := directory.New()
-		informed.Listing(0, []directory.Item{configurationItem(1, 1), first, second}, 5)
-		machine.Adopt(0, informed.State(0))
+		follower.HandlePage(0, directory.Page{Items: []directory.Item{first}, LastKey: "a", More: true, Revision: 5})
+		Expect(next()).To(HaveField("AfterKey", "a"))
+		informed := directory.NewReplica()
+		informed.ApplyListing(0, []directory.Item{configurationItem(1, 1), first, second}, 5)
+		machine.ApplyState(0, informed.FullState(0))
 		next()
-		follower.Listed(0, directory.Page{Items: []directory.Item{second}, Last: "b", At: 6})
+		follower.HandlePage(0, directory.Page{Items: []directory.Item{second}, LastKey: "b", Revision: 6})
 		for _, candidate := range machine.Snapshot().All() {
 			Expect(candidate.Gone).To(BeFalse(), candidate.ID.Name)
 		}
@@ -378,14 +380,14 @@
 	})
 
 	It("resumes a listing at the page that failed", func() {
-		follower.Listed(0, directory.Page{Last: "k", More: true, At: 5})
+		follower.HandlePage(0, directory.Page{LastKey: "k", More: true, Revision: 5})
 		fail(directory.StoreThrottled)
-		Expect(next().After).To(Equal("k"))
+		Expect(next().AfterKey).To(Equal("k"))
 	})
 
 	It("does not page forever if the store does not advance", func() {
-		follower.Listed(0, directory.Page{Last: "k", More: true, At: 5})
-		follower.Listed(0, directory.Page{Last: "k", More: true, At: 5})
+		follower.HandlePage(0, directory.Page{LastKey: "k", More: true, Revision: 5})
+		follower.HandlePage(0, directory.Page{LastKey: "k", More: true, Revision: 5})
 		Expect(next().Listing).To(BeFalse())
 	})
 })
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -24,10 +24,10 @@
 	// WarmAt is when it is no longer slow after its start.
 	WarmAt time.Duration
 	// Told is the revision of the entry that WarmAt is from.
-	Told Revision
+	WarmAtRevision Revision
 	// Closed is set if its zone is closed: it must get no new flow, but may hold open
 	// ones for long.
-	Closed bool
+	ZoneClosed bool
 }
 
 // Draining reports whether the endpoint itself has announced its end.
@@ -38,7 +38,7 @@
 // LapsedSince returns how long the entry of an endpoint that did not announce
 // its end has been gone; it is the longest duration for all others, those whose entry
 // cannot be used among them.
-func (c Candidate) LapsedSince(now time.Duration) time.Duration {
+func (c Candidate) ExpiredFor(now time.Duration) time.Duration {
 	if !c.Gone || c.Refused || c.Draining() {
 		return never
 	}
@@ -64,7 +64,7 @@
 
 // Since returns when the knowledge of endpoints that leave begins: all that have left
 // later are known. It is the longest duration before the first listing.
-func (s *Snapshot) Since() time.Duration { return s.since }
+func (s *Snapshot) DeparturesKnownSince() time.Duration { return s.since }
 
 // Route returns the route of an address that clients connect to.
 func (s *Snapshot) Route(address segment.Address) (*Route, bool) {
@@ -73,7 +73,7 @@
 }
 
 // Routes returns the number of routes.
-func (s *Snapshot) Routes() int { return len(s.routes) }
+func (s *Snapshot) RouteCount() int { return len(s.routes) }
 
 // Candidates returns the endpoints of a service, leaving ones included, in the
 // order of their identifiers. The result must not be changed.
@@ -87,7 +87,7 @@
 
 // At returns the endpoint at an IP address. If several have had the address, it
 // is the one whose entry is there.
-func (s *Snapshot) At(ip [4]byte) (Candidate, bool) {
+func (s *Snapshot) CandidateAt(ip [4]byte) (Candidate, bool) {
 	candidate, exists := s.byIP[ip]
 	return candidate, exists
 }
@@ -102,7 +102,7 @@
 
 // Closed returns the zones that are closed to new flows, in the order of their names. The
 // result must not be changed.
-func (s *Snapshot) Closed() []ClosedZone { return s.closed }
+func (s *Snapshot) ClosedZones() []ClosedZone { return s.closed }
 
 // ColdStart returns what endpoints of a service carry after a start, false if there is no
 // limit.
--- a/internal/directory/state_gen.go
+++ b/internal/directory/state_gen.go
@@ -27,14 +27,14 @@
 		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.Version, err = dc.ReadUint64()
+	z.ConfigurationVersion, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Version")
+		err = msgp.WrapError(err, "ConfigurationVersion")
 		return
 	}
-	err = z.Complete.DecodeMsg(dc)
+	err = z.Revision.DecodeMsg(dc)
 	if err != nil {
-		err = msgp.WrapError(err, "Complete")
+		err = msgp.WrapError(err, "Revision")
 		return
 	}
 	return
@@ -47,14 +47,14 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Version)
+	err = en.WriteUint64(z.ConfigurationVersion)
 	if err != nil {
-		err = msgp.WrapError(err, "Version")
+		err = msgp.WrapError(err, "ConfigurationVersion")
 		return
 	}
-	err = z.Complete.EncodeMsg(en)
+	err = z.Revision.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Complete")
+		err = msgp.WrapError(err, "Revision")
 		return
 	}
 	return
@@ -65,10 +65,10 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
-	o = msgp.AppendUint64(o, z.Version)
-	o, err = z.Complete.MarshalMsg(o)
+	o = msgp.AppendUint64(o, z.ConfigurationVersion)
+	o, err = z.Revision.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Complete")
+		err = msgp.WrapError(err, "Revision")
 		return
 	}
 	return
@@ -86,14 +86,14 @@
 		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.Version, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ConfigurationVersion, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Version")
+		err = msgp.WrapError(err, "ConfigurationVersion")
 		return
 	}
-	bts, err = z.Complete.UnmarshalMsg(bts)
+	bts, err = z.Revision.UnmarshalMsg(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Complete")
+		err = msgp.WrapError(err, "Revision")
 		return
 	}
 	o = bts
@@ -102,7 +102,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Digest) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + z.Complete.Msgsize()
+	s = 1 + msgp.Uint64Size + z.Revision.Msgsize()
 	return
 }
 
@@ -443,9 +443,9 @@
 		err = msgp.ArrayError{Wanted: 13, Got: zb0001}
 		return
 	}
-	err = z.Complete.DecodeMsg(dc)
+	err = z.Through.DecodeMsg(dc)
 	if err != nil {
-		err = msgp.WrapError(err, "Complete")
+		err = msgp.WrapError(err, "Through")
 		return
 	}
 	err = z.From.DecodeMsg(dc)
@@ -468,9 +468,9 @@
 		err = msgp.WrapError(err, "Age")
 		return
 	}
-	z.Version, err = dc.ReadUint64()
+	z.ConfigurationVersion, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Version")
+		err = msgp.WrapError(err, "ConfigurationVersion")
 		return
 	}
 	if dc.IsNil() {
@@ -520,28 +520,28 @@
 	var zb0003 uint32
 	zb0003, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Former")
+		err = msgp.WrapError(err, "FormerRoutes")
 		return
 	}
 	if zb0003 > ze2bed3a0limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Former) >= int(zb0003) {
-		z.Former = (z.Former)[:zb0003]
+	if cap(z.FormerRoutes) >= int(zb0003) {
+		z.FormerRoutes = (z.FormerRoutes)[:zb0003]
 	} else {
-		z.Former = make([]FormerRoute, zb0003)
+		z.FormerRoutes = make([]FormerRoute, zb0003)
 	}
-	for za0002 := range z.Former {
-		err = z.Former[za0002].DecodeMsg(dc)
+	for za0002 := range z.FormerRoutes {
+		err = z.FormerRoutes[za0002].DecodeMsg(dc)
 		if err != nil {
-			err = msgp.WrapError(err, "Former", za0002)
+			err = msgp.WrapError(err, "FormerRoutes", za0002)
 			return
 		}
 	}
-	z.KnownFor, err = dc.ReadDuration()
+	z.DepartureHistory, err = dc.ReadDuration()
 	if err != nil {
-		err = msgp.WrapError(err, "KnownFor")
+		err = msgp.WrapError(err, "DepartureHistory")
 		return
 	}
 	var zb0004 uint32
@@ -566,9 +566,9 @@
 			return
 		}
 	}
-	z.Members, err = dc.ReadUint32()
+	z.MemberCount, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Members")
+		err = msgp.WrapError(err, "MemberCount")
 		return
 	}
 	return
@@ -581,9 +581,9 @@
 	if err != nil {
 		return
 	}
-	err = z.Complete.EncodeMsg(en)
+	err = z.Through.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Complete")
+		err = msgp.WrapError(err, "Through")
 		return
 	}
 	err = z.From.EncodeMsg(en)
@@ -606,9 +606,9 @@
 		err = msgp.WrapError(err, "Age")
 		return
 	}
-	err = en.WriteUint64(z.Version)
+	err = en.WriteUint64(z.ConfigurationVersion)
 	if err != nil {
-		err = msgp.WrapError(err, "Version")
+		err = msgp.WrapError(err, "ConfigurationVersion")
 		return
 	}
 	if z.Configuration == nil {
@@ -640,21 +640,21 @@
 			return
 		}
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Former)))
+	err = en.WriteArrayHeader(uint32(len(z.FormerRoutes)))
 	if err != nil {
-		err = msgp.WrapError(err, "Former")
+		err = msgp.WrapError(err, "FormerRoutes")
 		return
 	}
-	for za0002 := range z.Former {
-		err = z.Former[za0002].EncodeMsg(en)
+	for za0002 := range z.FormerRoutes {
+		err = z.FormerRoutes[za0002].EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Former", za0002)
+			err = msgp.WrapError(err, "FormerRoutes", za0002)
 			return
 		}
 	}
-	err = en.WriteDuration(z.KnownFor)
+	err = en.WriteDuration(z.DepartureHistory)
 	if err != nil {
-		err = msgp.WrapError(err, "KnownFor")
+		err = msgp.WrapError(err, "DepartureHistory")
 		return
 	}
 	err = en.WriteArrayHeader(uint32(len(z.Zones)))
@@ -669,9 +669,9 @@
 			return
 		}
 	}
-	err = en.WriteUint32(z.Members)
+	err = en.WriteUint32(z.MemberCount)
 	if err != nil {
-		err = msgp.WrapError(err, "Members")
+		err = msgp.WrapError(err, "MemberCount")
 		return
 	}
 	return
@@ -682,9 +682,9 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 13
 	o = append(o, 0x9d)
-	o, err = z.Complete.MarshalMsg(o)
+	o, err = z.Through.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Complete")
+		err = msgp.WrapError(err, "Through")
 		return
 	}
 	o, err = z.From.MarshalMsg(o)
@@ -695,7 +695,7 @@
 	o = msgp.AppendBool(o, z.Whole)
 	o = msgp.AppendBool(o, z.Confirmed)
 	o = msgp.AppendDuration(o, z.Age)
-	o = msgp.AppendUint64(o, z.Version)
+	o = msgp.AppendUint64(o, z.ConfigurationVersion)
 	if z.Configuration == nil {
 		o = msgp.AppendNil(o)
 	} else {
@@ -718,15 +718,15 @@
 			return
 		}
 	}
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Former)))
-	for za0002 := range z.Former {
-		o, err = z.Former[za0002].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.FormerRoutes)))
+	for za0002 := range z.FormerRoutes {
+		o, err = z.FormerRoutes[za0002].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Former", za0002)
+			err = msgp.WrapError(err, "FormerRoutes", za0002)
 			return
 		}
 	}
-	o = msgp.AppendDuration(o, z.KnownFor)
+	o = msgp.AppendDuration(o, z.DepartureHistory)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Zones)))
 	for za0003 := range z.Zones {
 		o, err = z.Zones[za0003].MarshalMsg(o)
@@ -735,7 +735,7 @@
 			return
 		}
 	}
-	o = msgp.AppendUint32(o, z.Members)
+	o = msgp.AppendUint32(o, z.MemberCount)
 	return
 }
 
@@ -751,9 +751,9 @@
 		err = msgp.ArrayError{Wanted: 13, Got: zb0001}
 		return
 	}
-	bts, err = z.Complete.UnmarshalMsg(bts)
+	bts, err = z.Through.UnmarshalMsg(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Complete")
+		err = msgp.WrapError(err, "Through")
 		return
 	}
 	bts, err = z.From.UnmarshalMsg(bts)
@@ -776,9 +776,9 @@
 		err = msgp.WrapError(err, "Age")
 		return
 	}
-	z.Version, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ConfigurationVersion, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Version")
+		err = msgp.WrapError(err, "ConfigurationVersion")
 		return
 	}
 	if msgp.IsNil(bts) {
@@ -827,28 +827,28 @@
 	var zb0003 uint32
 	zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Former")
+		err = msgp.WrapError(err, "FormerRoutes")
 		return
 	}
 	if zb0003 > ze2bed3a0limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Former) >= int(zb0003) {
-		z.Former = (z.Former)[:zb0003]
+	if cap(z.FormerRoutes) >= int(zb0003) {
+		z.FormerRoutes = (z.FormerRoutes)[:zb0003]
 	} else {
-		z.Former = make([]FormerRoute, zb0003)
+		z.FormerRoutes = make([]FormerRoute, zb0003)
 	}
-	for za0002 := range z.Former {
-		bts, err = z.Former[za0002].UnmarshalMsg(bts)
+	for za0002 := range z.FormerRoutes {
+		bts, err = z.FormerRoutes[za0002].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Former", za0002)
+			err = msgp.WrapError(err, "FormerRoutes", za0002)
 			return
 		}
 	}
-	z.KnownFor, bts, err = msgp.ReadDurationBytes(bts)
+	z.DepartureHistory, bts, err = msgp.ReadDurationBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "KnownFor")
+		err = msgp.WrapError(err, "DepartureHistory")
 		return
 	}
 	var zb0004 uint32
@@ -873,9 +873,9 @@
 			return
 		}
 	}
-	z.Members, bts, err = msgp.ReadUint32Bytes(bts)
+	z.MemberCount, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Members")
+		err = msgp.WrapError(err, "MemberCount")
 		return
 	}
 	o = bts
@@ -884,7 +884,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *State) Msgsize() (s int) {
-	s = 1 + z.Complete.Msgsize() + z.From.Msgsize() + msgp.BoolSize + msgp.BoolSize + msgp.DurationSize + msgp.Uint64Size
+	s = 1 + z.Through.Msgsize() + z.From.Msgsize() + msgp.BoolSize + msgp.BoolSize + msgp.DurationSize + msgp.Uint64Size
 	if z.Configuration == nil {
 		s += msgp.NilSize
 	} else {
@@ -895,8 +895,8 @@
 		s += z.Endpoints[za0001].Msgsize()
 	}
 	s += msgp.ArrayHeaderSize
-	for za0002 := range z.Former {
-		s += z.Former[za0002].Msgsize()
+	for za0002 := range z.FormerRoutes {
+		s += z.FormerRoutes[za0002].Msgsize()
 	}
 	s += msgp.DurationSize + msgp.ArrayHeaderSize
 	for za0003 := range z.Zones {
@@ -937,9 +937,9 @@
 		err = msgp.WrapError(err, "Closed")
 		return
 	}
-	z.For, err = dc.ReadDuration()
+	z.Age, err = dc.ReadDuration()
 	if err != nil {
-		err = msgp.WrapError(err, "For")
+		err = msgp.WrapError(err, "Age")
 		return
 	}
 	return
@@ -967,9 +967,9 @@
 		err = msgp.WrapError(err, "Closed")
 		return
 	}
-	err = en.WriteDuration(z.For)
+	err = en.WriteDuration(z.Age)
 	if err != nil {
-		err = msgp.WrapError(err, "For")
+		err = msgp.WrapError(err, "Age")
 		return
 	}
 	return
@@ -987,7 +987,7 @@
 		return
 	}
 	o = msgp.AppendBool(o, z.Closed)
-	o = msgp.AppendDuration(o, z.For)
+	o = msgp.AppendDuration(o, z.Age)
 	return
 }
 
@@ -1018,9 +1018,9 @@
 		err = msgp.WrapError(err, "Closed")
 		return
 	}
-	z.For, bts, err = msgp.ReadDurationBytes(bts)
+	z.Age, bts, err = msgp.ReadDurationBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "For")
+		err = msgp.WrapError(err, "Age")
 		return
 	}
 	o = bts
--- a/internal/directory/store.go
+++ b/internal/directory/store.go
@@ -11,10 +11,10 @@
 type Page struct {
 	Items []Item
 	// Last is the last key of the page, and More is set if others follow it.
-	Last string
-	More bool
+	LastKey string
+	More    bool
 	// At is the revision of the store when it answered.
-	At Revision
+	Revision Revision
 }
 
 // Changes is one answer to a watch: all changes after the revision asked for,
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -3,21 +3,21 @@
 //go:generate go tool msgp -tests=false
 //msgp:limit arrays:65536
 //msgp:tuple Update
-//msgp:ignore Question Questions
+//msgp:ignore ConfirmationRequest ConfirmationQueue
 
 // Update is an announcement of the directory among balancers, in one datagram.
 type Update struct {
 	// Asks wants an Update in return with what the sender lacks beyond State.
-	Asks bool
+	RequestsChanges bool
 	// Confirms wants the store to be asked first, and Number names the question. Both
 	// are the same in the answer.
-	Confirms bool
-	Number   uint32
-	State    State
+	Confirmation bool
+	RequestID    uint32
+	State        State
 	// Source is who can be asked for what State shows, the sender if it is zero.
 	Source Peer
 	// Waits is set while the sender is listing the store, so that the receiver need not.
-	Waits bool
+	ListingStore bool
 }
 
 // Peer names a balancer.
@@ -25,7 +25,7 @@
 
 const (
 	// MaximumUpdate bounds an encoded Update in bytes: one packet of an Ethernet.
-	MaximumUpdate = 1400
+	MaxUpdateSize = 1400
 	// updateHead is room for all but the endpoints of an Update, and endpointRoom for one
 	// beside its texts, in bytes.
 	updateHead   = 100
@@ -51,7 +51,7 @@
 	}
 	part := changes
 	part.Endpoints = nil
-	room := MaximumUpdate - updateHead
+	room := MaxUpdateSize - updateHead
 	for _, zone := range changes.Zones {
 		room -= zoneRoom + len(zone.Zone)
 	}
@@ -63,14 +63,14 @@
 		last := len(part.Endpoints) - 1
 		splits := last >= 0 && part.Endpoints[last].Revision != each.Revision
 		if room < each.size() && splits {
-			part.Complete = part.Endpoints[last].Revision
+			part.Through = part.Endpoints[last].Revision
 			part.Confirmed = false
 			parts = append(parts, Update{State: part})
 			part = changes
 			part.Zones = nil
-			part.From = parts[len(parts)-1].State.Complete
+			part.From = parts[len(parts)-1].State.Through
 			part.Endpoints = nil
-			room = MaximumUpdate - updateHead
+			room = MaxUpdateSize - updateHead
 		}
 		part.Endpoints = append(part.Endpoints, each)
 		room -= each.size()
@@ -87,6 +87,6 @@
 	changes.Endpoints = nil
 	changes.Zones = nil
 	changes.Whole = false
-	changes.From = changes.Complete
+	changes.From = changes.Through
 	return Update{State: changes}
 }
--- a/internal/directory/update_gen.go
+++ b/internal/directory/update_gen.go
@@ -79,19 +79,19 @@
 		err = msgp.ArrayError{Wanted: 6, Got: zb0001}
 		return
 	}
-	z.Asks, err = dc.ReadBool()
+	z.RequestsChanges, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Asks")
+		err = msgp.WrapError(err, "RequestsChanges")
 		return
 	}
-	z.Confirms, err = dc.ReadBool()
+	z.Confirmation, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Confirms")
+		err = msgp.WrapError(err, "Confirmation")
 		return
 	}
-	z.Number, err = dc.ReadUint32()
+	z.RequestID, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Number")
+		err = msgp.WrapError(err, "RequestID")
 		return
 	}
 	err = z.State.DecodeMsg(dc)
@@ -108,9 +108,9 @@
 		}
 		z.Source = Peer(zb0002)
 	}
-	z.Waits, err = dc.ReadBool()
+	z.ListingStore, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Waits")
+		err = msgp.WrapError(err, "ListingStore")
 		return
 	}
 	return
@@ -123,19 +123,19 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Asks)
+	err = en.WriteBool(z.RequestsChanges)
 	if err != nil {
-		err = msgp.WrapError(err, "Asks")
+		err = msgp.WrapError(err, "RequestsChanges")
 		return
 	}
-	err = en.WriteBool(z.Confirms)
+	err = en.WriteBool(z.Confirmation)
 	if err != nil {
-		err = msgp.WrapError(err, "Confirms")
+		err = msgp.WrapError(err, "Confirmation")
 		return
 	}
-	err = en.WriteUint32(z.Number)
+	err = en.WriteUint32(z.RequestID)
 	if err != nil {
-		err = msgp.WrapError(err, "Number")
+		err = msgp.WrapError(err, "RequestID")
 		return
 	}
 	err = z.State.EncodeMsg(en)
@@ -148,9 +148,9 @@
 		err = msgp.WrapError(err, "Source")
 		return
 	}
-	err = en.WriteBool(z.Waits)
+	err = en.WriteBool(z.ListingStore)
 	if err != nil {
-		err = msgp.WrapError(err, "Waits")
+		err = msgp.WrapError(err, "ListingStore")
 		return
 	}
 	return
@@ -161,16 +161,16 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 6
 	o = append(o, 0x96)
-	o = msgp.AppendBool(o, z.Asks)
-	o = msgp.AppendBool(o, z.Confirms)
-	o = msgp.AppendUint32(o, z.Number)
+	o = msgp.AppendBool(o, z.RequestsChanges)
+	o = msgp.AppendBool(o, z.Confirmation)
+	o = msgp.AppendUint32(o, z.RequestID)
 	o, err = z.State.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "State")
 		return
 	}
 	o = msgp.AppendUint64(o, uint64(z.Source))
-	o = msgp.AppendBool(o, z.Waits)
+	o = msgp.AppendBool(o, z.ListingStore)
 	return
 }
 
@@ -186,19 +186,19 @@
 		err = msgp.ArrayError{Wanted: 6, Got: zb0001}
 		return
 	}
-	z.Asks, bts, err = msgp.ReadBoolBytes(bts)
+	z.RequestsChanges, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Asks")
+		err = msgp.WrapError(err, "RequestsChanges")
 		return
 	}
-	z.Confirms, bts, err = msgp.ReadBoolBytes(bts)
+	z.Confirmation, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Confirms")
+		err = msgp.WrapError(err, "Confirmation")
 		return
 	}
-	z.Number, bts, err = msgp.ReadUint32Bytes(bts)
+	z.RequestID, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Number")
+		err = msgp.WrapError(err, "RequestID")
 		return
 	}
 	bts, err = z.State.UnmarshalMsg(bts)
@@ -215,9 +215,9 @@
 		}
 		z.Source = Peer(zb0002)
 	}
-	z.Waits, bts, err = msgp.ReadBoolBytes(bts)
+	z.ListingStore, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Waits")
+		err = msgp.WrapError(err, "ListingStore")
 		return
 	}
 	o = bts
--- a/internal/directory/zone.go
+++ b/internal/directory/zone.go
@@ -25,18 +25,18 @@
 }
 
 // mergeZone merges an entry that closes a zone, or its end. It reports whether that is news.
-func (m *Machine) mergeZone(now time.Duration, item Item) bool {
+func (m *Replica) mergeZone(now time.Duration, item Item) bool {
 	known, exists := m.zones[item.Zone]
 	if exists && item.Revision <= known.revision {
 		return false
 	}
-	m.zones[item.Zone] = zoneRecord{revision: item.Revision, closed: item.Closed, since: now}
-	return item.Closed || known.closed
+	m.zones[item.Zone] = zoneRecord{revision: item.Revision, closed: item.ZoneClosed, since: now}
+	return item.ZoneClosed || known.closed
 }
 
 // openUnless notes that zones have been opened whose entries are not among those that
 // were there at a revision. It reports whether there are any.
-func (m *Machine) openUnless(now time.Duration, there map[string]bool, at Revision) bool {
+func (m *Replica) openUnless(now time.Duration, there map[string]bool, at Revision) bool {
 	opened := false
 	for zone, known := range m.zones {
 		if known.closed && !there[zone] && known.revision <= at {
@@ -48,7 +48,7 @@
 }
 
 // forgetZones forgets zones that have long been open: nobody is as stale by then.
-func (m *Machine) forgetZones(now time.Duration) {
+func (m *Replica) forgetZones(now time.Duration) {
 	maps.DeleteFunc(m.zones, func(_ string, known zoneRecord) bool {
 		forgotten := !known.closed && now-known.since > Retention
 		if forgotten {
@@ -60,11 +60,11 @@
 
 // zonesAfter returns the zones that were closed or opened after a revision, in the order
 // of revisions.
-func (m *Machine) zonesAfter(now time.Duration, known Revision) []ZoneState {
+func (m *Replica) zonesAfter(now time.Duration, known Revision) []ZoneState {
 	var zones []ZoneState
 	for zone, each := range m.zones {
 		if each.revision > known {
-			zones = append(zones, ZoneState{Zone: zone, Revision: each.revision, Closed: each.closed, For: now - each.since})
+			zones = append(zones, ZoneState{Zone: zone, Revision: each.revision, Closed: each.closed, Age: now - each.since})
 		}
 	}
 	slices.SortFunc(zones, func(a, b ZoneState) int {
@@ -75,12 +75,12 @@
 
 // adoptZone takes the state of a zone's entry if it is newer. An entry that this process does
 // not have, though it has all changes since it was written, has gone.
-func (m *Machine) adoptZone(now time.Duration, described ZoneState) bool {
+func (m *Replica) adoptZone(now time.Duration, described ZoneState) bool {
 	known, exists := m.zones[described.Zone]
 	if exists && described.Revision <= known.revision || described.Zone == "" {
 		return false
 	}
-	adopted := zoneRecord{revision: described.Revision, closed: described.Closed, since: now - max(described.For, 0)}
+	adopted := zoneRecord{revision: described.Revision, closed: described.Closed, since: now - max(described.Age, 0)}
 	if described.Closed && described.Revision <= m.complete {
 		adopted = zoneRecord{revision: m.complete, since: now}
 	}
@@ -90,16 +90,16 @@
 }
 
 // openMissing notes that zones are open which a whole state does not show as closed.
-func (m *Machine) openMissing(now time.Duration, state State) bool {
+func (m *Replica) openMissing(now time.Duration, state State) bool {
 	closed := make(map[string]bool, len(state.Zones))
 	for _, described := range state.Zones {
 		closed[described.Zone] = described.Closed
 	}
-	return m.openUnless(now, closed, state.Complete)
+	return m.openUnless(now, closed, state.Through)
 }
 
 // closedZones returns the zones that are closed, in the order of their names.
-func (m *Machine) closedZones() []ClosedZone {
+func (m *Replica) closedZones() []ClosedZone {
 	var closed []ClosedZone
 	for zone, known := range m.zones {
 		if known.closed {
@@ -112,11 +112,11 @@
 
 // warmAt returns when an endpoint is no longer cold: as it has announced or, since it may
 // not have announced it yet, some time after its zone was opened again.
-func (m *Machine) warmAt(known *endpointRecord, starts map[string]ColdStart) time.Duration {
+func (m *Replica) warmAt(known *endpointRecord, starts map[string]ColdStart) time.Duration {
 	zone, exists := m.zones[known.endpoint.Zone]
 	start, cold := starts[known.endpoint.Service]
 	if !exists || zone.closed || !cold {
 		return known.warmAt
 	}
-	return max(known.warmAt, zone.since+start.Lasts)
+	return max(known.warmAt, zone.since+start.Duration)
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -53,7 +53,7 @@
 func oversized(writer http.ResponseWriter, _ *http.Request) {
 	_, _ = writer.Write([]byte(`{"revision": 3, "table": "`))
 	block := []byte(strings.Repeat("x", 1<<20))
-	for range platform.MaxAnswerSize/len(block) + 1 {
+	for range platform.MaxResponseSize/len(block) + 1 {
 		_, _ = writer.Write(block)
 	}
 }
--- a/internal/platform/decider.go
+++ b/internal/platform/decider.go
@@ -8,7 +8,7 @@
 // The results of a request.
 const (
 	// Answered means a whole, valid answer.
-	Answered Result = iota
+	Succeeded Result = iota
 	// Failed means no answer.
 	Failed
 	// Invalid means an answer that breaks a rule.
@@ -43,7 +43,7 @@
 }
 
 // Step is what a poller does after a request.
-type Step struct {
+type Decision struct {
 	Outcome Outcome
 	// Delay is the time until the next request.
 	Delay time.Duration
@@ -70,14 +70,14 @@
 // Decide takes the result of a request, the revision if it was answered, and
 // a random number from 0 to below 1 that spreads the requests of many
 // processes.
-func (d *Decider) Decide(result Result, revision Revision, random float64) Step {
+func (d *Decider) Decide(result Result, revision Revision, random float64) Decision {
 	outcome := d.outcome(result, revision)
-	if result == Answered {
+	if result == Succeeded {
 		d.failures = 0
 	} else {
 		d.failures++
 	}
-	return Step{outcome, d.delay(random)}
+	return Decision{outcome, d.delay(random)}
 }
 
 func (d *Decider) outcome(result Result, revision Revision) Outcome {
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -11,7 +11,7 @@
 
 // MaxAnswerSize bounds the body of an answer, in bytes, so that a faulty
 // service cannot exhaust the memory of the fleet.
-const MaxAnswerSize = 32 << 20
+const MaxResponseSize = 32 << 20
 
 // The envelopes take unknown members, so that the platform can add some; the
 // table inside is checked strictly.
@@ -69,12 +69,12 @@
 var errNoRevision = errors.New("no revision, or revision 0")
 
 func decodeAnswer(body io.Reader, target any) error {
-	data, err := io.ReadAll(io.LimitReader(body, MaxAnswerSize+1))
+	data, err := io.ReadAll(io.LimitReader(body, MaxResponseSize+1))
 	if err != nil {
 		return unreadable{err}
 	}
-	if len(data) > MaxAnswerSize {
-		return errors.Errorf("answer is larger than %d bytes", MaxAnswerSize)
+	if len(data) > MaxResponseSize {
+		return errors.Errorf("answer is larger than %d bytes", MaxResponseSize)
 	}
 	return errors.Wrap(json.Unmarshal(data, target), "answer")
 }
--- a/internal/platform/poller.go
+++ b/internal/platform/poller.go
@@ -12,7 +12,7 @@
 )
 
 // Snapshot is an answer that a poller can order.
-type Snapshot interface {
+type Revisioned interface {
 	// CurrentRevision returns the platform's revision of the answer.
 	CurrentRevision() Revision
 }
@@ -30,21 +30,21 @@
 }
 
 // PollerConfig is the configuration of a Poller.
-type PollerConfig[Answer Snapshot] struct {
+type PollerConfig[Answer Revisioned] struct {
 	// Fetch makes one request, such as Client.Configuration.
 	Fetch func(context.Context) (Answer, error)
 	// Deliver receives answers in order of rising revisions, one at a time.
 	Deliver func(Answer)
 	// Confirm is called when the service gives the revision that was
 	// delivered last once more. It may be nil.
-	Confirm func()
+	OnUnchanged func()
 	// Interval is the time from one answer to the next request.
 	Interval time.Duration
 	Logger   *log.Logger
 	Metrics  PollerMetrics
 	// Wait pauses for a duration or until ctx ends, when it returns the
 	// error of ctx. Nil means by the system's clock.
-	Wait func(ctx context.Context, duration time.Duration) error
+	Sleep func(ctx context.Context, duration time.Duration) error
 	// Random returns numbers from 0 to below 1. Nil means the generator of
 	// math/rand/v2.
 	Random func() float64
@@ -53,22 +53,22 @@
 // Poller asks a service of the platform again and again and delivers the
 // answers that are newer than all before. A service that is down, slow, stale
 // or wrong only delays it.
-type Poller[Answer Snapshot] struct {
+type Poller[Answer Revisioned] struct {
 	config  PollerConfig[Answer]
 	decider *Decider
 	last    Outcome
 }
 
 // NewPoller returns a poller that starts with Run.
-func NewPoller[Answer Snapshot](config PollerConfig[Answer]) *Poller[Answer] {
-	if config.Wait == nil {
-		config.Wait = wait
+func NewPoller[Answer Revisioned](config PollerConfig[Answer]) *Poller[Answer] {
+	if config.Sleep == nil {
+		config.Sleep = wait
 	}
 	if config.Random == nil {
 		config.Random = rand.Float64
 	}
-	if config.Confirm == nil {
-		config.Confirm = func() {}
+	if config.OnUnchanged == nil {
+		config.OnUnchanged = func() {}
 	}
 	if config.Metrics.Polls == nil {
 		config.Metrics.Polls = discard.NewCounter()
@@ -83,7 +83,7 @@
 func (p *Poller[Answer]) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		delay := p.poll(ctx)
-		if err := p.config.Wait(ctx, delay); err != nil {
+		if err := p.config.Sleep(ctx, delay); err != nil {
 			break
 		}
 	}
@@ -107,13 +107,13 @@
 		p.config.Metrics.Revision.Set(float64(revision))
 		p.config.Deliver(answer)
 	case OutcomeUnchanged:
-		p.config.Confirm()
+		p.config.OnUnchanged()
 	}
 	return step.Delay
 }
 
 // report logs changes of the outcome only, since a service may fail for hours.
-func (p *Poller[Answer]) report(step Step, revision Revision, err error) {
+func (p *Poller[Answer]) report(step Decision, revision Revision, err error) {
 	changed := step.Outcome != p.last
 	failedBefore := p.last == OutcomeFailed || p.last == OutcomeInvalid
 	p.last = step.Outcome
@@ -137,7 +137,7 @@
 
 func resultOf(err error) Result {
 	if err == nil {
-		return Answered
+		return Succeeded
 	}
 	var failed FetchError
 	if errors.As(err, &failed) && failed.Reason == BadContent {
