--- a/internal/platform/poller_test.go
+++ b/internal/platform/poller_test.go
@@ -47,7 +47,7 @@
 	return playFetch(ctx, client.Configuration, polls)
 }
 
-func playFetch[Answer platform.Snapshot](ctx context.Context, fetch func(context.Context) (Answer, error), polls int) run {
+func playFetch[Answer platform.Revisioned](ctx context.Context, fetch func(context.Context) (Answer, error), polls int) run {
 	var observed run
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -56,11 +56,11 @@
 		Deliver: func(answer Answer) {
 			observed.delivered = append(observed.delivered, answer.CurrentRevision())
 		},
-		Confirm:  func() { observed.confirmed++ },
-		Interval: time.Second,
-		Logger:   log.New(io.Discard),
-		Random:   func() float64 { return 0 },
-		Wait: func(ctx context.Context, duration time.Duration) error {
+		OnUnchanged: func() { observed.confirmed++ },
+		Interval:    time.Second,
+		Logger:      log.New(io.Discard),
+		Random:      func() float64 { return 0 },
+		Sleep: func(ctx context.Context, duration time.Duration) error {
 			observed.delays = append(observed.delays, duration)
 			if len(observed.delays) == polls {
 				cancel()
@@ -123,7 +123,7 @@
 			revision := platform.Revision(rapid.Uint64Range(1, 20).Draw(t, "revision"))
 			step := decider.Decide(result, revision, rapid.Float64Range(0, 0.999).Draw(t, "random"))
 
-			isNewer := result == platform.Answered && revision > newest
+			isNewer := result == platform.Succeeded && revision > newest
 			if (step.Outcome == platform.OutcomeNew) != isNewer {
 				t.Fatalf("revision %d after %d: %s", revision, newest, step.Outcome)
 			}
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -141,7 +141,7 @@
 func NewBalancer(config BalancerConfig) *Balancer {
 	return &Balancer{
 		config:   config,
-		snapshot: directory.New().Snapshot(),
+		snapshot: directory.NewReplica().Snapshot(),
 		flows:    make(map[segment.FlowKey]*balancerFlow),
 		health:   make(map[directory.EndpointID]*health),
 		demands:  make(map[string]*demand),
@@ -181,7 +181,7 @@
 func (b *Balancer) tellLeaving(previous, current *directory.Snapshot) {
 	for _, candidate := range current.All() {
 		before, existed := previous.Candidate(candidate.ID)
-		occupant, _ := current.At(candidate.Endpoint.IP)
+		occupant, _ := current.CandidateAt(candidate.Endpoint.IP)
 		told := existed && before.Draining()
 		if !candidate.Draining() || candidate.Gone || told || occupant.ID != candidate.ID {
 			continue
@@ -296,7 +296,7 @@
 
 // receiveLeaving handles that an agent is about to stop.
 func (b *Balancer) receiveLeaving(now time.Duration, from segment.Address) {
-	if candidate, exists := b.snapshot.At(from.IP); exists {
+	if candidate, exists := b.snapshot.CandidateAt(from.IP); exists {
 		b.healthOf(candidate.ID).suspect(now)
 	}
 }
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -126,7 +126,7 @@
 	})
 
 	It("gives an endpoint that is slow after its start fewer flows", func() {
-		known.endpoint(0, 0, func(e *directory.Endpoint) { e.Warming = time.Second })
+		known.endpoint(0, 0, func(e *directory.Endpoint) { e.ColdRemaining = time.Second })
 		install(0)
 		counts := map[segment.Address]int{}
 		for number := range 39 {
@@ -191,7 +191,7 @@
 
 	It("keeps the weights of a route within one flow", func() {
 		known.endpoint(0, 7, func(e *directory.Endpoint) { e.Service = otherService })
-		known.configure(directory.Share{Service: service, Weight: 90}, directory.Share{Service: otherService, Weight: 10})
+		known.configure(directory.WeightedService{Service: service, Weight: 90}, directory.WeightedService{Service: otherService, Weight: 10})
 		install(0)
 		other := 0
 		for number := range 100 {
@@ -204,7 +204,7 @@
 	})
 
 	It("takes another service of the route if the one whose turn it is has no endpoint", func() {
-		known.configure(directory.Share{Service: otherService, Weight: 90}, directory.Share{Service: service, Weight: 10})
+		known.configure(directory.WeightedService{Service: otherService, Weight: 90}, directory.WeightedService{Service: service, Weight: 10})
 		install(0)
 		for number := range 10 {
 			Expect(onlyMessage(balancer.Arrive(0, opening(number, 100))).Message.Service).To(Equal(service))
--- a/internal/relay/closed_zone_test.go
+++ b/internal/relay/closed_zone_test.go
@@ -19,7 +19,7 @@
 // zone closes a zone or opens it again.
 func (f *fleet) zone(now time.Duration, name string, closed bool) {
 	f.revision++
-	f.machine.Changes(now, []directory.Item{{Key: name, Zone: name, Closed: closed, Revision: f.revision}}, f.revision)
+	f.machine.ApplyChanges(now, []directory.Item{{Key: name, Zone: name, ZoneClosed: closed, Revision: f.revision}}, f.revision)
 }
 
 var _ = Describe("Balancer, with a closed zone", func() {
@@ -52,7 +52,7 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		known = newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		known.endpoint(0, 0, inZone(ownZone))
 		known.endpoint(0, 1, inZone(otherZone))
 	})
@@ -128,7 +128,7 @@
 
 	It("gives new flows to another service of the route if all endpoints of one are in it", func() {
 		known.endpoint(0, 0, func(e *directory.Endpoint) { e.Service = otherService })
-		known.configure(directory.Share{Service: service, Weight: 9}, directory.Share{Service: otherService, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 9}, directory.WeightedService{Service: otherService, Weight: 1})
 		closeZone(0, otherZone)
 		for number := range 10 {
 			Expect(offeredTo(balancer.Arrive(0, opening(number, 100)))).To(Equal([]segment.Address{opened}))
--- a/internal/relay/cold_test.go
+++ b/internal/relay/cold_test.go
@@ -323,18 +323,18 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		known = newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		known.version++
 		known.revision++
-		known.machine.Changes(0, []directory.Item{{Revision: known.revision, Configuration: &directory.Configuration{
+		known.machine.ApplyChanges(0, []directory.Item{{Revision: known.revision, Configuration: &directory.Configuration{
 			Version: known.version,
 			Routes: []directory.Route{{
-				IP: routeAddress.IP, Port: routeAddress.Port, Shares: []directory.Share{{Service: service, Weight: 1}},
+				IP: routeAddress.IP, Port: routeAddress.Port, WeightedServices: []directory.WeightedService{{Service: service, Weight: 1}},
 			}},
-			ColdStarts: []directory.ColdStart{{Service: service, Lasts: coldLasts, Rate: coldRate}},
+			ColdStarts: []directory.ColdStart{{Service: service, Duration: coldLasts, RequestsPerSecond: coldRate}},
 		}}}, known.revision)
 		for number := range 2 {
-			known.endpoint(0, number, func(e *directory.Endpoint) { e.Warming = coldLasts })
+			known.endpoint(0, number, func(e *directory.Endpoint) { e.ColdRemaining = coldLasts })
 		}
 		balancer.Install(0, known.machine.Snapshot())
 	})
--- a/internal/relay/delegate.go
+++ b/internal/relay/delegate.go
@@ -180,7 +180,7 @@
 // probeSome makes some agents that do not know ask their endpoints.
 func (b *Balancer) probeSome(now time.Duration, sought *search, packet []byte) {
 	for _, agent := range sought.nextProbes(now) {
-		candidate, exists := b.snapshot.At(agent.IP)
+		candidate, exists := b.snapshot.CandidateAt(agent.IP)
 		if exists {
 			b.send(agent, Message{Kind: KindProbe, Service: candidate.Endpoint.Service, Packet: packet})
 		}
--- a/internal/relay/early_test.go
+++ b/internal/relay/early_test.go
@@ -20,7 +20,7 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		known = newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		known.endpoint(0, 1, nil)
 	})
 
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -75,12 +75,12 @@
 
 // fleet builds snapshots of a directory.
 type fleet struct {
-	machine  *directory.Machine
+	machine  *directory.Replica
 	revision directory.Revision
 	version  uint64
 }
 
-func newFleet() *fleet { return &fleet{machine: directory.New()} }
+func newFleet() *fleet { return &fleet{machine: directory.NewReplica()} }
 
 func (f *fleet) endpoint(now time.Duration, number int, change func(*directory.Endpoint)) {
 	f.revision++
@@ -90,30 +90,30 @@
 	if change != nil {
 		change(value)
 	}
-	id := directory.Named(string(rune('a' + number)))
-	f.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: f.revision, Endpoint: value}}, f.revision)
+	id := directory.NameOnlyID(string(rune('a' + number)))
+	f.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: f.revision, Endpoint: value}}, f.revision)
 }
 
 func (f *fleet) gone(now time.Duration, number int) {
 	f.revision++
-	id := directory.Named(string(rune('a' + number)))
-	f.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: f.revision}}, f.revision)
+	id := directory.NameOnlyID(string(rune('a' + number)))
+	f.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: f.revision}}, f.revision)
 }
 
 // follow makes the directory reach back to a time.
-func (f *fleet) follow(since time.Duration) { f.machine.Listing(since, nil, 0) }
+func (f *fleet) follow(since time.Duration) { f.machine.ApplyListing(since, nil, 0) }
 
-func (f *fleet) configure(shares ...directory.Share) {
+func (f *fleet) configure(shares ...directory.WeightedService) {
 	f.revision++
 	f.version++
 	configuration := &directory.Configuration{Version: f.version}
 	if len(shares) > 0 {
 		configuration.Routes = []directory.Route{{
-			IP: routeAddress.IP, Port: routeAddress.Port, Shares: shares,
-			Target: 250 * time.Millisecond, Timeout: 2 * time.Second,
+			IP: routeAddress.IP, Port: routeAddress.Port, WeightedServices: shares,
+			TargetLatency: 250 * time.Millisecond, Timeout: 2 * time.Second,
 		}}
 	}
-	f.machine.Changes(0, []directory.Item{{Revision: f.revision, Configuration: configuration}}, f.revision)
+	f.machine.ApplyChanges(0, []directory.Item{{Revision: f.revision, Configuration: configuration}}, f.revision)
 }
 
 func newBalancer() *relay.Balancer {
@@ -127,7 +127,7 @@
 // balancerOfThree returns a balancer with a directory of three endpoints of a route.
 func balancerOfThree() (*relay.Balancer, *fleet) {
 	balancer, known := newBalancer(), newFleet()
-	known.configure(directory.Share{Service: service, Weight: 1})
+	known.configure(directory.WeightedService{Service: service, Weight: 1})
 	for number := range 3 {
 		known.endpoint(0, number, nil)
 	}
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -19,7 +19,7 @@
 		f.Add(encoded)
 	}
 	known := newFleet()
-	known.configure(directory.Share{Service: service, Weight: 1})
+	known.configure(directory.WeightedService{Service: service, Weight: 1})
 	known.endpoint(0, 0, nil)
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		var message relay.Message
@@ -47,7 +47,7 @@
 	f.Add(fromEndpoint(1, 0x03, 1, 2, ""))
 	f.Add([]byte{})
 	known := newFleet()
-	known.configure(directory.Share{Service: service, Weight: 1})
+	known.configure(directory.WeightedService{Service: service, Weight: 1})
 	known.endpoint(0, 0, nil)
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		balancer := newBalancer()
--- a/internal/relay/health_test.go
+++ b/internal/relay/health_test.go
@@ -137,7 +137,7 @@
 
 	BeforeEach(func() {
 		balancer, known, number = newBalancer(), newFleet(), 0
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		for each := range endpoints {
 			known.endpoint(0, each, nil)
 		}
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -15,10 +15,10 @@
 		return Cold{}
 	}
 	return Cold{
-		Rate:    uint32(min(start.Rate*1000, math.MaxUint32)),
-		Lasts:   uint32(start.Lasts.Milliseconds()),
+		Rate:    uint32(min(start.RequestsPerSecond*1000, math.MaxUint32)),
+		Lasts:   uint32(start.Duration.Milliseconds()),
 		Remains: uint32(max(candidate.WarmAt-now, 0).Milliseconds()),
-		Told:    uint64(candidate.Told),
+		Told:    uint64(candidate.WarmAtRevision),
 	}
 }
 
@@ -34,6 +34,6 @@
 // cold: then a new flow is refused at once.
 func (b *Balancer) anyHeld(now time.Duration, service string) bool {
 	return slices.ContainsFunc(b.snapshot.Candidates(service), func(candidate directory.Candidate) bool {
-		return b.healthOf(candidate.ID).held(now) && !candidate.Leaving && !candidate.Closed
+		return b.healthOf(candidate.ID).held(now) && !candidate.Leaving && !candidate.ZoneClosed
 	})
 }
--- a/internal/relay/judgement.go
+++ b/internal/relay/judgement.go
@@ -96,7 +96,7 @@
 // noteReport notes what an agent tells of the health of its endpoint. Another endpoint may
 // have come to its address.
 func (b *Balancer) noteReport(now time.Duration, from segment.Address, message Message) {
-	candidate, exists := b.snapshot.At(from.IP)
+	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service {
 		return
 	}
@@ -118,7 +118,7 @@
 	}
 	compared := &outlier.Panel{}
 	for _, candidate := range b.snapshot.Candidates(service) {
-		if !candidate.Leaving && !candidate.Closed {
+		if !candidate.Leaving && !candidate.ZoneClosed {
 			known := b.healthOf(candidate.ID)
 			compared.Add(known.report, known.ejected(now))
 		}
--- a/internal/relay/level.go
+++ b/internal/relay/level.go
@@ -30,7 +30,7 @@
 // noteUse notes how many requests an endpoint works on, as its agent tells. A flow that it
 // returns is not among them, but still among those that this balancer has placed there.
 func (b *Balancer) noteUse(now time.Duration, from segment.Address, message Message) {
-	candidate, exists := b.snapshot.At(from.IP)
+	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service || candidate.Endpoint.Slots == 0 {
 		return
 	}
--- a/internal/relay/locate.go
+++ b/internal/relay/locate.go
@@ -192,7 +192,7 @@
 	var services []string
 	route, exists := b.snapshot.Route(key.Service)
 	if exists {
-		for _, share := range route.Shares {
+		for _, share := range route.WeightedServices {
 			services = append(services, share.Service)
 		}
 	}
@@ -213,7 +213,7 @@
 // not known which was the last.
 func (b *Balancer) reachable(candidates []directory.Candidate) []directory.Candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(c directory.Candidate) bool {
-		occupant, _ := b.snapshot.At(c.Endpoint.IP)
+		occupant, _ := b.snapshot.CandidateAt(c.Endpoint.IP)
 		if occupant.ID == c.ID {
 			return false
 		}
@@ -257,7 +257,7 @@
 // own it: it may have been restarted.
 func (b *Balancer) termsAt(key segment.FlowKey, agent segment.Address) Terms {
 	route, routed := b.snapshot.Route(key.Service)
-	candidate, exists := b.snapshot.At(agent.IP)
+	candidate, exists := b.snapshot.CandidateAt(agent.IP)
 	if !routed || !exists {
 		return Terms{}
 	}
--- a/internal/relay/observed.go
+++ b/internal/relay/observed.go
@@ -105,7 +105,7 @@
 		if sums[service] == nil {
 			sums[service] = &ServiceLoad{Service: service}
 		}
-		if candidate.Leaving || candidate.Closed {
+		if candidate.Leaving || candidate.ZoneClosed {
 			continue
 		}
 		sum := sums[service]
@@ -153,8 +153,8 @@
 	switch {
 	case exists && known.service != "":
 		class.Service = known.service
-	case len(route.Shares) == 1:
-		class.Service = route.Shares[0].Service
+	case len(route.WeightedServices) == 1:
+		class.Service = route.WeightedServices[0].Service
 	}
 	return class
 }
--- a/internal/relay/observed_test.go
+++ b/internal/relay/observed_test.go
@@ -106,10 +106,10 @@
 
 	It("is told apart by the service and priority of the route of a refused flow", func() {
 		balancer, known := newBalancer(), newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		balancer.Install(0, known.machine.Snapshot())
 		Expect(classesOf(balancer.Arrive(0, opening(1, 100)), relay.EventNoEndpoint)).To(Equal([]relay.Class{classOf(0)}))
-		known.configure(directory.Share{Service: service, Weight: 1}, directory.Share{Service: otherService, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1}, directory.WeightedService{Service: otherService, Weight: 1})
 		balancer.Install(0, known.machine.Snapshot())
 		Expect(classesOf(balancer.Arrive(0, opening(2, 100)), relay.EventNoEndpoint)[0].Service).To(Equal("several"))
 	})
@@ -117,7 +117,7 @@
 	It("shows how long it took to find out that no endpoint holds a flow", func() {
 		const asked = 20 * time.Second
 		balancer, known := newBalancer(), newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		known.endpoint(0, 0, nil)
 		known.follow(0)
 		balancer.Install(asked, known.machine.Snapshot())
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -70,7 +70,7 @@
 // zone has been closed since.
 func (b *Balancer) mustMove(known *balancerFlow) bool {
 	candidate, exists := b.snapshot.Candidate(known.endpoint)
-	return known.state == flowOffering && exists && candidate.Closed
+	return known.state == flowOffering && exists && candidate.ZoneClosed
 }
 
 // reasonOfNone tells why no endpoint can take a flow.
@@ -79,7 +79,7 @@
 		return reasonCold
 	}
 	closed := slices.ContainsFunc(b.snapshot.Candidates(opened.service), func(candidate directory.Candidate) bool {
-		return candidate.Closed && !candidate.Leaving
+		return candidate.ZoneClosed && !candidate.Leaving
 	})
 	if closed {
 		return "zone_closed"
@@ -90,7 +90,7 @@
 func termsOf(route *directory.Route) Terms {
 	return Terms{
 		Priority: route.Priority,
-		Target:   uint32(route.Target.Milliseconds()),
+		Target:   uint32(route.TargetLatency.Milliseconds()),
 		Timeout:  uint32(route.Timeout.Milliseconds()),
 	}
 }
@@ -199,7 +199,7 @@
 	b.uncount(known)
 	known.agent = agent
 	known.endpoint = directory.EndpointID{}
-	if candidate, exists := b.snapshot.At(agent.IP); exists {
+	if candidate, exists := b.snapshot.CandidateAt(agent.IP); exists {
 		known.endpoint = candidate.ID
 		known.service = candidate.Endpoint.Service
 		b.count(known)
@@ -268,8 +268,8 @@
 	if agent.IsZero() || known.offer.lastResortAsked {
 		return false
 	}
-	candidate, exists := b.snapshot.At(agent.IP)
-	if exists && candidate.Closed {
+	candidate, exists := b.snapshot.CandidateAt(agent.IP)
+	if exists && candidate.ZoneClosed {
 		return false
 	}
 	known.offer.lastResortAsked = true
--- a/internal/relay/pace.go
+++ b/internal/relay/pace.go
@@ -26,7 +26,7 @@
 // notePace notes how long an endpoint takes for answers, as its agent tells. Flows that
 // are kept open for many requests say little about that by their number.
 func (b *Balancer) notePace(now time.Duration, from segment.Address, load Load) {
-	candidate, exists := b.snapshot.At(from.IP)
+	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || load.Pace == 0 {
 		return
 	}
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -112,7 +112,7 @@
 	}
 	// The endpoint may have been started again since the flow was offered to it.
 	id := flow.endpoint
-	if occupant, exists := b.snapshot.At(from.IP); exists {
+	if occupant, exists := b.snapshot.CandidateAt(from.IP); exists {
 		id = occupant.ID
 	}
 	b.noteHeld(now, id, load)
@@ -160,7 +160,7 @@
 func (b *Balancer) choose(now time.Duration, service string, tried []directory.EndpointID) (choice, bool) {
 	compared := b.panel(now, service)
 	massLapse := b.massLapse(now, service)
-	open := func(c directory.Candidate) bool { return !c.Closed && !b.healthOf(c.ID).held(now) }
+	open := func(c directory.Candidate) bool { return !c.ZoneClosed && !b.healthOf(c.ID).held(now) }
 	usable := func(c directory.Candidate) bool { return open(c) && (!c.Leaving || massLapse && b.mayReturn(now, c)) }
 	trusted := func(c directory.Candidate) bool {
 		known := b.healthOf(c.ID)
@@ -211,10 +211,10 @@
 // the endpoint may still be there. If another has come to its address, it is not.
 func (b *Balancer) mayReturn(now time.Duration, candidate directory.Candidate) bool {
 	tolerated := time.Duration(lapseTolerance * float64(b.config.DrainTimeout))
-	if candidate.LapsedSince(now) >= tolerated {
+	if candidate.ExpiredFor(now) >= tolerated {
 		return false
 	}
-	occupant, _ := b.snapshot.At(candidate.Endpoint.IP)
+	occupant, _ := b.snapshot.CandidateAt(candidate.Endpoint.IP)
 	return occupant.ID == candidate.ID
 }
 
@@ -263,7 +263,7 @@
 // weighted round robin (as in nginx, 2012), which keeps every prefix of the
 // choices within one flow of its weights.
 type sharing struct {
-	shares  []directory.Share
+	shares  []directory.WeightedService
 	credits []int64
 }
 
@@ -271,17 +271,17 @@
 // the one whose turn it is or, if that has no endpoint, another of the route. It
 // is empty if no service of the route has a weight.
 func (b *Balancer) chooseService(now time.Duration, route *directory.Route) string {
-	switch len(route.Shares) {
+	switch len(route.WeightedServices) {
 	case 0:
 		return ""
 	case 1:
-		return route.Shares[0].Service
+		return route.WeightedServices[0].Service
 	}
 	chosen := b.sharingOf(route).next()
 	if _, exists := b.choose(now, chosen, nil); exists {
 		return chosen
 	}
-	for _, share := range route.Shares {
+	for _, share := range route.WeightedServices {
 		if _, exists := b.choose(now, share.Service, nil); exists {
 			return share.Service
 		}
@@ -291,8 +291,8 @@
 
 func (b *Balancer) sharingOf(route *directory.Route) *sharing {
 	known, exists := b.sharing[route.Address()]
-	if !exists || !slices.Equal(known.shares, route.Shares) {
-		known = &sharing{shares: route.Shares, credits: make([]int64, len(route.Shares))}
+	if !exists || !slices.Equal(known.shares, route.WeightedServices) {
+		known = &sharing{shares: route.WeightedServices, credits: make([]int64, len(route.WeightedServices))}
 		b.sharing[route.Address()] = known
 	}
 	return known
--- a/internal/relay/reach.go
+++ b/internal/relay/reach.go
@@ -96,6 +96,6 @@
 // isAgent reports whether an address is that of a known agent, so that others
 // cannot make a balancer believe that it reaches agents.
 func (b *Balancer) isAgent(from segment.Address) bool {
-	_, known := b.snapshot.At(from.IP)
+	_, known := b.snapshot.CandidateAt(from.IP)
 	return known && from.Port == b.config.AgentPort
 }
--- a/internal/relay/relay_bench_test.go
+++ b/internal/relay/relay_bench_test.go
@@ -13,20 +13,20 @@
 
 // benchmarkFleet has the given number of services with eight endpoints each;
 // the fixture's route leads to the first.
-func benchmarkFleet(services int) *directory.Machine {
-	machine := directory.New()
+func benchmarkFleet(services int) *directory.Replica {
+	machine := directory.NewReplica()
 	configuration := &directory.Configuration{Version: 1}
 	var items []directory.Item
 	for number := range services {
 		name := fmt.Sprintf("service-%d", number)
 		configuration.Routes = append(configuration.Routes, directory.Route{
-			IP: routeAddress.IP, Port: routeAddress.Port + uint16(number), Shares: []directory.Share{{Service: name, Weight: 1}},
-			Target: 250 * time.Millisecond, Timeout: 2 * time.Second,
+			IP: routeAddress.IP, Port: routeAddress.Port + uint16(number), WeightedServices: []directory.WeightedService{{Service: name, Weight: 1}},
+			TargetLatency: 250 * time.Millisecond, Timeout: 2 * time.Second,
 		})
 		for index := range 8 {
 			id := number*8 + index
 			items = append(items, directory.Item{
-				EndpointID: directory.Named(fmt.Sprintf("i-%010x", id)), Revision: directory.Revision(id + 2),
+				EndpointID: directory.NameOnlyID(fmt.Sprintf("i-%010x", id)), Revision: directory.Revision(id + 2),
 				Endpoint: &directory.Endpoint{
 					Service: name, IP: [4]byte{10, byte(id >> 16), byte(id >> 8), byte(id)}, Port: 8080, Zone: ownZone, Slots: 7,
 				},
@@ -34,7 +34,7 @@
 		}
 	}
 	items = append(items, directory.Item{Revision: 1, Configuration: configuration})
-	machine.Listing(0, items, directory.Revision(services*8+2))
+	machine.ApplyListing(0, items, directory.Revision(services*8+2))
 	return machine
 }
 
@@ -45,7 +45,7 @@
 	}, nil)
 }
 
-func benchmarkBalancer(machine *directory.Machine) *relay.Balancer {
+func benchmarkBalancer(machine *directory.Replica) *relay.Balancer {
 	balancer := relay.NewBalancer(relay.BalancerConfig{
 		Codec: codec, AgentPort: agentPort, FlowLifetime: flowLifetime, FlowLimit: 1 << 24, Random: newRandom(),
 	})
@@ -130,7 +130,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
-				machine.Changes(0, []directory.Item{{EndpointID: directory.Named("i-0000000000"), Revision: revision, Endpoint: endpoint}}, revision)
+				machine.ApplyChanges(0, []directory.Item{{EndpointID: directory.NameOnlyID("i-0000000000"), Revision: revision, Endpoint: endpoint}}, revision)
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 				before := heap()
 				machine := benchmarkFleet(services)
 				b.ReportMetric(float64(heap()-before), "B")
-				state := machine.State(0)
+				state := machine.FullState(0)
 				encoded, err := state.MarshalMsg(nil)
 				if err != nil {
 					b.Fatal(err)
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -104,14 +104,14 @@
 		known.revision++
 		id := directory.EndpointID{Name: string(rune('a' + number)), Started: started}
 		address := endpointAddress(number)
-		known.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: known.revision, Endpoint: &directory.Endpoint{
+		known.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: known.revision, Endpoint: &directory.Endpoint{
 			Service: service, IP: address.IP, Port: address.Port, Zone: ownZone, Slots: 4,
 		}}}, known.revision)
 	}
 
 	BeforeEach(func() {
 		balancer, known = newBalancer(), newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range 2 {
 			start(0, number, 1_000)
 		}
--- a/internal/relay/survey_test.go
+++ b/internal/relay/survey_test.go
@@ -148,7 +148,7 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		known = newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range agents {
 			known.endpoint(0, number, nil)
 		}
@@ -269,8 +269,8 @@
 
 	It("does not ask all agents again and again if their answers prove nothing, since they are older than the directory", func() {
 		balancer = newBalancer()
-		known.machine = directory.New()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.machine = directory.NewReplica()
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range agents {
 			known.endpoint(asked, number, nil)
 		}
@@ -331,7 +331,7 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		known = newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range agents {
 			known.endpoint(0, number, func(endpoint *directory.Endpoint) {
 				endpoint.IP[2] = byte(number >> 8)
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -223,7 +223,7 @@
 // long as flows last or, since there was nothing before it, to when the agents were
 // started. If all agents are as young as the directory, everything was started anew.
 func (b *Balancer) reachesBack(now, agentBegan time.Duration) bool {
-	since := b.snapshot.Since()
+	since := b.snapshot.DeparturesKnownSince()
 	return now-since >= b.config.FlowLifetime || agentBegan+restartSpread >= since
 }
 
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -28,7 +28,7 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		known = newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range 3 {
 			known.endpoint(0, number, nil)
 		}
@@ -140,8 +140,8 @@
 
 	It("resets nothing if agents are older than what it knows of endpoints that have left, however long it waits", func() {
 		balancer = newBalancer()
-		known.machine = directory.New()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.machine = directory.NewReplica()
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range 3 {
 			known.endpoint(asked, number, nil)
 		}
@@ -159,8 +159,8 @@
 	})
 
 	It("resets the flow if agents are as young as what it knows, since all were started together", func() {
-		known.machine = directory.New()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		known.machine = directory.NewReplica()
+		known.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range 3 {
 			known.endpoint(asked, number, nil)
 		}
@@ -189,7 +189,7 @@
 	It("resets nothing if it knows no endpoint, or more than it can ask", func() {
 		for _, count := range []int{0, 2100} {
 			known = newFleet()
-			known.configure(directory.Share{Service: service, Weight: 1})
+			known.configure(directory.WeightedService{Service: service, Weight: 1})
 			for number := range count {
 				known.endpoint(0, number, func(e *directory.Endpoint) { e.IP[2] = byte(number >> 8) })
 			}
--- a/internal/relaydaemon/balancer.go
+++ b/internal/relaydaemon/balancer.go
@@ -25,10 +25,10 @@
 	executor  *executor
 	balancer  *relay.Balancer
 	health    *observability.Health
-	directory *directory.Machine
+	directory *directory.Replica
 	follower  *directory.Follower
 	confirmer *directory.Confirmer
-	spread    *directory.Spread
+	spread    *directory.Disseminator
 	// wake wakes follow once what it waits for may have changed.
 	wake chan struct{}
 	// confirmations wakes confirm; what is wanted is in the confirmer.
@@ -59,10 +59,10 @@
 		DrainTimeout: given.DrainTimeout,
 		Random:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
-	machine := directory.New()
+	machine := directory.NewReplica()
 	timing := timingOf(given)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	spread := directory.NewSpread(machine, timing, memberOf(checked), peersOf(seedsOf(given)), random)
+	spread := directory.NewDisseminator(machine, timing, memberOf(checked), peersOf(seedsOf(given)), random)
 	created := &balancerRole{
 		settings:  *checked.Relay,
 		newStore:  surroundings.NewStore,
@@ -111,7 +111,7 @@
 	}
 	if others := seedsOf(given); len(others) > 0 {
 		isSeed := len(others) < len(given.Seeds)
-		timing.ListingDelay = directory.FirstListing(isSeed, given.FirstStart, rand.Float64())
+		timing.ListingDelay = directory.FirstListingDelay(isSeed, given.FirstStart, rand.Float64())
 	}
 	return timing
 }
@@ -246,12 +246,12 @@
 	ctx, cancel := context.WithTimeout(running, next.call.Timeout)
 	defer cancel()
 	if next.call.Listing {
-		page, err := next.store.List(ctx, next.call.After)
+		page, err := next.store.List(ctx, next.call.AfterKey)
 		r.metrics.called(kindOf(next.call), err)
 		r.conclude(running, next.turn, err, func(now time.Duration) bool {
-			changed := r.follower.Listed(now, page)
-			if r.follower.Following() {
-				r.spread.Listed()
+			changed := r.follower.HandlePage(now, page)
+			if r.follower.InSync() {
+				r.spread.StoreListed()
 			}
 			return changed
 		})
@@ -259,7 +259,7 @@
 	}
 	changes, err := next.store.Watch(ctx, next.call.AfterRevision, next.call.Wait)
 	r.metrics.called(kindOf(next.call), err)
-	r.conclude(running, next.turn, err, func(now time.Duration) bool { return r.follower.Watched(now, changes, rand.Float64()) })
+	r.conclude(running, next.turn, err, func(now time.Duration) bool { return r.follower.HandleChanges(now, changes, rand.Float64()) })
 }
 
 // conclude hands the outcome of a call to the follower and puts a changed
@@ -271,20 +271,20 @@
 		if turn != r.storeTurn {
 			return nil
 		}
-		before := r.follower.Following()
+		before := r.follower.InSync()
 		if err != nil {
-			r.follower.Failed(now, err, rand.Float64())
+			r.follower.HandleFailure(now, err, rand.Float64())
 			r.peers.exchange.StoreFailed()
 			r.reportLoss(before && !stopped, err)
 			return nil
 		}
 		changed := merge(now)
-		if r.follower.Following() {
+		if r.follower.InSync() {
 			r.balancer.Confirm(now)
-			r.updates.send(r.spread.Answered(now))
+			r.updates.send(r.spread.StoreAnswered(now))
 		}
-		if !before && r.follower.Following() {
-			r.executor.journal.logger.Info("store followed", "revision", uint64(r.directory.Complete()))
+		if !before && r.follower.InSync() {
+			r.executor.journal.logger.Info("store followed", "revision", uint64(r.directory.AppliedRevision()))
 		}
 		return r.installIf(changed, now)
 	})
@@ -318,7 +318,7 @@
 	for _, before := range r.closed {
 		if !slices.ContainsFunc(closed, func(zone directory.ClosedZone) bool { return before.Zone == zone.Zone }) {
 			logger.Info("zone opened to new flows", "zone_opened", before.Zone,
-				"revision", uint64(r.directory.Complete()), "closed_ms", (now - before.Since).Milliseconds())
+				"revision", uint64(r.directory.AppliedRevision()), "closed_ms", (now - before.Since).Milliseconds())
 		}
 	}
 	r.closed = closed
@@ -326,12 +326,12 @@
 
 func (r *balancerRole) install(now time.Duration) []relay.Effect {
 	snapshot := r.directory.Snapshot()
-	r.reportZones(now, snapshot.Closed())
+	r.reportZones(now, snapshot.ClosedZones())
 	r.health.SetReady(conditionDirectory)
 	r.metrics.observe(snapshot)
 	r.executor.journal.logger.Info("directory changed",
-		"version", snapshot.Version(), "revision", uint64(r.directory.Complete()),
-		"routes", snapshot.Routes(), "endpoints", len(snapshot.All()))
+		"version", snapshot.Version(), "revision", uint64(r.directory.AppliedRevision()),
+		"routes", snapshot.RouteCount(), "endpoints", len(snapshot.All()))
 	return r.balancer.Install(now, snapshot)
 }
 
--- a/internal/relaydaemon/confirm.go
+++ b/internal/relaydaemon/confirm.go
@@ -19,7 +19,7 @@
 // wantConfirmation asks for a confirmation of the directory. It is called by the
 // executor, which holds its lock.
 func (r *balancerRole) wantConfirmation() {
-	r.confirmer.Want()
+	r.confirmer.Request()
 	select {
 	case r.confirmations <- struct{}{}:
 	default:
@@ -61,7 +61,7 @@
 	}
 	wanted := false
 	r.executor.do(func(now time.Duration) []relay.Effect {
-		wanted = r.confirmer.Wanted()
+		wanted = r.confirmer.Requested()
 		if errors.Is(err, errNotNow) {
 			return nil
 		}
@@ -87,7 +87,7 @@
 		wanted := false
 		r.executor.do(func(now time.Duration) []relay.Effect {
 			var call directory.Call
-			confirmer.Serves(r.updates.questions.Any())
+			confirmer.SetServesOthers(r.updates.questions.Pending())
 			call, wanted = confirmer.Next(now)
 			next = storeCall{call, r.store, r.storeTurn}
 			return nil
@@ -108,10 +108,10 @@
 	ctx, cancel := context.WithTimeout(running, next.call.Timeout)
 	defer cancel()
 	if next.call.Listing {
-		page, err := next.store.List(ctx, next.call.After)
+		page, err := next.store.List(ctx, next.call.AfterKey)
 		r.metrics.called(callConfirmation, err)
 		err = r.concludeConfirmation(confirmer, next.turn, err, func(time.Duration) []relay.Effect {
-			through, complete = confirmer.Listed(page)
+			through, complete = confirmer.HandlePage(page)
 			return nil
 		})
 		return through, complete, err
@@ -120,7 +120,7 @@
 	r.metrics.called(callConfirmation, err)
 	err = r.concludeConfirmation(confirmer, next.turn, err, func(now time.Duration) []relay.Effect {
 		changed := false
-		changed, through, complete = confirmer.Watched(now, changes)
+		changed, through, complete = confirmer.HandleChanges(now, changes)
 		return r.installIf(changed, now)
 	})
 	if err == nil && !complete {
@@ -137,7 +137,7 @@
 			err = errUnconfirmed
 		}
 		if err != nil {
-			confirmer.Failed()
+			confirmer.HandleFailure()
 			return nil
 		}
 		return merge(now)
@@ -149,7 +149,7 @@
 // answer.
 func (r *balancerRole) confirmForPeer(ctx context.Context) error {
 	confirmer := directory.NewConfirmer(r.directory)
-	confirmer.Want()
+	confirmer.Request()
 	_, err := r.confirmByStore(ctx, confirmer)
 	return err
 }
--- a/internal/relaydaemon/daemon_test.go
+++ b/internal/relaydaemon/daemon_test.go
@@ -210,11 +210,11 @@
 var route = segment.Address{IP: [4]byte{198, 51, 100, 1}, Port: 443}
 
 func (s site) listing() directory.Page {
-	return directory.Page{At: 5, Items: []directory.Item{
+	return directory.Page{Revision: 5, Items: []directory.Item{
 		{Revision: 1, Configuration: &directory.Configuration{Version: 4, Routes: []directory.Route{{
-			IP: route.IP, Port: route.Port, Shares: []directory.Share{{Service: "lookup", Weight: 1}},
+			IP: route.IP, Port: route.Port, WeightedServices: []directory.WeightedService{{Service: "lookup", Weight: 1}},
 		}}}},
-		{Revision: 2, EndpointID: directory.Named("e-1"), Endpoint: &directory.Endpoint{
+		{Revision: 2, EndpointID: directory.NameOnlyID("e-1"), Endpoint: &directory.Endpoint{
 			Service: "lookup", IP: [4]byte{127, 0, 1, 3}, Port: uint16(s.appPort), Slots: 3,
 		}},
 	}}
@@ -269,7 +269,7 @@
 	})
 
 	It("learns of changes from another balancer where the store does not answer", func() {
-		arrival := directory.Item{Revision: 6, EndpointID: directory.Named("e-2"), Endpoint: &directory.Endpoint{
+		arrival := directory.Item{Revision: 6, EndpointID: directory.NameOnlyID("e-2"), Endpoint: &directory.Endpoint{
 			Service: "lookup", IP: [4]byte{127, 0, 1, 9}, Port: uint16(used.appPort), Slots: 3,
 		}}
 		store := changingStore{
@@ -319,7 +319,7 @@
 		page.Items[1].Endpoint.Zone = "zone-1"
 		store := changingStore{
 			fakeStore: fakeStore{page: page}, changes: make(chan struct{}),
-			change: directory.Changes{Items: []directory.Item{{Revision: 6, Zone: "zone-1", Closed: true}}, Through: 6},
+			change: directory.Changes{Items: []directory.Item{{Revision: 6, Zone: "zone-1", ZoneClosed: true}}, Through: 6},
 		}
 		start(used.balancer(balancerIP, ""), store, io.Discard)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
@@ -345,7 +345,7 @@
 	It("says which entry it cannot use, once, and serves with the others", func() {
 		page := used.listing()
 		page.Items = append(page.Items, directory.Item{
-			Key: "endpoints/e-9", Revision: 4, EndpointID: directory.Named("e-9"), Refused: directory.RefusedWrongType,
+			Key: "endpoints/e-9", Revision: 4, EndpointID: directory.NameOnlyID("e-9"), RefusalReason: directory.RefusedWrongType,
 		})
 		start(used.balancer(balancerIP, ""), fakeStore{page: page}, log)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
--- a/internal/relaydaemon/directorymetrics.go
+++ b/internal/relaydaemon/directorymetrics.go
@@ -54,12 +54,12 @@
 
 func (m directoryMetrics) observe(snapshot *directory.Snapshot) {
 	m.version.Set(float64(snapshot.Version()))
-	m.routes.Set(float64(snapshot.Routes()))
+	m.routes.Set(float64(snapshot.RouteCount()))
 	m.endpoints.Set(float64(len(snapshot.All())))
-	m.closed.Set(float64(len(snapshot.Closed())))
+	m.closed.Set(float64(len(snapshot.ClosedZones())))
 	leftOut := 0
 	for _, candidate := range snapshot.All() {
-		if candidate.Closed && !candidate.Leaving {
+		if candidate.ZoneClosed && !candidate.Leaving {
 			leftOut++
 		}
 	}
@@ -88,7 +88,7 @@
 	switch {
 	case call.Listing:
 		return callListing
-	case call.Polls():
+	case call.IsPoll():
 		return callPoll
 	}
 	return callWatch
--- a/internal/relaydaemon/peerfetch.go
+++ b/internal/relaydaemon/peerfetch.go
@@ -33,7 +33,7 @@
 
 // lacks makes follow fetch what an update did not hold. The executor holds its lock.
 func (p *peers) lacks(now time.Duration, from membership.Address) {
-	p.exchange.Lacks(now, from)
+	p.exchange.UpdateIncomplete(now, from)
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -65,9 +65,9 @@
 func (p *peers) tick() time.Duration {
 	hasDirectory, asking := false, false
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
-		hasDirectory = p.role.directory.Known()
+		hasDirectory = p.role.directory.Loaded()
 		asking = now <= introductionTime
-		p.role.metrics.observeAge(now, p.role.spread.Confirmed())
+		p.role.metrics.observeAge(now, p.role.spread.ConfirmedAt())
 		return nil
 	})
 	if hasDirectory && !asking {
@@ -83,14 +83,14 @@
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
 		from, wanted = p.exchange.Next(now)
 		asked.known = p.role.directory.Digest()
-		p.role.follower.Share(balancers, p.storeRate)
-		p.role.confirmer.Share(balancers, p.storeRate)
+		p.role.follower.SetStoreRate(balancers, p.storeRate)
+		p.role.confirmer.SetStoreRate(balancers, p.storeRate)
 		p.role.updates.send(p.role.spread.Repeat(now))
-		p.role.updates.send(p.role.spread.Renewal(now))
+		p.role.updates.send(p.role.spread.RenewalRequest(now))
 		if wanted || now > introductionTime {
 			return nil
 		}
-		if question, exists := p.role.spread.Question(now); exists {
+		if question, exists := p.role.spread.StartupRequest(now); exists {
 			p.role.updates.send([]directory.Outgoing{question})
 		}
 		return nil
@@ -104,7 +104,7 @@
 	var known directory.Digest
 	exists := false
 	p.role.executor.do(func(time.Duration) []relay.Effect {
-		from, exists = p.exchange.Any()
+		from, exists = p.exchange.RandomPeer()
 		known = p.role.directory.Digest()
 		return nil
 	})
@@ -116,12 +116,12 @@
 		return err
 	}
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
-		changed := p.role.directory.Adopt(now, state)
+		changed := p.role.directory.ApplyState(now, state)
 		// Whoever knows nothing yet is behind any state that has something.
-		if !p.role.directory.ConfirmedBy(state.Complete, max(known.Complete, 1)) {
+		if !p.role.directory.ConfirmedBy(state.Through, max(known.Revision, 1)) {
 			err = errUnconfirmed
 		}
-		p.role.updates.send(p.role.spread.Took(now, at, directory.Peer(from), state))
+		p.role.updates.send(p.role.spread.StateFetched(now, at, directory.Peer(from), state))
 		return p.role.installIf(changed, now)
 	})
 	return err
@@ -134,11 +134,11 @@
 			return nil
 		}
 		changed := p.exchange.Fetched(now, state)
-		p.role.updates.send(p.role.spread.Took(now, at, directory.Peer(from), state))
-		p.role.balancer.Confirm(p.role.spread.Confirmed())
+		p.role.updates.send(p.role.spread.StateFetched(now, at, directory.Peer(from), state))
+		p.role.balancer.Confirm(p.role.spread.ConfirmedAt())
 		p.role.executor.journal.logger.Info("directory fetched", "peer", from.String(), "changed", changed,
 			"took_ms", (now - at).Milliseconds(),
-			"endpoints", len(state.Endpoints), "revision", uint64(state.Complete))
+			"endpoints", len(state.Endpoints), "revision", uint64(state.Through))
 		return p.role.installIf(changed, now)
 	})
 }
@@ -147,8 +147,8 @@
 func (p *peers) fetch(ctx context.Context, from netip.AddrPort, asked directoryRequest) (state directory.State, at time.Duration, err error) {
 	at = time.Since(p.role.executor.started)
 	query := url.Values{
-		parameterVersion:  {strconv.FormatUint(asked.known.Version, 10)},
-		parameterComplete: {strconv.FormatUint(uint64(asked.known.Complete), 10)},
+		parameterVersion:  {strconv.FormatUint(asked.known.ConfigurationVersion, 10)},
+		parameterComplete: {strconv.FormatUint(uint64(asked.known.Revision), 10)},
 	}
 	if asked.confirm {
 		query.Set(parameterConfirm, "")
--- a/internal/relaydaemon/peermembers.go
+++ b/internal/relaydaemon/peermembers.go
@@ -24,8 +24,8 @@
 	case membership.EffectFailed, membership.EffectLeft:
 		p.joined.Store(true)
 		p.role.executor.do(func(time.Duration) []relay.Effect {
-			p.exchange.Lost(event.Member.Address)
-			p.role.spread.Lost(directory.Peer(event.Member.Address))
+			p.exchange.PeerLost(event.Member.Address)
+			p.role.spread.PeerLost(directory.Peer(event.Member.Address))
 			return nil
 		})
 	case membership.EffectJoined, membership.EffectZoneReachable, membership.EffectZoneUnreachable:
--- a/internal/relaydaemon/peers.go
+++ b/internal/relaydaemon/peers.go
@@ -29,7 +29,7 @@
 	listener   net.Listener
 	server     *http.Server
 	client     *http.Client
-	exchange   *directory.Exchange[membership.Address]
+	exchange   *directory.PeerFetcher[membership.Address]
 	storeRate  float64
 	// confirms bounds the confirmations for others.
 	confirms *rate.Limiter
@@ -53,7 +53,7 @@
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	seeds := seedsOf(given)
-	created.exchange = directory.NewExchange(role.directory, timingOf(given), seeds, random)
+	created.exchange = directory.NewPeerFetcher(role.directory, timingOf(given), seeds, random)
 	var err error
 	created.membership, err = transport.New(transport.Config{
 		Listen:     given.Exchange,
--- a/internal/relaydaemon/peerserver.go
+++ b/internal/relaydaemon/peerserver.go
@@ -53,7 +53,7 @@
 	version, _ := strconv.ParseUint(query.Get(parameterVersion), 10, 64)
 	complete, _ := strconv.ParseUint(query.Get(parameterComplete), 10, 64)
 	asked := directoryRequest{
-		known:   directory.Digest{Version: version, Complete: directory.Revision(complete)},
+		known:   directory.Digest{ConfigurationVersion: version, Revision: directory.Revision(complete)},
 		confirm: query.Has(parameterConfirm),
 	}
 	if from, err := netip.ParseAddrPort(request.RemoteAddr); err == nil {
@@ -75,7 +75,7 @@
 	var encoded []byte
 	var err error
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
-		p.role.spread.Fetched(now, asked.by)
+		p.role.spread.StateSent(now, asked.by)
 		encoded, err = p.cache.encode(now, asked.known, p.role.directory.Digest(), func() directory.State {
 			return p.role.spread.State(now, asked.known)
 		})
--- a/internal/relaydaemon/refusals.go
+++ b/internal/relaydaemon/refusals.go
@@ -41,13 +41,13 @@
 }
 
 // report tells of the entries that were refused since the last time.
-func (l *refusalLog) report(machine *directory.Machine) {
+func (l *refusalLog) report(machine *directory.Replica) {
 	fresh := machine.TakeRefusals()
 	for _, refusal := range fresh {
 		l.counts[refusal.Reason].Add(1)
 		l.write(refusal)
 	}
-	present := machine.Refused()
+	present := machine.RefusalCounts()
 	for reason, gauge := range l.present {
 		gauge.Set(float64(present[reason]))
 	}
--- a/internal/relaydaemon/statecache_test.go
+++ b/internal/relaydaemon/statecache_test.go
@@ -17,23 +17,23 @@
 	encode := func(now time.Duration, known, digest directory.Digest) directory.State {
 		encoded, err := cache.encode(now, known, digest, func() directory.State {
 			made++
-			return directory.State{Complete: digest.Complete, Version: digest.Version, Confirmed: true, Age: time.Second}
+			return directory.State{Through: digest.Revision, ConfigurationVersion: digest.ConfigurationVersion, Confirmed: true, Age: time.Second}
 		})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		state, err := decodeState(encoded)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		return state
 	}
-	known, digest := directory.Digest{Version: 1, Complete: 2}, directory.Digest{Version: 3, Complete: 4}
+	known, digest := directory.Digest{ConfigurationVersion: 1, Revision: 2}, directory.Digest{ConfigurationVersion: 3, Revision: 4}
 	first := encode(0, known, digest)
-	g.Expect(first.Complete).To(gomega.Equal(directory.Revision(4)))
+	g.Expect(first.Through).To(gomega.Equal(directory.Revision(4)))
 	g.Expect(first.Age).To(gomega.Equal(time.Second+cacheLifetime), "its age when it is given last")
 	encode(cacheLifetime-1, known, digest)
 	g.Expect(made).To(gomega.Equal(1), "the same for all who ask for the same")
 	encode(cacheLifetime-1, digest, digest)
-	encode(cacheLifetime-1, digest, directory.Digest{Version: 3, Complete: 5})
+	encode(cacheLifetime-1, digest, directory.Digest{ConfigurationVersion: 3, Revision: 5})
 	g.Expect(made).To(gomega.Equal(3))
-	encode(2*cacheLifetime, digest, directory.Digest{Version: 3, Complete: 5})
+	encode(2*cacheLifetime, digest, directory.Digest{ConfigurationVersion: 3, Revision: 5})
 	g.Expect(made).To(gomega.Equal(4), "ages change")
 }
 
--- a/internal/relaydaemon/updates.go
+++ b/internal/relaydaemon/updates.go
@@ -22,7 +22,7 @@
 	exchange uint16
 	encoded  []byte
 	// questions are those of others that wait for a confirmation by the store.
-	questions directory.Questions
+	questions directory.ConfirmationQueue
 	// asked is the question of this balancer that is under way.
 	asked question
 	// answered wakes who waits for its answer.
@@ -73,16 +73,16 @@
 	changed, lacks, answers := role.spread.Receive(now, from, update)
 	u.send(answers)
 	if lacks {
-		role.peers.lacks(now, membership.Address(update.SourceOf(from)))
+		role.peers.lacks(now, membership.Address(update.SourceOrSender(from)))
 	}
-	role.balancer.Confirm(role.spread.Confirmed())
+	role.balancer.Confirm(role.spread.ConfirmedAt())
 	effects := role.installIf(changed, now)
 	switch {
-	case update.Confirms && update.Asks:
+	case update.Confirmation && update.RequestsChanges:
 		u.questions.Add(now, from, update)
 		role.wantConfirmation()
-	case update.Confirms && !lacks && role.directory.ConfirmedBy(update.State.Complete, u.asked.known):
-		u.noteAnswer(update.Number)
+	case update.Confirmation && !lacks && role.directory.ConfirmedBy(update.State.Through, u.asked.known):
+		u.noteAnswer(update.RequestID)
 	}
 	return effects
 }
@@ -116,7 +116,7 @@
 // is confirmed. The executor holds its lock.
 func (u *updates) answerThrough(now, through time.Duration) {
 	for _, each := range u.questions.TakeThrough(through) {
-		u.send(u.role.spread.Answer(now, each.From, each.Update))
+		u.send(u.role.spread.ConfirmationReplies(now, each.From, each.Update))
 	}
 }
 
@@ -164,18 +164,18 @@
 func (u *updates) ask() askOutcome {
 	outcome := askedNobody
 	u.role.executor.do(func(now time.Duration) []relay.Effect {
-		watcher, exists := u.role.spread.Confirming(now)
-		if !exists || u.questions.Any() {
+		watcher, exists := u.role.spread.ConfirmationWatcher(now)
+		if !exists || u.questions.Pending() {
 			return nil
 		}
-		if !u.role.confirmer.Ask(now) {
+		if !u.role.confirmer.BeginWithWatcher(now) {
 			outcome = askLater
 			return nil
 		}
 		outcome = askUnanswered
 		u.number++
-		u.asked = question{number: u.number, watcher: watcher, at: now, known: u.role.directory.Complete()}
-		asking := directory.Update{Asks: true, Confirms: true, Number: u.number, State: u.role.spread.Announced(now)}
+		u.asked = question{number: u.number, watcher: watcher, at: now, known: u.role.directory.AppliedRevision()}
+		asking := directory.Update{RequestsChanges: true, Confirmation: true, RequestID: u.number, State: u.role.spread.Summary(now)}
 		u.send([]directory.Outgoing{{To: watcher, Update: asking}})
 		return nil
 	})
@@ -192,8 +192,8 @@
 			return nil
 		}
 		outcome = askUnanswered
-		u.role.confirmer.Unanswered()
-		u.role.spread.Unanswered(now, asked.watcher)
+		u.role.confirmer.WatcherTimedOut()
+		u.role.spread.WatcherTimedOut(now, asked.watcher)
 		return nil
 	})
 	return through, outcome
