--- a/bench/flownet/endpoint.go
+++ b/bench/flownet/endpoint.go
@@ -110,7 +110,7 @@
 		return
 	}
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-	if header.Opening() {
+	if header.OpensFlow() {
 		e.receiveOpening(key, header)
 		return
 	}
--- a/bench/flownet/side.go
+++ b/bench/flownet/side.go
@@ -61,7 +61,7 @@
 	w := n.side.world
 	n.part = w.options.newAgent(relay.AgentConfig{
 		Service: n.side.service.Name, Codec: w.codec, Complete: first, FlowLifetime: time.Minute, FlowLimit: 10_000,
-		ColdBound: relay.ColdBound{Overrun: coldOverrun, Slack: coldSlack}, Outliers: outlier.DefaultLimits(),
+		ColdBound: relay.ColdBound{Overrun: coldOverrun, Slack: coldSlack}, Outliers: outlier.DefaultConfig(),
 		QueuePolicy: requestqueue.Policy{Discipline: queueDiscipline},
 	})
 	w.net.Schedule(n.id, tickInterval, tickTimer)
--- a/bench/soak/endpoint.go
+++ b/bench/soak/endpoint.go
@@ -153,7 +153,7 @@
 		return
 	}
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-	if header.Opening() {
+	if header.OpensFlow() {
 		e.world.ledger.openedAt(e.id, e.zone)
 		e.receiveOpening(key, header, packet)
 		return
--- a/cmd/vanetillerctl/table.go
+++ b/cmd/vanetillerctl/table.go
@@ -155,7 +155,7 @@
 	}
 	// A spreadsheet does not tell which zones are closed; they stay as they are.
 	read := &table.Table{Version: services.Version, Services: services.Services, Backends: rows, ClosedZones: services.ClosedZones}
-	read.MarkClosed()
+	read.ApplyClosedZones()
 	return read, errors.Wrap(read.Validate(), path)
 }
 
--- a/internal/adminapi/authorize.go
+++ b/internal/adminapi/authorize.go
@@ -82,7 +82,7 @@
 	}
 	if len(change.Zones) > 0 {
 		return table.CellError{
-			Row: table.ZoneRow(change.Zones[0].Zone), Column: "closed", Rule: "takes the role " + string(tenant.RoleAdministrator),
+			Row: table.ZoneRowName(change.Zones[0].Zone), Column: "closed", Rule: "takes the role " + string(tenant.RoleAdministrator),
 		}
 	}
 	if err := v.authorizeAdditions(change); err != nil {
--- a/internal/adminapi/plan_test.go
+++ b/internal/adminapi/plan_test.go
@@ -26,7 +26,7 @@
 			created.Backends[0].Zone = "north"
 			created.Backends[1].Zone = "south"
 			created.ClosedZones = closed
-			created.MarkClosed()
+			created.ApplyClosedZones()
 			return created
 		}
 		north := table.ClosedZone{Zone: "north", Since: 2}
--- a/internal/adminapi/service.go
+++ b/internal/adminapi/service.go
@@ -30,7 +30,7 @@
 		if !found {
 			return TableAnswer{}, Failure{Code: CodeNotFound, Message: "no service " + request.service}
 		}
-		view = view.Slice([]table.ServiceID{id})
+		view = view.ForServices([]table.ServiceID{id})
 	}
 	return tableAnswer(view, state.RowVersions), nil
 }
@@ -165,7 +165,7 @@
 }
 
 func planSnapshot(current, wanted *table.Table) (Parts, error) {
-	wanted.MarkClosed()
+	wanted.ApplyClosedZones()
 	if err := wanted.Validate(); err != nil {
 		return Parts{}, err
 	}
--- a/internal/admission/cluster_test.go
+++ b/internal/admission/cluster_test.go
@@ -192,7 +192,7 @@
 		Destination: testAddress,
 		Protocol:    table.ProtocolTCP,
 	}
-	slots := lookup.Assign(view.Service, view.Rows, view.candidate)
+	slots := lookup.AssignSlots(view.Service, view.Rows, view.candidate)
 	return view.Rows[slots[lookup.SlotOf(flow.Hash(), len(slots))]].ID
 }
 
--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -43,7 +43,7 @@
 }
 
 func newHeldView(view View) *heldView {
-	return &heldView{view: view, slots: lookup.Assign(view.Service, view.Rows, view.candidate)}
+	return &heldView{view: view, slots: lookup.AssignSlots(view.Service, view.Rows, view.candidate)}
 }
 
 // primary returns the row that decides about new flows with this hash.
--- a/internal/agent/packets.go
+++ b/internal/agent/packets.go
@@ -200,7 +200,7 @@
 	var answer, datagram []byte
 	for {
 		var more bool
-		answer, more = source.Next(a.context, answer[:0])
+		answer, more = source.ReadPacket(a.context, answer[:0])
 		if !more {
 			return nil
 		}
--- a/internal/agent/row.go
+++ b/internal/agent/row.go
@@ -64,7 +64,7 @@
 	_ = caller.Close()
 	if whole {
 		r.released(key, sequence)
-		caller.AwaitGone(lingerTimeout)
+		caller.WaitClosed(lingerTimeout)
 	}
 	r.closed(key, sequence)
 }
--- a/internal/balancer/decider.go
+++ b/internal/balancer/decider.go
@@ -80,6 +80,6 @@
 	if outcome := d.inner.DecodeInto(content, &d.summary); outcome != packet.Decoded {
 		return nil, reasonOfPacket[outcome]
 	}
-	target, outcome := table.Find(&d.summary.Flow)
+	target, outcome := table.FindTarget(&d.summary.Flow)
 	return target, reasonOfRoute[outcome]
 }
--- a/internal/changelog/difference.go
+++ b/internal/changelog/difference.go
@@ -50,12 +50,12 @@
 func zoneDifference(cells []CellChange, before, after *table.Table) []CellChange {
 	for _, closed := range after.ClosedZones {
 		if _, known := before.ClosedSince(closed.Zone); !known {
-			cells = cellDifference(cells, table.ZoneRow(closed.Zone), closedColumn, "false", "true")
+			cells = cellDifference(cells, table.ZoneRowName(closed.Zone), closedColumn, "false", "true")
 		}
 	}
 	for _, closed := range before.ClosedZones {
 		if _, known := after.ClosedSince(closed.Zone); !known {
-			cells = cellDifference(cells, table.ZoneRow(closed.Zone), closedColumn, "true", "false")
+			cells = cellDifference(cells, table.ZoneRowName(closed.Zone), closedColumn, "true", "false")
 		}
 	}
 	return cells
--- a/internal/changelog/draft.go
+++ b/internal/changelog/draft.go
@@ -62,7 +62,7 @@
 		}
 	}
 	d.table.Sort()
-	d.table.MarkClosed()
+	d.table.ApplyClosedZones()
 	return d.table.Validate()
 }
 
@@ -147,7 +147,7 @@
 // closeZone closes a zone or opens it again. It does not close the last zone of a service
 // unless it is forced to: new flows would have nowhere to go.
 func (d *draft) closeZone(update ZoneUpdate) error {
-	row := table.ZoneRow(update.Zone)
+	row := table.ZoneRowName(update.Zone)
 	_, closed := d.table.ClosedSince(update.Zone)
 	if closed == update.Closed {
 		rule := "is open already"
@@ -159,12 +159,12 @@
 	if update.Closed && !d.table.HasZone(update.Zone) {
 		return table.CellError{Row: row, Column: "zone", Rule: "names the zone of no row"}
 	}
-	before := d.table.Stranded()
-	d.table.CloseZone(update.Zone, update.Closed, d.table.Version+1)
+	before := d.table.UnavailableServices()
+	d.table.SetZoneClosed(update.Zone, update.Closed, d.table.Version+1)
 	if !update.Closed || update.Force {
 		return nil
 	}
-	for _, service := range d.table.Stranded() {
+	for _, service := range d.table.UnavailableServices() {
 		if !slices.Contains(before, service) {
 			return table.CellError{Row: row, Column: closedColumn, Rule: fmt.Sprintf(
 				"would leave %s without a row that gets new flows, unless it is forced", serviceName(service.Name, service.ID))}
--- a/internal/changelog/importing.go
+++ b/internal/changelog/importing.go
@@ -20,7 +20,7 @@
 		ClosedZones: slices.Clone(revision.ClosedZones),
 	}
 	platform.Sort()
-	platform.MarkClosed()
+	platform.ApplyClosedZones()
 	if err := platform.Validate(); err != nil {
 		return err
 	}
@@ -100,12 +100,12 @@
 	for _, closed := range zones {
 		_, known := before.ClosedSince(closed.Zone)
 		if _, already := d.table.ClosedSince(closed.Zone); !known && !already {
-			d.table.CloseZone(closed.Zone, true, d.table.Version+1)
+			d.table.SetZoneClosed(closed.Zone, true, d.table.Version+1)
 		}
 	}
 	for _, closed := range d.imported.ClosedZones {
 		if _, still := after.ClosedSince(closed.Zone); !still {
-			d.table.CloseZone(closed.Zone, false, 0)
+			d.table.SetZoneClosed(closed.Zone, false, 0)
 		}
 	}
 }
--- a/internal/changelog/importing_test.go
+++ b/internal/changelog/importing_test.go
@@ -54,7 +54,7 @@
 		Expect(apply(changelog.Change{ID: "zone", Zones: operator}).Accepted).To(BeTrue())
 		closing := func(number changelog.Revision, zones ...table.ClosedZone) changelog.Outcome {
 			marked := table.Table{Backends: append([]table.Backend{}, placed...), ClosedZones: zones}
-			marked.MarkClosed()
+			marked.ApplyClosedZones()
 			return apply(changelog.Change{ID: changelog.ChangeID("zones-" + string(rune('a'+number))), Import: &changelog.Import{
 				Revision: number, Services: []table.Service{serviceOf(1)}, Backends: marked.Backends, ClosedZones: zones,
 			}})
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -144,7 +144,7 @@
 	}
 	services := r.rows.services[heartbeat.Agent]
 	if r.changes.since(heartbeat.Version, heartbeat.Agent, services) {
-		grant.Table = r.configuration.Slice(services)
+		grant.Table = r.configuration.ForServices(services)
 	}
 	r.addConditions(now, services, &grant)
 	return grant, true
--- a/internal/lookup/lookup.go
+++ b/internal/lookup/lookup.go
@@ -147,11 +147,11 @@
 	return targets
 }
 
-// Assign returns, for every slot of the service, the index in rows of its
+// AssignSlots returns, for every slot of the service, the index in rows of its
 // primary, or NoCandidate. Rows that accept no new flows hold no slot, nor do
 // rows that are not alive; if no row is alive, liveness is ignored, since
 // sending nowhere cannot be better.
-func Assign(service table.ServiceID, rows []table.Backend, alive Liveness) []int16 {
+func AssignSlots(service table.ServiceID, rows []table.Backend, alive Liveness) []int16 {
 	return assign(service, candidatesOf(rows, alive))
 }
 
@@ -198,16 +198,16 @@
 
 // Route returns the primary row for a flow.
 func (t *Table) Route(flow packet.Flow) (Target, Outcome) {
-	target, outcome := t.Find(&flow)
+	target, outcome := t.FindTarget(&flow)
 	if outcome != Routed {
 		return Target{}, outcome
 	}
 	return *target, Routed
 }
 
-// Find is Route without copies. The target is shared and must not be changed;
+// FindTarget is Route without copies. The target is shared and must not be changed;
 // it is nil unless the outcome is Routed.
-func (t *Table) Find(flow *packet.Flow) (*Target, Outcome) {
+func (t *Table) FindTarget(flow *packet.Flow) (*Target, Outcome) {
 	key, valid := keyOf(flow.Destination, flow.Protocol)
 	if !valid {
 		return nil, UnknownService
--- a/internal/lookup/lookup_test.go
+++ b/internal/lookup/lookup_test.go
@@ -132,7 +132,7 @@
 				total += weight
 			}
 			for service := range services {
-				for _, index := range lookup.Assign(table.ServiceID(service+1), rows, lookup.AllAlive) {
+				for _, index := range lookup.AssignSlots(table.ServiceID(service+1), rows, lookup.AllAlive) {
 					held[index]++
 					slots++
 				}
@@ -151,7 +151,7 @@
 	)
 
 	It("marks slots that no row may hold", func() {
-		slots := lookup.Assign(1, nil, lookup.AllAlive)
+		slots := lookup.AssignSlots(1, nil, lookup.AllAlive)
 		Expect(slots).To(HaveEach(int16(lookup.NoCandidate)))
 		Expect(slots).To(HaveLen(lookup.SlotCount(0)))
 	})
--- a/internal/lookup/slots_test.go
+++ b/internal/lookup/slots_test.go
@@ -22,8 +22,8 @@
 var _ = Describe("slots", func() {
 	DescribeTable("move only to a row that is added",
 		func(before int) {
-			smaller := lookup.Assign(1, rowsOf(before), lookup.AllAlive)
-			larger := lookup.Assign(1, rowsOf(before+1), lookup.AllAlive)
+			smaller := lookup.AssignSlots(1, rowsOf(before), lookup.AllAlive)
+			larger := lookup.AssignSlots(1, rowsOf(before+1), lookup.AllAlive)
 			Expect(larger).To(HaveLen(len(smaller)))
 			for slot := range smaller {
 				if larger[slot] != smaller[slot] {
--- a/internal/netstack/wire_test.go
+++ b/internal/netstack/client_test.go
@@ -80,7 +80,7 @@
 	GinkgoHelper()
 	ctx, cancel := context.WithTimeout(context.Background(), generous)
 	defer cancel()
-	data, more := w.stack.Next(ctx, nil)
+	data, more := w.stack.ReadPacket(ctx, nil)
 	Expect(more).To(BeTrue(), "no answer")
 	return gopacket.NewPacket(data, layers.LayerTypeIPv4, gopacket.Default)
 }
--- a/internal/netstack/connection.go
+++ b/internal/netstack/connection.go
@@ -64,9 +64,9 @@
 
 const closePollInterval = 20 * time.Millisecond
 
-// AwaitGone blocks until the transport has finished with the connection after
+// WaitClosed blocks until the transport has finished with the connection after
 // Close, or until the limit has passed; it then aborts it.
-func (c *Connection) AwaitGone(limit time.Duration) {
+func (c *Connection) WaitClosed(limit time.Duration) {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
 		state := tcp.EndpointState(c.endpoint.State())
--- a/internal/netstack/netstack.go
+++ b/internal/netstack/netstack.go
@@ -125,9 +125,9 @@
 	s.link.InjectInbound(ipv4.ProtocolNumber, incoming)
 }
 
-// Next appends the next outgoing IPv4 packet to destination. It blocks until
+// ReadPacket appends the next outgoing IPv4 packet to destination. It blocks until
 // there is one, and returns false once ctx has ended.
-func (s *Stack) Next(ctx context.Context, destination []byte) ([]byte, bool) {
+func (s *Stack) ReadPacket(ctx context.Context, destination []byte) ([]byte, bool) {
 	outgoing := s.link.ReadContext(ctx)
 	if outgoing == nil {
 		return destination, false
--- a/internal/netstack/netstack_test.go
+++ b/internal/netstack/netstack_test.go
@@ -184,7 +184,7 @@
 		caller := newWire(handled)
 		connection := connect(caller, handled)
 		Expect(connection.Close()).To(Succeed())
-		connection.AwaitGone(time.Millisecond)
+		connection.WaitClosed(time.Millisecond)
 		Expect(caller.receiveReset()).NotTo(BeNil())
 	})
 
@@ -214,7 +214,7 @@
 	It("has no next packet once the context has ended", func() {
 		ended, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, more := newWire(nil).stack.Next(ended, nil)
+		_, more := newWire(nil).stack.ReadPacket(ended, nil)
 		Expect(more).To(BeFalse())
 	})
 })
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Limits are the settings of a Detector.
-type Limits struct {
+// Config are the settings of a Detector.
+type Config struct {
 	// Window is the number of latest outcomes that count, and Failures how many of them
 	// eject an endpoint; 0 failures switch ejections for bad answers off.
-	Window   int
-	Failures int
-	// FirstEjection is how long an endpoint that fails is left out at first. The time
+	Window           int
+	FailureThreshold int
+	// BaseEjectionTime is how long an endpoint that fails is left out at first. The time
 	// doubles up to LongestEjection while its trials fail.
-	FirstEjection   time.Duration
-	LongestEjection time.Duration
+	BaseEjectionTime time.Duration
+	MaxEjectionTime  time.Duration
 }
 
-// DefaultLimits returns limits for endpoints that answer some ten requests a second of each
+// DefaultConfig returns limits for endpoints that answer some ten requests a second of each
 // zone: three of ten bad answers come by chance about once in a hundred windows where one
 // request in twenty fails, and within half a second where six in ten do.
-func DefaultLimits() Limits {
-	return Limits{Window: 10, Failures: 3, FirstEjection: time.Second, LongestEjection: 8 * time.Second}
+func DefaultConfig() Config {
+	return Config{Window: 10, FailureThreshold: 3, BaseEjectionTime: time.Second, MaxEjectionTime: 8 * time.Second}
 }
 
 const (
@@ -33,26 +33,26 @@
 	openingsLost    = 2
 )
 
-// Change is a change of an endpoint's state.
-type Change struct {
+// StateChange is a change of an endpoint's state.
+type StateChange struct {
 	// Zone is that of the clients concerned, empty for all.
 	Zone  string
 	State State
 	// Reason is the class of the outcome that decided; it is Success for a restoration.
-	Reason Class
+	Reason Outcome
 	// Failures of Outcomes are the evidence, and Hold how long the state lasts at least.
 	Failures, Outcomes int
-	Hold               time.Duration
+	HoldTime           time.Duration
 }
 
 // Detector decides whether one endpoint gets new flows. It is not safe for concurrent use.
 type Detector struct {
-	limits Limits
+	limits Config
 	// shared is what holds for all clients; zones are the tracks of clients' zones, since
 	// an endpoint may fail for those of one zone alone.
 	shared  track
 	zones   []zoneTrack
-	changes []Change
+	changes []StateChange
 	// unheard is the number of opening packets since the endpoint was last heard, and
 	// since when that is.
 	unheard int
@@ -66,7 +66,7 @@
 }
 
 // NewDetector returns the detector of an endpoint of which nothing is known.
-func NewDetector(limits Limits) *Detector {
+func NewDetector(limits Config) *Detector {
 	return &Detector{limits: limits, shared: track{limits: limits}}
 }
 
@@ -77,8 +77,8 @@
 	d.changes = changes
 }
 
-// Changes returns what has changed since it was called last.
-func (d *Detector) Changes() []Change {
+// TakeChanges returns what has changed since it was called last.
+func (d *Detector) TakeChanges() []StateChange {
 	changes := d.changes
 	d.changes = nil
 	return changes
@@ -106,11 +106,11 @@
 	return created
 }
 
-// Answered notes what became of a request of a client's zone; wait is how long the endpoint
+// RecordOutcome notes what became of a request of a client's zone; wait is how long the endpoint
 // wants to be spared after a refusal.
-func (d *Detector) Answered(now time.Duration, zone string, class Class, wait time.Duration) {
+func (d *Detector) RecordOutcome(now time.Duration, zone string, class Outcome, wait time.Duration) {
 	d.advance(now)
-	if class != Success && d.limits.Failures == 0 {
+	if class != Success && d.limits.FailureThreshold == 0 {
 		return
 	}
 	own := d.zone(zone)
@@ -118,21 +118,21 @@
 		each.add(now, zone, class)
 	}
 	count, _ := own.failures()
-	enough := class != Success && (count >= d.limits.Failures || class == Refusal)
+	enough := class != Success && (count >= d.limits.FailureThreshold || class == Refusal)
 	d.judge(now, zone, own, class, wait, enough)
 	all, zones := d.shared.failures()
-	enough = class != Success && all >= d.limits.Failures && zones > 1
+	enough = class != Success && all >= d.limits.FailureThreshold && zones > 1
 	d.judge(now, "", &d.shared, class, wait, enough)
 }
 
-// Hung notes that a request of any client takes far longer than others, again for as long
+// RecordHang notes that a request of any client takes far longer than others, again for as long
 // as it does.
-func (d *Detector) Hung(now time.Duration) { d.absentOrHung(now, Hang) }
+func (d *Detector) RecordHang(now time.Duration) { d.absentOrHung(now, Hang) }
 
-// Returned notes that the endpoint did not take an opening packet.
-func (d *Detector) Returned(now time.Duration) { d.absentOrHung(now, Return) }
+// RecordReturn notes that the endpoint did not take an opening packet.
+func (d *Detector) RecordReturn(now time.Duration) { d.absentOrHung(now, PacketReturned) }
 
-func (d *Detector) absentOrHung(now time.Duration, class Class) {
+func (d *Detector) absentOrHung(now time.Duration, class Outcome) {
 	d.advance(now)
 	if d.shared.state == Ejected {
 		d.shared.prolong(now)
@@ -141,17 +141,17 @@
 	d.judge(now, "", &d.shared, class, 0, true)
 }
 
-// Gave notes that the endpoint was given an opening packet.
-func (d *Detector) Gave(now time.Duration) {
+// RecordOpening notes that the endpoint was given an opening packet.
+func (d *Detector) RecordOpening(now time.Duration) {
 	if d.unheard == 0 {
 		d.since = now
 	}
 	d.unheard++
 }
 
-// Heard notes that the endpoint has said something; took is set if it was that it takes a
+// RecordPacket notes that the endpoint has said something; took is set if it was that it takes a
 // flow.
-func (d *Detector) Heard(now time.Duration, took bool) {
+func (d *Detector) RecordPacket(now time.Duration, took bool) {
 	d.unheard = 0
 	if took && d.shared.state != Healthy && d.shared.reason.absent() {
 		d.shared.restore()
@@ -159,8 +159,8 @@
 	}
 }
 
-// Patience returns when Check should be called at the latest, false if it need not be.
-func (d *Detector) Patience() (time.Duration, bool) {
+// CheckDue returns when Check should be called at the latest, false if it need not be.
+func (d *Detector) CheckDue() (time.Duration, bool) {
 	return d.since + openingPatience, d.unheard >= d.openings()
 }
 
@@ -173,18 +173,18 @@
 	return openingsLost
 }
 
-// Check notices that opening packets have got no answer.
-func (d *Detector) Check(now time.Duration) {
-	due, waits := d.Patience()
+// CheckOpenings notices that opening packets have got no answer.
+func (d *Detector) CheckOpenings(now time.Duration) {
+	due, waits := d.CheckDue()
 	if !waits || now < due {
 		return
 	}
 	d.unheard = 0
-	d.absentOrHung(now, Silence)
+	d.absentOrHung(now, NoResponse)
 }
 
-// Admits reports whether a new flow of a client's zone may come, and takes account of it.
-func (d *Detector) Admits(now time.Duration, zone string) bool {
+// Admit reports whether a new flow of a client's zone may come, and takes account of it.
+func (d *Detector) Admit(now time.Duration, zone string) bool {
 	d.advance(now)
 	own := d.zone(zone)
 	if !own.open(now) || !d.shared.open(now) {
@@ -200,15 +200,15 @@
 	d.advance(now)
 	judged := &d.shared
 	own := d.known(zone)
-	if own != nil && d.shared.state == Healthy && own.tells(d.limits.Failures) {
+	if own != nil && d.shared.state == Healthy && own.tells(d.limits.FailureThreshold) {
 		judged = own
 	}
 	failures, _ := judged.failures()
 	return Report{
-		Outcomes: uint8(min(len(judged.outcomes), math.MaxUint8)),
-		Failures: uint8(min(failures, math.MaxUint8)),
-		Reason:   judged.reason,
-		Hold:     uint16(min(judged.hold(now).Milliseconds(), math.MaxUint16)),
+		Outcomes:         uint8(min(len(judged.outcomes), math.MaxUint8)),
+		Failures:         uint8(min(failures, math.MaxUint8)),
+		Reason:           judged.reason,
+		HoldMilliseconds: uint16(min(judged.hold(now).Milliseconds(), math.MaxUint16)),
 	}
 }
 
@@ -223,7 +223,7 @@
 	}
 }
 
-func (d *Detector) judge(now time.Duration, zone string, judged *track, class Class, wait time.Duration, ejects bool) {
+func (d *Detector) judge(now time.Duration, zone string, judged *track, class Outcome, wait time.Duration, ejects bool) {
 	if judged.judge(now, class, wait, ejects) {
 		d.changed(now, zone, judged)
 	}
@@ -231,8 +231,8 @@
 
 func (d *Detector) changed(now time.Duration, zone string, judged *track) {
 	failures, _ := judged.failures()
-	d.changes = append(d.changes, Change{
+	d.changes = append(d.changes, StateChange{
 		Zone: zone, State: judged.state, Reason: judged.reason,
-		Failures: failures, Outcomes: len(judged.outcomes), Hold: judged.hold(now),
+		Failures: failures, Outcomes: len(judged.outcomes), HoldTime: judged.hold(now),
 	})
 }
--- a/internal/outlier/class.go
+++ b/internal/outlier/outcome.go
@@ -2,43 +2,43 @@
 
 import "github.com/vanetiller/vanetiller/internal/label"
 
-// Class is what became of something that an endpoint was given.
-type Class uint8
+// Outcome is what became of something that an endpoint was given.
+type Outcome uint8
 
 // The classes.
 const (
 	// Success: a request was answered.
-	Success Class = iota
+	Success Outcome = iota
 	// Failure: the answer says that the endpoint has failed.
 	Failure
 	// Refusal: the answer says that the request has not run: load, not a fault.
 	Refusal
-	// Break: the endpoint has reset a flow on which a request was waiting.
-	Break
+	// ConnectionReset: the endpoint has reset a flow on which a request was waiting.
+	ConnectionReset
 	// Hang: a request takes far longer than others.
 	Hang
-	// Return: an opening packet was not taken.
-	Return
-	// Silence: opening packets get no answer.
-	Silence
+	// PacketReturned: an opening packet was not taken.
+	PacketReturned
+	// NoResponse: opening packets get no answer.
+	NoResponse
 	classCount
 )
 
 var classNames = []string{"success", "failure", "refusal", "break", "hang", "return", "silence"}
 
 // String returns the class in the form used as a metric label.
-func (c Class) String() string { return label.Of(classNames, c) }
+func (c Outcome) String() string { return label.Of(classNames, c) }
 
-// Classes lists every class, for counters that are kept by class.
-func Classes() []Class { return label.All(classCount) }
+// Outcomes lists every class, for counters that are kept by class.
+func Outcomes() []Outcome { return label.All(classCount) }
 
 // absent reports whether the class shows that nobody is there to run anything: to ask
 // another endpoint is right then, however many there are left.
-func (c Class) absent() bool { return c == Return || c == Silence }
+func (c Outcome) absent() bool { return c == PacketReturned || c == NoResponse }
 
 // byItsNature reports whether requests may have such an outcome at every endpoint, so that
 // it says something only beside the others'.
-func (c Class) byItsNature() bool { return c == Failure || c == Break }
+func (c Outcome) byItsNature() bool { return c == Failure || c == ConnectionReset }
 
 // State is how an endpoint is treated.
 type State uint8
--- a/internal/outlier/report.go
+++ b/internal/outlier/report.go
@@ -4,8 +4,8 @@
 
 //go:generate go tool msgp -tests=false
 //msgp:tuple Report
-//msgp:shim Class as:uint8 using:uint8/Class
-//msgp:ignore Limits Change Detector Panel
+//msgp:shim Outcome as:uint8 using:uint8/Outcome
+//msgp:ignore Config StateChange Detector ServiceHealth
 
 // Report is what a detector tells a balancer of its endpoint, as the balancer's clients see
 // it.
@@ -14,16 +14,16 @@
 	Outcomes uint8
 	Failures uint8
 	// Reason is why the endpoint was ejected, Success if it is healthy.
-	Reason Class
-	// Hold is for how long it shall get no new flow, in milliseconds.
-	Hold uint16
+	Reason Outcome
+	// HoldMilliseconds is for how long it shall get no new flow, in milliseconds.
+	HoldMilliseconds uint16
 }
 
 // Valid reports whether a detector can have made the report.
 func (r Report) Valid() bool { return r.Failures <= r.Outcomes && r.Reason < classCount }
 
-// Held returns for how long the endpoint shall get no new flow.
-func (r Report) Held() time.Duration { return time.Duration(r.Hold) * time.Millisecond }
+// HoldTime returns for how long the endpoint shall get no new flow.
+func (r Report) HoldTime() time.Duration { return time.Duration(r.HoldMilliseconds) * time.Millisecond }
 
 func (r Report) ratio() float64 {
 	if r.Outcomes == 0 {
@@ -42,14 +42,14 @@
 	excess = 0.2
 )
 
-// Panel compares the endpoints of one service.
-type Panel struct {
+// ServiceHealth compares the endpoints of one service.
+type ServiceHealth struct {
 	present, ejected   int
 	outcomes, failures int
 }
 
 // Add takes an endpoint into account; ejected tells whether its detector holds it back.
-func (p *Panel) Add(report Report, ejected bool) {
+func (p *ServiceHealth) Add(report Report, ejected bool) {
 	switch {
 	case ejected && report.Reason.absent():
 		return
@@ -62,8 +62,8 @@
 	p.present++
 }
 
-// Honors reports whether an endpoint that its detector holds back shall get no new flow.
-func (p *Panel) Honors(report Report) bool {
+// ConfirmsEjection reports whether an endpoint that its detector holds back shall get no new flow.
+func (p *ServiceHealth) ConfirmsEjection(report Report) bool {
 	if report.Reason.absent() {
 		return true
 	}
--- a/internal/outlier/report_gen.go
+++ b/internal/outlier/report_gen.go
@@ -7,7 +7,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *Class) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Outcome) DecodeMsg(dc *msgp.Reader) (err error) {
 	{
 		var zb0001 uint8
 		zb0001, err = dc.ReadUint8()
@@ -15,13 +15,13 @@
 			err = msgp.WrapError(err)
 			return
 		}
-		(*z) = Class(zb0001)
+		(*z) = Outcome(zb0001)
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Class) EncodeMsg(en *msgp.Writer) (err error) {
+func (z Outcome) EncodeMsg(en *msgp.Writer) (err error) {
 	err = en.WriteUint8(uint8(z))
 	if err != nil {
 		err = msgp.WrapError(err)
@@ -31,14 +31,14 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Class) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Outcome) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	o = msgp.AppendUint8(o, uint8(z))
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Class) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Outcome) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	{
 		var zb0001 uint8
 		zb0001, bts, err = msgp.ReadUint8Bytes(bts)
@@ -46,14 +46,14 @@
 			err = msgp.WrapError(err)
 			return
 		}
-		(*z) = Class(zb0001)
+		(*z) = Outcome(zb0001)
 	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Class) Msgsize() (s int) {
+func (z Outcome) Msgsize() (s int) {
 	s = msgp.Uint8Size
 	return
 }
@@ -87,11 +87,11 @@
 			err = msgp.WrapError(err, "Reason")
 			return
 		}
-		z.Reason = Class(zb0002)
+		z.Reason = Outcome(zb0002)
 	}
-	z.Hold, err = dc.ReadUint16()
+	z.HoldMilliseconds, err = dc.ReadUint16()
 	if err != nil {
-		err = msgp.WrapError(err, "Hold")
+		err = msgp.WrapError(err, "HoldMilliseconds")
 		return
 	}
 	return
@@ -119,9 +119,9 @@
 		err = msgp.WrapError(err, "Reason")
 		return
 	}
-	err = en.WriteUint16(z.Hold)
+	err = en.WriteUint16(z.HoldMilliseconds)
 	if err != nil {
-		err = msgp.WrapError(err, "Hold")
+		err = msgp.WrapError(err, "HoldMilliseconds")
 		return
 	}
 	return
@@ -135,7 +135,7 @@
 	o = msgp.AppendUint8(o, z.Outcomes)
 	o = msgp.AppendUint8(o, z.Failures)
 	o = msgp.AppendUint8(o, uint8(z.Reason))
-	o = msgp.AppendUint16(o, z.Hold)
+	o = msgp.AppendUint16(o, z.HoldMilliseconds)
 	return
 }
 
@@ -168,11 +168,11 @@
 			err = msgp.WrapError(err, "Reason")
 			return
 		}
-		z.Reason = Class(zb0002)
+		z.Reason = Outcome(zb0002)
 	}
-	z.Hold, bts, err = msgp.ReadUint16Bytes(bts)
+	z.HoldMilliseconds, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Hold")
+		err = msgp.WrapError(err, "HoldMilliseconds")
 		return
 	}
 	o = bts
--- a/internal/outlier/track.go
+++ b/internal/outlier/tracker.go
@@ -32,9 +32,9 @@
 
 // track is the state of an endpoint as clients of one zone, or of all, see it.
 type track struct {
-	limits   Limits
+	limits   Config
 	state    State
-	reason   Class
+	reason   Outcome
 	outcomes []outcome
 	// ejection is how long the endpoint was left out last, and ends until when.
 	ejection  time.Duration
@@ -44,7 +44,7 @@
 }
 
 // add notes an outcome among the latest.
-func (t *track) add(now time.Duration, zone string, class Class) {
+func (t *track) add(now time.Duration, zone string, class Outcome) {
 	t.outcomes = slices.DeleteFunc(t.outcomes, func(o outcome) bool { return now-o.at > outcomeLifetime })
 	t.outcomes = append(t.outcomes, outcome{now, zone, class != Success})
 	t.outcomes = slices.Delete(t.outcomes, 0, max(len(t.outcomes)-t.limits.Window, 0))
@@ -81,7 +81,7 @@
 
 // judge takes an outcome into account; ejects tells whether it is enough for an ejection
 // of a healthy endpoint. It reports whether the state has changed.
-func (t *track) judge(now time.Duration, class Class, wait time.Duration, ejects bool) bool {
+func (t *track) judge(now time.Duration, class Outcome, wait time.Duration, ejects bool) bool {
 	switch {
 	case t.state == Healthy && ejects:
 		t.eject(now, class, wait)
@@ -100,8 +100,8 @@
 }
 
 // eject leaves the endpoint out, for longer each time.
-func (t *track) eject(now time.Duration, class Class, wait time.Duration) {
-	first, longest := t.limits.FirstEjection, t.limits.LongestEjection
+func (t *track) eject(now time.Duration, class Outcome, wait time.Duration) {
+	first, longest := t.limits.BaseEjectionTime, t.limits.MaxEjectionTime
 	switch {
 	case class.absent():
 		first, longest = firstAbsence, longestAbsence
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -29,11 +29,11 @@
 	Slots uint32
 	// Outstanding is the number of flows with a request that the chooser has placed there.
 	Outstanding int
-	// Kept is the number of slots that the other flows which it has placed there take on
+	// IdleFlowSlots is the number of slots that the other flows which it has placed there take on
 	// average.
-	Kept float64
-	// Others is the number of slots that what others have placed there is believed to take.
-	Others float64
+	IdleFlowSlots float64
+	// SlotsUsedByOthers is the number of slots that what others have placed there is believed to take.
+	SlotsUsedByOthers float64
 	// Slowness is how many times as long as usual the endpoint takes for an answer, 1 if
 	// that is not known.
 	Slowness float64
@@ -61,7 +61,7 @@
 // are taken, above it grows as steeply as it does there.
 func (c Candidate) wait() float64 {
 	slots := float64(max(c.Slots, 1))
-	utilization := c.given() + c.Others/slots
+	utilization := c.given() + c.SlotsUsedByOthers/slots
 	if utilization <= 1 {
 		return math.Pow(utilization, slots+1)
 	}
@@ -88,17 +88,17 @@
 
 // given is the share of the slots which what the chooser has placed there takes.
 func (c Candidate) given() float64 {
-	return (float64(c.Outstanding) + c.Kept) / float64(max(c.Slots, 1))
+	return (float64(c.Outstanding) + c.IdleFlowSlots) / float64(max(c.Slots, 1))
 }
 
-// Draw returns the indices of a few candidates in random order, most of them in the
+// Sample returns the indices of a few candidates in random order, most of them in the
 // chooser's zone; local tells of each candidate whether it is. The best of those gets the
 // flow.
 //
 // Choosers with the same news draw different candidates, so that no endpoint gets more than
 // a few times its share (the power of two choices: Mitzenmacher, 2001). The best of all
 // would get the flows of all choosers until they know better.
-func Draw(local []bool, random *rand.Rand) []int {
+func Sample(local []bool, random *rand.Rand) []int {
 	drawn := make([]int, 0, draws)
 	drawn = appendDrawn(drawn, local, true, localDraws, random)
 	drawn = appendDrawn(drawn, local, false, draws-len(drawn), random)
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -30,7 +30,7 @@
 	// used is a candidate some of whose slots are taken.
 	used := func(slots float64) placement.Candidate {
 		candidate := idle
-		candidate.Others = slots
+		candidate.SlotsUsedByOthers = slots
 		return candidate
 	}
 
@@ -41,7 +41,7 @@
 
 	It("prefers the endpoint with the fewer requests for its slots, whoever has placed them", func() {
 		own, kept, large := idle, idle, used(3)
-		own.Outstanding, kept.Kept, large.Slots = 3, 3, 12
+		own.Outstanding, kept.IdleFlowSlots, large.Slots = 3, 3, 12
 		for _, busy := range []placement.Candidate{own, kept, used(3)} {
 			Expect(best(busy, idle)).To(Equal(1))
 			Expect(best(busy, large)).To(Equal(1))
@@ -82,7 +82,7 @@
 		}
 		counts := make([]int, len(local))
 		for range 6000 {
-			drawn := placement.Draw(local, random)
+			drawn := placement.Sample(local, random)
 			Expect(drawn).To(HaveLen(5))
 			for _, index := range drawn {
 				counts[index]++
@@ -93,8 +93,8 @@
 	})
 
 	It("draws from other zones what the own has not", func() {
-		Expect(placement.Draw([]bool{false, true, false, false, false, false, false}, newRandom())).To(And(HaveLen(5), ContainElement(1)))
-		Expect(placement.Draw([]bool{false, false, true}, newRandom())).To(ConsistOf(0, 1, 2))
-		Expect(placement.Draw(nil, newRandom())).To(BeEmpty())
+		Expect(placement.Sample([]bool{false, true, false, false, false, false, false}, newRandom())).To(And(HaveLen(5), ContainElement(1)))
+		Expect(placement.Sample([]bool{false, false, true}, newRandom())).To(ConsistOf(0, 1, 2))
+		Expect(placement.Sample(nil, newRandom())).To(BeEmpty())
 	})
 })
--- a/internal/placement/ways_test.go
+++ b/internal/placement/choosers_test.go
@@ -61,7 +61,7 @@
 
 // byTime chooses by the expected time to an answer.
 type byTime struct {
-	levels map[levelKey]*placement.Level
+	levels map[levelKey]*placement.GroupUtilization
 }
 
 // levelKey is a group of endpoints as one balancer knows it.
@@ -71,12 +71,12 @@
 	slow     bool
 }
 
-func newByTime() *byTime { return &byTime{levels: make(map[levelKey]*placement.Level)} }
+func newByTime() *byTime { return &byTime{levels: make(map[levelKey]*placement.GroupUtilization)} }
 
-func (b *byTime) levelOf(of *view, slowness float64) *placement.Level {
+func (b *byTime) levelOf(of *view, slowness float64) *placement.GroupUtilization {
 	key := levelKey{of.balancer, of.endpoint.zone, slowness > 1}
 	if b.levels[key] == nil {
-		b.levels[key] = &placement.Level{}
+		b.levels[key] = &placement.GroupUtilization{}
 	}
 	return b.levels[key]
 }
@@ -88,7 +88,7 @@
 	}
 	var candidates []placement.Candidate
 	usual := usualPace(views)
-	drawn := placement.Draw(local, random)
+	drawn := placement.Sample(local, random)
 	for _, index := range drawn {
 		candidates = append(candidates, b.candidate(now, views[index], usual))
 	}
@@ -100,13 +100,13 @@
 	slowness := of.slowness(usual)
 	level := b.levelOf(of, slowness).At(now) * slotsEach
 	return placement.Candidate{
-		Slots: slotsEach, Outstanding: of.outstanding, Others: of.news.Estimate(now, of.pace, level),
+		Slots: slotsEach, Outstanding: of.outstanding, SlotsUsedByOthers: of.news.Estimate(now, of.pace, level),
 		Slowness: slowness, Local: of.local,
 	}
 }
 
 func (b *byTime) told(now time.Duration, told *view, own int, views []*view) {
 	others := float64(max(told.used-own, 0))
-	told.news = placement.News{Used: others, At: now, Known: true}
-	b.levelOf(told, told.slowness(usualPace(views))).Note(now, others/slotsEach)
+	told.news = placement.LoadReport{UsedByOthers: others, ReceivedAt: now, Known: true}
+	b.levelOf(told, told.slowness(usualPace(views))).Observe(now, others/slotsEach)
 }
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -79,12 +79,12 @@
 			for index := range local {
 				local[index] = index%zones == 0
 			}
-			drawn := placement.Draw(local, random)
+			drawn := placement.Sample(local, random)
 			var candidates []placement.Candidate
 			for _, index := range drawn {
-				candidate := placement.Candidate{Slots: slotsEach, Slowness: 1, Local: local[index], Others: 3}
+				candidate := placement.Candidate{Slots: slotsEach, Slowness: 1, Local: local[index], SlotsUsedByOthers: 3}
 				if index == 0 {
-					candidate.Others = 0
+					candidate.SlotsUsedByOthers = 0
 				}
 				candidates = append(candidates, candidate)
 			}
--- a/internal/placement/news.go
+++ b/internal/placement/loadreport.go
@@ -20,11 +20,11 @@
 	levelLifetime = 30 * time.Second
 )
 
-// News is what an agent has told last of its endpoint.
-type News struct {
-	// Used is the number of slots that others than the chooser take, told at the time At.
-	Used float64
-	At   time.Duration
+// LoadReport is what an agent has told last of its endpoint.
+type LoadReport struct {
+	// UsedByOthers is the number of slots that others than the chooser take, told at the time At.
+	UsedByOthers float64
+	ReceivedAt   time.Duration
 	// Known is set once anything was told.
 	Known bool
 }
@@ -32,7 +32,7 @@
 // Estimate is how many slots others take now. News counts less as it ages: within the time
 // of an answer most of what it counted has been answered, and the endpoint is used as those
 // like it are.
-func (n News) Estimate(now, pace time.Duration, usual float64) float64 {
+func (n LoadReport) Estimate(now, pace time.Duration, usual float64) float64 {
 	if !n.Known {
 		return usual
 	}
@@ -40,28 +40,28 @@
 	if pace > 0 {
 		lasts = max(pace, shortestNews)
 	}
-	return usual + (n.Used-usual)*math.Exp(-float64(now-n.At)/float64(lasts))
+	return usual + (n.UsedByOthers-usual)*math.Exp(-float64(now-n.ReceivedAt)/float64(lasts))
 }
 
-// Level is how far the endpoints of a group are used on average: their slots that others
+// GroupUtilization is how far the endpoints of a group are used on average: their slots that others
 // than the chooser take, as a share of all slots.
-type Level struct {
+type GroupUtilization struct {
 	mean float64
 	at   time.Duration
 }
 
-// Note takes account of what was told of one endpoint of the group.
-func (l *Level) Note(now time.Duration, share float64) {
+// Observe takes account of what was told of one endpoint of the group.
+func (l *GroupUtilization) Observe(now time.Duration, share float64) {
 	aged := 1 - math.Exp(-float64(now-l.at)/float64(levelMemory))
 	l.mean += max(levelWeight, aged) * (min(share, mostShare) - l.mean)
 	l.at = now
 }
 
 // Expired reports whether the group has had no news for so long that it can be forgotten.
-func (l *Level) Expired(now time.Duration) bool { return now-l.at > levelLifetime }
+func (l *GroupUtilization) Expired(now time.Duration) bool { return now-l.at > levelLifetime }
 
 // At returns the mean. Without news it falls, so that a group that was found full is tried
 // again.
-func (l *Level) At(now time.Duration) float64 {
+func (l *GroupUtilization) At(now time.Duration) float64 {
 	return l.mean * math.Exp(-float64(now-l.at)/float64(levelMemory))
 }
--- a/internal/placement/meter.go
+++ b/internal/placement/processingtime.go
@@ -19,11 +19,11 @@
 	routeLimit = 16
 )
 
-// Meter measures the pace of an endpoint: how long it usually takes for an answer. Routes
+// ProcessingTimeEstimator measures the pace of an endpoint: how long it usually takes for an answer. Routes
 // ask for unlike work, so that each has a median of its own; the pace is the geometric mean
 // of these, weighted by what is asked for. An endpoint of half the speed has twice the pace
 // whatever its latest answers were about.
-type Meter struct {
+type ProcessingTimeEstimator struct {
 	routes []window
 	pace   time.Duration
 }
@@ -37,8 +37,8 @@
 	median time.Duration
 }
 
-// Answered notes how long the endpoint has worked on a request of a route.
-func (m *Meter) Answered(route segment.Address, took time.Duration) {
+// Observe notes how long the endpoint has worked on a request of a route.
+func (m *ProcessingTimeEstimator) Observe(route segment.Address, took time.Duration) {
 	for index := range m.routes {
 		m.routes[index].weight *= 1 - mixWeight
 	}
@@ -48,11 +48,11 @@
 	m.pace = m.mean()
 }
 
-// Pace is how long the endpoint usually takes, 0 if that is not known.
-func (m *Meter) Pace() time.Duration { return m.pace }
+// Estimate is how long the endpoint usually takes, 0 if that is not known.
+func (m *ProcessingTimeEstimator) Estimate() time.Duration { return m.pace }
 
 // mean returns the geometric mean of the medians of all routes.
-func (m *Meter) mean() time.Duration {
+func (m *ProcessingTimeEstimator) mean() time.Duration {
 	total, sum := 0.0, 0.0
 	for index := range m.routes {
 		total += m.routes[index].weight
@@ -62,7 +62,7 @@
 }
 
 // of returns the window of a route.
-func (m *Meter) of(route segment.Address) *window {
+func (m *ProcessingTimeEstimator) of(route segment.Address) *window {
 	index := slices.IndexFunc(m.routes, func(each window) bool { return each.route == route })
 	if index >= 0 {
 		return &m.routes[index]
@@ -78,7 +78,7 @@
 }
 
 // least returns the index of the route that is asked for least.
-func (m *Meter) least() int {
+func (m *ProcessingTimeEstimator) least() int {
 	least := 0
 	for index := range m.routes {
 		if m.routes[index].weight < m.routes[least].weight {
--- a/internal/placement/meter_test.go
+++ b/internal/placement/processingtime_test.go
@@ -15,45 +15,45 @@
 	long := segment.Address{Port: 2}
 
 	It("knows nothing at first", func() {
-		meter := placement.Meter{}
-		Expect(meter.Pace()).To(BeZero())
+		meter := placement.ProcessingTimeEstimator{}
+		Expect(meter.Estimate()).To(BeZero())
 	})
 
 	It("is not moved by single requests that take far longer", func() {
-		meter := placement.Meter{}
+		meter := placement.ProcessingTimeEstimator{}
 		for number := range 100 {
 			took := 40 * time.Millisecond
 			if number%20 == 0 {
 				took *= 7
 			}
-			meter.Answered(short, took)
+			meter.Observe(short, took)
 		}
-		Expect(meter.Pace()).To(BeNumerically("~", 40*time.Millisecond, time.Microsecond))
+		Expect(meter.Estimate()).To(BeNumerically("~", 40*time.Millisecond, time.Microsecond))
 	})
 
 	It("notices a change of speed within a few answers", func() {
-		meter := placement.Meter{}
+		meter := placement.ProcessingTimeEstimator{}
 		for range 20 {
-			meter.Answered(short, 40*time.Millisecond)
+			meter.Observe(short, 40*time.Millisecond)
 		}
 		for range 5 {
-			meter.Answered(short, 80*time.Millisecond)
+			meter.Observe(short, 80*time.Millisecond)
 		}
-		Expect(meter.Pace()).To(BeNumerically("~", 80*time.Millisecond, time.Microsecond))
+		Expect(meter.Estimate()).To(BeNumerically("~", 80*time.Millisecond, time.Microsecond))
 	})
 
 	// measured is the pace of an endpoint that takes factor times as long as another, with
 	// each third request a long one, after a number of answers.
 	measured := func(factor float64, answers int) float64 {
-		meter := placement.Meter{}
+		meter := placement.ProcessingTimeEstimator{}
 		for number := range answers {
 			route, took := short, 10*time.Millisecond
 			if number%3 == 0 {
 				route, took = long, 100*time.Millisecond
 			}
-			meter.Answered(route, time.Duration(factor*float64(took)))
+			meter.Observe(route, time.Duration(factor*float64(took)))
 		}
-		return meter.Pace().Seconds()
+		return meter.Estimate().Seconds()
 	}
 
 	It("tells speeds apart whatever was asked for last", func() {
@@ -65,13 +65,13 @@
 	})
 
 	It("remembers a bounded number of routes, those that are asked for", func() {
-		meter := placement.Meter{}
+		meter := placement.ProcessingTimeEstimator{}
 		for number := range 200 {
-			meter.Answered(short, 40*time.Millisecond)
+			meter.Observe(short, 40*time.Millisecond)
 			if number%10 == 0 {
-				meter.Answered(segment.Address{Port: uint16(100 + number)}, 40*time.Millisecond)
+				meter.Observe(segment.Address{Port: uint16(100 + number)}, 40*time.Millisecond)
 			}
 		}
-		Expect(meter.Pace()).To(BeNumerically("~", 40*time.Millisecond, time.Microsecond))
+		Expect(meter.Estimate()).To(BeNumerically("~", 40*time.Millisecond, time.Microsecond))
 	})
 })
--- a/internal/placement/replay_test.go
+++ b/internal/placement/simulation_test.go
@@ -59,7 +59,7 @@
 	outstanding int
 	used        int
 	pace        time.Duration
-	news        placement.News
+	news        placement.LoadReport
 }
 
 // chooser decides where a balancer places a flow.
@@ -76,7 +76,7 @@
 	pending int
 	given   int
 	waiting []request
-	meter   placement.Meter
+	meter   placement.ProcessingTimeEstimator
 }
 
 // request waits at its endpoint.
@@ -90,7 +90,7 @@
 func (e *endpoint) next(now time.Duration) request {
 	chosen := 0
 	for index := len(e.waiting) - 1; index > 0; index-- {
-		if now-e.waiting[index].began+e.meter.Pace() <= objective {
+		if now-e.waiting[index].began+e.meter.Estimate() <= objective {
 			chosen = index
 			break
 		}
@@ -232,7 +232,7 @@
 			return
 		}
 		r.outcome.returned += opened.one()
-		used, pace := chosen.endpoint.pending, chosen.endpoint.meter.Pace()
+		used, pace := chosen.endpoint.pending, chosen.endpoint.meter.Estimate()
 		r.after(now, chosen.way(), func(now time.Duration) {
 			chosen.outstanding--
 			r.tell(now, opened.balancer, chosen, used, pace)
@@ -266,7 +266,7 @@
 	at := chosen.endpoint
 	at.pending++
 	at.given += opened.one()
-	used, pace := at.pending, at.meter.Pace()
+	used, pace := at.pending, at.meter.Estimate()
 	r.after(now, chosen.way(), func(now time.Duration) { r.tell(now, opened.balancer, chosen, used, pace) })
 	counts := r.outcome.awayBy[opened.zone][int(now/(250*time.Millisecond))]
 	counts[0]++
@@ -304,7 +304,7 @@
 	at := chosen.endpoint
 	at.working--
 	at.pending--
-	at.meter.Answered(segment.Address{}, took)
+	at.meter.Observe(segment.Address{}, took)
 	if now+wayOfClient-opened.began > objective {
 		r.outcome.late += opened.one()
 	}
--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -25,7 +25,7 @@
 	// ColdBound is what a cold endpoint may get beyond its rate.
 	ColdBound ColdBound
 	// Outliers are the limits within which the endpoint counts as well.
-	Outliers outlier.Limits
+	Outliers outlier.Config
 	// QueuePolicy decides which request that waits is served first.
 	QueuePolicy requestqueue.Policy
 }
@@ -122,7 +122,7 @@
 	running uint32
 	queue   queue
 	pace    pace
-	meter   placement.Meter
+	meter   placement.ProcessingTimeEstimator
 	// opening are the flows that have been accepted and whose first request may be to come.
 	opening []*agentFlow
 	// unanswered and detector tell how well the endpoint is.
@@ -161,7 +161,7 @@
 
 // loadFor is the load as a balancer of a zone shall know it.
 func (a *Agent) loadFor(zone string) Load {
-	pace := uint32(min(a.meter.Pace().Microseconds(), math.MaxUint32))
+	pace := uint32(min(a.meter.Estimate().Microseconds(), math.MaxUint32))
 	hold := uint32(math.Ceil(a.cold.wait(a.now).Seconds() * 1000))
 	return Load{
 		Running: a.running, Waiting: uint32(len(a.queue.waiting)), Refusing: a.refusing(), Pace: pace, Hold: hold,
@@ -250,7 +250,7 @@
 		a.refuseForeign(from, key, header, message)
 		return
 	}
-	if header.Opening() {
+	if header.OpensFlow() {
 		a.receiveOpening(now, from, key, header, message)
 		return
 	}
@@ -270,7 +270,7 @@
 func (a *Agent) bringBack(to segment.Address, key segment.FlowKey, header segment.Header, packet []byte, reason string) {
 	message := Message{Kind: KindUnknown, Service: a.config.Service, Sequence: header.Sequence, Packet: packet}
 	event := EventNotOwned
-	if header.Opening() {
+	if header.OpensFlow() {
 		message.Kind = KindReturned
 		message.LastResort = reason == reasonEjected || reason == reasonBusy
 		event = EventReturned
@@ -330,7 +330,7 @@
 	a.flows[key] = opened
 	a.opening = append(a.opening, opened)
 	a.running++
-	a.detector.Gave(now)
+	a.detector.RecordOpening(now)
 	a.deliver(message.Packet)
 }
 
@@ -408,7 +408,7 @@
 	if len(a.queue.waiting) > 0 {
 		next = now + queueInterval
 	}
-	if due, waits := a.detector.Patience(); waits {
+	if due, waits := a.detector.CheckDue(); waits {
 		next = min(next, due)
 	}
 	return min(next, a.nextSurvey())
@@ -419,7 +419,7 @@
 	a.begin(now)
 	a.expire(now)
 	a.expireSurveys(now)
-	a.detector.Check(now)
+	a.detector.CheckOpenings(now)
 	a.noteStarts(now)
 	a.tellChanges()
 	if now >= a.nextSweep {
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -120,7 +120,7 @@
 	demands map[string]*demand
 	swept   time.Duration
 	// levels are how far groups of endpoints are used.
-	levels map[group]*placement.Level
+	levels map[group]*placement.GroupUtilization
 	// usual are the paces that are usual for services.
 	usual map[string]usualPace
 	// paces is room for the paces of a service.
@@ -145,7 +145,7 @@
 		flows:    make(map[segment.FlowKey]*balancerFlow),
 		health:   make(map[directory.EndpointID]*health),
 		demands:  make(map[string]*demand),
-		levels:   make(map[group]*placement.Level),
+		levels:   make(map[group]*placement.GroupUtilization),
 		usual:    make(map[string]usualPace),
 		sharing:  make(map[segment.Address]*sharing),
 		budget:   newBudget(),
@@ -217,7 +217,7 @@
 
 // arrive handles a client's packet once the directory is known.
 func (b *Balancer) arrive(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
-	if header.Opening() {
+	if header.OpensFlow() {
 		b.arriveOpening(now, key, header, packet)
 		return
 	}
@@ -338,7 +338,7 @@
 		known.measure(now - b.swept)
 	}
 	b.swept = now
-	maps.DeleteFunc(b.levels, func(_ group, level *placement.Level) bool { return level.Expired(now) })
+	maps.DeleteFunc(b.levels, func(_ group, level *placement.GroupUtilization) bool { return level.Expired(now) })
 	for key, known := range b.flows {
 		retention := b.config.FlowLifetime
 		switch known.state {
--- a/internal/relay/cold_test.go
+++ b/internal/relay/cold_test.go
@@ -23,7 +23,7 @@
 func newColdAgent(complete bool, bound relay.ColdBound) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
 		Service: service, Codec: codec, Complete: complete, FlowLifetime: flowLifetime, FlowLimit: 100000, ColdBound: bound,
-		Outliers: outlier.DefaultLimits(),
+		Outliers: outlier.DefaultConfig(),
 	})
 }
 
--- a/internal/relay/early.go
+++ b/internal/relay/early.go
@@ -62,7 +62,7 @@
 
 // holdEarly handles a packet that comes before the directory is known.
 func (b *Balancer) holdEarly(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
-	if !b.early.hold(now, key, header.Opening(), packet) {
+	if !b.early.hold(now, key, header.OpensFlow(), packet) {
 		b.event(Event{Kind: EventNotReady, Flow: key})
 	}
 }
@@ -71,7 +71,7 @@
 func (b *Balancer) releaseEarly(now time.Duration) {
 	for _, held := range b.early.take(now) {
 		header, _ := b.config.Codec.Decode(held.packet)
-		header.Waited += now - held.at
+		header.SinceFirstAttempt += now - held.at
 		b.event(Event{Kind: EventReleased, Flow: held.key, Version: b.snapshot.Version(), Elapsed: now - held.at})
 		b.arrive(now, held.key, header, held.packet)
 	}
--- a/internal/relay/emitted.go
+++ b/internal/relay/emitted.go
@@ -17,10 +17,10 @@
 	}
 	a.noteRelapse(a.cold.heard(now))
 	if header.Flags.Has(segment.Returned) {
-		a.detector.Heard(now, false)
+		a.detector.RecordPacket(now, false)
 		a.emittedReturned(now, header, packet)
 	} else {
-		a.detector.Heard(now, header.Flags.Has(segment.Synchronize))
+		a.detector.RecordPacket(now, header.Flags.Has(segment.Synchronize))
 		a.emittedOwn(now, header, packet)
 	}
 	a.noteStarts(now)
@@ -40,7 +40,7 @@
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 	known, exists := a.flows[key]
 	a.config.Codec.ClearReturned(packet)
-	if header.Opening() {
+	if header.OpensFlow() {
 		a.returnedOpening(now, key, known, header, packet)
 		return
 	}
@@ -74,7 +74,7 @@
 	}
 	balancer := known.balancer
 	a.forget(now, key)
-	a.detector.Returned(now)
+	a.detector.RecordReturn(now)
 	a.bringBack(balancer, key, header, packet, "endpoint")
 }
 
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -150,7 +150,7 @@
 func newAgentWith(complete bool, policy requestqueue.Policy) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
 		Service: service, Codec: codec, Complete: complete, FlowLifetime: flowLifetime, FlowLimit: 1000,
-		Outliers: outlier.DefaultLimits(), QueuePolicy: policy,
+		Outliers: outlier.DefaultConfig(), QueuePolicy: policy,
 	})
 }
 
--- a/internal/relay/health_test.go
+++ b/internal/relay/health_test.go
@@ -37,16 +37,16 @@
 	}
 
 	It("gives it no new flows and tells balancers of that at once", func() {
-		answers(0, ownZone, balancerA, segmenttest.FailureMark)
-		answers(0, otherZone, balancerB, segmenttest.FailureMark)
-		effects := answers(millisecond, ownZone, balancerA, segmenttest.FailureMark)
+		answers(0, ownZone, balancerA, segmenttest.FailurePrefix)
+		answers(0, otherZone, balancerB, segmenttest.FailurePrefix)
+		effects := answers(millisecond, ownZone, balancerA, segmenttest.FailurePrefix)
 		Expect(events(effects)).To(ContainElement(relay.EventEjected))
 		for _, balancer := range []segment.Address{balancerA, balancerB} {
 			told := sentTo(balancer, effects)
 			Expect(told).To(HaveLen(1))
 			Expect(told[0].Message.Kind).To(Equal(relay.KindPong))
 			Expect(told[0].Message.Load.Report).To(Equal(outlier.Report{
-				Outcomes: 3, Failures: 3, Reason: outlier.Failure, Hold: 1000,
+				Outcomes: 3, Failures: 3, Reason: outlier.Failure, HoldMilliseconds: 1000,
 			}))
 		}
 		Expect(returnsNew(ownZone, 2*millisecond)).To(BeTrue())
@@ -57,7 +57,7 @@
 		answers(0, otherZone, balancerB, "answer")
 		var effects []relay.Effect
 		for range 3 {
-			effects = answers(0, ownZone, balancerA, segmenttest.FailureMark)
+			effects = answers(0, ownZone, balancerA, segmenttest.FailurePrefix)
 		}
 		Expect(sentTo(balancerA, effects)).To(HaveLen(1))
 		Expect(sentTo(balancerB, effects)).To(BeEmpty())
@@ -66,7 +66,7 @@
 	})
 
 	It("spares it after a refusal for as long as it asks", func() {
-		answers(0, ownZone, balancerA, segmenttest.RefusalMark+"700")
+		answers(0, ownZone, balancerA, segmenttest.RefusalPrefix+"700")
 		Expect(returnsNew(ownZone, 699*millisecond)).To(BeTrue())
 		Expect(returnsNew(ownZone, 700*millisecond)).To(BeFalse())
 	})
@@ -86,9 +86,9 @@
 			offerIn(ownZone, 0, balancerA, true)
 			agent.answer(0, number, 500)
 			agent.forward(0, relay.KindForward, fromClient(number, segment.Acknowledge, 101, 501, "request"))
-			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, 507, 108, segmenttest.FailureMark+" in a body that came first"))
+			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, 507, 108, segmenttest.FailurePrefix+" in a body that came first"))
 			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
-			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, 501, 108, segmenttest.FailureMark))
+			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, 501, 108, segmenttest.FailurePrefix))
 		}
 		Expect(returnsNew(ownZone, 0)).To(BeFalse())
 		Expect(agent.Load().Report).To(Equal(outlier.Report{Outcomes: 6}))
@@ -100,8 +100,8 @@
 		for range 3 {
 			agent.forward(0, relay.KindForward, fromClient(number, segment.Acknowledge, next, written, "request"))
 			next += 7
-			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, written, next, segmenttest.FailureMark))
-			written += uint32(len(segmenttest.FailureMark))
+			agent.Emitted(0, fromEndpoint(number, segment.Acknowledge, written, next, segmenttest.FailurePrefix))
+			written += uint32(len(segmenttest.FailurePrefix))
 		}
 		Expect(agent.Load().Report.Failures).To(BeEquivalentTo(3))
 		Expect(returnsNew(ownZone, 0)).To(BeTrue())
@@ -115,7 +115,7 @@
 		Expect(sentTo(balancerA, effects)).To(HaveLen(1))
 		Expect(sentTo(balancerA, effects)[0].Message.Kind).To(Equal(relay.KindReturned))
 		Expect(sentTo(balancerB, effects)).To(HaveLen(1))
-		Expect(sentTo(balancerB, effects)[0].Message.Load.Report.Held()).To(Equal(300 * millisecond))
+		Expect(sentTo(balancerB, effects)[0].Message.Load.Report.HoldTime()).To(Equal(300 * millisecond))
 	})
 
 	It("notices without another packet that opening packets get no answer", func() {
@@ -150,7 +150,7 @@
 			Kind: relay.KindPong, Service: service, Load: relay.Load{Report: report},
 		})
 	}
-	failing := outlier.Report{Outcomes: 10, Failures: 6, Reason: outlier.Failure, Hold: 1000}
+	failing := outlier.Report{Outcomes: 10, Failures: 6, Reason: outlier.Failure, HoldMilliseconds: 1000}
 	arrive := func(now time.Duration) []relay.Effect {
 		number++
 		return balancer.Arrive(now, opening(number, 100))
@@ -250,13 +250,13 @@
 		for endpoint := range endpoints {
 			report(0, endpoint, outlier.Report{Outcomes: 10, Failures: 2})
 		}
-		report(0, 3, outlier.Report{Outcomes: 10, Failures: 3, Reason: outlier.Failure, Hold: 1000})
+		report(0, 3, outlier.Report{Outcomes: 10, Failures: 3, Reason: outlier.Failure, HoldMilliseconds: 1000})
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
 
 	It("asks no more than three endpoints that are held back if there are no others", func() {
 		for endpoint := range endpoints {
-			report(0, endpoint, outlier.Report{Reason: outlier.Return, Hold: 300})
+			report(0, endpoint, outlier.Report{Reason: outlier.PacketReturned, HoldMilliseconds: 300})
 		}
 		effects := arrive(millisecond)
 		for range 3 {
@@ -264,7 +264,7 @@
 			Expect(message.Message.Insist).To(BeFalse())
 			effects = balancer.Receive(millisecond, message.To, relay.Message{
 				Kind: relay.KindReturned, Service: service, LastResort: true, Packet: opening(number, 100),
-				Load: relay.Load{Report: outlier.Report{Reason: outlier.Return, Hold: 299}},
+				Load: relay.Load{Report: outlier.Report{Reason: outlier.PacketReturned, HoldMilliseconds: 299}},
 			})
 		}
 		lastResort := onlyMessage(effects)
@@ -276,7 +276,7 @@
 	})
 
 	It("does not believe an agent that counts more failures than outcomes", func() {
-		effects := report(0, 3, outlier.Report{Outcomes: 3, Failures: 9, Reason: outlier.Failure, Hold: 1000})
+		effects := report(0, 3, outlier.Report{Outcomes: 3, Failures: 9, Reason: outlier.Failure, HoldMilliseconds: 1000})
 		Expect(events(effects)).To(Equal([]relay.EventKind{relay.EventForged}))
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
--- a/internal/relay/judgement.go
+++ b/internal/relay/judgement.go
@@ -12,9 +12,9 @@
 // takes account of it if it is a trial.
 func (a *Agent) trusts(now time.Duration, zone string) bool {
 	if a.unanswered.stuck(now, a.pace.working) {
-		a.detector.Hung(now)
+		a.detector.RecordHang(now)
 	}
-	return a.detector.Admits(now, zone)
+	return a.detector.Admit(now, zone)
 }
 
 // wrote notes how far the endpoint has written, and what an answer among that says. An
@@ -22,7 +22,7 @@
 // that copies and later packets which come first are not taken for it.
 func (a *Agent) wrote(now time.Duration, known *agentFlow, header segment.Header, packet []byte) {
 	if header.Flags.Has(segment.Reset) && known.work.occupies {
-		a.detector.Answered(now, known.zone, outlier.Break, 0)
+		a.detector.RecordOutcome(now, known.zone, outlier.ConnectionReset, 0)
 	}
 	begins := !known.work.follows || header.Sequence == known.work.begins
 	if known.work.unread && header.Length > 0 && begins {
@@ -42,11 +42,11 @@
 	answer := a.config.Codec.Answer(packet)
 	switch answer.Kind {
 	case segment.AnswerSuccess:
-		a.detector.Answered(now, known.zone, outlier.Success, 0)
+		a.detector.RecordOutcome(now, known.zone, outlier.Success, 0)
 	case segment.AnswerFailure:
-		a.detector.Answered(now, known.zone, outlier.Failure, 0)
+		a.detector.RecordOutcome(now, known.zone, outlier.Failure, 0)
 	case segment.AnswerRefusal:
-		a.detector.Answered(now, known.zone, outlier.Refusal, answer.RetryAfter)
+		a.detector.RecordOutcome(now, known.zone, outlier.Refusal, answer.RetryAfter)
 	}
 }
 
@@ -54,10 +54,10 @@
 // those that they would not find out in time: among 16 balancers each sees an endpoint
 // every other second.
 func (a *Agent) tellChanges() {
-	for _, change := range a.detector.Changes() {
+	for _, change := range a.detector.TakeChanges() {
 		a.event(Event{
 			Kind: eventOfState(change.State), Reason: change.Reason.String(), Zone: change.Zone,
-			Failures: change.Failures, Outcomes: change.Outcomes, Elapsed: change.Hold,
+			Failures: change.Failures, Outcomes: change.Outcomes, Elapsed: change.HoldTime,
 		})
 		if change.State == outlier.Probation {
 			continue
@@ -107,16 +107,16 @@
 	}
 	known := b.healthOf(candidate.ID)
 	known.report = report
-	known.ejectionEnds = now + report.Held()
+	known.ejectionEnds = now + report.HoldTime()
 	b.ejectionsEnd = max(b.ejectionsEnd, known.ejectionEnds)
 }
 
 // panel compares the endpoints of a service. It is nil while no endpoint at all is ejected.
-func (b *Balancer) panel(now time.Duration, service string) *outlier.Panel {
+func (b *Balancer) panel(now time.Duration, service string) *outlier.ServiceHealth {
 	if now >= b.ejectionsEnd {
 		return nil
 	}
-	compared := &outlier.Panel{}
+	compared := &outlier.ServiceHealth{}
 	for _, candidate := range b.snapshot.Candidates(service) {
 		if !candidate.Leaving && !candidate.Closed {
 			known := b.healthOf(candidate.ID)
@@ -128,8 +128,8 @@
 
 // leftOut reports whether an endpoint gets no new flow since its agent holds it back and
 // the others of its service do better.
-func (h *health) leftOut(now time.Duration, compared *outlier.Panel) bool {
-	return compared != nil && h.ejected(now) && compared.Honors(h.report)
+func (h *health) leftOut(now time.Duration, compared *outlier.ServiceHealth) bool {
+	return compared != nil && h.ejected(now) && compared.ConfirmsEjection(h.report)
 }
 
 // ejected reports whether the agent of an endpoint holds it back.
--- a/internal/relay/level.go
+++ b/internal/relay/level.go
@@ -17,11 +17,11 @@
 }
 
 // levelOf returns how far the endpoints like one of some slowness are used.
-func (b *Balancer) levelOf(candidate directory.Candidate, slowness float64) *placement.Level {
+func (b *Balancer) levelOf(candidate directory.Candidate, slowness float64) *placement.GroupUtilization {
 	key := group{candidate.Endpoint.Service, candidate.Endpoint.Zone, slowness > 1}
 	known, exists := b.levels[key]
 	if !exists {
-		known = &placement.Level{}
+		known = &placement.GroupUtilization{}
 		b.levels[key] = known
 	}
 	return known
@@ -40,6 +40,6 @@
 	if message.Kind == KindReturned {
 		own--
 	}
-	known.news = placement.News{Used: max(float64(message.Load.Used)-max(own, 0), 0), At: now, Known: true}
-	b.levelOf(candidate, known.slowness(now, usual)).Note(now, known.news.Used/float64(candidate.Endpoint.Slots))
+	known.news = placement.LoadReport{UsedByOthers: max(float64(message.Load.Used)-max(own, 0), 0), ReceivedAt: now, Known: true}
+	b.levelOf(candidate, known.slowness(now, usual)).Observe(now, known.news.UsedByOthers/float64(candidate.Endpoint.Slots))
 }
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -54,7 +54,7 @@
 	}
 	b.budget.earn()
 	opened := &balancerFlow{
-		sequence: header.Sequence, opened: now, touched: now, terms: termsOf(route), began: now - header.Waited,
+		sequence: header.Sequence, opened: now, touched: now, terms: termsOf(route), began: now - header.SinceFirstAttempt,
 	}
 	opened.offer = &offer{key: key, packet: slices.Clone(packet)}
 	opened.service = b.chooseService(now, route)
@@ -208,7 +208,7 @@
 
 func (b *Balancer) receiveReturned(now time.Duration, from segment.Address, message Message) {
 	header, outcome := b.config.Codec.Decode(message.Packet)
-	if outcome != segment.Decoded || !header.Opening() {
+	if outcome != segment.Decoded || !header.OpensFlow() {
 		b.event(Event{Kind: EventMalformed, Peer: from, Reason: "returned"})
 		return
 	}
@@ -234,7 +234,7 @@
 // asked in the end, also if it is slow: where the newest requests go first, a new one does
 // not wait for those that are late already.
 func (o *offer) noteLastResort(agent segment.Address, load Load) {
-	if load.Report.Hold > 0 {
+	if load.Report.HoldMilliseconds > 0 {
 		// It is left out for longer, as its endpoint is not well.
 		if o.lastResort.IsZero() {
 			o.lastResort, o.used = agent, math.MaxUint32
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -38,7 +38,7 @@
 	paceChanged time.Duration
 	told        time.Duration
 	// news is what it told last of how far the endpoint is used.
-	news placement.News
+	news placement.LoadReport
 	// report is what its agent told last of its health, and ejectionEnds until when it
 	// holds the endpoint back.
 	report       outlier.Report
@@ -231,7 +231,7 @@
 	}
 	usual := b.usualPace(now, service)
 	asks := b.demandOf(service).slots(usual)
-	drawn := placement.Draw(b.local, b.config.Random)
+	drawn := placement.Sample(b.local, b.config.Random)
 	for _, index := range drawn {
 		b.places = append(b.places, b.placeOf(now, b.candidates[index], usual, asks))
 	}
@@ -253,8 +253,8 @@
 	pace := time.Duration(known.pace) * time.Microsecond
 	level := b.levelOf(candidate, slowness).At(now) * float64(candidate.Endpoint.Slots)
 	return placement.Candidate{
-		Slots: candidate.Endpoint.Slots, Outstanding: known.outstanding, Kept: asks * float64(known.kept),
-		Others: known.news.Estimate(now, pace, level), Slowness: slowness, Warming: now < candidate.WarmAt,
+		Slots: candidate.Endpoint.Slots, Outstanding: known.outstanding, IdleFlowSlots: asks * float64(known.kept),
+		SlotsUsedByOthers: known.news.Estimate(now, pace, level), Slowness: slowness, Warming: now < candidate.WarmAt,
 		Local: candidate.Endpoint.Zone == b.config.Zone,
 	}
 }
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -71,27 +71,27 @@
 // wanted is the request as the queue sees it.
 func (w *work) wanted() requestqueue.Request {
 	return requestqueue.Request{
-		Priority: w.terms.Priority, Began: w.asked,
+		Priority: w.terms.Priority, StartedAt: w.asked,
 		Objective: milliseconds(w.terms.Target), Timeout: milliseconds(w.terms.Timeout),
 	}
 }
 
 // queue holds the flows whose requests wait for the endpoint.
 type queue struct {
-	order    requestqueue.Order
+	order    requestqueue.Scheduler
 	waiting  []waiting
 	requests []requestqueue.Request
 }
 
 func newQueue(policy requestqueue.Policy) queue {
-	return queue{order: policy.NewOrder()}
+	return queue{order: policy.NewScheduler()}
 }
 
 // expire removes and returns the requests whose clients have given up.
 func (q *queue) expire(now, working time.Duration) []waiting {
 	var expired []waiting
 	q.waiting = slices.DeleteFunc(q.waiting, func(w waiting) bool {
-		if w.flow.work.wanted().Outlook(now, working) != requestqueue.Expired {
+		if w.flow.work.wanted().Timeliness(now, working) != requestqueue.Expired {
 			return false
 		}
 		w.flow.work.held = nil
@@ -105,7 +105,7 @@
 func (q *queue) inTime(now, working time.Duration) uint32 {
 	count := uint32(0)
 	for _, w := range q.waiting {
-		if w.flow.work.wanted().Outlook(now, working) == requestqueue.InTime {
+		if w.flow.work.wanted().Timeliness(now, working) == requestqueue.InTime {
 			count++
 		}
 	}
@@ -134,7 +134,7 @@
 
 // capacity is what the endpoint can do, as far as it is known.
 func (a *Agent) capacity() requestqueue.Capacity {
-	return requestqueue.Capacity{Limit: a.pace.limit(), Work: time.Duration(a.pace.working * float64(time.Second))}
+	return requestqueue.Capacity{Concurrency: a.pace.limit(), ProcessingTime: time.Duration(a.pace.working * float64(time.Second))}
 }
 
 // passes reports whether a client's packet with data can be given to the
@@ -219,7 +219,7 @@
 }
 
 func (a *Agent) admitWaiting(now time.Duration) {
-	for _, expired := range a.queue.expire(now, a.capacity().Work) {
+	for _, expired := range a.queue.expire(now, a.capacity().ProcessingTime) {
 		request := &expired.flow.work
 		a.event(Event{Kind: EventExpired, Flow: expired.key, Request: request.request, Elapsed: now - request.asked})
 	}
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -75,7 +75,7 @@
 		rests := a.now-flow.opened >= openingLasts
 		return !flow.running() || flow.work.served || len(flow.work.held) > 0 || rests
 	})
-	return a.pace.occupied + a.queue.inTime(a.now, a.capacity().Work) + uint32(len(a.opening))
+	return a.pace.occupied + a.queue.inTime(a.now, a.capacity().ProcessingTime) + uint32(len(a.opening))
 }
 
 // noteStarts notes which requests the endpoint has begun to work on: it takes them in the
@@ -93,6 +93,6 @@
 // answer, without the time for which the request has waited there.
 func (a *Agent) measure(now time.Duration, key segment.FlowKey, known *agentFlow) {
 	if known.work.occupies && known.started >= known.work.since {
-		a.meter.Answered(key.Service, now-known.started)
+		a.meter.Observe(key.Service, now-known.started)
 	}
 }
--- a/internal/relay/stuck_test.go
+++ b/internal/relay/stuck_test.go
@@ -41,7 +41,7 @@
 	It("returns new flows, which it takes only if nobody else does", func() {
 		Expect(returnedAsLast(100*millisecond, 3)).To(BeFalse(), "not before it is sure")
 		Expect(returnedAsLast(stuckAt, 4)).To(BeTrue())
-		Expect(agent.Load().Report.Held()).To(Equal(time.Second))
+		Expect(agent.Load().Report.HoldTime()).To(Equal(time.Second))
 		Expect(agent.Load().Report.Reason).To(Equal(outlier.Hang))
 		effects := agent.Receive(stuckAt, balancerA, relay.Message{
 			Kind: relay.KindOffer, Service: service, Terms: agent.terms, LastResort: true, Packet: opening(4, 100),
--- a/internal/relaydaemon/journal.go
+++ b/internal/relaydaemon/journal.go
@@ -81,7 +81,7 @@
 	}
 	ejections := registered.Counter("relay_ejections_total", "Ejections of the endpoint beside an agent, by reason.", reasonLabel)
 	created.ejections = make(map[string]metrics.Counter)
-	for _, class := range outlier.Classes()[outlier.Failure:] {
+	for _, class := range outlier.Outcomes()[outlier.Failure:] {
 		created.ejections[class.String()] = ejections.With(reasonLabel, class.String())
 	}
 	admitted := registered.Counter("relay_admitted_total", "Requests that waited and were given to the endpoint, by why each went first.", reasonLabel)
--- a/internal/requestqueue/comparison_test.go
+++ b/internal/requestqueue/comparison_test.go
@@ -17,7 +17,7 @@
 type earliestDeadline struct{}
 
 func (earliestDeadline) Next(_ time.Duration, _ requestqueue.Capacity, waiting []requestqueue.Request) requestqueue.Choice {
-	index := least(waiting, func(request requestqueue.Request) time.Duration { return request.Began + request.Timeout })
+	index := least(waiting, func(request requestqueue.Request) time.Duration { return request.StartedAt + request.Timeout })
 	return requestqueue.Choice{Index: index, Reason: requestqueue.ReasonLate}
 }
 
@@ -41,10 +41,10 @@
 const reserved = 4
 
 func (s slackFirst) Next(now time.Duration, capacity requestqueue.Capacity, waiting []requestqueue.Request) requestqueue.Choice {
-	due := func(request requestqueue.Request) time.Duration { return request.Began + request.Objective }
+	due := func(request requestqueue.Request) time.Duration { return request.StartedAt + request.Objective }
 	var inTime, late []requestqueue.Request
 	for _, request := range waiting {
-		if request.Outlook(now, capacity.Work) == requestqueue.InTime {
+		if request.Timeliness(now, capacity.ProcessingTime) == requestqueue.InTime {
 			inTime = append(inTime, request)
 			continue
 		}
@@ -53,15 +53,15 @@
 	slices.SortFunc(inTime, func(a, b requestqueue.Request) int { return cmp.Compare(due(a), due(b)) })
 	feasible := len(inTime) > 0
 	for position, request := range inTime {
-		begun := now + time.Duration(position+reserved)*capacity.Work/time.Duration(capacity.Limit)
-		feasible = feasible && begun+capacity.Work <= due(request)
+		begun := now + time.Duration(position+reserved)*capacity.ProcessingTime/time.Duration(capacity.Concurrency)
+		feasible = feasible && begun+capacity.ProcessingTime <= due(request)
 	}
 	switch {
 	case !feasible:
 		return requestqueue.NewestFirst{}.Next(now, capacity, waiting)
 	case s.lateFirst && len(late) > 0:
 		urgent := late[earliestDeadline{}.Next(now, capacity, late).Index]
-		if urgent.Outlook(now, 2*capacity.Work) == requestqueue.Expired {
+		if urgent.Timeliness(now, 2*capacity.ProcessingTime) == requestqueue.Expired {
 			return requestqueue.Choice{Index: slices.Index(waiting, urgent), Reason: requestqueue.ReasonLastChance}
 		}
 	}
@@ -69,15 +69,15 @@
 }
 
 var _ = Describe("Orders on the same load", func() {
-	newOrders := map[string]func() requestqueue.Order{
-		"newest first":           func() requestqueue.Order { return requestqueue.NewestFirst{} },
-		"earliest deadline":      func() requestqueue.Order { return earliestDeadline{} },
-		"slack":                  func() requestqueue.Order { return slackFirst{} },
-		"slack, late before":     func() requestqueue.Order { return slackFirst{lateFirst: true} },
-		"earliest due":           func() requestqueue.Order { return requestqueue.EarliestDue{} },
-		"newest first, half":     func() requestqueue.Order { return requestqueue.NewFairShare(requestqueue.NewestFirst{}, 0.5) },
-		"earliest due, a fifth":  func() requestqueue.Order { return requestqueue.NewFairShare(requestqueue.EarliestDue{}, 0.2) },
-		"earliest due, one half": func() requestqueue.Order { return requestqueue.NewFairShare(requestqueue.EarliestDue{}, 0.5) },
+	newOrders := map[string]func() requestqueue.Scheduler{
+		"newest first":           func() requestqueue.Scheduler { return requestqueue.NewestFirst{} },
+		"earliest deadline":      func() requestqueue.Scheduler { return earliestDeadline{} },
+		"slack":                  func() requestqueue.Scheduler { return slackFirst{} },
+		"slack, late before":     func() requestqueue.Scheduler { return slackFirst{lateFirst: true} },
+		"earliest due":           func() requestqueue.Scheduler { return requestqueue.EarliestDue{} },
+		"newest first, half":     func() requestqueue.Scheduler { return requestqueue.NewFairShare(requestqueue.NewestFirst{}, 0.5) },
+		"earliest due, a fifth":  func() requestqueue.Scheduler { return requestqueue.NewFairShare(requestqueue.EarliestDue{}, 0.2) },
+		"earliest due, one half": func() requestqueue.Scheduler { return requestqueue.NewFairShare(requestqueue.EarliestDue{}, 0.5) },
 	}
 	loads := map[string]func(*rand.Rand) load{"power loss": afterPowerLoss, "overload": overload, "returning": returning}
 	results := map[string]map[string]summary{}
--- a/internal/requestqueue/fairshare.go
+++ b/internal/requestqueue/fairshare.go
@@ -9,7 +9,7 @@
 // them wait beside more urgent ones. The share is divided equally among them; what one does not
 // need is left to the order (deficit round robin: Shreedhar and Varghese, 1995).
 type FairShare struct {
-	order Order
+	order Scheduler
 	share float64
 	// credit is, by priority, what part of a slot is owed. Only priorities that wait and
 	// are less urgent than another have one.
@@ -18,7 +18,7 @@
 
 // NewFairShare returns a fair share of the slots, from 0 to MaxFairShare, below an order that
 // keeps no state.
-func NewFairShare(order Order, share float64) *FairShare {
+func NewFairShare(order Scheduler, share float64) *FairShare {
 	return &FairShare{order: order, share: share, credit: make(map[uint8]float64)}
 }
 
@@ -90,7 +90,7 @@
 }
 
 // among lets an order choose among some of the requests, given by their indices.
-func among(order Order, now time.Duration, capacity Capacity, waiting []Request, indices []int) Choice {
+func among(order Scheduler, now time.Duration, capacity Capacity, waiting []Request, indices []int) Choice {
 	requests := make([]Request, len(indices))
 	for position, index := range indices {
 		requests[position] = waiting[index]
--- a/internal/requestqueue/policy.go
+++ b/internal/requestqueue/policy.go
@@ -34,9 +34,9 @@
 	FairShare float64
 }
 
-// NewOrder returns the order of a queue. It must not be shared between queues.
-func (p Policy) NewOrder() Order {
-	var order Order = NewestFirst{}
+// NewScheduler returns the order of a queue. It must not be shared between queues.
+func (p Policy) NewScheduler() Scheduler {
+	var order Scheduler = NewestFirst{}
 	if p.Discipline == DisciplineEarliestDue {
 		order = EarliestDue{}
 	}
--- a/internal/requestqueue/request.go
+++ b/internal/requestqueue/request.go
@@ -9,8 +9,8 @@
 type Request struct {
 	// Priority orders kinds of requests; 0 is the most urgent.
 	Priority uint8
-	// Began is when the client began with the request, as far as is known.
-	Began time.Duration
+	// StartedAt is when the client began with the request, as far as is known.
+	StartedAt time.Duration
 	// Objective is the time from Began in which the client should have the answer.
 	Objective time.Duration
 	// Timeout is the time from Began after which the client gives up; 0 means that it
@@ -19,32 +19,32 @@
 }
 
 // due is when the request has to be answered to meet its objective.
-func (r Request) due() time.Duration { return r.Began + r.Objective }
+func (r Request) due() time.Duration { return r.StartedAt + r.Objective }
 
 // deadline is when the client gives up, the latest time if it never does.
 func (r Request) deadline() time.Duration {
 	if r.Timeout == 0 {
 		return math.MaxInt64
 	}
-	return r.Began + r.Timeout
+	return r.StartedAt + r.Timeout
 }
 
-// Outlook is what a request can still achieve.
-type Outlook uint8
+// Timeliness is what a request can still achieve.
+type Timeliness uint8
 
 // The outlooks, the best first.
 const (
 	// InTime: it can be answered within its objective.
-	InTime Outlook = iota
+	InTime Timeliness = iota
 	// Late: it can be answered before its client gives up.
 	Late
 	// Expired: its client has given up or will before the answer.
 	Expired
 )
 
-// Outlook returns what the request can achieve if it is begun now and takes as long as
+// Timeliness returns what the request can achieve if it is begun now and takes as long as
 // work.
-func (r Request) Outlook(now, work time.Duration) Outlook {
+func (r Request) Timeliness(now, work time.Duration) Timeliness {
 	answered := now + work
 	switch {
 	case answered <= r.due():
--- a/internal/requestqueue/requestqueue_test.go
+++ b/internal/requestqueue/requestqueue_test.go
@@ -19,11 +19,11 @@
 
 // request returns one that began at a time, with an objective of 300 ms and a timeout of 2 s.
 func request(began time.Duration, priority uint8) requestqueue.Request {
-	return requestqueue.Request{Priority: priority, Began: began, Objective: 300 * ms, Timeout: 2 * time.Second}
+	return requestqueue.Request{Priority: priority, StartedAt: began, Objective: 300 * ms, Timeout: 2 * time.Second}
 }
 
 // served returns the indices of requests in the order in which they are served, all at once.
-func served(order requestqueue.Order, now time.Duration, capacity requestqueue.Capacity, waiting ...requestqueue.Request) []int {
+func served(order requestqueue.Scheduler, now time.Duration, capacity requestqueue.Capacity, waiting ...requestqueue.Request) []int {
 	indices := make([]int, len(waiting))
 	for index := range indices {
 		indices[index] = index
@@ -40,8 +40,8 @@
 
 var _ = Describe("Outlook", func() {
 	DescribeTable("follows from the age and the expected work",
-		func(now, work time.Duration, expected requestqueue.Outlook) {
-			Expect(request(0, 0).Outlook(now, work)).To(Equal(expected))
+		func(now, work time.Duration, expected requestqueue.Timeliness) {
+			Expect(request(0, 0).Timeliness(now, work)).To(Equal(expected))
 		},
 		Entry("just in time", 200*ms, 100*ms, requestqueue.InTime),
 		Entry("just late", 201*ms, 100*ms, requestqueue.Late),
@@ -51,12 +51,12 @@
 
 	It("never expires without a timeout", func() {
 		endless := requestqueue.Request{Objective: 300 * ms}
-		Expect(endless.Outlook(time.Hour, 0)).To(Equal(requestqueue.Late))
+		Expect(endless.Timeliness(time.Hour, 0)).To(Equal(requestqueue.Late))
 	})
 })
 
 var _ = Describe("NewestFirst", func() {
-	capacity := requestqueue.Capacity{Limit: 4, Work: 50 * ms}
+	capacity := requestqueue.Capacity{Concurrency: 4, ProcessingTime: 50 * ms}
 
 	It("serves what can be in time first, by priority and newest first, then what gives up first", func() {
 		Expect(served(requestqueue.NewestFirst{}, time.Second, capacity,
@@ -66,7 +66,7 @@
 	})
 
 	It("gives up last what never expires", func() {
-		endless := requestqueue.Request{Priority: 1, Began: 100 * ms, Objective: 300 * ms}
+		endless := requestqueue.Request{Priority: 1, StartedAt: 100 * ms, Objective: 300 * ms}
 		Expect(served(requestqueue.NewestFirst{}, time.Second, capacity,
 			endless, request(600*ms, 1), request(500*ms, 1),
 		)).To(Equal([]int{2, 1, 0}))
@@ -74,7 +74,7 @@
 })
 
 var _ = Describe("EarliestDue", func() {
-	capacity := requestqueue.Capacity{Limit: 4, Work: 50 * ms}
+	capacity := requestqueue.Capacity{Concurrency: 4, ProcessingTime: 50 * ms}
 	order := requestqueue.EarliestDue{}
 
 	It("serves what is safely in time by when its objective ends, by priority first", func() {
@@ -121,10 +121,10 @@
 })
 
 var _ = Describe("Choice", func() {
-	capacity := requestqueue.Capacity{Limit: 4, Work: 50 * ms}
+	capacity := requestqueue.Capacity{Concurrency: 4, ProcessingTime: 50 * ms}
 
 	DescribeTable("tells why a request is served next",
-		func(order requestqueue.Order, expected string, waiting ...requestqueue.Request) {
+		func(order requestqueue.Scheduler, expected string, waiting ...requestqueue.Request) {
 			Expect(order.Next(2*time.Second, capacity, waiting).Reason.String()).To(Equal(expected))
 		},
 		Entry("all can be in time", requestqueue.EarliestDue{}, "earliest_due", request(1900*ms, 1), request(1950*ms, 1)),
@@ -157,11 +157,11 @@
 })
 
 var _ = Describe("FairShare", func() {
-	capacity := requestqueue.Capacity{Limit: 4, Work: 50 * ms}
+	capacity := requestqueue.Capacity{Concurrency: 4, ProcessingTime: 50 * ms}
 
 	// countOf returns how many of a hundred slots go to a priority while requests of all
 	// the given ones always wait.
-	countOf := func(order requestqueue.Order, counted uint8, priorities ...uint8) int {
+	countOf := func(order requestqueue.Scheduler, counted uint8, priorities ...uint8) int {
 		count := 0
 		for slot := range 100 {
 			now := time.Duration(slot) * 10 * ms
@@ -207,11 +207,11 @@
 
 var _ = Describe("Policy", func() {
 	It("is newest first without a fair share unless set", func() {
-		Expect(requestqueue.Policy{}.NewOrder()).To(Equal(requestqueue.NewestFirst{}))
+		Expect(requestqueue.Policy{}.NewScheduler()).To(Equal(requestqueue.NewestFirst{}))
 	})
 
 	It("names its order", func() {
-		Expect(requestqueue.Policy{Discipline: requestqueue.DisciplineEarliestDue}.NewOrder()).To(Equal(requestqueue.EarliestDue{}))
-		Expect(requestqueue.Policy{FairShare: 0.2}.NewOrder()).To(Equal(requestqueue.NewFairShare(requestqueue.NewestFirst{}, 0.2)))
+		Expect(requestqueue.Policy{Discipline: requestqueue.DisciplineEarliestDue}.NewScheduler()).To(Equal(requestqueue.EarliestDue{}))
+		Expect(requestqueue.Policy{FairShare: 0.2}.NewScheduler()).To(Equal(requestqueue.NewFairShare(requestqueue.NewestFirst{}, 0.2)))
 	})
 })
--- a/internal/requestqueue/order.go
+++ b/internal/requestqueue/scheduler.go
@@ -8,17 +8,17 @@
 
 // Capacity is what the endpoint can do.
 type Capacity struct {
-	// Limit is how many requests it is given at the same time, at least one.
-	Limit uint32
-	// Work is the mean time from a request to its answer.
-	Work time.Duration
+	// Concurrency is how many requests it is given at the same time, at least one.
+	Concurrency uint32
+	// ProcessingTime is the mean time from a request to its answer.
+	ProcessingTime time.Duration
 }
 
 // interval is the mean time between two answers of an endpoint all of whose slots are busy.
-func (c Capacity) interval() time.Duration { return c.Work / time.Duration(c.Limit) }
+func (c Capacity) interval() time.Duration { return c.ProcessingTime / time.Duration(c.Concurrency) }
 
-// Order decides which request is served first.
-type Order interface {
+// Scheduler decides which request is served first.
+type Scheduler interface {
 	// Next chooses the request that gets a slot now. There is at least one.
 	Next(now time.Duration, capacity Capacity, waiting []Request) Choice
 }
@@ -32,14 +32,14 @@
 // Next implements Order.
 func (NewestFirst) Next(now time.Duration, capacity Capacity, waiting []Request) Choice {
 	index := first(waiting, func(a, b Request) int {
-		outlook := a.Outlook(now, capacity.Work)
-		order := cmp.Or(cmp.Compare(outlook, b.Outlook(now, capacity.Work)), cmp.Compare(a.Priority, b.Priority))
+		outlook := a.Timeliness(now, capacity.ProcessingTime)
+		order := cmp.Or(cmp.Compare(outlook, b.Timeliness(now, capacity.ProcessingTime)), cmp.Compare(a.Priority, b.Priority))
 		if outlook == InTime {
-			return cmp.Or(order, cmp.Compare(b.Began, a.Began))
+			return cmp.Or(order, cmp.Compare(b.StartedAt, a.StartedAt))
 		}
 		return cmp.Or(order, cmp.Compare(a.deadline(), b.deadline()))
 	})
-	if waiting[index].Outlook(now, capacity.Work) == InTime {
+	if waiting[index].Timeliness(now, capacity.ProcessingTime) == InTime {
 		return Choice{index, ReasonNewest}
 	}
 	return Choice{index, ReasonLate}
@@ -71,15 +71,15 @@
 	inTime, giveUp := mostUrgent(now, capacity, waiting)
 	slices.SortStableFunc(inTime, func(a, b int) int { return cmp.Compare(waiting[a].due(), waiting[b].due()) })
 	switch {
-	case len(giveUp) > 0 && allInTime(now+ampleSlack*capacity.Work, capacity, waiting, inTime):
+	case len(giveUp) > 0 && allInTime(now+ampleSlack*capacity.ProcessingTime, capacity, waiting, inTime):
 		index := slices.MinFunc(giveUp, func(a, b int) int { return cmp.Compare(waiting[a].deadline(), waiting[b].deadline()) })
 		return Choice{index, ReasonLastChance}
 	case len(inTime) == 0:
 		return NewestFirst{}.Next(now, capacity, waiting)
-	case allInTime(now+scaled(capacity.Work, safeSlack), capacity, waiting, inTime):
+	case allInTime(now+scaled(capacity.ProcessingTime, safeSlack), capacity, waiting, inTime):
 		return Choice{inTime[0], ReasonEarliestDue}
 	}
-	newest := slices.MaxFunc(inTime, func(a, b int) int { return cmp.Compare(waiting[a].Began, waiting[b].Began) })
+	newest := slices.MaxFunc(inTime, func(a, b int) int { return cmp.Compare(waiting[a].StartedAt, waiting[b].StartedAt) })
 	return Choice{newest, ReasonNewest}
 }
 
@@ -91,7 +91,7 @@
 // this order from a time on.
 func allInTime(begun time.Duration, capacity Capacity, waiting []Request, indices []int) bool {
 	for _, index := range indices {
-		if waiting[index].Outlook(begun, capacity.Work) != InTime {
+		if waiting[index].Timeliness(begun, capacity.ProcessingTime) != InTime {
 			return false
 		}
 		begun += capacity.interval()
@@ -104,8 +104,8 @@
 func mostUrgent(now time.Duration, capacity Capacity, waiting []Request) (inTime, giveUp []int) {
 	urgent := -1
 	for index, request := range waiting {
-		isInTime := request.Outlook(now, capacity.Work) == InTime
-		if !isInTime && request.Outlook(now, lastChance*capacity.Work) != Expired {
+		isInTime := request.Timeliness(now, capacity.ProcessingTime) == InTime
+		if !isInTime && request.Timeliness(now, lastChance*capacity.ProcessingTime) != Expired {
 			continue
 		}
 		if urgent < 0 || int(request.Priority) < urgent {
--- a/internal/requestqueue/replay_test.go
+++ b/internal/requestqueue/simulation_test.go
@@ -63,9 +63,9 @@
 	if random.IntN(3) == 0 {
 		request = kindOf(1)
 	}
-	request.Began = at
+	request.StartedAt = at
 	if known {
-		request.Began = began
+		request.StartedAt = began
 	}
 	return arrival{Request: request, at: at, began: began}
 }
@@ -116,7 +116,7 @@
 }
 
 // replay serves a load in an order and counts what becomes of it.
-func replay(order requestqueue.Order, offered load, random *rand.Rand) *replayed {
+func replay(order requestqueue.Scheduler, offered load, random *rand.Rand) *replayed {
 	arrivals := slices.SortedFunc(slices.Values(offered.arrivals), func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	run := &replayed{order: order, random: random, cold: offered.cold}
 	run.priorities, run.counted = make(map[uint8]outcome), make([]int, len(arrivals))
@@ -145,7 +145,7 @@
 
 // replayed is the state of a replay.
 type replayed struct {
-	order   requestqueue.Order
+	order   requestqueue.Scheduler
 	random  *rand.Rand
 	cold    bool
 	now     time.Duration
@@ -192,7 +192,7 @@
 // admit gives the endpoint what it may have, and drops what has expired.
 func (r *replayed) admit() {
 	r.waiting = slices.DeleteFunc(r.waiting, func(waiting arrival) bool {
-		expired := waiting.Outlook(r.now, r.working) == requestqueue.Expired
+		expired := waiting.Timeliness(r.now, r.working) == requestqueue.Expired
 		if expired {
 			r.add(waiting, outcome{failed: 1})
 		}
@@ -203,7 +203,7 @@
 		for index, waiting := range r.waiting {
 			requests[index] = waiting.Request
 		}
-		next := r.order.Next(r.now, requestqueue.Capacity{Limit: replayGiven, Work: r.working}, requests).Index
+		next := r.order.Next(r.now, requestqueue.Capacity{Concurrency: replayGiven, ProcessingTime: r.working}, requests).Index
 		r.begin(r.waiting[next])
 		r.waiting = slices.Delete(r.waiting, next, next+1)
 	}
@@ -238,7 +238,7 @@
 }
 
 // total replays a kind of load with several seeds.
-func total(newOrder func() requestqueue.Order, newLoad func(*rand.Rand) load) summary {
+func total(newOrder func() requestqueue.Scheduler, newLoad func(*rand.Rand) load) summary {
 	sum := summary{kinds: map[uint8]outcome{}}
 	for seed := range uint64(replaySeeds) {
 		offered := newLoad(rand.New(rand.NewPCG(seed, 1)))
--- a/internal/segment/segment.go
+++ b/internal/segment/segment.go
@@ -102,13 +102,13 @@
 	Acknowledgment uint32
 	// Length is the number of bytes of data.
 	Length int
-	// Waited is, in a packet that opens a flow, for how long its client has tried, as far
+	// SinceFirstAttempt is, in a packet that opens a flow, for how long its client has tried, as far
 	// as the packet shows that it is a copy.
-	Waited time.Duration
+	SinceFirstAttempt time.Duration
 }
 
-// Opening reports whether the packet is a client's first of a flow.
-func (h Header) Opening() bool {
+// OpensFlow reports whether the packet is a client's first of a flow.
+func (h Header) OpensFlow() bool {
 	return h.Flags.Has(Synchronize) && !h.Flags.Has(Acknowledge)
 }
 
--- a/internal/segment/segmenttest/codec.go
+++ b/internal/segment/segmenttest/codec.go
@@ -82,8 +82,8 @@
 		Acknowledgment: binary.BigEndian.Uint32(packet[offsetAck:]),
 		Length:         len(packet) - headSize,
 	}
-	if header.Opening() {
-		header.Waited = time.Duration(header.Acknowledgment) * time.Millisecond
+	if header.OpensFlow() {
+		header.SinceFirstAttempt = time.Duration(header.Acknowledgment) * time.Millisecond
 	}
 	return header, segment.Decoded
 }
@@ -104,17 +104,17 @@
 // The beginnings of answers that tell of a failure and of a request that has not run; the
 // milliseconds until it may be sent again follow the latter.
 const (
-	FailureMark = "failed"
-	RefusalMark = "refused "
+	FailurePrefix = "failed"
+	RefusalPrefix = "refused "
 )
 
 // Answer implements segment.Codec.
 func (c Codec) Answer(packet []byte) segment.Answer {
 	data := string(c.Data(packet))
-	if strings.HasPrefix(data, FailureMark) {
+	if strings.HasPrefix(data, FailurePrefix) {
 		return segment.Answer{Kind: segment.AnswerFailure}
 	}
-	wait, refused := strings.CutPrefix(data, RefusalMark)
+	wait, refused := strings.CutPrefix(data, RefusalPrefix)
 	if !refused {
 		return segment.Answer{Kind: segment.AnswerSuccess}
 	}
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -80,7 +80,7 @@
 	ColdOverrun float64
 	ColdSlack   float64
 	// Outliers are the limits within which the endpoint counts as well.
-	Outliers outlier.Limits
+	Outliers outlier.Config
 	// QueuePolicy decides which request that waits for the endpoint is served first.
 	QueuePolicy requestqueue.Policy
 }
@@ -241,23 +241,23 @@
 	return DefaultQueueDiscipline
 }
 
-func (c *checker) outliers(raw *relayAgentDocument) outlier.Limits {
-	standard := outlier.DefaultLimits()
-	limits := outlier.Limits{
+func (c *checker) outliers(raw *relayAgentDocument) outlier.Config {
+	standard := outlier.DefaultConfig()
+	limits := outlier.Config{
 		Window: c.integer("relay.agent.outlier_window",
 			withDefault(raw.OutlierWindow, int64(standard.Window)), 1, MaxOutlierWindow),
-		FirstEjection: c.duration("relay.agent.first_ejection",
-			withDefault(raw.FirstEjection, standard.FirstEjection.String()), MinEjection, MaxEjection),
+		BaseEjectionTime: c.duration("relay.agent.first_ejection",
+			withDefault(raw.FirstEjection, standard.BaseEjectionTime.String()), MinEjection, MaxEjection),
 	}
-	limits.Failures = c.integer("relay.agent.outlier_failures",
-		withDefault(raw.OutlierFailures, int64(standard.Failures)), 0, MaxOutlierWindow)
-	limits.LongestEjection = c.duration("relay.agent.longest_ejection",
-		withDefault(raw.LongestEjection, standard.LongestEjection.String()), MinEjection, MaxEjection)
-	if limits.Failures > limits.Window {
+	limits.FailureThreshold = c.integer("relay.agent.outlier_failures",
+		withDefault(raw.OutlierFailures, int64(standard.FailureThreshold)), 0, MaxOutlierWindow)
+	limits.MaxEjectionTime = c.duration("relay.agent.longest_ejection",
+		withDefault(raw.LongestEjection, standard.MaxEjectionTime.String()), MinEjection, MaxEjection)
+	if limits.FailureThreshold > limits.Window {
 		c.broken("relay.agent.outlier_failures", "must not be more than outlier_window, %d", limits.Window)
 	}
-	if limits.LongestEjection < limits.FirstEjection {
-		c.broken("relay.agent.longest_ejection", "must not be less than first_ejection, %s", limits.FirstEjection)
+	if limits.MaxEjectionTime < limits.BaseEjectionTime {
+		c.broken("relay.agent.longest_ejection", "must not be less than first_ejection, %s", limits.BaseEjectionTime)
 	}
 	return limits
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -198,9 +198,9 @@
 	return rows
 }
 
-// Slice returns the part of the table that concerns the given services, at
+// ForServices returns the part of the table that concerns the given services, at
 // the same version.
-func (t *Table) Slice(services []ServiceID) *Table {
+func (t *Table) ForServices(services []ServiceID) *Table {
 	part := &Table{Version: t.Version}
 	for _, service := range t.Services {
 		if slices.Contains(services, service.ID) {
@@ -228,7 +228,7 @@
 	if err := decodeStrict(data, &parsed); err != nil {
 		return nil, errors.Wrap(err, "table")
 	}
-	parsed.MarkClosed()
+	parsed.ApplyClosedZones()
 	if err := parsed.Validate(); err != nil {
 		return nil, err
 	}
--- a/internal/table/zone.go
+++ b/internal/table/zone.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-func (z ClosedZone) rowName() string { return ZoneRow(z.Zone) }
+func (z ClosedZone) rowName() string { return ZoneRowName(z.Zone) }
 
-// ZoneRow names a zone in a CellError.
-func ZoneRow(zone string) string { return fmt.Sprintf("zone %q", zone) }
+// ZoneRowName names a zone in a CellError.
+func ZoneRowName(zone string) string { return fmt.Sprintf("zone %q", zone) }
 
 // ClosedSince returns the version that closed a zone, false if the zone is open.
 func (t *Table) ClosedSince(zone string) (Version, bool) {
@@ -20,18 +20,18 @@
 	return t.ClosedZones[position].Since, true
 }
 
-// CloseZone closes a zone as of a version, or opens it again.
-func (t *Table) CloseZone(zone string, closed bool, since Version) {
+// SetZoneClosed closes a zone as of a version, or opens it again.
+func (t *Table) SetZoneClosed(zone string, closed bool, since Version) {
 	t.ClosedZones = slices.DeleteFunc(t.ClosedZones, func(known ClosedZone) bool { return known.Zone == zone })
 	if closed {
 		t.ClosedZones = append(t.ClosedZones, ClosedZone{zone, since})
 		slices.SortFunc(t.ClosedZones, func(a, b ClosedZone) int { return cmp.Compare(a.Zone, b.Zone) })
 	}
-	t.MarkClosed()
+	t.ApplyClosedZones()
 }
 
-// MarkClosed sets Closed of each row by the zones that are closed.
-func (t *Table) MarkClosed() {
+// ApplyClosedZones sets Closed of each row by the zones that are closed.
+func (t *Table) ApplyClosedZones() {
 	for index := range t.Backends {
 		row := &t.Backends[index]
 		_, closed := t.ClosedSince(row.Zone)
@@ -44,8 +44,8 @@
 	return slices.ContainsFunc(t.Backends, func(row Backend) bool { return !row.Removed && row.Zone == zone })
 }
 
-// Stranded returns the services that have rows and none that gets new flows.
-func (t *Table) Stranded() []Service {
+// UnavailableServices returns the services that have rows and none that gets new flows.
+func (t *Table) UnavailableServices() []Service {
 	var stranded []Service
 	for _, service := range t.Services {
 		rows, accepting := 0, 0
--- a/internal/table/zone_test.go
+++ b/internal/table/zone_test.go
@@ -38,23 +38,23 @@
 
 	It("gives the rows of a closed zone no new flows and leaves their cells alone", func() {
 		closed := zoned()
-		closed.CloseZone("north", true, 4)
+		closed.SetZoneClosed("north", true, 4)
 		Expect(accepting(closed)).To(Equal([]table.BackendID{2, 4}))
 		Expect(closed.Validate()).To(Succeed())
 		Expect(closed.Backends[0].Drain).To(BeFalse())
 		Expect(closed.ClosedZones).To(Equal([]table.ClosedZone{{Zone: "north", Since: 4}}))
-		Expect(closed.Stranded()).To(ConsistOf(HaveField("Name", "export")))
-		closed.CloseZone("north", false, 5)
+		Expect(closed.UnavailableServices()).To(ConsistOf(HaveField("Name", "export")))
+		closed.SetZoneClosed("north", false, 5)
 		Expect(closed).To(Equal(func() *table.Table { open := zoned(); open.ClosedZones = []table.ClosedZone{}; return open }()))
 	})
 
 	It("keeps what is closed in copies, parts and on the wire", func() {
 		closed := zoned()
-		closed.CloseZone("north", true, 4)
+		closed.SetZoneClosed("north", true, 4)
 		Expect(closed.Clone()).To(Equal(closed))
-		Expect(closed.Slice([]table.ServiceID{2}).ClosedZones).To(HaveLen(1))
-		closed.CloseZone("south", true, 5)
-		Expect(closed.Slice([]table.ServiceID{2}).ClosedZones).To(HaveLen(1), "a zone without rows of the part")
+		Expect(closed.ForServices([]table.ServiceID{2}).ClosedZones).To(HaveLen(1))
+		closed.SetZoneClosed("south", true, 5)
+		Expect(closed.ForServices([]table.ServiceID{2}).ClosedZones).To(HaveLen(1), "a zone without rows of the part")
 		encoded, err := closed.MarshalMsg(nil)
 		Expect(err).NotTo(HaveOccurred())
 		var decoded table.Table
