--- a/bench/flownet/side.go
+++ b/bench/flownet/side.go
@@ -61,7 +61,7 @@
 	w := n.side.world
 	n.part = w.options.newAgent(relay.AgentConfig{
 		Service: n.side.service.Name, Codec: w.codec, StartedWithEndpoint: first, FlowLifetime: time.Minute, FlowLimit: 10_000,
-		ColdStartLimit: relay.ColdStartLimit{Overrun: coldOverrun, Slack: coldSlack}, OutlierLimits: outlier.DefaultLimits(),
+		ColdStartLimit: relay.ColdStartLimit{Overrun: coldOverrun, Slack: coldSlack}, OutlierLimits: outlier.DefaultConfig(),
 		QueuePolicy: requestqueue.Policy{Discipline: queueDiscipline},
 	})
 	w.net.Schedule(n.id, tickInterval, tickTimer)
--- a/internal/relay/coldstart_test.go
+++ b/internal/relay/coldstart_test.go
@@ -23,7 +23,7 @@
 func newColdAgent(complete bool, bound relay.ColdStartLimit) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
 		Service: service, Codec: codec, StartedWithEndpoint: complete, FlowLifetime: flowLifetime, FlowLimit: 100000, ColdStartLimit: bound,
-		OutlierLimits: outlier.DefaultLimits(),
+		OutlierLimits: outlier.DefaultConfig(),
 	})
 }
 
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -150,7 +150,7 @@
 func newAgentWith(complete bool, policy requestqueue.Policy) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
 		Service: service, Codec: codec, StartedWithEndpoint: complete, FlowLifetime: flowLifetime, FlowLimit: 1000,
-		OutlierLimits: outlier.DefaultLimits(), QueuePolicy: policy,
+		OutlierLimits: outlier.DefaultConfig(), QueuePolicy: policy,
 	})
 }
 
