--- a/bench/relay/bare.go
+++ b/bench/relay/bare.go
@@ -15,7 +15,7 @@
 // bareRelay sends every datagram that it receives to the next of a list of
 // destinations, unread and from the buffer that it was received in.
 type bareRelay struct {
-	front        *udpfront.Front
+	front        *udpfront.Listener
 	destinations []netip.AddrPort
 	sent         *packetCounter
 }
@@ -75,7 +75,7 @@
 func newMessages(count int) []ipv4.Message {
 	messages := make([]ipv4.Message, count)
 	for i := range messages {
-		messages[i].Buffers = [][]byte{make([]byte, udpfront.MaxDatagram)}
+		messages[i].Buffers = [][]byte{make([]byte, udpfront.MaxDatagramSize)}
 	}
 	return messages
 }
--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -6,11 +6,11 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Arrive handles a packet addressed to this row. The returned effects are
+// HandlePacket handles a packet addressed to this row. The returned effects are
 // valid until the next call.
-func (m *Machine) Arrive(now time.Duration, packet Packet) []Effect {
+func (m *Machine) HandlePacket(now time.Duration, packet Packet) []Effect {
 	m.effects = m.effects[:0]
-	key := KeyOf(packet.Summary.Flow.Source)
+	key := FlowKeyOf(packet.Summary.Flow.Source)
 	if known, exists := m.flows[key]; exists {
 		if m.arriveKnown(now, key, known, packet) {
 			return m.effects
@@ -133,10 +133,10 @@
 	}
 	if !m.holdsLease(now) {
 		m.drop(DropNoLease, packet)
-		m.emit(Effect{Kind: Refresh})
+		m.emit(Effect{Kind: RefreshTable})
 		return
 	}
-	if packet.Routing.Version > m.Version() {
+	if packet.Routing.Version > m.TableVersion() {
 		m.awaitVersion(now, key, packet.Routing.Version, packet)
 		return
 	}
@@ -194,7 +194,7 @@
 		m.drop(DropClosed, packet)
 		return
 	}
-	m.emit(Effect{Kind: Reset, Packet: packet})
+	m.emit(Effect{Kind: SendReset, Packet: packet})
 }
 
 // refuseNew remembers that a flow was refused, so that a retransmission of its
--- a/internal/admission/effect.go
+++ b/internal/admission/effect.go
@@ -14,16 +14,16 @@
 	Deliver EffectKind = iota
 	// Forward passes the packet along to the agent of row To.
 	Forward
-	// Send transmits Message to the agent of row To.
-	Send
-	// Reset answers the packet with a TCP reset: the flow does not run here
+	// SendMessage transmits Message to the agent of row To.
+	SendMessage
+	// SendReset answers the packet with a TCP reset: the flow does not run here
 	// nor anywhere else.
-	Reset
+	SendReset
 	// Drop discards the packet for the given Reason.
 	Drop
-	// Refresh asks for the newest table, because a packet carries a newer
+	// RefreshTable asks for the newest table, because a packet carries a newer
 	// version than the one held.
-	Refresh
+	RefreshTable
 )
 
 var effectKindNames = []string{"deliver", "forward", "send", "reset", "drop", "refresh"}
--- a/internal/admission/locate.go
+++ b/internal/admission/locate.go
@@ -22,7 +22,7 @@
 	case m.history.current == nil:
 		m.drop(DropNoLease, packet)
 		return
-	case m.locating >= m.config.LocateBudget || len(m.pending) >= m.config.PendingLimit:
+	case m.locating >= m.config.LocateLimit || len(m.pending) >= m.config.PendingLimit:
 		m.drop(DropQueryLimit, packet)
 		return
 	}
@@ -77,7 +77,7 @@
 	}
 	m.abandon(key)
 	first := undecided.held[0]
-	current := m.holdsLease(now) && first.Routing.Version <= m.Version()
+	current := m.holdsLease(now) && first.Routing.Version <= m.TableVersion()
 	if !current || !undecided.answeredByAll() {
 		m.drop(DropUnknownFlow, first)
 		return
@@ -85,14 +85,14 @@
 	m.refuse(first)
 }
 
-// Receive handles a message from another row. The returned effects are valid
+// HandleMessage handles a message from another row. The returned effects are valid
 // until the next call.
-func (m *Machine) Receive(now time.Duration, message Message) []Effect {
+func (m *Machine) HandleMessage(now time.Duration, message Message) []Effect {
 	m.effects = m.effects[:0]
 	if !m.knowsRow(message.From) {
 		// The table held is old, or the message is forged: nothing may be
 		// promised to such a row.
-		m.emit(Effect{Kind: Refresh})
+		m.emit(Effect{Kind: RefreshTable})
 		return m.effects
 	}
 	switch {
@@ -117,7 +117,7 @@
 	if reply.Answer == AnswerUnknown && query.Purpose == PurposeOpen {
 		m.fence(now, from, query)
 	}
-	m.emit(Effect{Kind: Send, To: from, Message: Message{From: m.config.Row, To: from, Reply: &reply}})
+	m.emit(Effect{Kind: SendMessage, To: from, Message: Message{From: m.config.Row, To: from, Reply: &reply}})
 }
 
 // knowledge returns what this row knows of the flow in a query.
@@ -211,7 +211,7 @@
 	if m.namesUnknownRow(reply) && undecided.purpose == PurposeOpen {
 		// The row that answered holds a newer table.
 		m.abandon(reply.Flow)
-		m.awaitVersion(now, reply.Flow, m.Version()+1, undecided.held[0])
+		m.awaitVersion(now, reply.Flow, m.TableVersion()+1, undecided.held[0])
 		return
 	}
 	switch reply.Answer {
--- a/internal/admission/machine.go
+++ b/internal/admission/machine.go
@@ -38,9 +38,9 @@
 	FlowLimit int
 	// PendingLimit is the largest number of undecided flows.
 	PendingLimit int
-	// LocateBudget is the largest number of searches for unknown flows that
+	// LocateLimit is the largest number of searches for unknown flows that
 	// may be under way.
-	LocateBudget int
+	LocateLimit int
 	// Stateless turns the machine into the negative control: it opens every
 	// new flow where it arrives and asks nobody.
 	Stateless bool
@@ -61,7 +61,7 @@
 		HandoverMargin:        1,
 		FlowLimit:             100_000,
 		PendingLimit:          4096,
-		LocateBudget:          256,
+		LocateLimit:           256,
 	}
 }
 
@@ -110,28 +110,28 @@
 	}
 }
 
-// Open returns the number of flows open at this row.
-func (m *Machine) Open() uint32 { return m.open }
+// OpenFlows returns the number of flows open at this row.
+func (m *Machine) OpenFlows() uint32 { return m.open }
 
-// Flows returns the number of flows remembered, ended ones included.
-func (m *Machine) Flows() int { return len(m.flows) }
+// RememberedFlows returns the number of flows remembered, ended ones included.
+func (m *Machine) RememberedFlows() int { return len(m.flows) }
 
-// Pending returns the number of undecided flows.
-func (m *Machine) Pending() int { return len(m.pending) }
+// UndecidedFlows returns the number of undecided flows.
+func (m *Machine) UndecidedFlows() int { return len(m.pending) }
 
-// Version returns the table version in use, zero before the first view.
-func (m *Machine) Version() table.Version {
+// TableVersion returns the table version in use, zero before the first view.
+func (m *Machine) TableVersion() table.Version {
 	if m.history.current == nil {
 		return 0
 	}
 	return m.history.current.view.Version
 }
 
-// Configure installs a view. A view with an older version than the current one
+// InstallView installs a view. A view with an older version than the current one
 // is ignored. The returned effects are valid until the next call.
-func (m *Machine) Configure(now time.Duration, view View) []Effect {
+func (m *Machine) InstallView(now time.Duration, view View) []Effect {
 	m.effects = m.effects[:0]
-	if view.Version < m.Version() {
+	if view.Version < m.TableVersion() {
 		return m.effects
 	}
 	m.history.install(now, view)
@@ -141,8 +141,8 @@
 	return m.effects
 }
 
-// Renew extends the lease until the given time.
-func (m *Machine) Renew(now, until time.Duration) {
+// RenewLease extends the lease until the given time.
+func (m *Machine) RenewLease(now, until time.Duration) {
 	if now >= m.leaseUntil {
 		m.leaseResumed = now
 	}
@@ -175,7 +175,7 @@
 	}
 	packet.Routing.Hops++
 	packet.Routing.HandedOver = handedOver
-	if version := m.Version(); version > packet.Routing.Version {
+	if version := m.TableVersion(); version > packet.Routing.Version {
 		packet.Routing.Version = version
 	}
 	m.emit(Effect{Kind: Forward, To: to, Packet: packet})
@@ -193,28 +193,28 @@
 	return row.ConnectionLimit == 0 || m.open < row.ConnectionLimit
 }
 
-// Owned returns the initial sequence number of a flow that is open at this
+// OpenFlowSequence returns the initial sequence number of a flow that is open at this
 // row.
-func (m *Machine) Owned(key FlowKey) (sequence uint32, open bool) {
+func (m *Machine) OpenFlowSequence(key FlowKey) (sequence uint32, open bool) {
 	known, exists := m.flows[key]
 	return known.sequence, exists && known.state == stateOpen
 }
 
-// Released tells the machine that an open flow, with the given initial sequence
+// FlowLingering tells the machine that an open flow, with the given initial sequence
 // number, has ended, while its transport still answers the caller's last
 // segments. It no longer counts against the connection limit.
-func (m *Machine) Released(now time.Duration, key FlowKey, sequence uint32) {
+func (m *Machine) FlowLingering(now time.Duration, key FlowKey, sequence uint32) {
 	m.end(now, key, sequence, stateLingering)
 }
 
-// Closed tells the machine that the transport of a flow is gone.
-func (m *Machine) Closed(now time.Duration, key FlowKey, sequence uint32) {
+// FlowClosed tells the machine that the transport of a flow is gone.
+func (m *Machine) FlowClosed(now time.Duration, key FlowKey, sequence uint32) {
 	m.end(now, key, sequence, stateClosed)
 }
 
-// Refused tells the machine that a flow it delivered was refused before its
+// FlowRefused tells the machine that a flow it delivered was refused before its
 // handshake completed, for instance because the back end did not accept it.
-func (m *Machine) Refused(now time.Duration, key FlowKey, sequence uint32) {
+func (m *Machine) FlowRefused(now time.Duration, key FlowKey, sequence uint32) {
 	m.end(now, key, sequence, stateRefused)
 }
 
@@ -232,9 +232,9 @@
 	m.flows[key] = known
 }
 
-// Forget tells the machine that an ended flow needs no remembering, as for UDP
+// ForgetFlow tells the machine that an ended flow needs no remembering, as for UDP
 // after its idle time.
-func (m *Machine) Forget(key FlowKey) {
+func (m *Machine) ForgetFlow(key FlowKey) {
 	known, exists := m.flows[key]
 	if !exists {
 		return
--- a/internal/admission/machine_test.go
+++ b/internal/admission/machine_test.go
@@ -39,7 +39,7 @@
 func openRows(c *cluster) []uint32 {
 	var open []uint32
 	for _, id := range c.rowIDs() {
-		open = append(open, c.machines[id].Open())
+		open = append(open, c.machines[id].OpenFlows())
 	}
 	return open
 }
@@ -81,7 +81,7 @@
 		}
 		for index := range 2 {
 			machine := c.machines[others[index]]
-			machine.flows[KeyOf(flowSource(port))] = flow{
+			machine.flows[FlowKeyOf(flowSource(port))] = flow{
 				state: stateRemote, sequence: sequence, owner: others[1-index],
 				expires: c.now + machine.config.RemoteRetention - 10*time.Second,
 			}
@@ -203,9 +203,9 @@
 		c, view := settledCluster(testRows(3), quiet)
 		c.caller(view, 1000, 5, true)
 		c.run(c.now + time.Second)
-		key := KeyOf(flowSource(1000))
+		key := FlowKeyOf(flowSource(1000))
 		for _, machine := range c.machines {
-			machine.Closed(c.now, key, 5)
+			machine.FlowClosed(c.now, key, 5)
 		}
 		c.caller(view, 1000, 5, true)
 		c.run(c.now + time.Second)
@@ -301,7 +301,7 @@
 		Expect(total(openRows(c))).To(Equal(uint32(60)))
 		restarted := c.rowIDs()[0]
 		c.machines[restarted] = New(DefaultConfig(restarted))
-		c.execute(restarted, c.machines[restarted].Configure(c.now, view))
+		c.execute(restarted, c.machines[restarted].InstallView(c.now, view))
 		c.run(c.now + settled)
 		for range 3 {
 			for port := range uint16(60) {
@@ -341,7 +341,7 @@
 		c.run(c.now + 100*time.Millisecond)
 		Expect(c.openedTwice()).To(BeEmpty())
 		Expect(total(openRows(c))).To(Equal(uint32(1)))
-		Expect(c.machines[behind].Pending()).To(BeZero())
+		Expect(c.machines[behind].UndecidedFlows()).To(BeZero())
 	})
 
 	It("tries a UDP flow again that could not be opened", func() {
@@ -355,7 +355,7 @@
 		}
 		Expect(openRows(c)).To(Equal([]uint32{1, 1}))
 		for _, machine := range c.machines {
-			machine.Forget(KeyOf(flowSource(1000)))
+			machine.ForgetFlow(FlowKeyOf(flowSource(1000)))
 		}
 		c.caller(view, 1002, 0, false)
 		c.run(c.now + time.Second)
@@ -390,10 +390,10 @@
 		c.paused[owner] = false
 		for _, waiting := range c.held[owner] {
 			if waiting.packet != nil {
-				c.execute(owner, c.machines[owner].Arrive(c.now, *waiting.packet))
+				c.execute(owner, c.machines[owner].HandlePacket(c.now, *waiting.packet))
 			}
 		}
-		Expect(c.machines[owner].Open()).To(BeZero())
+		Expect(c.machines[owner].OpenFlows()).To(BeZero())
 		Expect(c.drops[DropNoLease]).To(Equal(1))
 	})
 })
@@ -480,7 +480,7 @@
 		if rapid.IntRange(0, 1).Draw(t, "reuse") == 0 {
 			c.sequences[port]++
 		}
-		_, established := c.established[openedFlow{KeyOf(flowSource(port)), c.sequences[port]}]
+		_, established := c.established[openedFlow{FlowKeyOf(flowSource(port)), c.sequences[port]}]
 		copies := rapid.IntRange(1, 3).Draw(t, "copies")
 		for range copies {
 			// A balancer may hold any recent view.
--- a/internal/admission/open.go
+++ b/internal/admission/open.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		to := undecided.asks[index].row
-		m.emit(Effect{Kind: Send, To: to, Message: Message{
+		m.emit(Effect{Kind: SendMessage, To: to, Message: Message{
 			From:  m.config.Row,
 			To:    to,
 			Query: &Query{Flow: key, Sequence: undecided.sequence, Purpose: undecided.purpose},
@@ -239,7 +239,7 @@
 // awaitVersion holds the first packet of a flow until a table version has
 // arrived here.
 func (m *Machine) awaitVersion(now time.Duration, key FlowKey, version table.Version, packet Packet) {
-	m.emit(Effect{Kind: Refresh})
+	m.emit(Effect{Kind: RefreshTable})
 	if len(m.pending) >= m.config.PendingLimit {
 		m.drop(DropPendingLimit, packet)
 		return
@@ -258,7 +258,7 @@
 func (m *Machine) resumePendingVersions(now time.Duration) {
 	for _, key := range m.pendingKeys() {
 		undecided := m.pending[key]
-		if undecided.behind == 0 || undecided.behind > m.Version() {
+		if undecided.behind == 0 || undecided.behind > m.TableVersion() {
 			continue
 		}
 		delete(m.pending, key)
--- a/internal/admission/packet.go
+++ b/internal/admission/packet.go
@@ -17,8 +17,8 @@
 	Data    []byte
 }
 
-// KeyOf returns the flow key of a caller's address.
-func KeyOf(source netip.AddrPort) FlowKey {
+// FlowKeyOf returns the flow key of a caller's address.
+func FlowKeyOf(source netip.AddrPort) FlowKey {
 	address := source.Addr().As4()
 	return FlowKey(binary.BigEndian.Uint32(address[:]))<<16 | FlowKey(source.Port())
 }
--- a/internal/admission/placement_bench_test.go
+++ b/internal/admission/placement_bench_test.go
@@ -79,11 +79,11 @@
 
 // endFlow ends the caller's flow where it is open.
 func (c *cluster) endFlow(port uint16) {
-	key := KeyOf(flowSource(port))
+	key := FlowKeyOf(flowSource(port))
 	for _, id := range c.rowIDs() {
 		machine := c.machines[id]
-		if sequence, open := machine.Owned(key); open {
-			machine.Closed(c.now, key, sequence)
+		if sequence, open := machine.OpenFlowSequence(key); open {
+			machine.FlowClosed(c.now, key, sequence)
 		}
 	}
 }
--- a/internal/admission/cluster_test.go
+++ b/internal/admission/simulation_test.go
@@ -222,11 +222,11 @@
 		c.execute(next.row, machine.Tick(c.now))
 		c.schedule(&event{at: c.now + TickInterval(), row: next.row, tick: true})
 	case next.view != nil:
-		c.execute(next.row, machine.Configure(c.now, *next.view))
+		c.execute(next.row, machine.InstallView(c.now, *next.view))
 	case next.packet != nil:
-		c.execute(next.row, machine.Arrive(c.now, *next.packet))
+		c.execute(next.row, machine.HandlePacket(c.now, *next.packet))
 	case next.message != nil:
-		c.execute(next.row, machine.Receive(c.now, *next.message))
+		c.execute(next.row, machine.HandleMessage(c.now, *next.message))
 	}
 	c.sabotage(machine)
 }
@@ -234,8 +234,8 @@
 // renew stands for the grants of a daemon that hears from every machine that
 // is not paused.
 func (c *cluster) renew(machine *Machine) {
-	if machine.Version() > 0 {
-		machine.Renew(c.now, c.now+machine.config.LeaseDuration)
+	if machine.TableVersion() > 0 {
+		machine.RenewLease(c.now, c.now+machine.config.LeaseDuration)
 	}
 }
 
@@ -268,11 +268,11 @@
 			forwarded := effect.Packet
 			forwarded.Routing.Backend = effect.To
 			c.transmit(event{row: effect.To, packet: &forwarded})
-		case Send:
+		case SendMessage:
 			c.queries++
 			message := effect.Message
 			c.transmit(event{row: effect.To, message: &message})
-		case Reset:
+		case SendReset:
 			c.resets++
 		case Drop:
 			c.drops[effect.Reason]++
@@ -285,8 +285,8 @@
 	if !delivered.Summary.Opening {
 		return
 	}
-	opened := openedFlow{KeyOf(delivered.Summary.Flow.Source), delivered.Summary.Sequence}
-	if owned, open := c.machines[row].Owned(opened.key); !open || owned != opened.sequence {
+	opened := openedFlow{FlowKeyOf(delivered.Summary.Flow.Source), delivered.Summary.Sequence}
+	if owned, open := c.machines[row].OpenFlowSequence(opened.key); !open || owned != opened.sequence {
 		// The transport stack challenges it; it opens nothing.
 		return
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -35,16 +35,16 @@
 
 // Metrics are the agent's counters and gauges.
 type Metrics struct {
-	// Dropped counts discarded packets by label reason.
-	Dropped metrics.Counter
-	// Forwarded counts packets passed along to other agents.
-	Forwarded metrics.Counter
-	// Delivered counts packets given to the local transport stack.
-	Delivered metrics.Counter
-	// Queries counts messages sent to other agents.
-	Queries metrics.Counter
-	// Refused counts flows refused before their handshake completed.
-	Refused metrics.Counter
+	// DroppedPackets counts discarded packets by label reason.
+	DroppedPackets metrics.Counter
+	// ForwardedPackets counts packets passed along to other agents.
+	ForwardedPackets metrics.Counter
+	// DeliveredPackets counts packets given to the local transport stack.
+	DeliveredPackets metrics.Counter
+	// MessagesSent counts messages sent to other agents.
+	MessagesSent metrics.Counter
+	// RefusedFlows counts flows refused before their handshake completed.
+	RefusedFlows metrics.Counter
 	// OpenFlows is the number of open flows.
 	OpenFlows metrics.Gauge
 }
@@ -52,12 +52,12 @@
 // DiscardMetrics returns metrics that are not kept.
 func DiscardMetrics() Metrics {
 	return Metrics{
-		Dropped:   discard.NewCounter(),
-		Forwarded: discard.NewCounter(),
-		Delivered: discard.NewCounter(),
-		Queries:   discard.NewCounter(),
-		Refused:   discard.NewCounter(),
-		OpenFlows: discard.NewGauge(),
+		DroppedPackets:   discard.NewCounter(),
+		ForwardedPackets: discard.NewCounter(),
+		DeliveredPackets: discard.NewCounter(),
+		MessagesSent:     discard.NewCounter(),
+		RefusedFlows:     discard.NewCounter(),
+		OpenFlows:        discard.NewGauge(),
 	}
 }
 
@@ -277,7 +277,7 @@
 func (a *Agent) openFlows() uint32 {
 	var open uint32
 	for _, served := range a.rows {
-		open += served.machine.Open()
+		open += served.machine.OpenFlows()
 	}
 	return open
 }
@@ -287,7 +287,7 @@
 func (a *Agent) undecidedOrOpen() int {
 	count := int(a.openFlows())
 	for _, served := range a.rows {
-		count += served.machine.Pending()
+		count += served.machine.UndecidedFlows()
 	}
 	return count
 }
@@ -328,7 +328,7 @@
 
 // dropped counts a discarded packet.
 func (a *Agent) dropped(reason string) {
-	a.config.Metrics.Dropped.With("reason", reason).Add(1)
+	a.config.Metrics.DroppedPackets.With("reason", reason).Add(1)
 }
 
 func (a *Agent) machineConfig(id table.BackendID) admission.Config {
--- a/internal/agent/configure.go
+++ b/internal/agent/configure.go
@@ -69,8 +69,8 @@
 		a.updateRows()
 	}
 	for _, served := range a.rows {
-		served.machine.Renew(now, state.LeaseUntil)
-		a.execute(served, served.machine.Configure(now, admission.View{
+		served.machine.RenewLease(now, state.LeaseUntil)
+		a.execute(served, served.machine.InstallView(now, admission.View{
 			Version: state.Table.Version,
 			Service: served.service.ID,
 			Rows:    state.Table.BackendsOf(served.service.ID),
--- a/internal/agent/drop_test.go
+++ b/internal/agent/drop_test.go
@@ -223,7 +223,7 @@
 		source := crafted(2000)
 		for _, answered := range []admission.Answer{admission.AnswerOwned, admission.AnswerClosed, admission.AnswerRefused} {
 			carrier.sendRaw(controlMessage(lookupID, admission.Message{From: 72, To: lookupRow, Reply: &admission.Reply{
-				Flow: admission.KeyOf(source), Sequence: 1, Answer: answered, Owner: exportRow,
+				Flow: admission.FlowKeyOf(source), Sequence: 1, Answer: answered, Owner: exportRow,
 			}})(nil), endpoint)
 		}
 		carrier.send(opening(source, lookupAddress, 1))
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -145,12 +145,12 @@
 
 func (c *counts) metrics() agent.Metrics {
 	return agent.Metrics{
-		Dropped:   counter{recorder{c, dropped}},
-		Forwarded: counter{recorder{c, forwarded}},
-		Delivered: counter{recorder{c, delivered}},
-		Queries:   counter{recorder{c, queries}},
-		Refused:   counter{recorder{c, refused}},
-		OpenFlows: gauge{recorder{c, openFlows}},
+		DroppedPackets:   counter{recorder{c, dropped}},
+		ForwardedPackets: counter{recorder{c, forwarded}},
+		DeliveredPackets: counter{recorder{c, delivered}},
+		MessagesSent:     counter{recorder{c, queries}},
+		RefusedFlows:     counter{recorder{c, refused}},
+		OpenFlows:        gauge{recorder{c, openFlows}},
 	}
 }
 
--- a/internal/agent/forged_query_test.go
+++ b/internal/agent/forged_query_test.go
@@ -13,7 +13,7 @@
 		site := startSite(service.address(), unadjusted)
 		source := crafted(2000)
 		site.carrier.sendRaw(controlMessage(lookupID, admission.Message{From: 99, To: lookupRow, Query: &admission.Query{
-			Flow: admission.KeyOf(source), Sequence: 1, Purpose: admission.PurposeOpen,
+			Flow: admission.FlowKeyOf(source), Sequence: 1, Purpose: admission.PurposeOpen,
 		}})(nil), site.endpoint)
 		site.carrier.send(opening(source, lookupAddress, 1))
 		Eventually(service.accepted, "5s").Should(Receive(), "%v", site.agent.counts.drops())
--- a/internal/agent/packets.go
+++ b/internal/agent/packets.go
@@ -82,7 +82,7 @@
 		Routing: routing,
 		Data:    append([]byte(nil), datagram.Packet...),
 	}
-	a.execute(served, served.machine.Arrive(a.now(), arrived))
+	a.execute(served, served.machine.HandlePacket(a.now(), arrived))
 }
 
 func (r *row) serves(datagram encap.Datagram, summary packet.Summary) bool {
@@ -103,7 +103,7 @@
 			continue
 		}
 		if _, known := a.peerOf(message.From); known {
-			a.execute(served, served.machine.Receive(a.now(), message))
+			a.execute(served, served.machine.HandleMessage(a.now(), message))
 		}
 		return
 	}
@@ -128,20 +128,20 @@
 		a.trace(served, effect)
 		switch effect.Kind {
 		case admission.Deliver:
-			a.config.Metrics.Delivered.Add(1)
+			a.config.Metrics.DeliveredPackets.Add(1)
 			served.stack.Inject(effect.Packet.Data)
 		case admission.Forward:
-			a.config.Metrics.Forwarded.Add(1)
+			a.config.Metrics.ForwardedPackets.Add(1)
 			a.forward(served, effect)
-		case admission.Send:
-			a.config.Metrics.Queries.Add(1)
+		case admission.SendMessage:
+			a.config.Metrics.MessagesSent.Add(1)
 			a.send(served, effect)
-		case admission.Reset:
-			a.config.Metrics.Refused.Add(1)
+		case admission.SendReset:
+			a.config.Metrics.RefusedFlows.Add(1)
 			a.refuser.Inject(effect.Packet.Data)
 		case admission.Drop:
 			a.dropped(effect.Reason.String())
-		case admission.Refresh:
+		case admission.RefreshTable:
 			a.client.Refresh()
 		}
 	}
@@ -150,7 +150,7 @@
 // trace logs, at debug level, what became of a flow's opening packet and why
 // other packets were not delivered.
 func (a *Agent) trace(served *row, effect admission.Effect) {
-	if a.config.Logger.GetLevel() > log.DebugLevel || effect.Kind == admission.Send || effect.Kind == admission.Refresh {
+	if a.config.Logger.GetLevel() > log.DebugLevel || effect.Kind == admission.SendMessage || effect.Kind == admission.RefreshTable {
 		return
 	}
 	summary := effect.Packet.Summary
--- a/internal/agent/row.go
+++ b/internal/agent/row.go
@@ -36,7 +36,7 @@
 // OpenTCP implements netstack.Handler: it connects to the back end before it
 // completes the caller's handshake, so that a refused flow has not run.
 func (r *row) OpenTCP(request *netstack.Request) {
-	key := admission.KeyOf(request.Caller())
+	key := admission.FlowKeyOf(request.Caller())
 	sequence, owned := r.enter(key)
 	if !owned {
 		request.Ignore()
@@ -72,7 +72,7 @@
 // OpenUDP implements netstack.Handler.
 func (r *row) OpenUDP(address netip.AddrPort, caller net.Conn) {
 	defer func() { _ = caller.Close() }()
-	key := admission.KeyOf(address)
+	key := admission.FlowKeyOf(address)
 	if _, owned := r.enter(key); !owned {
 		return
 	}
@@ -97,7 +97,7 @@
 func (r *row) enter(key admission.FlowKey) (uint32, bool) {
 	r.agent.mutex.Lock()
 	defer r.agent.mutex.Unlock()
-	sequence, owned := r.machine.Owned(key)
+	sequence, owned := r.machine.OpenFlowSequence(key)
 	if owned {
 		r.active++
 	}
@@ -111,26 +111,26 @@
 }
 
 func (r *row) refuse(key admission.FlowKey, sequence uint32) {
-	r.agent.config.Metrics.Refused.Add(1)
+	r.agent.config.Metrics.RefusedFlows.Add(1)
 	r.agent.mutex.Lock()
 	defer r.agent.mutex.Unlock()
-	r.machine.Refused(r.agent.now(), key, sequence)
+	r.machine.FlowRefused(r.agent.now(), key, sequence)
 }
 
 func (r *row) released(key admission.FlowKey, sequence uint32) {
 	r.agent.mutex.Lock()
 	defer r.agent.mutex.Unlock()
-	r.machine.Released(r.agent.now(), key, sequence)
+	r.machine.FlowLingering(r.agent.now(), key, sequence)
 }
 
 func (r *row) closed(key admission.FlowKey, sequence uint32) {
 	r.agent.mutex.Lock()
 	defer r.agent.mutex.Unlock()
-	r.machine.Closed(r.agent.now(), key, sequence)
+	r.machine.FlowClosed(r.agent.now(), key, sequence)
 }
 
 func (r *row) forget(key admission.FlowKey) {
 	r.agent.mutex.Lock()
 	defer r.agent.mutex.Unlock()
-	r.machine.Forget(key)
+	r.machine.ForgetFlow(key)
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -36,7 +36,7 @@
 
 // Balancer is one balancer process's data path.
 type Balancer struct {
-	front    *udpfront.Front
+	front    *udpfront.Listener
 	table    atomic.Pointer[lookup.Table]
 	counters *counters
 	logger   *log.Logger
@@ -97,8 +97,8 @@
 	return udpfront.Datagram{Destination: decision.Destination, Payload: decision.Datagram}, true
 }
 
-// Finish implements udpfront.Handler.
-func (w *worker) Finish(failed int) {
+// BatchSent implements udpfront.Handler.
+func (w *worker) BatchSent(failed int) {
 	w.tally[Forwarded] -= uint32(failed)
 	w.tally[SendFailed] += uint32(failed)
 	w.balancer.counters.add(&w.tally)
--- a/internal/balancer/decider.go
+++ b/internal/balancer/decider.go
@@ -66,7 +66,7 @@
 		return nil, reasonOfEncap[outcome]
 	}
 	if d.datagram.Control {
-		return nil, Control
+		return nil, ControlMessage
 	}
 	if d.datagram.HasRouting {
 		return nil, AlreadyRouted
--- a/internal/balancer/decider_test.go
+++ b/internal/balancer/decider_test.go
@@ -36,7 +36,7 @@
 			changed(plain(good), func(b []byte) { b[2], b[3] = 0x65, 0x58 })),
 		Entry("an unknown critical option", balancer.EncapCriticalOption,
 			changed(plain(good), func(b []byte) { b[0] = 1; b[1] |= 0x40; b[11] = 0 })),
-		Entry("a control message", balancer.Control, encap.NewEncoder().AppendControl(nil, sampleService, []byte("x"))),
+		Entry("a control message", balancer.ControlMessage, encap.NewEncoder().AppendControl(nil, sampleService, []byte("x"))),
 		Entry("a routed packet", balancer.AlreadyRouted,
 			encap.NewEncoder().AppendRouted(nil, sampleService, encap.Routing{}, good)),
 		Entry("no packet", balancer.Truncated, plain(nil)),
--- a/internal/balancer/reason.go
+++ b/internal/balancer/reason.go
@@ -25,8 +25,8 @@
 	EncapProtocol
 	// EncapCriticalOption: a critical Geneve option is not understood.
 	EncapCriticalOption
-	// Control: control messages are between agents only.
-	Control
+	// ControlMessage: control messages are between agents only.
+	ControlMessage
 	// AlreadyRouted: the datagram carries routing, so it is not from the
 	// fabric.
 	AlreadyRouted
--- a/internal/balancer/udpfront/group_test.go
+++ b/internal/balancer/udpfront/coalesce_test.go
@@ -15,7 +15,7 @@
 func drawDatagrams(t *rapid.T) []Datagram {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Datagram {
 		port := rapid.Uint16Range(1, 4).Draw(t, "port")
-		size := rapid.SampledFrom([]int{0, 1, 40, 1000, 1000, 1000, MaxDatagram}).Draw(t, "size")
+		size := rapid.SampledFrom([]int{0, 1, 40, 1000, 1000, 1000, MaxDatagramSize}).Draw(t, "size")
 		return Datagram{
 			Destination: netip.AddrPortFrom(netip.MustParseAddr("192.0.2.1"), port),
 			Payload:     make([]byte, size),
--- a/internal/balancer/udpfront/front.go
+++ b/internal/balancer/udpfront/listener.go
@@ -28,24 +28,24 @@
 	// send nothing. It may build the payload in output, which has length 0
 	// and room for MaxDatagram bytes. Both buffers are the front's.
 	Handle(datagram, output []byte) (Datagram, bool)
-	// Finish is called after the datagrams of a batch have been sent, with
+	// BatchSent is called after the datagrams of a batch have been sent, with
 	// the number of those that the kernel refused.
-	Finish(failed int)
+	BatchSent(failed int)
 }
 
-// Front is a group of UDP sockets that share one port.
-type Front struct {
+// Listener is a group of UDP sockets that share one port.
+type Listener struct {
 	connections []*net.UDPConn
 }
 
 // Listen opens the given number of sockets on one IPv4 address. Port 0 takes
 // a free port for all of them. It fails if the number is not positive or a
 // socket cannot be bound.
-func Listen(address netip.AddrPort, sockets int) (*Front, error) {
+func Listen(address netip.AddrPort, sockets int) (*Listener, error) {
 	if sockets < 1 {
 		return nil, errors.Errorf("number of sockets is %d: must be at least 1", sockets)
 	}
-	front := &Front{}
+	front := &Listener{}
 	for range sockets {
 		connection, err := listenShared(address)
 		if err != nil {
@@ -59,15 +59,15 @@
 }
 
 // Address returns the address that the sockets share.
-func (f *Front) Address() netip.AddrPort {
+func (f *Listener) Address() netip.AddrPort {
 	return f.connections[0].LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
 // Connections returns the sockets.
-func (f *Front) Connections() []*net.UDPConn { return f.connections }
+func (f *Listener) Connections() []*net.UDPConn { return f.connections }
 
 // Close closes the sockets. Closing again does nothing.
-func (f *Front) Close() {
+func (f *Listener) Close() {
 	for _, connection := range f.connections {
 		// The only error is that the socket is closed already.
 		_ = connection.Close()
@@ -77,7 +77,7 @@
 // Run serves every socket, each with a handler of its own, until ctx ends,
 // then closes the sockets and returns nil. If a socket fails before, Run
 // closes the sockets and returns that error.
-func (f *Front) Run(ctx context.Context, newHandler func() Handler) error {
+func (f *Listener) Run(ctx context.Context, newHandler func() Handler) error {
 	group, groupContext := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(groupContext, f.Close)
 	defer stop()
--- a/internal/balancer/udpfront/segment_bench_test.go
+++ b/internal/balancer/udpfront/segment_bench_test.go
@@ -22,7 +22,7 @@
 	}
 	b.Cleanup(func() { connection.Close() })
 	go func() {
-		buffer := make([]byte, MaxDatagram)
+		buffer := make([]byte, MaxDatagramSize)
 		for {
 			if _, err := connection.Read(buffer); err != nil {
 				return
--- a/internal/balancer/udpfront/pump.go
+++ b/internal/balancer/udpfront/worker.go
@@ -12,10 +12,10 @@
 	// BatchSize is the largest number of datagrams that one system call
 	// receives, and of messages that one sends.
 	BatchSize = 64
-	// MaxDatagram is the room in bytes for one datagram. A longer one is cut
+	// MaxDatagramSize is the room in bytes for one datagram. A longer one is cut
 	// to this size, which leaves more than the largest packet that is carried
 	// behind the largest Geneve header, so the handler sees it is oversized.
-	MaxDatagram = 9472
+	MaxDatagramSize = 9472
 )
 
 // pump moves datagrams from one socket through a handler.
@@ -38,8 +38,8 @@
 		single:     make([]ipv4.Message, 1),
 	}
 	for i := range BatchSize {
-		created.received[i].Buffers = [][]byte{make([]byte, MaxDatagram)}
-		created.outputs[i] = make([]byte, 0, MaxDatagram)
+		created.received[i].Buffers = [][]byte{make([]byte, MaxDatagramSize)}
+		created.outputs[i] = make([]byte, 0, MaxDatagramSize)
 	}
 	return created
 }
@@ -55,7 +55,7 @@
 			return errors.WithStack(err)
 		}
 		p.handle(p.received[:count])
-		p.handler.Finish(p.send(p.grouper.finish()))
+		p.handler.BatchSent(p.send(p.grouper.finish()))
 	}
 }
 
--- a/internal/balancer/udpfront/pump_test.go
+++ b/internal/balancer/udpfront/worker_test.go
@@ -20,7 +20,7 @@
 	return Datagram{Destination: f.destination, Payload: append(output, datagram...)}, true
 }
 
-func (f *forward) Finish(failed int) { f.failed += failed }
+func (f *forward) BatchSent(failed int) { f.failed += failed }
 
 // refuseSegments makes the kernel refuse UDP_SEGMENT with EINVAL, as it does
 // for datagrams above the MTU of their path.
@@ -44,7 +44,7 @@
 			under.received[i].Buffers[0][0] = byte(i)
 		}
 		under.handle(under.received[:len(sizes)])
-		under.handler.Finish(under.send(under.grouper.finish()))
+		under.handler.BatchSent(under.send(under.grouper.finish()))
 	}
 
 	expectAll := func(sink *net.UDPConn) {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -72,12 +72,12 @@
 
 func newAgentMetrics(shared parts) agent.Metrics {
 	return agent.Metrics{
-		Dropped: shared.metrics.Counter("agent_dropped_packets_total",
+		DroppedPackets: shared.metrics.Counter("agent_dropped_packets_total",
 			"Packets that were discarded, by reason.", reasonLabel),
-		Forwarded: shared.metrics.Counter("agent_forwarded_packets_total", "Packets passed along to other agents."),
-		Delivered: shared.metrics.Counter("agent_delivered_packets_total", "Packets given to the local transport stack."),
-		Queries:   shared.metrics.Counter("agent_messages_sent_total", "Messages sent to other agents."),
-		Refused:   shared.metrics.Counter("agent_refused_flows_total", "Flows refused before their handshake completed."),
-		OpenFlows: shared.metrics.Gauge("agent_open_flows", "Open flows."),
+		ForwardedPackets: shared.metrics.Counter("agent_forwarded_packets_total", "Packets passed along to other agents."),
+		DeliveredPackets: shared.metrics.Counter("agent_delivered_packets_total", "Packets given to the local transport stack."),
+		MessagesSent:     shared.metrics.Counter("agent_messages_sent_total", "Messages sent to other agents."),
+		RefusedFlows:     shared.metrics.Counter("agent_refused_flows_total", "Flows refused before their handshake completed."),
+		OpenFlows:        shared.metrics.Gauge("agent_open_flows", "Open flows."),
 	}
 }
