--- a/internal/agent/daemon_test.go
+++ b/internal/agent/daemon_test.go
@@ -63,7 +63,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.registry.Publish(time.Since(d.started), published)
-	d.registry.Confirm()
+	d.registry.ConfirmTable()
 }
 
 func (d *testDaemon) run() {
@@ -92,7 +92,7 @@
 	now := time.Since(d.started)
 	d.registry.Tick(now)
 	// The test's process may be held up; its table is the newest there is.
-	d.registry.Confirm()
+	d.registry.ConfirmTable()
 	d.held[heartbeat.Agent] = heartbeat.Version
 	d.leaving[heartbeat.Agent] = heartbeat.Leaving
 	grant, granted := d.registry.Receive(now, heartbeat)
--- a/internal/agent/packets.go
+++ b/internal/agent/packets.go
@@ -73,7 +73,7 @@
 	if !exists || !served.serves(datagram, summary) {
 		a.dropped(reasonMisaddressed)
 		if a.table == nil || routing.Version > a.table.Version {
-			a.client.Refresh()
+			a.client.Renew()
 		}
 		return
 	}
@@ -115,7 +115,7 @@
 func (a *Agent) peerOf(id table.BackendID) (peer, bool) {
 	known, exists := a.peers[id]
 	if !exists {
-		a.client.Refresh()
+		a.client.Renew()
 		a.dropped(reasonNoPeer)
 	}
 	return known, exists
@@ -142,7 +142,7 @@
 		case admission.Drop:
 			a.dropped(effect.Reason.String())
 		case admission.Refresh:
-			a.client.Refresh()
+			a.client.Renew()
 		}
 	}
 }
--- a/internal/cluster/view.go
+++ b/internal/cluster/admin.go
@@ -21,18 +21,18 @@
 // memberLive is the state in which the API shows a member that runs.
 const memberLive = "live"
 
-// Name is the name of a machine of the platform's list, by its address.
-type Name struct {
+// MachineName is the name of a machine of the platform's list, by its address.
+type MachineName struct {
 	Address netip.Addr
 	Name    string
 }
 
 // nameList holds names sorted by address.
-type nameList []Name
+type nameList []MachineName
 
 func (l nameList) of(address membership.Address) string {
 	endpoint := address.AddrPort()
-	position, exists := slices.BinarySearchFunc(l, endpoint.Addr(), func(named Name, wanted netip.Addr) int {
+	position, exists := slices.BinarySearchFunc(l, endpoint.Addr(), func(named MachineName, wanted netip.Addr) int {
 		return named.Address.Compare(wanted)
 	})
 	if !exists {
@@ -44,9 +44,9 @@
 // SetMachines takes in the platform's list of machines. They are shown by
 // their names, and asked like seeds where no member is known; the list decides
 // nothing else. A member without a name is shown by address.
-func (n *Node) SetMachines(listed []Name) {
+func (n *Node) SetMachines(listed []MachineName) {
 	sorted := slices.Clone(listed)
-	slices.SortFunc(sorted, func(a, b Name) int { return a.Address.Compare(b.Address) })
+	slices.SortFunc(sorted, func(a, b MachineName) int { return a.Address.Compare(b.Address) })
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.names = sorted
@@ -55,7 +55,7 @@
 
 // seedsWith returns the seeds of the settings and those machines that are
 // none.
-func (n *Node) seedsWith(listed []Name) []membership.Address {
+func (n *Node) seedsWith(listed []MachineName) []membership.Address {
 	seeds := slices.Clone(n.seeds)
 	for _, machine := range listed {
 		address, isIPv4 := membership.AddressOf(netip.AddrPortFrom(machine.Address, n.config.Listen.Port()))
@@ -155,7 +155,7 @@
 // surveyedMembers returns the members with the versions that a survey finds.
 func (n *Node) surveyedMembers() []adminapi.Member {
 	n.mutex.Lock()
-	version := n.spread.Status().InForce
+	version := n.spread.Status().Applied
 	n.mutex.Unlock()
 	surveyed, done := n.survey(version)
 	if done {
@@ -178,11 +178,11 @@
 		}
 		zone := surveyed.Zones[position]
 		address := member.Identity.Address
-		if zone.Behind > len(zone.Missing) || slices.Contains(zone.Missing, address) {
+		if zone.BehindCount > len(zone.BehindMembers) || slices.Contains(zone.BehindMembers, address) {
 			continue
 		}
 		status := n.heard.byAddress[address]
-		status.InForce = max(status.InForce, surveyed.Version)
+		status.Applied = max(status.Applied, surveyed.Version)
 		n.heard.hear(address, status)
 	}
 }
@@ -198,11 +198,11 @@
 		Name:    n.names.of(address),
 		Zone:    n.zones.name(member.Identity.Zone),
 		State:   state,
-		Version: n.heard.byAddress[address].InForce,
+		Version: n.heard.byAddress[address].Applied,
 	}
 	if address == n.address {
 		shown.Name = n.config.Name
-		shown.Version = n.spread.Status().InForce
+		shown.Version = n.spread.Status().Applied
 	}
 	return shown
 }
--- a/internal/cluster/agents.go
+++ b/internal/cluster/agents.go
@@ -9,9 +9,9 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-// Claim tells other daemons what this one knows of agents that report to it.
+// ReportAgents tells other daemons what this one knows of agents that report to it.
 // Claims that have not changed cost nothing.
-func (n *Node) Claim(claims []liveness.Claim) {
+func (n *Node) ReportAgents(claims []liveness.Claim) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, claim := range claims {
@@ -47,8 +47,8 @@
 		case n.config.Agents == nil:
 		case effect.Kind == liveness.EffectReady:
 			n.config.Agents.Ready()
-		case effect.Kind == liveness.EffectCondition:
-			n.config.Agents.Remote(effect.Claim)
+		case effect.Kind == liveness.EffectConditionChanged:
+			n.config.Agents.ClaimChanged(effect.Claim)
 		}
 	}
 }
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -16,8 +16,8 @@
 // AgentListener learns what other daemons say of agents. Its methods are never
 // called concurrently and may call the Node.
 type AgentListener interface {
-	// Remote tells what the others say now of an agent.
-	Remote(claim liveness.Claim)
+	// ClaimChanged tells what the others say now of an agent.
+	ClaimChanged(claim liveness.Claim)
 	// Ready tells, once, that Remote has told of all agents that others hear.
 	Ready()
 }
@@ -35,9 +35,9 @@
 	// Seeds are the daemons to ask at the start.
 	Seeds  []netip.AddrPort
 	Limits changelog.Limits
-	// Changed is called, one at a time and in the order of versions, with
+	// OnTable is called, one at a time and in the order of versions, with
 	// each table that shall come into force. It may call InForce.
-	Changed func(*table.Table)
+	OnTable func(*table.Table)
 	// Agents learns what other daemons say of agents. Nil means that nobody
 	// wants to know.
 	Agents AgentListener
--- a/internal/cluster/exchange.go
+++ b/internal/cluster/dispatch.go
@@ -77,7 +77,7 @@
 		return
 	}
 	n.heard.hear(from, status)
-	n.spread.Heard(n.now(), from, attachment)
+	n.spread.ReceiveAttachment(n.now(), from, attachment)
 }
 
 // attach renews what the messages of membership carry. The mutex must be held.
@@ -91,7 +91,7 @@
 			n.socket.send(effect.To.AddrPort(), encode(&Datagram{Dissemination: &effect.Message}))
 		case dissemination.EffectFetch:
 			n.fetches.add(fetchTask{from: effect.To, version: effect.Version})
-		case dissemination.EffectSurveyed:
+		case dissemination.EffectSurveyDone:
 			n.concludeInquiry(effect.Survey)
 		}
 	}
--- a/internal/cluster/apply.go
+++ b/internal/cluster/fetch.go
@@ -22,10 +22,10 @@
 	version table.Version
 }
 
-// Follow takes in a table of the configuration service, and tells the other
+// UpdateTable takes in a table of the configuration service, and tells the other
 // daemons that this one has it. It reports whether the table is newer than the
 // one held; a table that is not valid is an error.
-func (n *Node) Follow(newer *table.Table) (bool, error) {
+func (n *Node) UpdateTable(newer *table.Table) (bool, error) {
 	followed, err := n.store.follow(newer)
 	if followed {
 		n.installed(n.store.version())
@@ -73,7 +73,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var answer FetchAnswer
+	var answer FetchResponse
 	if _, err := answer.UnmarshalMsg(encoded); err != nil {
 		return 0, errors.Wrap(err, "cluster: fetched state")
 	}
@@ -94,12 +94,12 @@
 		return nil
 	}
 	if n.store.version() <= request.Version {
-		return encode(&FetchAnswer{})
+		return encode(&FetchResponse{})
 	}
 	state, err := n.store.Snapshot()
 	if err != nil {
 		n.config.Logger.Warn("table not encoded", "for", from, "error", err)
 		return nil
 	}
-	return encode(&FetchAnswer{State: state})
+	return encode(&FetchResponse{State: state})
 }
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -62,7 +62,7 @@
 	said  map[table.Endpoint]liveness.Claim
 }
 
-func (a *agentNotes) Remote(claim liveness.Claim) {
+func (a *agentNotes) ClaimChanged(claim liveness.Claim) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.said == nil {
@@ -107,7 +107,7 @@
 		Zones:   zoneNames,
 		Seeds:   f.seeds,
 		Limits:  changelog.DefaultLimits(),
-		Changed: changed,
+		OnTable: changed,
 		Seed:    uint64(number),
 		Logger:  log.New(io.Discard),
 	}
@@ -144,7 +144,7 @@
 
 func (n *node) putInForce(changed *table.Table) {
 	n.inForce.Store(uint64(changed.Version))
-	n.InForce(changed.Version)
+	n.Applied(changed.Version)
 }
 
 func (n *node) stop() {
@@ -169,7 +169,7 @@
 // follow gives a node a table of the configuration service.
 func (n *node) follow(newer *table.Table) {
 	GinkgoHelper()
-	followed, err := n.Follow(newer)
+	followed, err := n.UpdateTable(newer)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(followed).To(BeTrue())
 }
--- a/internal/cluster/liveness/effect.go
+++ b/internal/cluster/liveness/effect.go
@@ -11,9 +11,9 @@
 const (
 	// EffectSend: transmit Message to To.
 	EffectSend EffectKind = iota
-	// EffectCondition: what other daemons claim of the agent of Claim has
+	// EffectConditionChanged: what other daemons claim of the agent of Claim has
 	// changed to Claim.
-	EffectCondition
+	EffectConditionChanged
 	// EffectReady: this process knows what others claim. It comes once.
 	EffectReady
 )
--- a/internal/cluster/liveness/machine_test.go
+++ b/internal/cluster/liveness/machine_test.go
@@ -96,7 +96,7 @@
 func (f *fleet) perform(p *process, effects []Effect) {
 	for _, effect := range effects {
 		switch effect.Kind {
-		case EffectCondition:
+		case EffectConditionChanged:
 			p.told[effect.Claim.Agent] = effect.Claim
 		case EffectReady:
 			p.ready = true
@@ -109,7 +109,7 @@
 func (f *fleet) transmit(p *process, effect Effect) {
 	encoded, err := effect.Message.MarshalMsg(nil)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(len(encoded)).To(BeNumerically("<=", membership.MaximumDatagram))
+	Expect(len(encoded)).To(BeNumerically("<=", membership.MaximumDatagramSize))
 	var decoded Message
 	_, err = decoded.UnmarshalMsg(encoded)
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/cluster/liveness/judge.go
+++ b/internal/cluster/liveness/resolve.go
@@ -21,7 +21,7 @@
 			m.told[agent] = judged
 		}
 		if told && known != judged || !told && claimed {
-			m.emit(Effect{Kind: EffectCondition, Claim: judged})
+			m.emit(Effect{Kind: EffectConditionChanged, Claim: judged})
 		}
 	}
 }
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -26,8 +26,8 @@
 	Version table.Version `msg:"v"`
 }
 
-// FetchAnswer answers a FetchRequest with an encoded state, which is empty if
+// FetchResponse answers a FetchRequest with an encoded state, which is empty if
 // the table is not newer.
-type FetchAnswer struct {
+type FetchResponse struct {
 	State []byte `msg:"s"`
 }
--- a/internal/cluster/message_gen.go
+++ b/internal/cluster/message_gen.go
@@ -242,7 +242,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *FetchAnswer) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *FetchRequest) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -259,10 +259,10 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "s":
-			z.State, err = dc.ReadBytes(z.State)
+		case "v":
+			err = z.Version.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "State")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		default:
@@ -277,33 +277,37 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *FetchAnswer) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *FetchRequest) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 1
-	// write "s"
-	err = en.Append(0x81, 0xa1, 0x73)
+	// write "v"
+	err = en.Append(0x81, 0xa1, 0x76)
 	if err != nil {
 		return
 	}
-	err = en.WriteBytes(z.State)
+	err = z.Version.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "State")
+		err = msgp.WrapError(err, "Version")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *FetchAnswer) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *FetchRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
-	// string "s"
-	o = append(o, 0x81, 0xa1, 0x73)
-	o = msgp.AppendBytes(o, z.State)
+	// string "v"
+	o = append(o, 0x81, 0xa1, 0x76)
+	o, err = z.Version.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Version")
+		return
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *FetchAnswer) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *FetchRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -320,10 +324,10 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "s":
-			z.State, bts, err = msgp.ReadBytesBytes(bts, z.State)
+		case "v":
+			bts, err = z.Version.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "State")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		default:
@@ -339,13 +343,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *FetchAnswer) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BytesPrefixSize + len(z.State)
+func (z *FetchRequest) Msgsize() (s int) {
+	s = 1 + 2 + z.Version.Msgsize()
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *FetchRequest) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *FetchResponse) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -362,10 +366,10 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "v":
-			err = z.Version.DecodeMsg(dc)
+		case "s":
+			z.State, err = dc.ReadBytes(z.State)
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "State")
 				return
 			}
 		default:
@@ -380,37 +384,33 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *FetchRequest) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *FetchResponse) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 1
-	// write "v"
-	err = en.Append(0x81, 0xa1, 0x76)
+	// write "s"
+	err = en.Append(0x81, 0xa1, 0x73)
 	if err != nil {
 		return
 	}
-	err = z.Version.EncodeMsg(en)
+	err = en.WriteBytes(z.State)
 	if err != nil {
-		err = msgp.WrapError(err, "Version")
+		err = msgp.WrapError(err, "State")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *FetchRequest) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *FetchResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
-	// string "v"
-	o = append(o, 0x81, 0xa1, 0x76)
-	o, err = z.Version.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Version")
-		return
-	}
+	// string "s"
+	o = append(o, 0x81, 0xa1, 0x73)
+	o = msgp.AppendBytes(o, z.State)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *FetchRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *FetchResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -427,10 +427,10 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "v":
-			bts, err = z.Version.UnmarshalMsg(bts)
+		case "s":
+			z.State, bts, err = msgp.ReadBytesBytes(bts, z.State)
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "State")
 				return
 			}
 		default:
@@ -446,7 +446,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *FetchRequest) Msgsize() (s int) {
-	s = 1 + 2 + z.Version.Msgsize()
+func (z *FetchResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BytesPrefixSize + len(z.State)
 	return
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -129,7 +129,7 @@
 	n.store = &Store{node: n, LogStore: adminapi.NewLogStore(adminapi.LogStoreConfig{
 		Limits:  n.config.Limits,
 		Fleet:   n,
-		Changed: n.config.Changed,
+		Changed: n.config.OnTable,
 	})}
 }
 
@@ -139,11 +139,11 @@
 // Address returns the address of the node.
 func (n *Node) Address() netip.AddrPort { return n.config.Listen }
 
-// InForce tells that this process forwards by a version.
-func (n *Node) InForce(version table.Version) {
+// Applied tells that this process forwards by a version.
+func (n *Node) Applied(version table.Version) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.spread.InForce(version)
+	n.spread.Applied(version)
 	n.attach()
 }
 
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -31,21 +31,21 @@
 		nodes[3].follow(tableOf(12, 2))
 		expectInForce(nodes, 12)
 		for _, stale := range []table.Version{12, 11, 7} {
-			Expect(nodes[0].Follow(tableOf(stale, 1))).To(BeFalse())
+			Expect(nodes[0].UpdateTable(tableOf(stale, 1))).To(BeFalse())
 		}
 		for _, holder := range nodes {
 			Expect(holder.Store().Table().Table).To(Equal(tableOf(12, 2)))
 		}
 
 		By("refusing a table that is not valid")
-		_, err := nodes[0].Follow(&table.Table{Version: 13, Backends: tableOf(13, 1).Backends})
+		_, err := nodes[0].UpdateTable(&table.Table{Version: 13, Backends: tableOf(13, 1).Backends})
 		Expect(err).To(MatchError(ContainSubstring("service")))
 
 		By("showing the members and where the table is in force")
 		Eventually(func() bool { return nodes[2].Store().Reached(12).Complete() }, patience).Should(BeTrue())
 		Expect(nodes[2].Store().Reached(12).Reached).To(Equal(5))
 		Expect(nodes[2].Store().Reached(13)).To(And(HaveField("Accepted", false), HaveField("NotReached", HaveLen(5))))
-		nodes[2].SetMachines([]cluster.Name{{Address: nodes[0].Address().Addr(), Name: "first"}})
+		nodes[2].SetMachines([]cluster.MachineName{{Address: nodes[0].Address().Addr(), Name: "first"}})
 		members := nodes[2].Store().Members()
 		Expect(members).To(HaveLen(5))
 		for _, member := range members {
@@ -91,9 +91,9 @@
 			}
 		}
 		alive := liveness.Claim{Agent: agent, Start: 5, Condition: liveness.Alive}
-		nodes[0].Claim([]liveness.Claim{alive})
+		nodes[0].ReportAgents([]liveness.Claim{alive})
 		expect(nodes[1:], alive)
-		nodes[0].Claim([]liveness.Claim{{Agent: agent, Start: 5, Condition: liveness.Leaving}})
+		nodes[0].ReportAgents([]liveness.Claim{{Agent: agent, Start: 5, Condition: liveness.Leaving}})
 		expect(nodes[1:], liveness.Claim{Agent: agent, Start: 5, Condition: liveness.Leaving})
 		late := started.start(3)
 		expect([]*node{late}, liveness.Claim{Agent: agent, Start: 5, Condition: liveness.Leaving})
--- a/internal/cluster/socket.go
+++ b/internal/cluster/socket.go
@@ -20,7 +20,7 @@
 const (
 	// maximumDatagram bounds a datagram in bytes; what is longer goes over a
 	// connection.
-	maximumDatagram = membership.MaximumDatagram + 16
+	maximumDatagram = membership.MaximumDatagramSize + 16
 	// maximumStream bounds what is read from a connection, in bytes.
 	maximumStream = 64 << 20
 	// streamTimeout bounds the life of a connection.
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -72,11 +72,11 @@
 		return answer
 	}
 	for _, zone := range surveyed.Zones {
-		answer.Reached += zone.Reached
-		for _, missing := range zone.Missing {
+		answer.Reached += zone.AppliedCount
+		for _, missing := range zone.BehindMembers {
 			answer.NotReached = append(answer.NotReached, s.node.nameOf(missing))
 		}
-		if unnamed := zone.Behind - len(zone.Missing); unnamed > 0 {
+		if unnamed := zone.BehindCount - len(zone.BehindMembers); unnamed > 0 {
 			answer.NotReached = append(answer.NotReached,
 				fmt.Sprintf("%d more in zone %s", unnamed, s.node.zones.name(zone.Zone)))
 		}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -40,14 +40,14 @@
 	return !slices.Contains(d.down, row) && !slices.Contains(d.unknown, row)
 }
 
-// Outgoing is a heartbeat to be sent to a daemon.
-type Outgoing struct {
+// OutgoingHeartbeat is a heartbeat to be sent to a daemon.
+type OutgoingHeartbeat struct {
 	Daemon    netip.AddrPort
 	Heartbeat Heartbeat
 }
 
-// State is what an agent holds from its daemons.
-type State struct {
+// ClientState is what an agent holds from its daemons.
+type ClientState struct {
 	// Table is the agent's part of the newest table received, nil before the
 	// first grant.
 	Table *table.Table
@@ -85,25 +85,25 @@
 // Leave marks the agent as stopping and makes all heartbeats due.
 func (c *Client) Leave() {
 	c.leaving = true
-	c.Refresh()
+	c.Renew()
 }
 
 // Left marks the agent as stopped and makes all heartbeats due.
 func (c *Client) Left() {
 	c.left = true
-	c.Refresh()
+	c.Renew()
 }
 
-// Refresh makes all heartbeats due, unless they were sent a moment ago.
-func (c *Client) Refresh() {
+// Renew makes all heartbeats due, unless they were sent a moment ago.
+func (c *Client) Renew() {
 	for _, daemon := range c.daemons {
 		daemon.due = min(daemon.due, daemon.last+refreshSpacing)
 	}
 }
 
 // Tick returns the heartbeats that are due.
-func (c *Client) Tick(now time.Duration) []Outgoing {
-	var outgoing []Outgoing
+func (c *Client) Tick(now time.Duration) []OutgoingHeartbeat {
+	var outgoing []OutgoingHeartbeat
 	for _, daemon := range c.daemons {
 		if now < daemon.due {
 			continue
@@ -115,7 +115,7 @@
 		if len(daemon.sent) > outstandingHeartbeats {
 			daemon.sent = slices.Delete(daemon.sent, 0, 1)
 		}
-		outgoing = append(outgoing, Outgoing{Daemon: daemon.address, Heartbeat: c.heartbeat()})
+		outgoing = append(outgoing, OutgoingHeartbeat{Daemon: daemon.address, Heartbeat: c.heartbeat()})
 	}
 	return outgoing
 }
@@ -191,8 +191,8 @@
 }
 
 // State returns what the agent holds now.
-func (c *Client) State(now time.Duration) State {
-	state := State{Table: c.held, LeaseUntil: c.lease}
+func (c *Client) State(now time.Duration) ClientState {
+	state := ClientState{Table: c.held, LeaseUntil: c.lease}
 	var recent []*daemonRecord
 	for _, daemon := range c.daemons {
 		if daemon.heard && now < daemon.granted+daemon.lease {
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -30,9 +30,9 @@
 	// pauseGrace bounds how long a resumed daemon grants no lease while it
 	// cannot confirm its table.
 	pauseGrace = 3 * time.Second
-	// ListenTime is how long a daemon that starts or was resumed listens for
+	// WarmupPeriod is how long a daemon that starts or was resumed listens for
 	// heartbeats before it takes an agent it has not heard from for down.
-	ListenTime = maximumInterval + livenessMargin
+	WarmupPeriod = maximumInterval + livenessMargin
 	// forgetAgentAfter is when the record of an agent without rows is removed.
 	forgetAgentAfter = time.Minute
 )
@@ -84,9 +84,9 @@
 	}
 }
 
-// Confirm tells the registry that its table is known to be the newest that can
+// ConfirmTable tells the registry that its table is known to be the newest that can
 // be had; a resumed daemon grants leases again.
-func (r *Registry) Confirm() { r.suspended = false }
+func (r *Registry) ConfirmTable() { r.suspended = false }
 
 // Tick must be called several times a second. It detects that the process was
 // paused: a resumed daemon grants no lease on a table that may be old.
@@ -106,10 +106,10 @@
 	}
 }
 
-// Listened reports whether the daemon has listened for heartbeats long enough to
+// WarmedUp reports whether the daemon has listened for heartbeats long enough to
 // know which agents are down.
-func (r *Registry) Listened(now time.Duration) bool {
-	return r.everTicked && now >= r.listening+ListenTime
+func (r *Registry) WarmedUp(now time.Duration) bool {
+	return r.everTicked && now >= r.listening+WarmupPeriod
 }
 
 // Receive handles a heartbeat. It returns false if no lease can be granted.
@@ -192,7 +192,7 @@
 // could not hear anything for a while does not take silence for death.
 func (r *Registry) heardCondition(now time.Duration, agent table.Endpoint) condition {
 	record, heard := r.agents[agent]
-	listened := r.Listened(now)
+	listened := r.WarmedUp(now)
 	if !heard {
 		if listened {
 			return conditionDown
@@ -240,8 +240,8 @@
 // nextExpiry returns when a condition can change without a heartbeat.
 func (r *Registry) nextExpiry(now time.Duration) time.Duration {
 	next := now + MaximumLease
-	if !r.Listened(now) {
-		next = min(next, r.listening+ListenTime)
+	if !r.WarmedUp(now) {
+		next = min(next, r.listening+WarmupPeriod)
 	}
 	for _, record := range r.agents {
 		expiry := record.heard + record.lease + livenessMargin
--- a/internal/control/remote.go
+++ b/internal/control/remote.go
@@ -47,16 +47,16 @@
 	r.invalidate()
 }
 
-// EndAwaitRemote tells that Remote has been called for all agents that others
+// RemoteReady tells that Remote has been called for all agents that others
 // hear.
-func (r *Registry) EndAwaitRemote() {
+func (r *Registry) RemoteReady() {
 	r.remote.awaited = false
 	r.invalidate()
 }
 
-// Remote takes in what other daemons together say of an agent, until they say
+// ApplyRemote takes in what other daemons together say of an agent, until they say
 // otherwise. A heartbeat that this daemon hears itself says more.
-func (r *Registry) Remote(said Observation) {
+func (r *Registry) ApplyRemote(said Observation) {
 	if r.remote.agents == nil {
 		r.remote.agents = make(map[table.Endpoint]Observation)
 	}
@@ -116,29 +116,29 @@
 	return conditionAlive
 }
 
-// Remote takes in what other daemons say of agents.
-func (s *Server) Remote(said []Observation) {
+// ApplyRemote takes in what other daemons say of agents.
+func (s *Server) ApplyRemote(said []Observation) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, observation := range said {
-		s.registry.Remote(observation)
+		s.registry.ApplyRemote(observation)
 	}
 	s.report()
 }
 
-// EndAwaitRemote tells that Remote has been called for all agents that others
+// RemoteReady tells that Remote has been called for all agents that others
 // hear.
-func (s *Server) EndAwaitRemote() {
+func (s *Server) RemoteReady() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.registry.EndAwaitRemote()
+	s.registry.RemoteReady()
 	s.report()
 }
 
 // observe passes on what has changed of the agents that report here. The mutex
 // must be held.
 func (s *Server) observe() {
-	if s.config.Observed == nil {
+	if s.config.OnObservations == nil {
 		return
 	}
 	observed := s.registry.Observations(s.now())
@@ -146,5 +146,5 @@
 		return
 	}
 	s.observed = observed
-	s.config.Observed(observed)
+	s.config.OnObservations(observed)
 }
--- a/internal/control/remote_test.go
+++ b/internal/control/remote_test.go
@@ -20,7 +20,7 @@
 	})
 
 	said := func(condition AgentCondition) {
-		registry.Remote(Observation{Agent: secondAgent, Start: 1, Condition: condition})
+		registry.ApplyRemote(Observation{Agent: secondAgent, Start: 1, Condition: condition})
 	}
 
 	It("takes no agent for down of which others may know", func() {
@@ -28,7 +28,7 @@
 		tickTo(registry, 0, later)
 		Expect(registry.Unavailable(later)).To(BeEmpty())
 		said(AgentAlive)
-		registry.EndAwaitRemote()
+		registry.RemoteReady()
 		Expect(registry.Unavailable(later)).To(Equal([]table.BackendID{1}))
 	})
 
@@ -59,7 +59,7 @@
 		Expect(registry.Unavailable(later)).To(BeEmpty())
 		said(AgentLeaving)
 		Expect(registry.Unavailable(later)).To(Equal([]table.BackendID{2}))
-		registry.Remote(Observation{Agent: secondAgent, Start: 99, Condition: AgentLeaving})
+		registry.ApplyRemote(Observation{Agent: secondAgent, Start: 99, Condition: AgentLeaving})
 		Expect(registry.Unavailable(later)).To(BeEmpty())
 		registry.Receive(later, Heartbeat{Agent: secondAgent, Start: 1, Version: 3, Leaving: true})
 		said(AgentAlive)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -23,13 +23,13 @@
 type ServerConfig struct {
 	// Listen receives heartbeats.
 	Listen netip.AddrPort
-	// Unavailable is called, never concurrently, with the rows that must not
+	// OnUnavailable is called, never concurrently, with the rows that must not
 	// be given new flows, whenever they or the table have changed.
-	Unavailable func(configuration *table.Table, rows []table.BackendID)
-	// Observed is called, never concurrently, with the agents that report to
+	OnUnavailable func(configuration *table.Table, rows []table.BackendID)
+	// OnObservations is called, never concurrently, with the agents that report to
 	// this daemon, whenever one of them or its condition has changed. It must
 	// not call the Server. If it is nil, no other daemon hears agents.
-	Observed func([]Observation)
+	OnObservations func([]Observation)
 }
 
 // Server answers agents' heartbeats over UDP.
@@ -59,7 +59,7 @@
 		started:  time.Now(),
 		registry: NewRegistry(),
 	}
-	if config.Observed != nil {
+	if config.OnObservations != nil {
 		created.registry.AwaitRemote()
 	}
 	return created, nil
@@ -69,7 +69,7 @@
 func (s *Server) Publish(configuration *table.Table) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.registry.Confirm()
+	s.registry.ConfirmTable()
 	if s.configuration != nil && configuration.Version < s.configuration.Version {
 		return
 	}
@@ -79,11 +79,11 @@
 	s.report()
 }
 
-// Confirm tells the server that its table is the newest that can be had.
-func (s *Server) Confirm() {
+// ConfirmTable tells the server that its table is the newest that can be had.
+func (s *Server) ConfirmTable() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.registry.Confirm()
+	s.registry.ConfirmTable()
 }
 
 // Run answers heartbeats until ctx ends; it then returns nil.
@@ -124,7 +124,7 @@
 	if s.configuration == nil {
 		return
 	}
-	s.listened = s.listened || s.registry.Listened(s.now())
+	s.listened = s.listened || s.registry.WarmedUp(s.now())
 	if !s.listened {
 		return
 	}
@@ -134,7 +134,7 @@
 	}
 	s.reported = unavailable
 	s.changed = false
-	s.config.Unavailable(s.configuration, unavailable)
+	s.config.OnUnavailable(s.configuration, unavailable)
 }
 
 func (s *Server) receive() error {
--- a/internal/daemon/agents.go
+++ b/internal/daemon/agents.go
@@ -12,9 +12,9 @@
 	served *control.Server
 }
 
-// Remote implements cluster.AgentListener.
-func (l agentListener) Remote(claim liveness.Claim) {
-	l.served.Remote([]control.Observation{{
+// ClaimChanged implements cluster.AgentListener.
+func (l agentListener) ClaimChanged(claim liveness.Claim) {
+	l.served.ApplyRemote([]control.Observation{{
 		Agent:     claim.Agent,
 		Start:     claim.Start,
 		Condition: observedCondition(claim.Condition),
@@ -22,7 +22,7 @@
 }
 
 // Ready implements cluster.AgentListener.
-func (l agentListener) Ready() { l.served.EndAwaitRemote() }
+func (l agentListener) Ready() { l.served.RemoteReady() }
 
 func observedCondition(claimed liveness.Condition) control.AgentCondition {
 	switch claimed {
--- a/internal/daemon/balancer.go
+++ b/internal/daemon/balancer.go
@@ -74,11 +74,11 @@
 		return err
 	}
 	served := control.ServerConfig{
-		Listen:      shared.settings.Control.Listen,
-		Unavailable: b.apply,
+		Listen:        shared.settings.Control.Listen,
+		OnUnavailable: b.apply,
 	}
 	if shared.settings.Cluster != nil {
-		served.Observed = b.claimAgents
+		served.OnObservations = b.claimAgents
 	}
 	b.control, err = control.NewServer(served)
 	if err != nil {
@@ -105,7 +105,7 @@
 	b.configuration = platform.NewPoller(platform.PollerConfig[platform.Configuration]{
 		Fetch:    client.Configuration,
 		Deliver:  b.deliver,
-		Confirm:  b.control.Confirm,
+		Confirm:  b.control.ConfirmTable,
 		Interval: source.PollInterval,
 		Logger:   shared.logger.With("service", "configuration"),
 		Metrics:  pollerMetrics.of("configuration"),
@@ -153,7 +153,7 @@
 
 // claimAgents tells other balancers of the agents that report to this one.
 func (b *balancerRole) claimAgents(observed []control.Observation) {
-	b.source.node.Claim(claimsOf(observed))
+	b.source.node.ReportAgents(claimsOf(observed))
 }
 
 func (b *balancerRole) countMachines(listed platform.Machines) {
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -24,7 +24,7 @@
 		Zones:   configured.Zones,
 		Seeds:   configured.Seeds,
 		Limits:  changelog.DefaultLimits(),
-		Changed: served.Publish,
+		OnTable: served.Publish,
 		Agents:  agentListener{served},
 		Seed:    rand.Uint64(),
 		Logger:  shared.logger,
@@ -33,21 +33,21 @@
 }
 
 // machineNames returns the balancers of the platform's list.
-func machineNames(listed platform.Machines) []cluster.Name {
-	var names []cluster.Name
+func machineNames(listed platform.Machines) []cluster.MachineName {
+	var names []cluster.MachineName
 	for _, machine := range listed.Machines {
 		if machine.Role == platform.RoleBalancer {
-			names = append(names, cluster.Name{Address: machine.Address.AddrPort().Addr(), Name: machine.Name})
+			names = append(names, cluster.MachineName{Address: machine.Address.AddrPort().Addr(), Name: machine.Name})
 		}
 	}
 	return unambiguous(names)
 }
 
 // unambiguous leaves out the addresses that several machines have.
-func unambiguous(names []cluster.Name) []cluster.Name {
+func unambiguous(names []cluster.MachineName) []cluster.MachineName {
 	count := make(map[netip.Addr]int, len(names))
 	for _, named := range names {
 		count[named.Address]++
 	}
-	return slices.DeleteFunc(names, func(named cluster.Name) bool { return count[named.Address] > 1 })
+	return slices.DeleteFunc(names, func(named cluster.MachineName) bool { return count[named.Address] > 1 })
 }
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -46,7 +46,7 @@
 		}
 		created.node = node
 		created.store = node.Store()
-		created.inForce = node.InForce
+		created.inForce = node.Applied
 	case shared.settings.API != nil:
 		member := adminapi.NewSingleMember(shared.settings.Name, shared.settings.Zone)
 		created.store = adminapi.NewSingleReplicaStore(changelog.DefaultLimits(), member, served.Publish)
@@ -59,7 +59,7 @@
 // followRevision hands the platform's table to the fleet.
 func (s *tableSource) followRevision(configuration platform.Configuration) {
 	revision := uint64(configuration.Revision)
-	newer, err := s.node.Follow(configuration.Table)
+	newer, err := s.node.UpdateTable(configuration.Table)
 	switch {
 	case err != nil:
 		s.logger.Warn("platform revision refused", "revision", revision, "reason", err)
--- a/internal/dissemination/config.go
+++ b/internal/dissemination/config.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// MaximumDatagram bounds an encoded message in bytes, without IP and UDP
+	// MaximumDatagramSize bounds an encoded message in bytes, without IP and UDP
 	// headers.
-	MaximumDatagram = membership.MaximumDatagram
+	MaximumDatagramSize = membership.MaximumDatagramSize
 	// messageOverhead bounds the encoding of a message without deltas and
 	// names.
 	messageOverhead = 64
@@ -34,9 +34,9 @@
 	Random *rand.Rand
 	// ZoneFanout is to how many members of its zone each member pushes.
 	ZoneFanout int
-	// EntryFanout is to how many members of another zone or region one member
+	// RemoteFanout is to how many members of another zone or region one member
 	// pushes.
-	EntryFanout int
+	RemoteFanout int
 	// PullDelay is the longest time to wait for a push before a pull.
 	PullDelay time.Duration
 	// PullTimeout is the time after which a pull is repeated.
@@ -48,31 +48,31 @@
 	HistoryBytes int
 	// StatusTimeout is the time after which a status request is repeated, up
 	// to StatusTries in all.
-	StatusTimeout time.Duration
-	StatusTries   int
+	StatusTimeout  time.Duration
+	StatusAttempts int
 	// ReportTimeout is the time after which other members of a zone are asked
 	// for a report, up to ReportTries times, ReportFanout at a time.
-	ReportTimeout time.Duration
-	ReportTries   int
-	ReportFanout  int
+	ReportTimeout  time.Duration
+	ReportAttempts int
+	ReportFanout   int
 }
 
 // DefaultConfig returns the settings for a fleet of up to 1,100 members.
 func DefaultConfig(self membership.Identity, random *rand.Rand) Config {
 	return Config{
-		Self:          self,
-		Random:        random,
-		ZoneFanout:    4,
-		EntryFanout:   2,
-		PullDelay:     300 * time.Millisecond,
-		PullTimeout:   500 * time.Millisecond,
-		FetchTimeout:  30 * time.Second,
-		HistoryBytes:  256 << 10,
-		StatusTimeout: 400 * time.Millisecond,
-		StatusTries:   4,
-		ReportTimeout: 2200 * time.Millisecond,
-		ReportTries:   3,
-		ReportFanout:  2,
+		Self:           self,
+		Random:         random,
+		ZoneFanout:     4,
+		RemoteFanout:   2,
+		PullDelay:      300 * time.Millisecond,
+		PullTimeout:    500 * time.Millisecond,
+		FetchTimeout:   30 * time.Second,
+		HistoryBytes:   256 << 10,
+		StatusTimeout:  400 * time.Millisecond,
+		StatusAttempts: 4,
+		ReportTimeout:  2200 * time.Millisecond,
+		ReportAttempts: 3,
+		ReportFanout:   2,
 	}
 }
 
@@ -83,13 +83,13 @@
 		return errors.New("dissemination: no usable identity")
 	case c.Random == nil:
 		return errors.New("dissemination: no source of randomness")
-	case c.ZoneFanout < 1 || c.EntryFanout < 1:
+	case c.ZoneFanout < 1 || c.RemoteFanout < 1:
 		return errors.New("dissemination: fanouts must be positive")
 	case c.PullDelay <= 0 || c.PullTimeout <= 0 || c.FetchTimeout <= 0:
 		return errors.New("dissemination: pull and fetch times must be positive")
 	case c.StatusTimeout <= 0 || c.ReportTimeout <= 0:
 		return errors.New("dissemination: survey times must be positive")
-	case c.StatusTries < 1 || c.ReportTries < 1 || c.ReportFanout < 1:
+	case c.StatusAttempts < 1 || c.ReportAttempts < 1 || c.ReportFanout < 1:
 		return errors.New("dissemination: survey tries and fanout must be positive")
 	}
 	return nil
--- a/internal/dissemination/effect.go
+++ b/internal/dissemination/effect.go
@@ -20,8 +20,8 @@
 	// EffectFetch: fetch from To, over a connection, the deltas after Version
 	// or a full table, then call Installed or FetchFailed.
 	EffectFetch
-	// EffectSurveyed: Survey has ended.
-	EffectSurveyed
+	// EffectSurveyDone: Survey has ended.
+	EffectSurveyDone
 )
 
 // Effect is one thing that the caller of the machine has to do. Which fields
@@ -47,18 +47,18 @@
 	Zone membership.Zone
 	// Answered is false if no member of the zone answered; its members then
 	// count as behind.
-	Answered bool
-	Reached  int
-	// Behind counts the members that have not put the version in force or did
+	Answered     bool
+	AppliedCount int
+	// BehindCount counts the members that have not put the version in force or did
 	// not answer. Missing names them, as many as fit in a message.
-	Behind  int
-	Missing []membership.Address
+	BehindCount   int
+	BehindMembers []membership.Address
 }
 
 // Complete reports whether the version is in force on every member.
 func (s Survey) Complete() bool {
 	for _, zone := range s.Zones {
-		if zone.Behind > 0 {
+		if zone.BehindCount > 0 {
 			return false
 		}
 	}
--- a/internal/dissemination/faults_test.go
+++ b/internal/dissemination/faults_test.go
@@ -43,7 +43,7 @@
 		return asking.surveys[0]
 	}
 	cutZone := func(zone membership.Zone) {
-		cluster.network.SetCut(func(from, to virtualnet.NodeID) bool {
+		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 			return (cluster.zoneOf(membership.Address(from)) == zone) != (cluster.zoneOf(membership.Address(to)) == zone)
 		})
 	}
@@ -53,7 +53,7 @@
 			Loss: 0.05, Duplication: 0.03, Jitter: 5 * time.Millisecond,
 		})
 		cluster.startAll(5*time.Second, time.Minute)
-		gomega.Expect(cluster.daemons[cluster.addresses[0]].members.Live()).To(gomega.Equal(36))
+		gomega.Expect(cluster.daemons[cluster.addresses[0]].members.LiveCount()).To(gomega.Equal(36))
 	})
 
 	ginkgo.It("has twenty versions in force everywhere over links that lose", func() {
@@ -85,7 +85,7 @@
 		reach(3, mergeLimit)
 		restarted := cluster.daemons[cluster.addresses[8]].machine
 		restarted.Installed(cluster.network.Now(), 2)
-		gomega.Expect(restarted.Status()).To(gomega.Equal(dissemination.Status{Held: 3, InForce: 3}))
+		gomega.Expect(restarted.Status()).To(gomega.Equal(dissemination.Status{Held: 3, Applied: 3}))
 	})
 
 	ginkgo.It("lets a zone that was cut off for an hour catch up", func() {
@@ -95,7 +95,7 @@
 			cluster.network.Run(12 * time.Minute)
 		}
 		gomega.Expect(cluster.lagging(1)).To(gomega.HaveLen(6))
-		cluster.network.SetCut(nil)
+		cluster.network.SetPartition(nil)
 		reach(5, mergeLimit)
 	})
 
@@ -113,10 +113,10 @@
 		var missing []membership.Address
 		reached := 0
 		for _, zone := range survey.Zones {
-			missing = append(missing, zone.Missing...)
-			reached += zone.Reached
+			missing = append(missing, zone.BehindMembers...)
+			reached += zone.AppliedCount
 			gomega.Expect(zone.Answered).To(gomega.BeTrue())
-			gomega.Expect(zone.Behind).To(gomega.Equal(len(zone.Missing)))
+			gomega.Expect(zone.BehindCount).To(gomega.Equal(len(zone.BehindMembers)))
 		}
 		gomega.Expect(missing).To(gomega.ConsistOf(paused))
 		gomega.Expect(reached).To(gomega.Equal(33))
@@ -129,7 +129,7 @@
 		for _, zone := range survey.Zones {
 			gomega.Expect(zone.Answered).To(gomega.Equal(zone.Zone != 2))
 			if zone.Zone == 2 {
-				gomega.Expect(zone.Missing).To(gomega.HaveLen(6))
+				gomega.Expect(zone.BehindMembers).To(gomega.HaveLen(6))
 			}
 		}
 	})
@@ -196,8 +196,8 @@
 	})
 
 	ginkgo.It("asks another peer when a fetch fails or takes too long", func() {
-		machine.Heard(0, address(2), encodedStatus(9))
-		bulk := dissemination.Message{Kind: dissemination.KindBulk, Status: dissemination.Status{Held: 9}}
+		machine.ReceiveAttachment(0, address(2), encodedStatus(9))
+		bulk := dissemination.Message{Kind: dissemination.KindFetchRequired, Status: dissemination.Status{Held: 9}}
 		effects := machine.Receive(0, address(1), bulk)
 		gomega.Expect(effects).To(gomega.HaveLen(1))
 		gomega.Expect(effects[0].Kind).To(gomega.Equal(dissemination.EffectFetch))
@@ -222,7 +222,7 @@
 		_, kept := machine.DeltasAfter(5)
 		gomega.Expect(kept).To(gomega.BeFalse())
 		_, sent := kinds(machine.Receive(0, address(2), pull))
-		gomega.Expect(sent).To(gomega.Equal([]dissemination.Kind{dissemination.KindBulk}))
+		gomega.Expect(sent).To(gomega.Equal([]dissemination.Kind{dissemination.KindFetchRequired}))
 	})
 
 	ginkgo.It("has no more than a few surveys under way", func() {
@@ -235,7 +235,7 @@
 	})
 
 	ginkgo.It("ignores an attachment that cannot be read", func() {
-		machine.Heard(0, address(1), []byte{0xc1, 0xff})
+		machine.ReceiveAttachment(0, address(1), []byte{0xc1, 0xff})
 		gomega.Expect(machine.Tick(time.Second)).To(gomega.BeEmpty())
 	})
 })
--- a/internal/dissemination/measure_bench_test.go
+++ b/internal/dissemination/fleet_bench_test.go
@@ -62,7 +62,7 @@
 // settled reports whether every daemon knows every other one.
 func (f *fleet) settled() bool {
 	return !slices.ContainsFunc(f.running(), func(observed *daemon) bool {
-		return observed.members.Live() != len(f.addresses)
+		return observed.members.LiveCount() != len(f.addresses)
 	})
 }
 
@@ -86,7 +86,7 @@
 	for _, observed := range measured.running() {
 		traffic := measured.network.Traffic(virtualnet.NodeID(observed.identity.Address))
 		mean += traffic.Mean(began, measured.network.Now()) / float64(len(measured.addresses))
-		worst = max(worst, traffic.Worst(began, measured.network.Now()))
+		worst = max(worst, traffic.Peak(began, measured.network.Now()))
 	}
 	b.ReportMetric(mean, "bytes/s-mean")
 	b.ReportMetric(worst, "bytes/s-worst-10s")
@@ -108,7 +108,7 @@
 	}
 	var named []membership.Address
 	for _, zone := range asking.surveys[0].Zones {
-		named = append(named, zone.Missing...)
+		named = append(named, zone.BehindMembers...)
 	}
 	if !slices.Contains(named, missing) {
 		known, _ := asking.members.Member(missing)
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -182,7 +182,7 @@
 func (f *fleet) lagging(version table.Version) []membership.Address {
 	var lagging []membership.Address
 	for _, observed := range f.running() {
-		if observed.machine.Status().InForce < version {
+		if observed.machine.Status().Applied < version {
 			lagging = append(lagging, observed.identity.Address)
 		}
 	}
@@ -249,7 +249,7 @@
 			message := effect.Message
 			d.send(effect.To, len(encoded), datagram{membership: &message})
 		case membership.EffectAttachment:
-			d.machine.Heard(now, effect.Member.Address, effect.Attachment)
+			d.machine.ReceiveAttachment(now, effect.Member.Address, effect.Attachment)
 		default:
 			d.stalePeers = true
 		}
@@ -265,7 +265,7 @@
 			d.install(d.contents.apply(effect.Delta))
 		case dissemination.EffectFetch:
 			d.fetch(effect.To)
-		case dissemination.EffectSurveyed:
+		case dissemination.EffectSurveyDone:
 			d.surveys = append(d.surveys, effect.Survey)
 		}
 	}
@@ -278,7 +278,7 @@
 	}
 	encoded, err := message.MarshalMsg(nil)
 	must(err)
-	if len(encoded) > dissemination.MaximumDatagram {
+	if len(encoded) > dissemination.MaximumDatagramSize {
 		panic(fmt.Sprintf("message of %d bytes", len(encoded)))
 	}
 	if len(message.Deltas) > 0 && d.fleet.regionOf(effect.To) != d.identity.Region {
@@ -304,7 +304,7 @@
 		d.violate("has wrong contents at version %d", next.version)
 	}
 	d.contents = next
-	d.machine.InForce(next.version)
+	d.machine.Applied(next.version)
 	d.reached[next.version] = d.fleet.network.Now()
 }
 
--- a/internal/dissemination/history.go
+++ b/internal/dissemination/history.go
@@ -41,7 +41,7 @@
 
 // fitting returns as many of the deltas, from the first, as fit in a message.
 func fitting(deltas []Delta) []Delta {
-	room := MaximumDatagram - messageOverhead
+	room := MaximumDatagramSize - messageOverhead
 	for index, delta := range deltas {
 		room -= len(delta.Payload) + deltaOverhead
 		if room < 0 {
--- a/internal/dissemination/machine.go
+++ b/internal/dissemination/machine.go
@@ -86,14 +86,14 @@
 	delete(m.peers.status, from)
 }
 
-// InForce tells that this process has put a version in force.
-func (m *Machine) InForce(version table.Version) {
-	m.status.InForce = max(m.status.InForce, version)
+// Applied tells that this process has put a version in force.
+func (m *Machine) Applied(version table.Version) {
+	m.status.Applied = max(m.status.Applied, version)
 }
 
-// Heard handles an attachment that came with a membership message. One that
+// ReceiveAttachment handles an attachment that came with a membership message. One that
 // cannot be decoded is ignored.
-func (m *Machine) Heard(now time.Duration, from membership.Address, attachment []byte) {
+func (m *Machine) ReceiveAttachment(now time.Duration, from membership.Address, attachment []byte) {
 	var status Status
 	if _, err := status.UnmarshalMsg(attachment); err == nil {
 		m.hear(now, from, status, ScopeZone)
@@ -129,7 +129,7 @@
 		m.receiveDeltas(now, message)
 	case KindPull:
 		m.answerPull(from, message)
-	case KindBulk:
+	case KindFetchRequired:
 		m.beginFetch(now, from, message)
 	case KindStatusRequest:
 		m.send(from, Message{Kind: KindStatus, Sequence: message.Sequence})
--- a/internal/dissemination/message.go
+++ b/internal/dissemination/message.go
@@ -23,8 +23,8 @@
 type Status struct {
 	// Held is the newest version that the member can give to others.
 	Held table.Version
-	// InForce is the newest version that the member has put in force.
-	InForce table.Version
+	// Applied is the newest version that the member has put in force.
+	Applied table.Version
 }
 
 // Kind is the purpose of a message.
@@ -38,9 +38,9 @@
 	KindPull
 	// KindDeltas answers a pull.
 	KindDeltas
-	// KindBulk answers a pull that takes more than a datagram: the asking
+	// KindFetchRequired answers a pull that takes more than a datagram: the asking
 	// member shall fetch over a connection.
-	KindBulk
+	KindFetchRequired
 	// KindStatusRequest asks for the receiver's status.
 	KindStatusRequest
 	// KindStatus answers a status request.
@@ -75,9 +75,9 @@
 	Sequence uint32
 	// Version is what a zone request or report concerns.
 	Version table.Version
-	// Reached counts members with the version in force, Behind those without;
+	// AppliedCount counts members with the version in force, Behind those without;
 	// Missing names the latter, as many as fit.
-	Reached uint32
-	Behind  uint32
-	Missing []membership.Address
+	AppliedCount  uint32
+	BehindCount   uint32
+	BehindMembers []membership.Address
 }
--- a/internal/dissemination/message_gen.go
+++ b/internal/dissemination/message_gen.go
@@ -222,9 +222,9 @@
 		err = msgp.WrapError(err, "Status", "Held")
 		return
 	}
-	err = z.Status.InForce.DecodeMsg(dc)
+	err = z.Status.Applied.DecodeMsg(dc)
 	if err != nil {
-		err = msgp.WrapError(err, "Status", "InForce")
+		err = msgp.WrapError(err, "Status", "Applied")
 		return
 	}
 	{
@@ -290,35 +290,35 @@
 		err = msgp.WrapError(err, "Version")
 		return
 	}
-	z.Reached, err = dc.ReadUint32()
+	z.AppliedCount, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Reached")
+		err = msgp.WrapError(err, "AppliedCount")
 		return
 	}
-	z.Behind, err = dc.ReadUint32()
+	z.BehindCount, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Behind")
+		err = msgp.WrapError(err, "BehindCount")
 		return
 	}
 	var zb0007 uint32
 	zb0007, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Missing")
+		err = msgp.WrapError(err, "BehindMembers")
 		return
 	}
 	if zb0007 > zdc5d9100limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Missing) >= int(zb0007) {
-		z.Missing = (z.Missing)[:zb0007]
+	if cap(z.BehindMembers) >= int(zb0007) {
+		z.BehindMembers = (z.BehindMembers)[:zb0007]
 	} else {
-		z.Missing = make([]membership.Address, zb0007)
+		z.BehindMembers = make([]membership.Address, zb0007)
 	}
-	for za0002 := range z.Missing {
-		err = z.Missing[za0002].DecodeMsg(dc)
+	for za0002 := range z.BehindMembers {
+		err = z.BehindMembers[za0002].DecodeMsg(dc)
 		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0002)
+			err = msgp.WrapError(err, "BehindMembers", za0002)
 			return
 		}
 	}
@@ -347,9 +347,9 @@
 		err = msgp.WrapError(err, "Status", "Held")
 		return
 	}
-	err = z.Status.InForce.EncodeMsg(en)
+	err = z.Status.Applied.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Status", "InForce")
+		err = msgp.WrapError(err, "Status", "Applied")
 		return
 	}
 	err = en.WriteUint8(uint8(z.Scope))
@@ -389,25 +389,25 @@
 		err = msgp.WrapError(err, "Version")
 		return
 	}
-	err = en.WriteUint32(z.Reached)
+	err = en.WriteUint32(z.AppliedCount)
 	if err != nil {
-		err = msgp.WrapError(err, "Reached")
+		err = msgp.WrapError(err, "AppliedCount")
 		return
 	}
-	err = en.WriteUint32(z.Behind)
+	err = en.WriteUint32(z.BehindCount)
 	if err != nil {
-		err = msgp.WrapError(err, "Behind")
+		err = msgp.WrapError(err, "BehindCount")
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Missing)))
+	err = en.WriteArrayHeader(uint32(len(z.BehindMembers)))
 	if err != nil {
-		err = msgp.WrapError(err, "Missing")
+		err = msgp.WrapError(err, "BehindMembers")
 		return
 	}
-	for za0002 := range z.Missing {
-		err = z.Missing[za0002].EncodeMsg(en)
+	for za0002 := range z.BehindMembers {
+		err = z.BehindMembers[za0002].EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0002)
+			err = msgp.WrapError(err, "BehindMembers", za0002)
 			return
 		}
 	}
@@ -427,9 +427,9 @@
 		err = msgp.WrapError(err, "Status", "Held")
 		return
 	}
-	o, err = z.Status.InForce.MarshalMsg(o)
+	o, err = z.Status.Applied.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Status", "InForce")
+		err = msgp.WrapError(err, "Status", "Applied")
 		return
 	}
 	o = msgp.AppendUint8(o, uint8(z.Scope))
@@ -450,13 +450,13 @@
 		err = msgp.WrapError(err, "Version")
 		return
 	}
-	o = msgp.AppendUint32(o, z.Reached)
-	o = msgp.AppendUint32(o, z.Behind)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Missing)))
-	for za0002 := range z.Missing {
-		o, err = z.Missing[za0002].MarshalMsg(o)
+	o = msgp.AppendUint32(o, z.AppliedCount)
+	o = msgp.AppendUint32(o, z.BehindCount)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.BehindMembers)))
+	for za0002 := range z.BehindMembers {
+		o, err = z.BehindMembers[za0002].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0002)
+			err = msgp.WrapError(err, "BehindMembers", za0002)
 			return
 		}
 	}
@@ -499,9 +499,9 @@
 		err = msgp.WrapError(err, "Status", "Held")
 		return
 	}
-	bts, err = z.Status.InForce.UnmarshalMsg(bts)
+	bts, err = z.Status.Applied.UnmarshalMsg(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Status", "InForce")
+		err = msgp.WrapError(err, "Status", "Applied")
 		return
 	}
 	{
@@ -576,35 +576,35 @@
 		err = msgp.WrapError(err, "Version")
 		return
 	}
-	z.Reached, bts, err = msgp.ReadUint32Bytes(bts)
+	z.AppliedCount, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Reached")
+		err = msgp.WrapError(err, "AppliedCount")
 		return
 	}
-	z.Behind, bts, err = msgp.ReadUint32Bytes(bts)
+	z.BehindCount, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Behind")
+		err = msgp.WrapError(err, "BehindCount")
 		return
 	}
 	var zb0008 uint32
 	zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Missing")
+		err = msgp.WrapError(err, "BehindMembers")
 		return
 	}
 	if zb0008 > zdc5d9100limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Missing) >= int(zb0008) {
-		z.Missing = (z.Missing)[:zb0008]
+	if cap(z.BehindMembers) >= int(zb0008) {
+		z.BehindMembers = (z.BehindMembers)[:zb0008]
 	} else {
-		z.Missing = make([]membership.Address, zb0008)
+		z.BehindMembers = make([]membership.Address, zb0008)
 	}
-	for za0002 := range z.Missing {
-		bts, err = z.Missing[za0002].UnmarshalMsg(bts)
+	for za0002 := range z.BehindMembers {
+		bts, err = z.BehindMembers[za0002].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0002)
+			err = msgp.WrapError(err, "BehindMembers", za0002)
 			return
 		}
 	}
@@ -614,13 +614,13 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Message) Msgsize() (s int) {
-	s = 1 + msgp.Uint8Size + 1 + z.Status.Held.Msgsize() + z.Status.InForce.Msgsize() + msgp.Uint8Size + msgp.ArrayHeaderSize
+	s = 1 + msgp.Uint8Size + 1 + z.Status.Held.Msgsize() + z.Status.Applied.Msgsize() + msgp.Uint8Size + msgp.ArrayHeaderSize
 	for za0001 := range z.Deltas {
 		s += 1 + z.Deltas[za0001].Version.Msgsize() + msgp.BytesPrefixSize + len(z.Deltas[za0001].Payload)
 	}
 	s += msgp.Uint32Size + z.Version.Msgsize() + msgp.Uint32Size + msgp.Uint32Size + msgp.ArrayHeaderSize
-	for za0002 := range z.Missing {
-		s += z.Missing[za0002].Msgsize()
+	for za0002 := range z.BehindMembers {
+		s += z.BehindMembers[za0002].Msgsize()
 	}
 	return
 }
@@ -698,9 +698,9 @@
 		err = msgp.WrapError(err, "Held")
 		return
 	}
-	err = z.InForce.DecodeMsg(dc)
+	err = z.Applied.DecodeMsg(dc)
 	if err != nil {
-		err = msgp.WrapError(err, "InForce")
+		err = msgp.WrapError(err, "Applied")
 		return
 	}
 	return
@@ -718,9 +718,9 @@
 		err = msgp.WrapError(err, "Held")
 		return
 	}
-	err = z.InForce.EncodeMsg(en)
+	err = z.Applied.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "InForce")
+		err = msgp.WrapError(err, "Applied")
 		return
 	}
 	return
@@ -736,9 +736,9 @@
 		err = msgp.WrapError(err, "Held")
 		return
 	}
-	o, err = z.InForce.MarshalMsg(o)
+	o, err = z.Applied.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "InForce")
+		err = msgp.WrapError(err, "Applied")
 		return
 	}
 	return
@@ -761,9 +761,9 @@
 		err = msgp.WrapError(err, "Held")
 		return
 	}
-	bts, err = z.InForce.UnmarshalMsg(bts)
+	bts, err = z.Applied.UnmarshalMsg(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "InForce")
+		err = msgp.WrapError(err, "Applied")
 		return
 	}
 	o = bts
@@ -772,6 +772,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Status) Msgsize() (s int) {
-	s = 1 + z.Held.Msgsize() + z.InForce.Msgsize()
+	s = 1 + z.Held.Msgsize() + z.Applied.Msgsize()
 	return
 }
--- a/internal/dissemination/message_test.go
+++ b/internal/dissemination/message_test.go
@@ -15,12 +15,12 @@
 	ginkgo.It("survives encoding with as much as fits in a datagram", func() {
 		sent := dissemination.Message{
 			Kind:   dissemination.KindPush,
-			Status: dissemination.Status{Held: 1 << 40, InForce: 7},
+			Status: dissemination.Status{Held: 1 << 40, Applied: 7},
 			Deltas: []dissemination.Delta{{Version: 1 << 40, Payload: bytes.Repeat([]byte{7}, 1100)}},
 		}
 		encoded, err := sent.MarshalMsg(nil)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
-		gomega.Expect(len(encoded)).To(gomega.BeNumerically("<=", dissemination.MaximumDatagram))
+		gomega.Expect(len(encoded)).To(gomega.BeNumerically("<=", dissemination.MaximumDatagramSize))
 		var received dissemination.Message
 		rest, err := received.UnmarshalMsg(encoded)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
@@ -30,7 +30,7 @@
 	})
 
 	ginkgo.It("is refused if it claims more than a datagram holds", func() {
-		forged := dissemination.Message{Missing: make([]membership.Address, 2000)}
+		forged := dissemination.Message{BehindMembers: make([]membership.Address, 2000)}
 		encoded, err := forged.MarshalMsg(nil)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		var received dissemination.Message
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -59,7 +59,7 @@
 	known := p.status[from]
 	p.status[from] = Status{
 		Held:    max(known.Held, status.Held),
-		InForce: max(known.InForce, status.InForce),
+		Applied: max(known.Applied, status.Applied),
 	}
 }
 
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -85,7 +85,7 @@
 	deltas, kept := m.history.after(request.Status.Held, m.status.Held)
 	sent := fitting(deltas)
 	if !kept || len(sent) == 0 {
-		m.send(to, Message{Kind: KindBulk})
+		m.send(to, Message{Kind: KindFetchRequired})
 		return
 	}
 	m.send(to, Message{Kind: KindDeltas, Deltas: sent})
--- a/internal/dissemination/spread.go
+++ b/internal/dissemination/push.go
@@ -23,7 +23,7 @@
 	if scope == ScopeFleet {
 		for _, region := range m.peers.regions() {
 			if region != own.Region {
-				m.pushTo(deltas, ScopeRegion, m.config.EntryFanout, func(peer Peer) bool {
+				m.pushTo(deltas, ScopeRegion, m.config.RemoteFanout, func(peer Peer) bool {
 					return peer.Identity.Region == region
 				})
 			}
@@ -32,7 +32,7 @@
 	if scope >= ScopeRegion {
 		for zone := range membership.Zone(membership.MaximumZones) {
 			if zone != own.Zone {
-				m.pushTo(deltas, ScopeZone, m.config.EntryFanout, func(peer Peer) bool {
+				m.pushTo(deltas, ScopeZone, m.config.RemoteFanout, func(peer Peer) bool {
 					return peer.Identity.Zone == zone && peer.Identity.Region == own.Region
 				})
 			}
--- a/internal/dissemination/schedule_test.go
+++ b/internal/dissemination/schedule_test.go
@@ -34,7 +34,7 @@
 		injectEvent(t, cluster)
 		cluster.network.Run(time.Duration(rapid.IntRange(0, 15000).Draw(t, "milliseconds")) * time.Millisecond)
 	}
-	cluster.network.SetCut(nil)
+	cluster.network.SetPartition(nil)
 	cluster.network.SetLoss(0.05)
 	for _, address := range cluster.addresses {
 		cluster.network.Resume(virtualnet.NodeID(address))
@@ -66,11 +66,11 @@
 		cluster.network.Resume(virtualnet.NodeID(address))
 	case 4:
 		zone := cluster.zoneOf(address)
-		cluster.network.SetCut(func(from, to virtualnet.NodeID) bool {
+		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 			return (cluster.zoneOf(membership.Address(from)) == zone) != (cluster.zoneOf(membership.Address(to)) == zone)
 		})
 	case 5:
-		cluster.network.SetCut(nil)
+		cluster.network.SetPartition(nil)
 	default:
 		if runs {
 			cluster.publish(address)
@@ -82,7 +82,7 @@
 func TestRandomSchedulesFindPlantedFaults(t *testing.T) {
 	planted := map[string]func(*dissemination.Message){
 		"pulls are not answered": func(message *dissemination.Message) {
-			if message.Kind == dissemination.KindDeltas || message.Kind == dissemination.KindBulk {
+			if message.Kind == dissemination.KindDeltas || message.Kind == dissemination.KindFetchRequired {
 				message.Kind = dissemination.KindStatus
 				message.Deltas = nil
 			}
--- a/internal/dissemination/survey.go
+++ b/internal/dissemination/survey.go
@@ -75,7 +75,7 @@
 	found := m.peers.choose(m.config.Random, m.config.ReportFanout, func(peer Peer) bool {
 		return peer.Identity.Zone == zone && !slices.Contains(inquiry.asked, peer.Identity.Address)
 	})
-	if inquiry.tries >= m.config.ReportTries || len(found) == 0 {
+	if inquiry.tries >= m.config.ReportAttempts || len(found) == 0 {
 		m.concludeUnanswered(inquiry)
 		return
 	}
@@ -91,9 +91,9 @@
 func (m *Machine) concludeUnanswered(inquiry *zoneInquiry) {
 	inquiry.done = true
 	for _, peer := range m.peers.zones[inquiry.result.Zone] {
-		inquiry.result.Behind++
-		if len(inquiry.result.Missing) < namedMembers {
-			inquiry.result.Missing = append(inquiry.result.Missing, peer.Identity.Address)
+		inquiry.result.BehindCount++
+		if len(inquiry.result.BehindMembers) < namedMembers {
+			inquiry.result.BehindMembers = append(inquiry.result.BehindMembers, peer.Identity.Address)
 		}
 	}
 }
@@ -116,9 +116,9 @@
 func (m *Machine) concludeAnswered(inquiry *zoneInquiry, report Message) {
 	inquiry.done = true
 	inquiry.result.Answered = true
-	inquiry.result.Reached = int(report.Reached)
-	inquiry.result.Behind = int(report.Behind)
-	inquiry.result.Missing = report.Missing
+	inquiry.result.AppliedCount = int(report.AppliedCount)
+	inquiry.result.BehindCount = int(report.BehindCount)
+	inquiry.result.BehindMembers = report.BehindMembers
 }
 
 // finishSurvey reports a survey if all zones are done, and returns whether.
@@ -130,6 +130,6 @@
 		}
 		result.Zones = append(result.Zones, inquiry.result)
 	}
-	m.effects = append(m.effects, Effect{Kind: EffectSurveyed, Survey: result})
+	m.effects = append(m.effects, Effect{Kind: EffectSurveyDone, Survey: result})
 	return true
 }
--- a/internal/dissemination/task.go
+++ b/internal/dissemination/zonepoll.go
@@ -54,7 +54,7 @@
 // returns whether the task has ended.
 func (m *Machine) advanceTask(now time.Duration, running *zoneTask) bool {
 	missing := m.behind(running.version)
-	if len(missing) == 0 || now >= running.next && running.tries >= m.config.StatusTries {
+	if len(missing) == 0 || now >= running.next && running.tries >= m.config.StatusAttempts {
 		m.report(running, missing)
 		return true
 	}
@@ -75,11 +75,11 @@
 // not known to have put the version in force.
 func (m *Machine) behind(version table.Version) []membership.Address {
 	var missing []membership.Address
-	if m.status.InForce < version {
+	if m.status.Applied < version {
 		missing = append(missing, m.config.Self.Address)
 	}
 	for _, peer := range m.peers.zones[m.config.Self.Zone] {
-		if m.peers.status[peer.Identity.Address].InForce < version {
+		if m.peers.status[peer.Identity.Address].Applied < version {
 			missing = append(missing, peer.Identity.Address)
 		}
 	}
@@ -89,12 +89,12 @@
 func (m *Machine) report(ended *zoneTask, missing []membership.Address) {
 	members := 1 + len(m.peers.zones[m.config.Self.Zone])
 	report := Message{
-		Kind:     KindZoneReport,
-		Sequence: ended.sequence,
-		Version:  ended.version,
-		Reached:  uint32(members - len(missing)),
-		Behind:   uint32(len(missing)),
-		Missing:  missing[:min(len(missing), namedMembers)],
+		Kind:          KindZoneReport,
+		Sequence:      ended.sequence,
+		Version:       ended.version,
+		AppliedCount:  uint32(members - len(missing)),
+		BehindCount:   uint32(len(missing)),
+		BehindMembers: missing[:min(len(missing), namedMembers)],
 	}
 	if ended.requester != 0 {
 		m.send(ended.requester, report)
--- a/internal/membership/start_test.go
+++ b/internal/membership/coldstart_test.go
@@ -42,7 +42,7 @@
 	informed := make(map[membership.Address]bool)
 	for starting.network.Now() < limit && len(informed) < members {
 		for _, each := range starting.running() {
-			if !informed[each.address] && each.machine.Live() == members {
+			if !informed[each.address] && each.machine.LiveCount() == members {
 				informed[each.address] = true
 				measured.last = starting.network.Now()
 			}
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// MaximumDatagram bounds an encoded message in bytes, without IP and UDP
+	// MaximumDatagramSize bounds an encoded message in bytes, without IP and UDP
 	// headers.
-	MaximumDatagram = 1200
-	// MaximumAttachment bounds the attachment in bytes.
-	MaximumAttachment = 64
+	MaximumDatagramSize = 1200
+	// MaximumAttachmentSize bounds the attachment in bytes.
+	MaximumAttachmentSize = 64
 	// maximumUpdateSize is the longest encoding of an update in bytes, by the
 	// msgp formats of its fields.
 	maximumUpdateSize = 31
 	// syncUpdates is how many updates fit in a sync response beside the
 	// other fields: sender, digests of all zones and attachment.
-	syncUpdates = (MaximumDatagram - 64 - MaximumZones*8 - MaximumAttachment) / maximumUpdateSize
+	syncUpdates = (MaximumDatagramSize - 64 - MaximumZones*8 - MaximumAttachmentSize) / maximumUpdateSize
 	// maximumUpdates bounds the updates that are read from one message.
-	maximumUpdates = MaximumDatagram / 20
+	maximumUpdates = MaximumDatagramSize / 20
 	// maximumSeeds bounds the seeds kept.
 	maximumSeeds = 64
 )
@@ -109,8 +109,8 @@
 		return errors.New("membership: no source of randomness")
 	case c.ProbeTimeout >= c.ProbeInterval:
 		return errors.New("membership: probe timeout must be below the probe interval")
-	case c.GossipBytes < maximumUpdateSize || c.GossipBytes > MaximumDatagram/2:
-		return errors.Errorf("membership: gossip bytes must be from %d to %d", maximumUpdateSize, MaximumDatagram/2)
+	case c.GossipBytes < maximumUpdateSize || c.GossipBytes > MaximumDatagramSize/2:
+		return errors.Errorf("membership: gossip bytes must be from %d to %d", maximumUpdateSize, MaximumDatagramSize/2)
 	case c.MemberLimit < 1:
 		return errors.New("membership: member limit must be positive")
 	}
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -124,7 +124,7 @@
 		cluster.kill(cluster.addresses[0])
 		cluster.start(cluster.addresses[7])
 		cluster.network.Run(detectionLimit)
-		cluster.network.SetCut(nil)
+		cluster.network.SetPartition(nil)
 		agree(mergeLimit)
 	})
 
@@ -132,27 +132,27 @@
 		cluster.cutZones(inZone(1))
 		cluster.kill(cluster.addresses[3])
 		cluster.network.Run(5 * time.Minute)
-		cluster.network.SetCut(nil)
+		cluster.network.SetPartition(nil)
 		agree(mergeLimit)
 	})
 
 	ginkgo.It("merges a zone that was cut in two for an hour", func() {
 		side := func(id virtualnet.NodeID) bool { return membership.Address(id) < cluster.addresses[16] }
-		cluster.network.SetCut(func(from, to virtualnet.NodeID) bool { return side(from) != side(to) })
+		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool { return side(from) != side(to) })
 		cluster.network.Run(hour)
 		gomega.Expect(total(membership.EffectFailed)).To(gomega.BeNumerically(">", 0))
-		cluster.network.SetCut(nil)
+		cluster.network.SetPartition(nil)
 		agree(mergeLimit)
 	})
 
 	ginkgo.It("keeps members that only their own zone cannot reach", func() {
 		side := func(id virtualnet.NodeID) bool { return membership.Address(id) < cluster.addresses[16] }
-		cluster.network.SetCut(func(from, to virtualnet.NodeID) bool {
+		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 			same := cluster.zoneAt(membership.Address(from)) == cluster.zoneAt(membership.Address(to))
 			return same && side(from) != side(to)
 		})
 		cluster.network.Run(5 * time.Minute)
-		cluster.network.SetCut(nil)
+		cluster.network.SetPartition(nil)
 		agree(mergeLimit)
 	})
 
@@ -177,7 +177,7 @@
 		cluster.cutZones(inZone(2))
 		cluster.network.Run(time.Minute)
 		forgetEffects()
-		cluster.network.SetCut(nil)
+		cluster.network.SetPartition(nil)
 		agree(mergeLimit)
 		gomega.Expect(total(membership.EffectZoneReachable)).To(gomega.BeNumerically(">=", len(cluster.running())))
 	})
@@ -198,16 +198,16 @@
 	ginkgo.It("merge when one process learns of a seed on the other side", func() {
 		cluster := newFleet(3, layout{members: 12, zones: 3, zonesInRegion: 2}, virtualnet.Config{Loss: 0.02})
 		cluster.seeding = 12
-		cluster.network.SetCut(func(from, to virtualnet.NodeID) bool {
+		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 			middle := virtualnet.NodeID(cluster.addresses[6])
 			return (from < middle) != (to < middle)
 		})
 		cluster.startAll(time.Second, 2*time.Minute)
 		for _, observer := range cluster.running() {
-			gomega.Expect(observer.machine.Live()).To(gomega.Equal(6))
+			gomega.Expect(observer.machine.LiveCount()).To(gomega.Equal(6))
 			observer.machine.SetSeeds(nil)
 		}
-		cluster.network.SetCut(nil)
+		cluster.network.SetPartition(nil)
 		cluster.processes[cluster.addresses[0]].machine.SetSeeds(cluster.addresses[11:])
 		_, wrong := cluster.runUntilAgreed(mergeLimit)
 		gomega.Expect(wrong).To(gomega.BeEmpty())
@@ -256,17 +256,17 @@
 		ginkgo.Entry("with a request for a zone out of range", func(m *membership.Message) {
 			m.Kind, m.Digest.Zone = membership.KindSyncRequest, membership.MaximumZones+1
 		}),
-		ginkgo.Entry("with a summary that is too long", func(m *membership.Message) { m.Known = make([]byte, 801) }),
-		ginkgo.Entry("with too many ages", func(m *membership.Message) { m.Ages = make([]byte, membership.MaximumZones+1) }),
+		ginkgo.Entry("with a summary that is too long", func(m *membership.Message) { m.KnownFilter = make([]byte, 801) }),
+		ginkgo.Entry("with too many ages", func(m *membership.Message) { m.ZoneAges = make([]byte, membership.MaximumZones+1) }),
 	)
 
 	ginkgo.It("refutes what is said of it, once for each statement", func() {
 		machine := create(10)
-		accusation := membership.Update{Member: identity(0), Refutation: 4, State: membership.StateFailed}
+		accusation := membership.Update{Member: identity(0), Refutations: 4, State: membership.StateFailed}
 		message := membership.Message{Kind: membership.KindPing, Sender: alive(1), Updates: []membership.Update{accusation}}
 		for range 2 {
 			effects := machine.Receive(0, alive(1).Member.Address, message)
-			gomega.Expect(effects[len(effects)-1].Message.Sender.Refutation).To(gomega.Equal(uint32(5)))
+			gomega.Expect(effects[len(effects)-1].Message.Sender.Refutations).To(gomega.Equal(uint32(5)))
 		}
 	})
 
@@ -278,7 +278,7 @@
 		}
 		// bytes counts whole datagrams, as a network carries them.
 		answered := func(now time.Duration, known []byte) (bytes int) {
-			request := membership.Message{Kind: membership.KindSyncRequest, Sender: alive(1), Known: known}
+			request := membership.Message{Kind: membership.KindSyncRequest, Sender: alive(1), KnownFilter: known}
 			for range 2000 {
 				for _, effect := range machine.Receive(now, request.Sender.Member.Address, request) {
 					encoded, err := effect.Message.MarshalMsg(nil)
--- a/internal/membership/measure_bench_test.go
+++ b/internal/membership/fleet_bench_test.go
@@ -94,7 +94,7 @@
 	for _, observed := range running {
 		traffic := measured.network.Traffic(virtualnet.NodeID(observed.address))
 		mean += traffic.Mean(began, ended) / float64(len(running))
-		worst = max(worst, traffic.Worst(began, ended))
+		worst = max(worst, traffic.Peak(began, ended))
 	}
 	return mean, worst
 }
@@ -130,7 +130,7 @@
 	measured.kill(address)
 	measured.start(address)
 	taken := mustAgree(b, measured)
-	worst := measured.network.Traffic(virtualnet.NodeID(address)).Worst(began, began+30*time.Second)
+	worst := measured.network.Traffic(virtualnet.NodeID(address)).Peak(began, began+30*time.Second)
 	b.ReportMetric(taken.Seconds(), "restart-known-everywhere-s")
 	b.ReportMetric(worst, "bytes/s-worst-10s-of-joiner")
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -166,7 +166,7 @@
 
 // cutZones separates the zones for which side is true from the others.
 func (f *fleet) cutZones(side func(membership.Zone) bool) {
-	f.network.SetCut(func(from, to virtualnet.NodeID) bool {
+	f.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 		return side(f.zoneAt(membership.Address(from))) != side(f.zoneAt(membership.Address(to)))
 	})
 }
@@ -253,7 +253,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("encode: %v", err))
 	}
-	if len(encoded) > membership.MaximumDatagram {
+	if len(encoded) > membership.MaximumDatagramSize {
 		panic(fmt.Sprintf("message of %d bytes", len(encoded)))
 	}
 	p.fleet.messages++
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -85,7 +85,7 @@
 // SetAttachment sets what every message carries for another protocol. What is
 // longer than MaximumAttachment breaks an invariant of the caller.
 func (m *Machine) SetAttachment(attachment []byte) {
-	if len(attachment) > MaximumAttachment {
+	if len(attachment) > MaximumAttachmentSize {
 		panic("membership: attachment too long")
 	}
 	m.attachment = slices.Clone(attachment)
@@ -158,7 +158,7 @@
 	if !m.Sender.valid() || m.Sender.Member.Address != from || m.Kind > KindLeave {
 		return false
 	}
-	if len(m.Known) > maximumSummary || len(m.Updates) > maximumUpdates || len(m.Ages) > MaximumZones || len(m.Digests) > MaximumZones {
+	if len(m.KnownFilter) > maximumSummary || len(m.Updates) > maximumUpdates || len(m.ZoneAges) > MaximumZones || len(m.Digests) > MaximumZones {
 		return false
 	}
 	for _, digest := range m.Digests {
@@ -207,7 +207,7 @@
 	if message.Kind == KindPing || message.Kind == KindAck {
 		message.Digest = m.nextDigest()
 		if m.inZone(to, m.self.Member.Zone) {
-			message.Ages = m.ages(now)
+			message.ZoneAges = m.ages(now)
 		}
 	}
 	m.emit(Effect{Kind: EffectSend, To: to, Message: message})
--- a/internal/membership/view.go
+++ b/internal/membership/members.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Live returns the number of live members, this process included.
-func (m *Machine) Live() int { return m.roster.live }
+// LiveCount returns the number of live members, this process included.
+func (m *Machine) LiveCount() int { return m.roster.live }
 
 // CatchingUp reports whether the process has not yet learned what others know
 // since it started or was paused.
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -109,12 +109,12 @@
 	case update.Member.Incarnation > own.Member.Incarnation:
 		// An earlier process at this address had a clock that was ahead.
 		own.Member.Incarnation = update.Member.Incarnation + 1
-		own.Refutation = 0
+		own.Refutations = 0
 	case update.Member.Incarnation == own.Member.Incarnation &&
-		update.Refutation >= own.Refutation && update.State != StateAlive:
-		own.Refutation = update.Refutation + 1
-	case update.Member.Incarnation == own.Member.Incarnation && update.Refutation > own.Refutation:
-		own.Refutation = update.Refutation + 1
+		update.Refutations >= own.Refutations && update.State != StateAlive:
+		own.Refutations = update.Refutations + 1
+	case update.Member.Incarnation == own.Member.Incarnation && update.Refutations > own.Refutations:
+		own.Refutations = update.Refutations + 1
 	default:
 		return
 	}
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -97,9 +97,9 @@
 // Update says that a member is in a state.
 type Update struct {
 	Member Identity
-	// Refutation counts how often the process has refuted a suspicion.
-	Refutation uint32
-	State      State
+	// Refutations counts how often the process has refuted a suspicion.
+	Refutations uint32
+	State       State
 }
 
 // supersedes reports whether u is newer than known, which concerns the same
@@ -108,8 +108,8 @@
 	if u.Member.Incarnation != known.Member.Incarnation {
 		return u.Member.Incarnation > known.Member.Incarnation
 	}
-	if u.Refutation != known.Refutation {
-		return u.Refutation > known.Refutation
+	if u.Refutations != known.Refutations {
+		return u.Refutations > known.Refutations
 	}
 	return u.State > known.State
 }
@@ -160,15 +160,15 @@
 	// CatchingUp is set while the sender still learns what others know; its
 	// digest then tells nothing.
 	CatchingUp bool
-	// Ages gives, between members of one zone, for each zone by number how
+	// ZoneAges gives, between members of one zone, for each zone by number how
 	// long ago the sender's zone heard of it, in units of ageUnit;
 	// ageUnknown means too long or never.
-	Ages []byte
+	ZoneAges []byte
 	// Digests are the sender's views of all zones, only in sync responses.
 	Digests []ZoneDigest
-	// Known is the summary of what the sender of a sync request knows of the zone, salted
+	// KnownFilter is the summary of what the sender of a sync request knows of the zone, salted
 	// by Sequence.
-	Known []byte
+	KnownFilter []byte
 	// Attachment is opaque; the sender set it by SetAttachment.
 	Attachment []byte
 }
--- a/internal/membership/message_gen.go
+++ b/internal/membership/message_gen.go
@@ -421,12 +421,12 @@
 		err = msgp.WrapError(err, "CatchingUp")
 		return
 	}
-	z.Ages, err = dc.ReadBytesLimit(z.Ages, zdc5d9100limitArrays)
-	if err == nil && z.Ages == nil {
-		z.Ages = []byte{}
+	z.ZoneAges, err = dc.ReadBytesLimit(z.ZoneAges, zdc5d9100limitArrays)
+	if err == nil && z.ZoneAges == nil {
+		z.ZoneAges = []byte{}
 	}
 	if err != nil {
-		err = msgp.WrapError(err, "Ages")
+		err = msgp.WrapError(err, "ZoneAges")
 		return
 	}
 	var zb0007 uint32
@@ -474,12 +474,12 @@
 			return
 		}
 	}
-	z.Known, err = dc.ReadBytesLimit(z.Known, zdc5d9100limitArrays)
-	if err == nil && z.Known == nil {
-		z.Known = []byte{}
+	z.KnownFilter, err = dc.ReadBytesLimit(z.KnownFilter, zdc5d9100limitArrays)
+	if err == nil && z.KnownFilter == nil {
+		z.KnownFilter = []byte{}
 	}
 	if err != nil {
-		err = msgp.WrapError(err, "Known")
+		err = msgp.WrapError(err, "KnownFilter")
 		return
 	}
 	z.Attachment, err = dc.ReadBytesLimit(z.Attachment, zdc5d9100limitArrays)
@@ -552,9 +552,9 @@
 		err = msgp.WrapError(err, "CatchingUp")
 		return
 	}
-	err = en.WriteBytes(z.Ages)
+	err = en.WriteBytes(z.ZoneAges)
 	if err != nil {
-		err = msgp.WrapError(err, "Ages")
+		err = msgp.WrapError(err, "ZoneAges")
 		return
 	}
 	err = en.WriteArrayHeader(uint32(len(z.Digests)))
@@ -579,9 +579,9 @@
 			return
 		}
 	}
-	err = en.WriteBytes(z.Known)
+	err = en.WriteBytes(z.KnownFilter)
 	if err != nil {
-		err = msgp.WrapError(err, "Known")
+		err = msgp.WrapError(err, "KnownFilter")
 		return
 	}
 	err = en.WriteBytes(z.Attachment)
@@ -618,7 +618,7 @@
 	o = msgp.AppendUint8(o, uint8(z.Digest.Zone))
 	o = msgp.AppendUint32(o, z.Digest.Hash)
 	o = msgp.AppendBool(o, z.CatchingUp)
-	o = msgp.AppendBytes(o, z.Ages)
+	o = msgp.AppendBytes(o, z.ZoneAges)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Digests)))
 	for za0002 := range z.Digests {
 		// array header, size 2
@@ -626,7 +626,7 @@
 		o = msgp.AppendUint8(o, uint8(z.Digests[za0002].Zone))
 		o = msgp.AppendUint32(o, z.Digests[za0002].Hash)
 	}
-	o = msgp.AppendBytes(o, z.Known)
+	o = msgp.AppendBytes(o, z.KnownFilter)
 	o = msgp.AppendBytes(o, z.Attachment)
 	return
 }
@@ -725,23 +725,23 @@
 	var zb0007 uint32
 	zb0007, bts, err = msgp.ReadBytesHeader(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Ages")
+		err = msgp.WrapError(err, "ZoneAges")
 		return
 	}
 	if zb0007 > zdc5d9100limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if z.Ages == nil || uint32(cap(z.Ages)) < zb0007 {
-		z.Ages = make([]byte, zb0007)
+	if z.ZoneAges == nil || uint32(cap(z.ZoneAges)) < zb0007 {
+		z.ZoneAges = make([]byte, zb0007)
 	} else {
-		z.Ages = z.Ages[:zb0007]
+		z.ZoneAges = z.ZoneAges[:zb0007]
 	}
 	if uint32(len(bts)) < zb0007 {
 		err = msgp.ErrShortBytes
 		return
 	}
-	copy(z.Ages, bts[:zb0007])
+	copy(z.ZoneAges, bts[:zb0007])
 	bts = bts[zb0007:]
 	var zb0008 uint32
 	zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
@@ -787,23 +787,23 @@
 	var zb0011 uint32
 	zb0011, bts, err = msgp.ReadBytesHeader(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Known")
+		err = msgp.WrapError(err, "KnownFilter")
 		return
 	}
 	if zb0011 > zdc5d9100limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if z.Known == nil || uint32(cap(z.Known)) < zb0011 {
-		z.Known = make([]byte, zb0011)
+	if z.KnownFilter == nil || uint32(cap(z.KnownFilter)) < zb0011 {
+		z.KnownFilter = make([]byte, zb0011)
 	} else {
-		z.Known = z.Known[:zb0011]
+		z.KnownFilter = z.KnownFilter[:zb0011]
 	}
 	if uint32(len(bts)) < zb0011 {
 		err = msgp.ErrShortBytes
 		return
 	}
-	copy(z.Known, bts[:zb0011])
+	copy(z.KnownFilter, bts[:zb0011])
 	bts = bts[zb0011:]
 	var zb0012 uint32
 	zb0012, bts, err = msgp.ReadBytesHeader(bts)
@@ -836,7 +836,7 @@
 	for za0001 := range z.Updates {
 		s += z.Updates[za0001].Msgsize()
 	}
-	s += 1 + msgp.Uint8Size + msgp.Uint32Size + msgp.BoolSize + msgp.BytesPrefixSize + len(z.Ages) + msgp.ArrayHeaderSize + (len(z.Digests) * (11 + msgp.Uint8Size + msgp.Uint32Size)) + msgp.BytesPrefixSize + len(z.Known) + msgp.BytesPrefixSize + len(z.Attachment)
+	s += 1 + msgp.Uint8Size + msgp.Uint32Size + msgp.BoolSize + msgp.BytesPrefixSize + len(z.ZoneAges) + msgp.ArrayHeaderSize + (len(z.Digests) * (11 + msgp.Uint8Size + msgp.Uint32Size)) + msgp.BytesPrefixSize + len(z.KnownFilter) + msgp.BytesPrefixSize + len(z.Attachment)
 	return
 }
 
@@ -965,9 +965,9 @@
 		err = msgp.WrapError(err, "Member")
 		return
 	}
-	z.Refutation, err = dc.ReadUint32()
+	z.Refutations, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Refutation")
+		err = msgp.WrapError(err, "Refutations")
 		return
 	}
 	{
@@ -994,9 +994,9 @@
 		err = msgp.WrapError(err, "Member")
 		return
 	}
-	err = en.WriteUint32(z.Refutation)
+	err = en.WriteUint32(z.Refutations)
 	if err != nil {
-		err = msgp.WrapError(err, "Refutation")
+		err = msgp.WrapError(err, "Refutations")
 		return
 	}
 	err = en.WriteUint8(uint8(z.State))
@@ -1017,7 +1017,7 @@
 		err = msgp.WrapError(err, "Member")
 		return
 	}
-	o = msgp.AppendUint32(o, z.Refutation)
+	o = msgp.AppendUint32(o, z.Refutations)
 	o = msgp.AppendUint8(o, uint8(z.State))
 	return
 }
@@ -1039,9 +1039,9 @@
 		err = msgp.WrapError(err, "Member")
 		return
 	}
-	z.Refutation, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Refutations, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Refutation")
+		err = msgp.WrapError(err, "Refutations")
 		return
 	}
 	{
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -59,7 +59,7 @@
 	if zone != m.self.Member.Zone {
 		return
 	}
-	for other, age := range message.Ages {
+	for other, age := range message.ZoneAges {
 		if age != ageUnknown && Zone(other) != zone {
 			// One unit more than told, so that the time on the way cannot
 			// make an old message young again.
--- a/internal/membership/schedule_test.go
+++ b/internal/membership/schedule_test.go
@@ -58,18 +58,18 @@
 		zone := cluster.zoneAt(address)
 		cluster.cutZones(func(candidate membership.Zone) bool { return candidate == zone })
 	case 5:
-		cluster.network.SetCut(func(from, to virtualnet.NodeID) bool {
+		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 			return (from < virtualnet.NodeID(address)) != (to < virtualnet.NodeID(address))
 		})
 	case 6:
-		cluster.network.SetCut(nil)
+		cluster.network.SetPartition(nil)
 	case 7:
 		cluster.network.SetLoss(rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss"))
 	}
 }
 
 func endFaults(cluster *fleet) {
-	cluster.network.SetCut(nil)
+	cluster.network.SetPartition(nil)
 	cluster.network.SetLoss(0.02)
 	for _, address := range cluster.addresses {
 		cluster.network.Resume(virtualnet.NodeID(address))
@@ -99,9 +99,9 @@
 
 func withoutRefutations(_ *process, effects []membership.Effect) []membership.Effect {
 	for index := range effects {
-		effects[index].Message.Sender.Refutation = 0
+		effects[index].Message.Sender.Refutations = 0
 		for number := range effects[index].Message.Updates {
-			effects[index].Message.Updates[number].Refutation = 0
+			effects[index].Message.Updates[number].Refutations = 0
 		}
 	}
 	return effects
--- a/internal/membership/synchronize.go
+++ b/internal/membership/synchronize.go
@@ -212,7 +212,7 @@
 	}
 	m.send(now, to, Message{
 		Kind: KindSyncRequest, Sequence: sequence, Digest: digest,
-		Known: m.roster.summaryOf(zone, sequence),
+		KnownFilter: m.roster.summaryOf(zone, sequence),
 	})
 }
 
@@ -251,7 +251,7 @@
 	var updates []Update
 	for _, record := range m.roster.recordsOf(zone) {
 		for _, known := range record.members {
-			if summary(request.Known).lacks(known.update, request.Sequence) {
+			if summary(request.KnownFilter).lacks(known.update, request.Sequence) {
 				updates = append(updates, known.update)
 			}
 		}
@@ -275,7 +275,7 @@
 	if m.sync.credit < estimatedHead+introduction*estimatedUpdateSize {
 		return 0
 	}
-	if m.syncsQuickly(now) && len(request.Known) <= introduction*summaryBits/8 {
+	if m.syncsQuickly(now) && len(request.KnownFilter) <= introduction*summaryBits/8 {
 		return introduction * min(m.sync.credit/introductionReserve, 1)
 	}
 	return max(m.sync.credit/(answerShare*estimatedUpdateSize), introduction)
--- a/internal/membership/transport/endpoint.go
+++ b/internal/membership/transport/endpoint.go
@@ -22,7 +22,7 @@
 
 // receiveBuffer is larger than any message, so that longer datagrams are
 // noticed and not cut.
-const receiveBuffer = 2 * membership.MaximumDatagram
+const receiveBuffer = 2 * membership.MaximumDatagramSize
 
 // Config holds the settings of an Endpoint.
 type Config struct {
@@ -32,9 +32,9 @@
 	// Membership are the settings of the machine. The address of Self is set
 	// from Listen.
 	Membership membership.Config
-	// Events receives every effect but EffectSend, in order and never
+	// OnEvent receives every effect but EffectSend, in order and never
 	// concurrently. It may call the endpoint.
-	Events  func(membership.Effect)
+	OnEvent func(membership.Effect)
 	Logger  *log.Logger
 	Metrics Metrics
 }
@@ -108,11 +108,11 @@
 	return e.machine.Members()
 }
 
-// Live returns the number of live members, this process included.
-func (e *Endpoint) Live() int {
+// LiveCount returns the number of live members, this process included.
+func (e *Endpoint) LiveCount() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.machine.Live()
+	return e.machine.LiveCount()
 }
 
 // Run takes part until ctx ends; it then tells the others, closes the socket
@@ -173,7 +173,7 @@
 	sender, isIPv4 := membership.AddressOf(from)
 	var message membership.Message
 	rest, err := message.UnmarshalMsg(datagram)
-	if !isIPv4 || err != nil || len(rest) > 0 || len(datagram) > membership.MaximumDatagram {
+	if !isIPv4 || err != nil || len(rest) > 0 || len(datagram) > membership.MaximumDatagramSize {
 		e.config.Metrics.Malformed.Add(1)
 		return
 	}
@@ -229,7 +229,7 @@
 		e.mutex.Unlock()
 		for _, event := range events {
 			e.report(event)
-			e.config.Events(event)
+			e.config.OnEvent(event)
 		}
 	}
 }
--- a/internal/membership/transport/endpoint_test.go
+++ b/internal/membership/transport/endpoint_test.go
@@ -43,7 +43,7 @@
 	endpoint, err := transport.New(transport.Config{
 		Listen:     netip.MustParseAddrPort("127.0.0.1:0"),
 		Membership: membership.DefaultConfig(self, rand.New(rand.NewPCG(number, 0))),
-		Events:     started.note,
+		OnEvent:    started.note,
 		Logger:     log.New(io.Discard),
 	})
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/membership/virtualnet/network.go
+++ b/internal/membership/virtualnet/network.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// HeaderBytes is the size of the IPv4 and UDP headers of a datagram.
-	HeaderBytes = 28
+	// HeaderSize is the size of the IPv4 and UDP headers of a datagram.
+	HeaderSize = 28
 	// socketBuffer is how many datagrams wait for a paused process; more are
 	// lost.
 	socketBuffer = 256
@@ -94,8 +94,8 @@
 // SetLoss changes the probability of losing a datagram.
 func (n *Network[Message]) SetLoss(loss float64) { n.config.Loss = loss }
 
-// SetCut sets which datagrams are lost for a partition; nil means none.
-func (n *Network[Message]) SetCut(cut func(from, to NodeID) bool) { n.cut = cut }
+// SetPartition sets which datagrams are lost for a partition; nil means none.
+func (n *Network[Message]) SetPartition(cut func(from, to NodeID) bool) { n.cut = cut }
 
 // Attach starts a node, in place of one with the same identifier. Its first
 // tick comes within one interval.
@@ -142,7 +142,7 @@
 // Send transmits a datagram of a size in bytes, without headers.
 func (n *Network[Message]) Send(from, to NodeID, size int, message Message) {
 	if sender, exists := n.nodes[from]; exists {
-		sender.traffic.add(n.now, size+HeaderBytes)
+		sender.traffic.add(n.now, size+HeaderSize)
 	}
 	if n.cut != nil && n.cut(from, to) {
 		return
@@ -210,7 +210,7 @@
 	if !exists {
 		return
 	}
-	receiver.traffic.add(n.now, next.size+HeaderBytes)
+	receiver.traffic.add(n.now, next.size+HeaderSize)
 	if !receiver.paused {
 		receiver.node.Receive(n.now, next.from, next.message)
 		return
--- a/internal/membership/virtualnet/network_test.go
+++ b/internal/membership/virtualnet/network_test.go
@@ -47,7 +47,7 @@
 		network.Run(2 * time.Second)
 		gomega.Expect(receiver.at).To(gomega.Equal([]time.Duration{time.Second}))
 		gomega.Expect(network.Traffic(1).Mean(0, 2*time.Second)).To(gomega.Equal(50.0))
-		gomega.Expect(network.Traffic(2).Worst(0, 20*time.Second)).To(gomega.Equal(10.0))
+		gomega.Expect(network.Traffic(2).Peak(0, 20*time.Second)).To(gomega.Equal(10.0))
 	})
 
 	ginkgo.It("keeps datagrams for a paused process and stops its clock", func() {
@@ -67,7 +67,7 @@
 		func(config virtualnet.Config, cut bool, expected int) {
 			build(config)
 			if cut {
-				network.SetCut(func(from, _ virtualnet.NodeID) bool { return from == 1 })
+				network.SetPartition(func(from, _ virtualnet.NodeID) bool { return from == 1 })
 			}
 			network.Send(1, 2, 1, "once")
 			network.Run(time.Second)
--- a/internal/membership/virtualnet/traffic.go
+++ b/internal/membership/virtualnet/traffic.go
@@ -29,8 +29,8 @@
 	return float64(total) / float64(max(last-first, 1))
 }
 
-// Worst returns the bytes a second in the worst ten seconds from begin to end.
-func (t *Traffic) Worst(begin, end time.Duration) float64 {
+// Peak returns the bytes a second in the worst ten seconds from begin to end.
+func (t *Traffic) Peak(begin, end time.Duration) float64 {
 	worst, window := 0, 0
 	first, last := int(begin/time.Second), int(end/time.Second)
 	for second := first; second < last; second++ {
--- a/internal/relaydaemon/peerfetch.go
+++ b/internal/relaydaemon/peerfetch.go
@@ -79,7 +79,7 @@
 // nextFetch returns the fetch to make now. A balancer without a directory asks a seed for a
 // source.
 func (p *peers) nextFetch() (from membership.Address, asked directoryRequest, wanted bool) {
-	balancers := p.membership.Live()
+	balancers := p.membership.LiveCount()
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
 		from, wanted = p.exchange.Next(now)
 		asked.known = p.role.directory.Digest()
--- a/internal/relaydaemon/peers.go
+++ b/internal/relaydaemon/peers.go
@@ -58,7 +58,7 @@
 	created.membership, err = transport.New(transport.Config{
 		Listen:     given.Exchange,
 		Membership: membership.DefaultConfig(identityOf(checked), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		Events:     created.handle,
+		OnEvent:    created.handle,
 		Logger:     role.executor.journal.logger,
 	})
 	if err != nil {
