--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -52,49 +52,49 @@
 // agentFlow is what an agent remembers of a flow.
 type agentFlow struct {
 	state agentFlowState
-	// sequence is the client's initial sequence number, answer the endpoint's or, once
+	// clientISN is the client's initial clientISN number, answer the endpoint's or, once
 	// that has sent much, a later one.
-	sequence uint32
-	answer   uint32
-	// answered is set once answer is known.
-	answered bool
-	balancer segment.Address
+	clientISN uint32
+	ackBase   uint32
+	// ackBaseKnown is set once answer is known.
+	ackBaseKnown bool
+	balancer     segment.Address
 	// zone is that of the client, as far as the balancer told it when the flow was opened.
 	zone string
-	// written is how far the endpoint has written, once wrote is set.
-	written uint32
-	wrote   bool
+	// writtenEnd is how far the endpoint has writtenEnd, once wrote is set.
+	writtenEnd   uint32
+	writtenKnown bool
 	// prober is the daemon that wants to know, in stateProbed, if the endpoint does not
 	// hold the flow, and forwarded is set if it took this agent for the owner.
-	prober    segment.Address
-	forwarded bool
-	// opened is when its opening packet was first given to the endpoint, 0 if that is not
+	prober          segment.Address
+	probedByForward bool
+	// openedAt is when its opening packet was first given to the endpoint, 0 if that is not
 	// known.
-	opened  time.Duration
-	touched time.Duration
-	// life is the endpoint's, as far as it is told apart, in which it has written in the
+	openedAt     time.Duration
+	lastActivity time.Duration
+	// endpointIncarnation is the endpoint's, as far as it is told apart, in which it has written in the
 	// flow last.
-	life uint64
-	work work
-	// started is when the endpoint began to work on the latest request, if that is not
+	endpointIncarnation uint64
+	request             requestState
+	// workStarted is when the endpoint began to work on the latest request, if that is not
 	// before it was given it.
-	started time.Duration
+	workStarted time.Duration
 }
 
-// running reports whether the endpoint has the flow and it has not ended.
-func (f *agentFlow) running() bool { return f.state <= stateOpen }
+// active reports whether the endpoint has the flow and it has not ended.
+func (f *agentFlow) active() bool { return f.state <= stateOpen }
 
 // never is later than any time.
 const never = time.Duration(math.MaxInt64)
 
 const (
-	// openWindow is how far a client's acknowledgment may be ahead of the
+	// ackWindow is how far a client's acknowledgment may be ahead of the
 	// initial sequence number of the endpoint that holds its flow.
-	openWindow = 1 << 26
-	// openingWindow is the same for the first packet after the handshake. The
+	ackWindow = 1 << 26
+	// handshakeAckWindow is the same for the first packet after the handshake. The
 	// endpoint has sent next to nothing then, and a packet for another endpoint
 	// fits by chance only once in 2^16 times.
-	openingWindow = 1 << 16
+	handshakeAckWindow = 1 << 16
 	// offeredRetention is how long an opening packet that was not answered, or
 	// whose answer was not acknowledged, is remembered.
 	offeredRetention = 5 * time.Second
@@ -103,41 +103,41 @@
 	endedRetention = 10 * time.Second
 	// sweepInterval is the time between removals of old flows.
 	sweepInterval = time.Second
-	// drainMemory is how long an agent believes that its endpoint is draining.
+	// drainRetention is how long an agent believes that its endpoint is draining.
 	// It outlasts what any balancer may not have heard, and ends since another
 	// endpoint may come to the agent's address.
-	drainMemory = 30 * time.Second
+	drainRetention = 30 * time.Second
 )
 
 // Agent decides what becomes of packets to and from one endpoint. It is not
 // safe for concurrent use.
 type Agent struct {
-	config  AgentConfig
-	started time.Duration
-	begun   bool
-	now     time.Duration
-	// terms are those of the message in hand.
-	terms   FlowParameters
-	flows   map[segment.FlowKey]*agentFlow
-	running uint32
-	queue   queue
-	pace    pace
-	meter   placement.Meter
-	// opening are the flows that have been accepted and whose first request may be to come.
-	opening []*agentFlow
+	config      AgentConfig
+	startedAt   time.Duration
+	initialized bool
+	now         time.Duration
+	// currentParameters are those of the message in hand.
+	currentParameters FlowParameters
+	flows             map[segment.FlowKey]*agentFlow
+	activeFlows       uint32
+	queue             requestQueue
+	usage             slotUsage
+	serviceTimeMeter  placement.Meter
+	// awaitingFirstRequest are the flows that have been accepted and whose first request may be to come.
+	awaitingFirstRequest []*agentFlow
 	// unanswered and detector tell how well the endpoint is.
-	unanswered unanswered
+	unanswered unansweredRequests
 	detector   *outlier.Detector
-	cold       coldLimit
-	// life counts the times that the endpoint seemed to have been started again.
-	life    uint64
-	surveys map[segment.FlowKey]*survey
-	// drainEnds is until when the endpoint is believed to be draining.
-	drainEnds time.Duration
-	stopping  bool
-	balancers map[segment.Address]knownBalancer
-	nextSweep time.Duration
-	effects   []Effect
+	coldStart  coldStartLimiter
+	// endpointIncarnation counts the times that the endpoint seemed to have been started again.
+	endpointIncarnation uint64
+	surveys             map[segment.FlowKey]*agentSurvey
+	// drainingUntil is until when the endpoint is believed to be draining.
+	drainingUntil time.Duration
+	stopping      bool
+	balancers     map[segment.Address]knownBalancer
+	nextSweep     time.Duration
+	effects       []Effect
 }
 
 // NewAgent returns an agent that knows no flow.
@@ -145,11 +145,11 @@
 	return &Agent{
 		config:    config,
 		flows:     make(map[segment.FlowKey]*agentFlow),
-		surveys:   make(map[segment.FlowKey]*survey),
+		surveys:   make(map[segment.FlowKey]*agentSurvey),
 		balancers: make(map[segment.Address]knownBalancer),
-		cold:      newColdLimit(config.ColdStartLimit),
+		coldStart: newColdStartLimiter(config.ColdStartLimit),
 		detector:  outlier.NewDetector(config.OutlierLimits),
-		queue:     newQueue(config.QueuePolicy),
+		queue:     newRequestQueue(config.QueuePolicy),
 	}
 }
 
@@ -161,41 +161,41 @@
 
 // loadFor is the load as a balancer of a zone shall know it.
 func (a *Agent) loadFor(zone string) Load {
-	pace := uint32(min(a.meter.Pace().Microseconds(), math.MaxUint32))
-	hold := uint32(math.Ceil(a.cold.wait(a.now).Seconds() * 1000))
+	serviceTime := uint32(min(a.serviceTimeMeter.Pace().Microseconds(), math.MaxUint32))
+	coldWait := uint32(math.Ceil(a.coldStart.waitTime(a.now).Seconds() * 1000))
 	return Load{
-		Running: a.running, Waiting: uint32(len(a.queue.waiting)), Refusing: a.refusing(), ServiceTime: pace, ColdWait: hold,
+		Running: a.activeFlows, Waiting: uint32(len(a.queue.waiting)), Refusing: a.refusing(), ServiceTime: serviceTime, ColdWait: coldWait,
 		Report: a.detector.Report(a.now, zone), Pending: a.pending(),
 	}
 }
 
-const microsecondsInSecond = 1e6
+const microsecondsPerSecond = 1e6
 
 // refusing reports whether the endpoint gets no new flows.
-func (a *Agent) refusing() bool { return a.stopping || a.now < a.drainEnds }
+func (a *Agent) refusing() bool { return a.stopping || a.now < a.drainingUntil }
 
-func (a *Agent) begin(now time.Duration) {
+func (a *Agent) beginCall(now time.Duration) {
 	a.effects = a.effects[:0]
-	a.terms = FlowParameters{}
+	a.currentParameters = FlowParameters{}
 	a.now = now
-	if !a.begun {
-		a.begun = true
-		a.started = now
+	if !a.initialized {
+		a.initialized = true
+		a.startedAt = now
 		if !a.config.StartedWithEndpoint {
-			a.cold.started(now)
+			a.coldStart.noteAgentStart(now)
 		}
 	}
 }
 
-// complete reports whether the agent knows all flows that its endpoint holds.
-func (a *Agent) complete(now time.Duration) bool {
-	return a.config.StartedWithEndpoint || now-a.started > a.config.FlowLifetime
+// knowsAllFlows reports whether the agent knows all flows that its endpoint holds.
+func (a *Agent) knowsAllFlows(now time.Duration) bool {
+	return a.config.StartedWithEndpoint || now-a.startedAt > a.config.FlowLifetime
 }
 
 // Stop makes the agent take no more new flows and tells balancers so. The
 // returned effects are valid until the next call.
 func (a *Agent) Stop(now time.Duration) []Effect {
-	a.begin(now)
+	a.beginCall(now)
 	a.stopping = true
 	for _, balancer := range a.knownBalancers() {
 		a.send(balancer, Message{Kind: KindLeaving, Service: a.config.Service})
@@ -206,23 +206,23 @@
 // Receive handles a message from a balancer. The returned effects are valid
 // until the next call.
 func (a *Agent) Receive(now time.Duration, from segment.Address, message Message) []Effect {
-	a.begin(now)
-	a.terms = message.Parameters
+	a.beginCall(now)
+	a.currentParameters = message.Parameters
 	a.receive(now, from, message)
-	a.noteStarts(now)
-	a.tellChanges()
+	a.markWorkStarted(now)
+	a.reportStateChanges()
 	return a.effects
 }
 
 func (a *Agent) receive(now time.Duration, from segment.Address, message Message) {
 	switch message.Kind {
 	case KindDenied, KindUncertain:
-		a.receiveNotOwned(from, message)
+		a.receiveSurveyReply(from, message)
 		return
 	case KindSurvey:
 		a.receiveSurvey(now, from, message)
 	}
-	a.remember(now, balancerOf(from, message), message.Zone)
+	a.rememberBalancer(now, originBalancer(from, message), message.Zone)
 	switch message.Kind {
 	case KindOffer, KindForward, KindProbe:
 		a.receivePacket(now, from, message)
@@ -234,7 +234,7 @@
 		a.send(from, Message{Kind: KindPong, Service: a.config.Service})
 	case KindDrain:
 		if message.Service == a.config.Service {
-			a.drainEnds = now + drainMemory
+			a.drainingUntil = now + drainRetention
 		}
 	}
 }
@@ -242,12 +242,12 @@
 func (a *Agent) receivePacket(now time.Duration, from segment.Address, message Message) {
 	header, outcome := a.config.Codec.Decode(message.Packet)
 	if outcome != segment.Decoded {
-		a.event(Event{Kind: EventMalformed, Peer: from, Reason: outcome.String()})
+		a.recordEvent(Event{Kind: EventMalformed, Peer: from, Reason: outcome.String()})
 		return
 	}
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 	if message.Service != a.config.Service {
-		a.refuseForeign(from, key, header, message)
+		a.refuseOtherService(from, key, header, message)
 		return
 	}
 	if header.Opening() {
@@ -257,17 +257,17 @@
 	a.receiveSegment(now, from, key, header, message)
 }
 
-// refuseForeign handles a packet for an endpoint that had this address before. A
+// refuseOtherService handles a packet for an endpoint that had this address before. A
 // probe is part of a search and is not answered, or the search would never end.
-func (a *Agent) refuseForeign(from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
+func (a *Agent) refuseOtherService(from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
 	if message.Kind == KindProbe {
 		return
 	}
-	a.bringBack(from, key, header, message.Packet, "other_service")
+	a.returnPacket(from, key, header, message.Packet, "other_service")
 }
 
-// bringBack returns a packet to the balancer it came from.
-func (a *Agent) bringBack(to segment.Address, key segment.FlowKey, header segment.Header, packet []byte, reason string) {
+// returnPacket returns a packet to the balancer it came from.
+func (a *Agent) returnPacket(to segment.Address, key segment.FlowKey, header segment.Header, packet []byte, reason string) {
 	message := Message{Kind: KindNotOwned, Service: a.config.Service, Sequence: header.Sequence, Packet: packet}
 	event := EventNotOwned
 	if header.Opening() {
@@ -276,7 +276,7 @@
 		event = EventReturned
 	}
 	a.send(to, message)
-	a.event(Event{Kind: event, Flow: key, Peer: to, Reason: reason})
+	a.recordEvent(Event{Kind: event, Flow: key, Peer: to, Reason: reason})
 }
 
 // The reasons of the return of an opening packet which this endpoint shall get only if no
@@ -291,137 +291,137 @@
 const reasonCold = "cold"
 
 func (a *Agent) receiveOpening(now time.Duration, from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
-	a.learnCold(now, message.Parameters.ColdStart)
-	known, exists := a.flows[key]
-	if exists && known.sequence == header.Sequence && known.state <= stateOpen {
-		a.receiveCopy(now, from, key, known, header, message)
+	a.learnColdStart(now, message.Parameters.ColdStart)
+	flow, exists := a.flows[key]
+	if exists && flow.clientISN == header.Sequence && flow.state <= stateOpen {
+		a.receiveOpeningCopy(now, from, key, flow, header, message)
 		return
 	}
 	if a.refusing() {
-		a.bringBack(from, key, header, message.Packet, "leaving")
+		a.returnPacket(from, key, header, message.Packet, "leaving")
 		return
 	}
 	if len(a.flows) >= a.config.FlowLimit && !exists {
-		a.bringBack(from, key, header, message.Packet, "flow_limit")
+		a.returnPacket(from, key, header, message.Packet, "flow_limit")
 		return
 	}
 	if a.overloaded(message.Parameters) {
-		a.bringBack(from, key, header, message.Packet, "overload")
+		a.returnPacket(from, key, header, message.Packet, "overload")
 		return
 	}
 	if !message.LastResort && a.busy(message.Parameters) {
-		a.bringBack(from, key, header, message.Packet, reasonBusy)
+		a.returnPacket(from, key, header, message.Packet, reasonBusy)
 		return
 	}
-	if !message.LastResort && !message.IgnoreEjection && !a.trusts(now, message.Zone) {
-		a.bringBack(from, key, header, message.Packet, reasonEjected)
+	if !message.LastResort && !message.IgnoreEjection && !a.admitsNewFlow(now, message.Zone) {
+		a.returnPacket(from, key, header, message.Packet, reasonEjected)
 		return
 	}
-	if !a.cold.admits(now, message.Parameters.Priority) {
-		a.bringBack(from, key, header, message.Packet, reasonCold)
+	if !a.coldStart.admit(now, message.Parameters.Priority) {
+		a.returnPacket(from, key, header, message.Packet, reasonCold)
 		return
 	}
-	a.forget(now, key)
-	a.cold.gives(now)
-	opened := &agentFlow{
-		state: stateOffered, sequence: header.Sequence, balancer: from, zone: message.Zone, opened: now, touched: now, life: a.life,
-		work: work{terms: message.Parameters, asked: now - milliseconds(message.Parameters.Waited), sent: header.Sequence + 1},
+	a.forgetFlow(now, key)
+	a.coldStart.noteOpening(now)
+	newFlow := &agentFlow{
+		state: stateOffered, clientISN: header.Sequence, balancer: from, zone: message.Zone, openedAt: now, lastActivity: now, endpointIncarnation: a.endpointIncarnation,
+		request: requestState{parameters: message.Parameters, askedAt: now - milliseconds(message.Parameters.Waited), sentEnd: header.Sequence + 1},
 	}
-	a.flows[key] = opened
-	a.opening = append(a.opening, opened)
-	a.running++
+	a.flows[key] = newFlow
+	a.awaitingFirstRequest = append(a.awaitingFirstRequest, newFlow)
+	a.activeFlows++
 	a.detector.Gave(now)
 	a.deliver(message.Packet)
 }
 
-// learnCold takes what a balancer tells of the endpoint's start. An agent that has just
+// learnColdStart takes what a balancer tells of the endpoint's start. An agent that has just
 // been started does not know whether its endpoint has been, too.
-func (a *Agent) learnCold(now time.Duration, told ColdStart) {
-	first := a.cold.rate == 0
-	a.cold.learn(now, told)
-	if first && !a.config.StartedWithEndpoint && a.cold.told == 0 {
-		a.cold.ends = max(a.cold.ends, a.started+a.cold.lasts)
+func (a *Agent) learnColdStart(now time.Duration, coldStart ColdStart) {
+	first := a.coldStart.rate == 0
+	a.coldStart.update(now, coldStart)
+	if first && !a.config.StartedWithEndpoint && a.coldStart.revision == 0 {
+		a.coldStart.coldUntil = max(a.coldStart.coldUntil, a.startedAt+a.coldStart.warmupTime)
 	}
 }
 
-// receiveCopy handles a copy of an opening packet that the endpoint was given. One that it
+// receiveOpeningCopy handles a copy of an opening packet that the endpoint was given. One that it
 // has not answered may open a flow after it was restarted.
-func (a *Agent) receiveCopy(now time.Duration, from segment.Address, key segment.FlowKey, known *agentFlow, header segment.Header, message Message) {
-	if known.state == stateOffered && !a.cold.admits(now, message.Parameters.Priority) {
-		a.forget(now, key)
-		a.bringBack(from, key, header, message.Packet, reasonCold)
+func (a *Agent) receiveOpeningCopy(now time.Duration, from segment.Address, key segment.FlowKey, flow *agentFlow, header segment.Header, message Message) {
+	if flow.state == stateOffered && !a.coldStart.admit(now, message.Parameters.Priority) {
+		a.forgetFlow(now, key)
+		a.returnPacket(from, key, header, message.Packet, reasonCold)
 		return
 	}
-	known.balancer = from
-	a.cold.gives(now)
+	flow.balancer = from
+	a.coldStart.noteOpening(now)
 	a.deliver(message.Packet)
 }
 
 // receiveSegment handles a client's packet that does not open a flow.
 func (a *Agent) receiveSegment(now time.Duration, from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
-	known, exists := a.flows[key]
-	if exists && a.owns(known, header) {
-		a.receiveOwned(now, from, key, known, header, message)
+	flow, exists := a.flows[key]
+	if exists && a.owns(flow, header) {
+		a.receiveOwnedSegment(now, from, key, flow, header, message)
 		return
 	}
 	switch {
-	case a.mayOwn(now, known):
+	case a.mayOwn(now, flow):
 		a.probe(now, from, key, header, message)
-	case known != nil && known.state == stateProbed:
+	case flow != nil && flow.state == stateProbed:
 		// An endpoint returns what it does not hold and need not answer a packet without data
 		// that it does. Sent elsewhere, the packets of a flow that was alive reached six other
 		// endpoints and not its own for 6 s, after its agent had been killed.
-		known.balancer, known.prober = balancerOf(from, message), from
-		known.forwarded = message.Kind == KindForward
+		flow.balancer, flow.prober = originBalancer(from, message), from
+		flow.probedByForward = message.Kind == KindForward
 		a.deliver(message.Packet)
 	case message.Kind == KindForward:
-		a.bringBack(from, key, header, message.Packet, "not_owned")
-	case a.disowns(now, known):
+		a.returnPacket(from, key, header, message.Packet, "not_owned")
+	case a.certainlyNotHeld(now, flow):
 		a.deny(now, from, key)
 	}
 }
 
-func (a *Agent) end(now time.Duration, known *agentFlow) {
-	if known.running() {
-		a.running--
+func (a *Agent) endFlow(now time.Duration, flow *agentFlow) {
+	if flow.active() {
+		a.activeFlows--
 	}
-	known.state = stateEnded
-	a.release(now, known)
+	flow.state = stateEnded
+	a.releaseSlot(now, flow)
 }
 
-func (a *Agent) forget(now time.Duration, key segment.FlowKey) {
-	known, exists := a.flows[key]
+func (a *Agent) forgetFlow(now time.Duration, key segment.FlowKey) {
+	flow, exists := a.flows[key]
 	if !exists {
 		return
 	}
-	if known.running() {
-		a.running--
+	if flow.active() {
+		a.activeFlows--
 	}
 	delete(a.flows, key)
-	known.state = stateEnded
-	a.release(now, known)
+	flow.state = stateEnded
+	a.releaseSlot(now, flow)
 }
 
 // NextTick returns when Tick should be called at the latest.
 func (a *Agent) NextTick(now time.Duration) time.Duration {
 	next := now + sweepInterval
 	if len(a.queue.waiting) > 0 {
-		next = now + queueInterval
+		next = now + queueCheckInterval
 	}
 	if due, waits := a.detector.Patience(); waits {
 		next = min(next, due)
 	}
-	return min(next, a.nextSurvey())
+	return min(next, a.nextSurveyReport())
 }
 
 // Tick handles timeouts. The returned effects are valid until the next call.
 func (a *Agent) Tick(now time.Duration) []Effect {
-	a.begin(now)
-	a.expire(now)
+	a.beginCall(now)
+	a.releaseStuckSlots(now)
 	a.expireSurveys(now)
 	a.detector.Check(now)
-	a.noteStarts(now)
-	a.tellChanges()
+	a.markWorkStarted(now)
+	a.reportStateChanges()
 	if now >= a.nextSweep {
 		a.sweep(now)
 	}
@@ -431,20 +431,20 @@
 // sweep forgets what is too old.
 func (a *Agent) sweep(now time.Duration) {
 	a.nextSweep = now + sweepInterval
-	for key, known := range a.flows {
-		if now-known.touched > a.retention(known) {
-			a.forget(now, key)
+	for key, flow := range a.flows {
+		if now-flow.lastActivity > a.retention(flow) {
+			a.forgetFlow(now, key)
 		}
 	}
-	for balancer, known := range a.balancers {
-		if now-known.heard > a.config.FlowLifetime {
+	for balancer, record := range a.balancers {
+		if now-record.heardAt > a.config.FlowLifetime {
 			delete(a.balancers, balancer)
 		}
 	}
 }
 
-func (a *Agent) retention(known *agentFlow) time.Duration {
-	switch known.state {
+func (a *Agent) retention(flow *agentFlow) time.Duration {
+	switch flow.state {
 	case stateOffered, stateAnswered:
 		return offeredRetention
 	case stateEnded:
@@ -462,7 +462,7 @@
 	a.effects = append(a.effects, Effect{Kind: EffectSendMessage, To: to, Message: message})
 }
 
-func (a *Agent) event(event Event) {
+func (a *Agent) recordEvent(event Event) {
 	event.Class = a.classify(event)
 	a.effects = append(a.effects, Effect{Kind: EffectEvent, Event: event})
 }
--- a/internal/relay/agent_coldstart.go
+++ b/internal/relay/agent_coldstart.go
@@ -5,22 +5,22 @@
 )
 
 const (
-	// silenceOfRestart is how long an endpoint says nothing, while opening packets wait for
+	// restartSilence is how long an endpoint says nothing, while opening packets wait for
 	// it, before it is taken for restarted when it answers again. One that works answers
 	// them within a few milliseconds.
-	silenceOfRestart = 300 * time.Millisecond
+	restartSilence = 300 * time.Millisecond
 	// coldBurstShare is the part of what the bound leaves above the rate that a burst may
 	// take. An agent that is restarted does not know what the one before it let through, so
 	// that two bursts may come within a second.
 	coldBurstShare = 0.25
-	// neglectTime is how long requests that are less urgent than others wait for one at the
+	// maxLowPriorityWait is how long requests that are less urgent than others wait for one at the
 	// most, so that they do not starve, and urgentMemory how long a request counts in what
 	// is the most urgent.
-	neglectTime  = time.Second
-	urgentMemory = time.Second
-	// longestHold bounds for how long balancers are told to leave an endpoint out: what it
+	maxLowPriorityWait = time.Second
+	urgentRetention    = time.Second
+	// maxColdWait bounds for how long balancers are told to leave an endpoint out: what it
 	// gets may grow meanwhile.
-	longestHold = 250 * time.Millisecond
+	maxColdWait = 250 * time.Millisecond
 )
 
 // ColdStartLimit is how much of the rate of a cold endpoint a fleet may exceed in any second.
@@ -30,178 +30,182 @@
 	Slack   float64
 }
 
-// coldLimit bounds what an endpoint gets that is cold, or that has failed soon after its
+// coldStartLimiter bounds what an endpoint gets that is cold, or that has failed soon after its
 // start, in the one place through which all of its requests pass. It is a token bucket: in
 // any second it lets no more through than the rate and one burst.
 //
 // Without it, 51 endpoints that carry 12 requests a second each while they are cold failed
 // 255 times in the 18 s after a loss of power under 1,555 requests a second, and a quarter
 // of all requests of the run with them; with it none fails (89 emulated machines).
-type coldLimit struct {
-	bound ColdStartLimit
+type coldStartLimiter struct {
+	limit ColdStartLimit
 	// rate, in requests a second, and lasts are as told last; rate is 0 if there is no limit.
-	rate  float64
-	lasts time.Duration
-	// ends is until when the endpoint is believed to be cold, and told the revision at
+	rate       float64
+	warmupTime time.Duration
+	// coldUntil is until when the endpoint is believed to be cold, and told the revision at
 	// which that was announced, 0 if the agent has concluded it.
-	ends    time.Duration
-	told    uint64
-	relapse relapse
+	coldUntil time.Duration
+	revision  uint64
+	crashLoop crashLoopLimiter
 	// down is set from when the endpoint has failed until it takes a flow again.
 	down bool
 	// tokens are what the bucket held at the time filled.
-	tokens float64
-	filled time.Duration
-	// awaited is when the first opening packet came that the endpoint has not answered,
+	tokens     float64
+	refilledAt time.Duration
+	// unansweredSince is when the first opening packet came that the endpoint has not answered,
 	// never if there is none.
-	awaited time.Duration
-	// urgent is the most urgent priority of late and seen when that was; neglected is since
+	unansweredSince time.Duration
+	// urgentPriority is the most urgentPriority priority of late and seen when that was; neglected is since
 	// when another has been waiting, never if none has.
-	urgent    uint8
-	seen      time.Duration
-	neglected time.Duration
+	urgentPriority          uint8
+	urgentSeenAt            time.Duration
+	lowPriorityWaitingSince time.Duration
 }
 
-func newColdLimit(bound ColdStartLimit) coldLimit {
-	return coldLimit{bound: bound, relapse: newRelapse(), awaited: never, neglected: never, seen: -2 * urgentMemory}
+func newColdStartLimiter(bound ColdStartLimit) coldStartLimiter {
+	return coldStartLimiter{limit: bound, crashLoop: newCrashLoopLimiter(), unansweredSince: never, lowPriorityWaitingSince: never, urgentSeenAt: -2 * urgentRetention}
 }
 
-// learn takes what a balancer tells. A later revision replaces what was known; of the same
+// update takes what a balancer tells. A later revision replaces what was known; of the same
 // one the least is right, since it takes time to be told.
-func (c *coldLimit) learn(now time.Duration, told ColdStart) {
-	c.rate = float64(told.Rate) / 1000
-	c.lasts = milliseconds(told.WarmupTime)
-	ends := now + milliseconds(told.Remaining)
+func (c *coldStartLimiter) update(now time.Duration, coldStart ColdStart) {
+	c.rate = float64(coldStart.Rate) / 1000
+	c.warmupTime = milliseconds(coldStart.WarmupTime)
+	coldUntil := now + milliseconds(coldStart.Remaining)
 	switch {
-	case told.Remaining == 0:
-	case told.Revision > c.told:
-		c.ends, c.told = ends, told.Revision
-	case told.Revision == c.told:
-		c.ends = min(c.ends, ends)
+	case coldStart.Remaining == 0:
+	case coldStart.Revision > c.revision:
+		c.coldUntil, c.revision = coldUntil, coldStart.Revision
+	case coldStart.Revision == c.revision:
+		c.coldUntil = min(c.coldUntil, coldUntil)
 	}
 }
 
-// started notes that the agent was started, perhaps together with its endpoint.
-func (c *coldLimit) started(now time.Duration) { c.relapse.started = now }
+// noteAgentStart notes that the agent was noteAgentStart, perhaps together with its endpoint.
+func (c *coldStartLimiter) noteAgentStart(now time.Duration) { c.crashLoop.lastStart = now }
 
-// fails notes that the endpoint has failed, at a time, unless that is known. It reports
+// noteFailure notes that the endpoint has failed, at a time, unless that is known. It reports
 // whether that was soon after its start.
-func (c *coldLimit) fails(at time.Duration) bool {
+func (c *coldStartLimiter) noteFailure(at time.Duration) bool {
 	if c.down {
 		return false
 	}
 	c.down = true
-	return c.relapse.failed(at)
+	return c.crashLoop.noteFailure(at)
 }
 
-// lost notes that the endpoint does not know a flow that it held: it has failed, unless
+// noteLostFlow notes that the endpoint does not know a flow that it held: it has failed, unless
 // that flow was opened before a start that is known.
-func (c *coldLimit) lost(now, opened time.Duration) (relapsed bool) {
-	if c.relapse.started != never && opened <= c.relapse.started {
+func (c *coldStartLimiter) noteLostFlow(now, openedAt time.Duration) (crashLooping bool) {
+	if c.crashLoop.lastStart != never && openedAt <= c.crashLoop.lastStart {
 		return false
 	}
-	return c.fails(now)
+	return c.noteFailure(now)
 }
 
-// gives notes that the endpoint is given an opening packet.
-func (c *coldLimit) gives(now time.Duration) {
-	c.relapse.gave(now)
-	c.awaited = min(c.awaited, now)
+// noteOpening notes that the endpoint is given an opening packet.
+func (c *coldStartLimiter) noteOpening(now time.Duration) {
+	c.crashLoop.noteRequest(now)
+	c.unansweredSince = min(c.unansweredSince, now)
 }
 
-// heard notes that the endpoint says something. One that was silent for long has failed.
+// noteOutput notes that the endpoint says something. One that was silent for long has failed.
 // It reports whether that was soon after its start.
-func (c *coldLimit) heard(now time.Duration) (relapsed bool) {
-	if c.awaited != never && now-c.awaited >= silenceOfRestart {
-		relapsed = c.fails(c.awaited)
+func (c *coldStartLimiter) noteOutput(now time.Duration) (crashLooping bool) {
+	if c.unansweredSince != never && now-c.unansweredSince >= restartSilence {
+		crashLooping = c.noteFailure(c.unansweredSince)
 	}
-	c.awaited = never
-	return relapsed
+	c.unansweredSince = never
+	return crashLooping
 }
 
-// takes notes that the endpoint takes a flow. It reports whether it has been started again,
+// noteAccepted notes that the endpoint noteAccepted a flow. It reports whether it has been started again,
 // which may not have been announced yet.
-func (c *coldLimit) takes(now time.Duration) bool {
+func (c *coldStartLimiter) noteAccepted(now time.Duration) bool {
 	if !c.down {
 		return false
 	}
 	c.down = false
-	c.ends = max(c.ends, now+c.lasts)
-	c.relapse.restarted(now)
+	c.coldUntil = max(c.coldUntil, now+c.warmupTime)
+	c.crashLoop.noteRestart(now)
 	return true
 }
 
-// cold reports whether the endpoint gets no more than its rate now. One that has failed
-// does, too, since it is cold as soon as it is back.
-func (c *coldLimit) cold(now time.Duration) bool { return c.rate > 0 && (c.down || now < c.ends) }
+// isCold reports whether the endpoint gets no more than its rate now. One that has failed
+// does, too, since it is isCold as soon as it is back.
+func (c *coldStartLimiter) isCold(now time.Duration) bool {
+	return c.rate > 0 && (c.down || now < c.coldUntil)
+}
 
-// limits reports whether what the endpoint gets is bounded now.
-func (c *coldLimit) limits(now time.Duration) bool { return c.cold(now) || c.relapse.limits(now) }
+// limited reports whether what the endpoint gets is bounded now.
+func (c *coldStartLimiter) limited(now time.Duration) bool {
+	return c.isCold(now) || c.crashLoop.limited(now)
+}
 
 // burst is how many requests may come at once.
-func (c *coldLimit) burst(now time.Duration) float64 {
-	if !c.cold(now) || c.relapse.limits(now) {
+func (c *coldStartLimiter) burst(now time.Duration) float64 {
+	if !c.isCold(now) || c.crashLoop.limited(now) {
 		return 1
 	}
-	spare := (c.bound.Overrun-1)*c.rate + c.bound.Slack
-	return max(1, coldBurstShare*spare)
+	headroom := (c.limit.Overrun-1)*c.rate + c.limit.Slack
+	return max(1, coldBurstShare*headroom)
 }
 
-// pace is how many requests a second are let through in the long run: the rate, unless
+// sustainedRate is how many requests a second are let through in the long run: the rate, unless
 // that and two bursts are more than the bound.
-func (c *coldLimit) pace(now time.Duration) float64 {
-	if !c.cold(now) {
-		return c.relapse.rate(now)
+func (c *coldStartLimiter) sustainedRate(now time.Duration) float64 {
+	if !c.isCold(now) {
+		return c.crashLoop.rate(now)
 	}
-	bound := c.bound.Overrun*c.rate + c.bound.Slack
-	pace := max(min(c.rate, bound-2*c.burst(now)), c.rate/2)
-	if c.relapse.limits(now) {
-		return min(pace, c.relapse.rate(now))
+	maxRate := c.limit.Overrun*c.rate + c.limit.Slack
+	rate := max(min(c.rate, maxRate-2*c.burst(now)), c.rate/2)
+	if c.crashLoop.limited(now) {
+		return min(rate, c.crashLoop.rate(now))
 	}
-	return pace
+	return rate
 }
 
-func (c *coldLimit) fill(now time.Duration) {
-	c.tokens = min(c.tokens+(now-c.filled).Seconds()*c.pace(now), c.burst(now))
-	c.filled = now
+func (c *coldStartLimiter) refill(now time.Duration) {
+	c.tokens = min(c.tokens+(now-c.refilledAt).Seconds()*c.sustainedRate(now), c.burst(now))
+	c.refilledAt = now
 }
 
-// admits reports whether the endpoint may get a request now, and takes account of it.
-func (c *coldLimit) admits(now time.Duration, priority uint8) bool {
-	if !c.limits(now) {
+// admit reports whether the endpoint may get a request now, and takes account of it.
+func (c *coldStartLimiter) admit(now time.Duration, priority uint8) bool {
+	if !c.limited(now) {
 		return true
 	}
-	c.fill(now)
-	if c.tokens < c.needed(now, priority) {
+	c.refill(now)
+	if c.tokens < c.requiredTokens(now, priority) {
 		return false
 	}
 	c.tokens--
-	if priority > c.urgent {
-		c.neglected = never
+	if priority > c.urgentPriority {
+		c.lowPriorityWaitingSince = never
 	}
 	return true
 }
 
-// needed returns how many tokens there must be for a request of a priority. The most
+// requiredTokens returns how many tokens there must be for a request of a priority. The most
 // urgent go first while there is less than all ask for: others need a full bucket.
-func (c *coldLimit) needed(now time.Duration, priority uint8) float64 {
-	if priority <= c.urgent || now-c.seen > urgentMemory {
-		c.urgent, c.seen = priority, now
+func (c *coldStartLimiter) requiredTokens(now time.Duration, priority uint8) float64 {
+	if priority <= c.urgentPriority || now-c.urgentSeenAt > urgentRetention {
+		c.urgentPriority, c.urgentSeenAt = priority, now
 		return 1
 	}
-	c.neglected = min(c.neglected, now)
-	if now-c.neglected >= neglectTime {
+	c.lowPriorityWaitingSince = min(c.lowPriorityWaitingSince, now)
+	if now-c.lowPriorityWaitingSince >= maxLowPriorityWait {
 		return 1
 	}
 	return c.burst(now)
 }
 
-// wait returns how long it takes until the endpoint may get another request.
-func (c *coldLimit) wait(now time.Duration) time.Duration {
-	if !c.limits(now) {
+// waitTime returns how long it takes until the endpoint may get another request.
+func (c *coldStartLimiter) waitTime(now time.Duration) time.Duration {
+	if !c.limited(now) {
 		return 0
 	}
-	c.fill(now)
-	missing := max(1-c.tokens, 0) / c.pace(now)
-	return min(time.Duration(missing*float64(time.Second)), longestHold)
+	c.refill(now)
+	missing := max(1-c.tokens, 0) / c.sustainedRate(now)
+	return min(time.Duration(missing*float64(time.Second)), maxColdWait)
 }
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -39,21 +39,21 @@
 	// endpoint answered an opening packet before it offers the packet to
 	// another. It is shorter than any client's first repetition.
 	offerTimeout = 45 * time.Millisecond
-	// offersLast is how long an opening packet is offered to further endpoints: clients
+	// offerLifetime is how long an opening packet is offered to further endpoints: clients
 	// give up then.
-	offersLast = 1400 * time.Millisecond
-	// doubtfulOffers bounds how many endpoints are asked that are suspected or ejected:
+	offerLifetime = 1400 * time.Millisecond
+	// maxUntrustedOffers bounds how many endpoints are asked that are suspected or ejected:
 	// those that are well have been asked before.
-	doubtfulOffers = 3
+	maxUntrustedOffers = 3
 	// confirmationMargin is how much longer than ApplyTimeout after the last
 	// answer of the store a missing route is still believed to be missing.
 	confirmationMargin = time.Second
 	// closingRetention is how long a flow is remembered after its client has
 	// closed it.
 	closingRetention = 5 * time.Second
-	// locateLimit bounds the agents that are asked for the owner of one flow. A survey
+	// maxLocateAgents bounds the agents that are asked for the owner of one flow. A survey
 	// has room for some 400 of them; flows whose route has more are not proved dead.
-	locateLimit = 2048
+	maxLocateAgents = 2048
 )
 
 // balancerFlowState is the progress of a flow as a balancer sees it.
@@ -78,78 +78,78 @@
 	state balancerFlowState
 	// counted is set while the flow counts for its endpoint, and kept once it does so as a
 	// flow for many requests, the last of which began at asked.
-	counted  bool
-	kept     bool
-	asked    time.Duration
-	sequence uint32
-	agent    segment.Address
-	endpoint directory.EndpointID
-	service  string
-	opened   time.Duration
-	touched  time.Duration
-	terms    FlowParameters
-	// began is when the client began to open the flow, as far as its packets show.
-	began time.Duration
+	counted       bool
+	persistent    bool
+	lastRequestAt time.Duration
+	clientISN     uint32
+	agent         segment.Address
+	endpoint      directory.EndpointID
+	service       string
+	openedAt      time.Duration
+	lastActivity  time.Duration
+	parameters    FlowParameters
+	// clientBeganAt is when the client clientBeganAt to open the flow, as far as its packets show.
+	clientBeganAt time.Duration
 	// offer is set while the state is flowOffering, search while it is
 	// flowLocating.
 	offer  *offer
-	search *search
+	search *ownerSearch
 }
 
 // Balancer decides what becomes of clients' packets. It is not safe for
 // concurrent use.
 type Balancer struct {
-	config    BalancerConfig
-	snapshot  *directory.Snapshot
-	ready     bool
-	early     early
-	confirmed time.Duration
-	// current is the time before which everything is known that the store had
+	config        BalancerConfig
+	snapshot      *directory.Snapshot
+	hasDirectory  bool
+	startupBuffer startupBuffer
+	confirmedAt   time.Duration
+	// currentThrough is the time before which everything is known that the store had
 	// accepted.
-	current time.Duration
-	flows   map[segment.FlowKey]*balancerFlow
-	offers  []*offer
-	// verifications are searches that are due to be verified.
-	verifications []*search
-	// surveys counts the questions that were left to agents.
-	surveys uint32
-	health  map[directory.EndpointID]*health
-	// ejectionsEnd is when the last ejection ends of which agents have told.
-	ejectionsEnd time.Duration
-	// demands are what the kept flows of services ask for, measured at swept.
-	demands map[string]*demand
-	swept   time.Duration
-	// levels are how far groups of endpoints are used.
-	levels map[group]*placement.Level
-	// usual are the paces that are usual for services.
-	usual map[string]usualPace
-	// paces is room for the paces of a service.
-	paces []uint32
-	// candidates, local and places are room for the endpoints that may get a flow.
-	candidates []directory.Candidate
-	local      []bool
-	places     []placement.Candidate
-	sharing    map[segment.Address]*sharing
-	budget     budget
-	searches   *rate.Limiter
-	reach      reach
-	nextSweep  time.Duration
-	effects    []Effect
+	currentThrough time.Duration
+	flows          map[segment.FlowKey]*balancerFlow
+	offers         []*offer
+	// pendingVerifications are searches that are due to be verified.
+	pendingVerifications []*ownerSearch
+	// surveyCount counts the questions that were left to agents.
+	surveyCount uint32
+	health      map[directory.EndpointID]*endpointHealth
+	// lastEjectionEnd is when the last ejection ends of which agents have told.
+	lastEjectionEnd time.Duration
+	// demand are what the kept flows of services ask for, measured at swept.
+	demand    map[string]*persistentDemand
+	lastSweep time.Duration
+	// utilization are how far groups of endpoints are used.
+	utilization map[endpointGroup]*placement.Level
+	// medianServiceTimes are the paces that are medianServiceTimes for services.
+	medianServiceTimes map[string]cachedMedian
+	// serviceTimeScratch is room for the serviceTimeScratch of a service.
+	serviceTimeScratch []uint32
+	// candidateScratch, local and places are room for the endpoints that may get a flow.
+	candidateScratch []directory.Candidate
+	localScratch     []bool
+	placementScratch []placement.Candidate
+	roundRobins      map[segment.Address]*weightedRoundRobin
+	retryBudget      retryBudget
+	searchLimiter    *rate.Limiter
+	reachability     reachability
+	nextSweep        time.Duration
+	effects          []Effect
 }
 
 // NewBalancer returns a balancer without a directory.
 func NewBalancer(config BalancerConfig) *Balancer {
 	return &Balancer{
-		config:   config,
-		snapshot: directory.New().Snapshot(),
-		flows:    make(map[segment.FlowKey]*balancerFlow),
-		health:   make(map[directory.EndpointID]*health),
-		demands:  make(map[string]*demand),
-		levels:   make(map[group]*placement.Level),
-		usual:    make(map[string]usualPace),
-		sharing:  make(map[segment.Address]*sharing),
-		budget:   newBudget(),
-		searches: rate.NewLimiter(searchRate, searchBurst),
+		config:             config,
+		snapshot:           directory.New().Snapshot(),
+		flows:              make(map[segment.FlowKey]*balancerFlow),
+		health:             make(map[directory.EndpointID]*endpointHealth),
+		demand:             make(map[string]*persistentDemand),
+		utilization:        make(map[endpointGroup]*placement.Level),
+		medianServiceTimes: make(map[string]cachedMedian),
+		roundRobins:        make(map[segment.Address]*weightedRoundRobin),
+		retryBudget:        newRetryBudget(),
+		searchLimiter:      rate.NewLimiter(searchMessageRate, searchMessageBurst),
 	}
 }
 
@@ -163,35 +163,35 @@
 	b.effects = b.effects[:0]
 	previous := b.snapshot
 	b.snapshot = snapshot
-	b.ready = true
-	clear(b.usual)
+	b.hasDirectory = true
+	clear(b.medianServiceTimes)
 	for id := range b.health {
 		if _, exists := snapshot.Candidate(id); !exists {
 			delete(b.health, id)
 		}
 	}
-	b.tellLeaving(previous, snapshot)
-	b.releaseEarly(now)
+	b.notifyDraining(previous, snapshot)
+	b.releaseBuffered(now)
 	return b.effects
 }
 
-// tellLeaving tells agents that their endpoint must get no new flows, in case
+// notifyDraining tells agents that their endpoint must get no new flows, in case
 // that a balancer which does not know offers it one. The address of an endpoint
 // that has gone may be another's already.
-func (b *Balancer) tellLeaving(previous, current *directory.Snapshot) {
+func (b *Balancer) notifyDraining(previous, current *directory.Snapshot) {
 	for _, candidate := range current.All() {
-		before, existed := previous.Candidate(candidate.ID)
+		before, existedBefore := previous.Candidate(candidate.ID)
 		occupant, _ := current.At(candidate.Endpoint.IP)
-		told := existed && before.Draining()
-		if !candidate.Draining() || candidate.Gone || told || occupant.ID != candidate.ID {
+		notified := existedBefore && before.Draining()
+		if !candidate.Draining() || candidate.Gone || notified || occupant.ID != candidate.ID {
 			continue
 		}
-		b.send(b.agentOf(candidate), Message{Kind: KindDrain, Service: candidate.Endpoint.Service})
+		b.send(b.agentAddress(candidate), Message{Kind: KindDrain, Service: candidate.Endpoint.Service})
 	}
 }
 
 // MarkConfirmed tells that the directory was current at a time.
-func (b *Balancer) MarkConfirmed(now time.Duration) { b.confirmed = max(b.confirmed, now) }
+func (b *Balancer) MarkConfirmed(now time.Duration) { b.confirmedAt = max(b.confirmedAt, now) }
 
 // HandleClientPacket handles a client's packet. The returned effects are valid until the
 // next call, and so must packet be.
@@ -199,66 +199,66 @@
 	b.effects = b.effects[:0]
 	header, outcome := b.config.Codec.Decode(packet)
 	if outcome != segment.Decoded {
-		b.event(Event{Kind: EventMalformed, Reason: outcome.String()})
+		b.recordEvent(Event{Kind: EventMalformed, Reason: outcome.String()})
 		return b.effects
 	}
-	if !writtenByClient(header) {
-		b.event(Event{Kind: EventForged, Reason: "not_a_client"})
+	if !validFromClient(header) {
+		b.recordEvent(Event{Kind: EventForged, Reason: "not_a_client"})
 		return b.effects
 	}
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-	if !b.ready {
-		b.holdEarly(now, key, header, packet)
+	if !b.hasDirectory {
+		b.bufferPacket(now, key, header, packet)
 		return b.effects
 	}
-	b.arrive(now, key, header, packet)
+	b.routePacket(now, key, header, packet)
 	return b.effects
 }
 
-// arrive handles a client's packet once the directory is known.
-func (b *Balancer) arrive(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
+// routePacket handles a client's packet once the directory is known.
+func (b *Balancer) routePacket(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
 	if header.Opening() {
-		b.arriveOpening(now, key, header, packet)
+		b.routeOpening(now, key, header, packet)
 		return
 	}
-	b.arriveSegment(now, key, header, packet)
+	b.routeSegment(now, key, header, packet)
 }
 
-// writtenByClient reports whether a client may write such a packet.
-func writtenByClient(header segment.Header) bool {
-	answer := header.Flags.Has(segment.Synchronize | segment.Acknowledge)
-	return !answer && !header.Flags.Has(segment.Returned)
+// validFromClient reports whether a client may write such a packet.
+func validFromClient(header segment.Header) bool {
+	openingAnswer := header.Flags.Has(segment.Synchronize | segment.Acknowledge)
+	return !openingAnswer && !header.Flags.Has(segment.Returned)
 }
 
-// arriveSegment handles a packet of a flow that was opened before.
-func (b *Balancer) arriveSegment(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
-	known, exists := b.flows[key]
+// routeSegment handles a packet of a flow that was opened before.
+func (b *Balancer) routeSegment(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
+	flow, exists := b.flows[key]
 	if !exists {
-		known = b.remember(now, key)
-		if known == nil {
+		flow = b.startSearch(now, key)
+		if flow == nil {
 			return
 		}
 	}
-	known.touched = now
-	switch known.state {
+	flow.lastActivity = now
+	switch flow.state {
 	case flowLocating:
-		b.locate(now, key, known, header, packet)
+		b.locate(now, key, flow, header, packet)
 	case flowOwnerless:
-		b.reset(key, header)
+		b.resetFlow(key, header)
 	default:
-		b.noteRequest(now, known, header)
-		b.send(known.agent, Message{Kind: KindForward, Service: known.service, Packet: packet})
-		b.noteClosing(known, header)
+		b.noteRequest(now, flow, header)
+		b.send(flow.agent, Message{Kind: KindForward, Service: flow.service, Packet: packet})
+		b.markClosing(flow, header)
 	}
 }
 
-func (b *Balancer) noteClosing(known *balancerFlow, header segment.Header) {
+func (b *Balancer) markClosing(flow *balancerFlow, header segment.Header) {
 	if !header.Flags.Has(segment.Finish) && !header.Flags.Has(segment.Reset) {
 		return
 	}
-	b.settle(known)
-	b.uncount(known)
-	known.state = flowClosing
+	b.endOffer(flow)
+	b.uncountFlow(flow)
+	flow.state = flowClosing
 }
 
 // Receive handles a message from an agent. The returned effects are valid
@@ -266,12 +266,12 @@
 func (b *Balancer) Receive(now time.Duration, from segment.Address, message Message) []Effect {
 	b.effects = b.effects[:0]
 	if !b.isAgent(from) {
-		b.event(Event{Kind: EventForged, Peer: from, Reason: "not_an_agent"})
+		b.recordEvent(Event{Kind: EventForged, Peer: from, Reason: "not_an_agent"})
 		return b.effects
 	}
-	b.heardAgent()
-	b.notePace(now, from, message.Load)
-	b.noteUse(now, from, message)
+	b.noteAgentHeard()
+	b.noteServiceTime(now, from, message.Load)
+	b.noteUtilization(now, from, message)
 	b.noteReport(now, from, message)
 	switch message.Kind {
 	case KindPlaced:
@@ -285,9 +285,9 @@
 	case KindDenied:
 		b.receiveDenied(now, from, message)
 	case KindSurveyResult:
-		b.receiveSurveyed(now, from, message)
+		b.receiveSurveyResult(now, from, message)
 	case KindNotOwned:
-		b.receiveUnknown(now, from, message)
+		b.receiveNotOwned(now, from, message)
 	case KindLeaving:
 		b.receiveLeaving(now, from)
 	}
@@ -303,14 +303,14 @@
 
 // NextTick returns when Tick should be called at the latest.
 func (b *Balancer) NextTick(time.Duration) time.Duration {
-	next := min(b.nextSweep, b.nextReach())
-	for _, waiting := range b.offers {
-		if !waiting.done {
-			next = min(next, waiting.deadline)
+	next := min(b.nextSweep, b.nextReachabilityCheck())
+	for _, offer := range b.offers {
+		if !offer.done {
+			next = min(next, offer.deadline)
 		}
 	}
-	for _, sought := range b.verifications {
-		next = min(next, sought.verifyAt)
+	for _, search := range b.pendingVerifications {
+		next = min(next, search.verifyAt)
 	}
 	return next
 }
@@ -318,14 +318,14 @@
 // Tick handles timeouts. The returned effects are valid until the next call.
 func (b *Balancer) Tick(now time.Duration) []Effect {
 	b.effects = b.effects[:0]
-	b.offers = slices.DeleteFunc(b.offers, func(waiting *offer) bool { return waiting.done })
-	for _, waiting := range b.offers {
-		if !waiting.done && now >= waiting.deadline {
-			b.offerExpired(now, waiting)
+	b.offers = slices.DeleteFunc(b.offers, func(offer *offer) bool { return offer.done })
+	for _, offer := range b.offers {
+		if !offer.done && now >= offer.deadline {
+			b.expireOffer(now, offer)
 		}
 	}
 	b.verifyDue(now)
-	b.watchReach(now)
+	b.checkReachability(now)
 	if now >= b.nextSweep {
 		b.nextSweep = now + sweepInterval
 		b.sweep(now)
@@ -334,32 +334,32 @@
 }
 
 func (b *Balancer) sweep(now time.Duration) {
-	for _, known := range b.demands {
-		known.measure(now - b.swept)
+	for _, demand := range b.demand {
+		demand.update(now - b.lastSweep)
 	}
-	b.swept = now
-	maps.DeleteFunc(b.levels, func(_ group, level *placement.Level) bool { return level.Expired(now) })
-	for key, known := range b.flows {
+	b.lastSweep = now
+	maps.DeleteFunc(b.utilization, func(_ endpointGroup, level *placement.Level) bool { return level.Expired(now) })
+	for key, flow := range b.flows {
 		retention := b.config.FlowLifetime
-		switch known.state {
+		switch flow.state {
 		case flowClosing, flowOffering, flowLocating, flowOwnerless:
 			retention = closingRetention
 		}
-		if now-known.touched > retention {
-			b.forget(key, known)
+		if now-flow.lastActivity > retention {
+			b.forgetFlow(key, flow)
 			continue
 		}
-		b.keepOld(now, known)
+		b.markPersistent(now, flow)
 	}
 }
 
-func (b *Balancer) forget(key segment.FlowKey, known *balancerFlow) {
-	b.settle(known)
-	b.uncount(known)
+func (b *Balancer) forgetFlow(key segment.FlowKey, flow *balancerFlow) {
+	b.endOffer(flow)
+	b.uncountFlow(flow)
 	delete(b.flows, key)
 }
 
-func (b *Balancer) agentOf(candidate directory.Candidate) segment.Address {
+func (b *Balancer) agentAddress(candidate directory.Candidate) segment.Address {
 	return candidate.Endpoint.Address().WithPort(b.config.AgentPort)
 }
 
@@ -367,7 +367,7 @@
 	b.effects = append(b.effects, Effect{Kind: EffectSendMessage, To: to, Message: message})
 }
 
-func (b *Balancer) event(event Event) {
+func (b *Balancer) recordEvent(event Event) {
 	event.Class = b.classify(event)
 	b.effects = append(b.effects, Effect{Kind: EffectEvent, Event: event})
 }
--- a/internal/relay/balancer_coldstart.go
+++ b/internal/relay/balancer_coldstart.go
@@ -8,8 +8,8 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// coldOf returns what the agent of an endpoint has to know of its start.
-func (b *Balancer) coldOf(now time.Duration, candidate directory.Candidate) ColdStart {
+// coldStartOf returns what the agent of an endpoint has to know of its start.
+func (b *Balancer) coldStartOf(now time.Duration, candidate directory.Candidate) ColdStart {
 	start, limited := b.snapshot.ColdStart(candidate.Endpoint.Service)
 	if !limited {
 		return ColdStart{}
@@ -22,18 +22,18 @@
 	}
 }
 
-// held reports whether a cold endpoint takes no request now, as its agent has told.
-func (h *health) held(now time.Duration) bool { return now < h.heldUntil }
+// inColdWait reports whether a cold endpoint takes no request now, as its agent has told.
+func (h *endpointHealth) inColdWait(now time.Duration) bool { return now < h.coldWaitUntil }
 
-// noteHeld notes until when a cold endpoint takes no further request.
-func (b *Balancer) noteHeld(now time.Duration, id directory.EndpointID, load Load) {
-	b.healthOf(id).heldUntil = now + milliseconds(load.ColdWait)
+// noteColdWait notes until when a cold endpoint takes no further request.
+func (b *Balancer) noteColdWait(now time.Duration, id directory.EndpointID, load Load) {
+	b.healthOf(id).coldWaitUntil = now + milliseconds(load.ColdWait)
 }
 
-// anyHeld reports whether an endpoint of a service takes no request only because it is
+// anyInColdWait reports whether an endpoint of a service takes no request only because it is
 // cold: then a new flow is refused at once.
-func (b *Balancer) anyHeld(now time.Duration, service string) bool {
+func (b *Balancer) anyInColdWait(now time.Duration, service string) bool {
 	return slices.ContainsFunc(b.snapshot.Candidates(service), func(candidate directory.Candidate) bool {
-		return b.healthOf(candidate.ID).held(now) && !candidate.Leaving && !candidate.Closed
+		return b.healthOf(candidate.ID).inColdWait(now) && !candidate.Leaving && !candidate.Closed
 	})
 }
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -16,22 +16,22 @@
 var _ = Describe("Balancer", func() {
 	var (
 		balancer *relay.Balancer
-		known    *fleet
+		builder  *directoryBuilder
 	)
 
-	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, known.machine.Snapshot()) }
+	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.machine.Snapshot()) }
 
-	BeforeEach(func() { balancer, known = balancerOfThree() })
+	BeforeEach(func() { balancer, builder = newBalancerWithThreeEndpoints() })
 
 	It("sends nobody anything before it has a directory", func() {
 		starting := newBalancer()
-		Expect(starting.HandleClientPacket(0, opening(1, 100))).To(BeEmpty())
-		Expect(starting.HandleClientPacket(0, fromClient(1, segment.Acknowledge, 101, 7, ""))).To(BeEmpty())
+		Expect(starting.HandleClientPacket(0, openingPacket(1, 100))).To(BeEmpty())
+		Expect(starting.HandleClientPacket(0, clientPacket(1, segment.Acknowledge, 101, 7, ""))).To(BeEmpty())
 		Expect(starting.Tick(time.Second)).To(BeEmpty())
 	})
 
 	It("offers a flow that busy agents return to others, and after three to the least busy of them", func() {
-		offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
+		offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		loads := []uint32{7, 4, 9}
 		tried := make(map[segment.Address]uint32)
 		for index, waiting := range loads {
@@ -39,7 +39,7 @@
 			Expect(offer.Message.LastResort).To(BeFalse())
 			tried[offer.To] = waiting
 			offer = onlyMessage(balancer.Receive(time.Duration(index+1)*millisecond, offer.To, relay.Message{
-				Kind: relay.KindReturned, LastResort: true, Load: relay.Load{Waiting: waiting, Pending: waiting}, Packet: opening(1, 100),
+				Kind: relay.KindReturned, LastResort: true, Load: relay.Load{Waiting: waiting, Pending: waiting}, Packet: openingPacket(1, 100),
 			}))
 		}
 		Expect(tried[offer.To]).To(Equal(uint32(4)))
@@ -47,47 +47,47 @@
 	})
 
 	It("gives a slow endpoint flows again, after a while in which its pace has not changed", func() {
-		tell := func(now time.Duration, number int, pace uint32) {
+		reportServiceTime := func(now time.Duration, number int, pace uint32) {
 			balancer.Receive(now, agentAddress(number), relay.Message{
 				Kind: relay.KindPong, Service: service, Load: relay.Load{ServiceTime: pace},
 			})
 		}
 		offeredToSlow := func(now time.Duration, first int) (count int) {
 			for number := first; number < first+30; number++ {
-				for _, effect := range sent(balancer.HandleClientPacket(now, opening(number, 100))) {
+				for _, effect := range sentMessages(balancer.HandleClientPacket(now, openingPacket(number, 100))) {
 					if effect.Message.Kind == relay.KindOffer && effect.To == agentAddress(0) {
 						count++
 					}
 				}
-				balancer.HandleClientPacket(now, fromClient(number, segment.Reset, 101, 0, ""))
+				balancer.HandleClientPacket(now, clientPacket(number, segment.Reset, 101, 0, ""))
 			}
 			return count
 		}
-		tell(0, 0, 250_000)
-		tell(0, 1, 50_000)
-		tell(0, 2, 50_000)
+		reportServiceTime(0, 0, 250_000)
+		reportServiceTime(0, 1, 50_000)
+		reportServiceTime(0, 2, 50_000)
 		Expect(offeredToSlow(time.Second, 0)).To(BeZero())
-		tell(2*time.Second, 0, 250_000)
+		reportServiceTime(2*time.Second, 0, 250_000)
 		Expect(offeredToSlow(2500*millisecond, 100)).To(BeNumerically(">", 0))
 	})
 
 	It("goes elsewhere while an endpoint is told to be full, and comes back as the news ages", func() {
-		tell := func(now time.Duration, number int, used uint32) {
+		reportPending := func(now time.Duration, number int, used uint32) {
 			load := relay.Load{Pending: used, ServiceTime: 50_000}
 			balancer.Receive(now, agentAddress(number), relay.Message{Kind: relay.KindPong, Service: service, Load: load})
 		}
 		for number := range 3 {
-			tell(0, number, 1)
+			reportPending(0, number, 1)
 		}
-		tell(0, 0, 5)
+		reportPending(0, 0, 5)
 		number := 0
 		offeredTo := func(now time.Duration) map[segment.Address]int {
 			counts := make(map[segment.Address]int)
 			for range 30 {
 				number++
-				to := onlyMessage(balancer.HandleClientPacket(now, opening(number, 100))).To
+				to := onlyMessage(balancer.HandleClientPacket(now, openingPacket(number, 100))).To
 				counts[to]++
-				balancer.HandleClientPacket(now, fromClient(number, segment.Reset, 101, 0, ""))
+				balancer.HandleClientPacket(now, clientPacket(number, segment.Reset, 101, 0, ""))
 			}
 			return counts
 		}
@@ -96,18 +96,18 @@
 	})
 
 	It("tells agents for how long the client has tried, by the copy of its packet and by earlier offers", func() {
-		offer := onlyMessage(balancer.HandleClientPacket(0, fromClient(1, segment.Synchronize, 100, 600, "")))
+		offer := onlyMessage(balancer.HandleClientPacket(0, clientPacket(1, segment.Synchronize, 100, 600, "")))
 		Expect(offer.Message.Parameters.Waited).To(Equal(uint32(600)))
 		Expect(onlyMessage(balancer.Tick(50 * millisecond)).Message.Parameters.Waited).To(Equal(uint32(650)))
 	})
 
 	It("offers a new flow to one endpoint and its later packets to the same", func() {
-		offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
+		offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		Expect(offer.Message.Kind).To(Equal(relay.KindOffer))
 		Expect(offer.Message.Service).To(Equal(service))
 		Expect(offer.Message.Parameters).To(Equal(relay.FlowParameters{Slots: 4, LatencyTarget: 250, Timeout: 2000}))
-		placed(balancer, millisecond, offer.To, 1, 100)
-		forward := onlyMessage(balancer.HandleClientPacket(2*millisecond, fromClient(1, segment.Acknowledge, 101, 501, "request")))
+		reportPlaced(balancer, millisecond, offer.To, 1, 100)
+		forward := onlyMessage(balancer.HandleClientPacket(2*millisecond, clientPacket(1, segment.Acknowledge, 101, 501, "request")))
 		Expect(forward.To).To(Equal(offer.To))
 		Expect(forward.Message.Kind).To(Equal(relay.KindForward))
 	})
@@ -115,9 +115,9 @@
 	It("spreads flows evenly by what is outstanding", func() {
 		counts := map[segment.Address]int{}
 		for number := range 30 {
-			offer := onlyMessage(balancer.HandleClientPacket(0, opening(number, 100)))
+			offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(number, 100)))
 			counts[offer.To]++
-			placed(balancer, 0, offer.To, number, 100)
+			reportPlaced(balancer, 0, offer.To, number, 100)
 		}
 		Expect(counts).To(HaveLen(3))
 		for _, count := range counts {
@@ -126,27 +126,27 @@
 	})
 
 	It("gives an endpoint that is slow after its start fewer flows", func() {
-		known.endpoint(0, 0, func(e *directory.Endpoint) { e.Warming = time.Second })
+		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Warming = time.Second })
 		install(0)
 		counts := map[segment.Address]int{}
 		for number := range 39 {
-			offer := onlyMessage(balancer.HandleClientPacket(0, opening(number, 100)))
+			offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(number, 100)))
 			counts[offer.To]++
-			placed(balancer, 0, offer.To, number, 100)
+			reportPlaced(balancer, 0, offer.To, number, 100)
 		}
 		Expect(counts[agentAddress(0)]).To(BeNumerically("~", 9, 1))
 	})
 
-	// tell lets an agent tell how long its endpoint takes for answers.
-	tell := func(now time.Duration, number int, pace time.Duration) {
+	// reportServiceTime lets an agent reportServiceTime how long its endpoint takes for answers.
+	reportServiceTime := func(now time.Duration, number int, pace time.Duration) {
 		load := relay.Load{ServiceTime: uint32(pace.Microseconds())}
 		balancer.Receive(now, agentAddress(number), relay.Message{Kind: relay.KindPong, Service: service, Load: load})
 	}
-	// offered counts the flows offered by endpoint, among count that stay open.
-	offered := func(now time.Duration, count int) map[byte]int {
+	// countOffers counts the flows countOffers by endpoint, among count that stay open.
+	countOffers := func(now time.Duration, count int) map[byte]int {
 		counted := make(map[byte]int)
 		for number := range count {
-			for _, each := range sent(balancer.HandleClientPacket(now, opening(number, 1))) {
+			for _, each := range sentMessages(balancer.HandleClientPacket(now, openingPacket(number, 1))) {
 				if each.Message.Kind == relay.KindOffer {
 					counted[each.To.IP[3]]++
 				}
@@ -157,27 +157,27 @@
 
 	It("gives an endpoint that takes longer for answers than others fewer flows in proportion", func() {
 		for number, pace := range []time.Duration{40, 45, 200} {
-			tell(0, number, pace*millisecond)
+			reportServiceTime(0, number, pace*millisecond)
 		}
-		counted := offered(millisecond, 110)
+		counted := countOffers(millisecond, 110)
 		Expect(counted[2]).To(BeNumerically("~", 10, 3))
 		Expect(counted[0]).To(BeNumerically("~", 50, 3))
 	})
 
 	It("takes small differences between endpoints for chance", func() {
 		for number, pace := range []time.Duration{40, 50, 55} {
-			tell(0, number, pace*millisecond)
+			reportServiceTime(0, number, pace*millisecond)
 		}
-		Expect(offered(millisecond, 90)).To(Equal(map[byte]int{0: 30, 1: 30, 2: 30}))
+		Expect(countOffers(millisecond, 90)).To(Equal(map[byte]int{0: 30, 1: 30, 2: 30}))
 	})
 
 	It("asks the agent of a slow endpoint now and then whether it still is, and believes it", func() {
 		for number, pace := range []time.Duration{40, 40, 400} {
-			tell(0, number, pace*millisecond)
+			reportServiceTime(0, number, pace*millisecond)
 		}
 		pings := 0
 		for number := range 100 {
-			for _, each := range sent(balancer.HandleClientPacket(time.Duration(number)*10*millisecond, opening(number, 1))) {
+			for _, each := range sentMessages(balancer.HandleClientPacket(time.Duration(number)*10*millisecond, openingPacket(number, 1))) {
 				if each.Message.Kind == relay.KindPing {
 					Expect(each.To).To(Equal(agentAddress(2)))
 					pings++
@@ -185,17 +185,17 @@
 			}
 		}
 		Expect(pings).To(BeNumerically("~", 3, 1))
-		tell(time.Second, 2, 40*millisecond)
-		Expect(offered(time.Second, 130)[2]).To(BeNumerically(">", 30))
+		reportServiceTime(time.Second, 2, 40*millisecond)
+		Expect(countOffers(time.Second, 130)[2]).To(BeNumerically(">", 30))
 	})
 
 	It("keeps the weights of a route within one flow", func() {
-		known.endpoint(0, 7, func(e *directory.Endpoint) { e.Service = otherService })
-		known.configure(directory.Share{Service: service, Weight: 90}, directory.Share{Service: otherService, Weight: 10})
+		builder.putEndpoint(0, 7, func(e *directory.Endpoint) { e.Service = otherService })
+		builder.configure(directory.Share{Service: service, Weight: 90}, directory.Share{Service: otherService, Weight: 10})
 		install(0)
 		other := 0
 		for number := range 100 {
-			if onlyMessage(balancer.HandleClientPacket(0, opening(number, 100))).Message.Service == otherService {
+			if onlyMessage(balancer.HandleClientPacket(0, openingPacket(number, 100))).Message.Service == otherService {
 				other++
 			}
 			Expect(other).To(BeNumerically("~", float64(number+1)/10, 1))
@@ -204,38 +204,38 @@
 	})
 
 	It("takes another service of the route if the one whose turn it is has no endpoint", func() {
-		known.configure(directory.Share{Service: otherService, Weight: 90}, directory.Share{Service: service, Weight: 10})
+		builder.configure(directory.Share{Service: otherService, Weight: 90}, directory.Share{Service: service, Weight: 10})
 		install(0)
 		for number := range 10 {
-			Expect(onlyMessage(balancer.HandleClientPacket(0, opening(number, 100))).Message.Service).To(Equal(service))
+			Expect(onlyMessage(balancer.HandleClientPacket(0, openingPacket(number, 100))).Message.Service).To(Equal(service))
 		}
 	})
 
 	It("repeats an opening packet to the same endpoint", func() {
-		first := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
-		placed(balancer, millisecond, first.To, 1, 100)
-		again := onlyMessage(balancer.HandleClientPacket(200*millisecond, opening(1, 100)))
+		first := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
+		reportPlaced(balancer, millisecond, first.To, 1, 100)
+		again := onlyMessage(balancer.HandleClientPacket(200*millisecond, openingPacket(1, 100)))
 		Expect(again.To).To(Equal(first.To))
 	})
 
 	It("offers a silent opening packet to another endpoint before the client repeats it", func() {
-		first := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
+		first := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		balancer.Tick(millisecond)
 		next := balancer.NextTick(millisecond)
 		Expect(next).To(BeNumerically("<", 200*millisecond))
 		second := onlyMessage(balancer.Tick(next))
 		Expect(second.Message.Kind).To(Equal(relay.KindOffer))
 		Expect(second.To).NotTo(Equal(first.To))
-		Expect(second.Message.Packet).To(Equal(opening(1, 100)))
+		Expect(second.Message.Packet).To(Equal(openingPacket(1, 100)))
 	})
 
 	It("bounds what it offers again for silence", func() {
 		offers := 0
 		for number := range 200 {
-			balancer.HandleClientPacket(0, opening(number, 100))
+			balancer.HandleClientPacket(0, openingPacket(number, 100))
 		}
 		for now := time.Duration(0); now < time.Second; now += 10 * millisecond {
-			for _, each := range sent(balancer.Tick(now)) {
+			for _, each := range sentMessages(balancer.Tick(now)) {
 				if each.Message.Kind == relay.KindOffer {
 					offers++
 				}
@@ -246,88 +246,88 @@
 
 	It("offers a returned packet to all others, then refuses the client at once", func() {
 		tried := map[segment.Address]bool{}
-		effects := balancer.HandleClientPacket(0, opening(1, 100))
+		effects := balancer.HandleClientPacket(0, openingPacket(1, 100))
 		for range 3 {
 			offer := onlyMessage(effects)
 			Expect(tried).NotTo(HaveKey(offer.To))
 			tried[offer.To] = true
-			effects = balancer.Receive(millisecond, offer.To, relay.Message{Kind: relay.KindReturned, Packet: opening(1, 100)})
+			effects = balancer.Receive(millisecond, offer.To, relay.Message{Kind: relay.KindReturned, Packet: openingPacket(1, 100)})
 		}
-		Expect(resets(effects)).To(HaveLen(1))
+		Expect(resetHeaders(effects)).To(HaveLen(1))
 		Expect(balancer.FlowCount()).To(BeZero())
 	})
 
 	It("gives no new flow to an endpoint that is draining or gone", func() {
-		known.endpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
-		known.gone(0, 1)
-		told := install(0)
-		Expect(onlyMessage(told).To).To(Equal(agentAddress(0)))
-		Expect(onlyMessage(told).Message.Kind).To(Equal(relay.KindDrain))
+		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
+		builder.remove(0, 1)
+		effects := install(0)
+		Expect(onlyMessage(effects).To).To(Equal(agentAddress(0)))
+		Expect(onlyMessage(effects).Message.Kind).To(Equal(relay.KindDrain))
 		for number := range 20 {
-			Expect(onlyMessage(balancer.HandleClientPacket(0, opening(number, 100))).To).To(Equal(agentAddress(2)))
+			Expect(onlyMessage(balancer.HandleClientPacket(0, openingPacket(number, 100))).To).To(Equal(agentAddress(2)))
 		}
 	})
 
 	It("does not tell the agent of an endpoint that took over the address of one that drained", func() {
-		known.endpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
-		known.gone(0, 0)
-		known.endpoint(0, 8, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP })
+		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
+		builder.remove(0, 0)
+		builder.putEndpoint(0, 8, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP })
 		starting := newBalancer()
-		Expect(sent(starting.Install(0, known.machine.Snapshot()))).To(BeEmpty())
+		Expect(sentMessages(starting.Install(0, builder.machine.Snapshot()))).To(BeEmpty())
 	})
 
 	It("uses endpoints whose entries have just lapsed if there are no others, but not for long", func() {
 		for number := range 3 {
-			known.gone(time.Second, number)
+			builder.remove(time.Second, number)
 		}
 		install(time.Second)
-		Expect(sent(balancer.HandleClientPacket(2*time.Second, opening(1, 100)))).To(HaveLen(1))
-		Expect(resets(balancer.HandleClientPacket(3*time.Second, opening(2, 100)))).To(HaveLen(1))
+		Expect(sentMessages(balancer.HandleClientPacket(2*time.Second, openingPacket(1, 100)))).To(HaveLen(1))
+		Expect(resetHeaders(balancer.HandleClientPacket(3*time.Second, openingPacket(2, 100)))).To(HaveLen(1))
 	})
 
 	It("spreads flows over all endpoints while their entries return one by one after an outage of the store", func() {
 		for number := range 3 {
-			known.gone(time.Second, number)
+			builder.remove(time.Second, number)
 		}
-		known.endpoint(time.Second, 1, nil)
+		builder.putEndpoint(time.Second, 1, nil)
 		install(time.Second)
-		offered := make(map[segment.Address]int)
+		offersByAgent := make(map[segment.Address]int)
 		for number := range 30 {
-			offered[onlyMessage(balancer.HandleClientPacket(time.Second, opening(number, 100))).To]++
+			offersByAgent[onlyMessage(balancer.HandleClientPacket(time.Second, openingPacket(number, 100))).To]++
 		}
-		Expect(offered).To(Equal(map[segment.Address]int{agentAddress(0): 10, agentAddress(1): 10, agentAddress(2): 10}))
+		Expect(offersByAgent).To(Equal(map[segment.Address]int{agentAddress(0): 10, agentAddress(1): 10, agentAddress(2): 10}))
 		now := 2600 * time.Millisecond
 		for number := range 20 {
-			Expect(onlyMessage(balancer.HandleClientPacket(now, opening(100+number, 100))).To).To(Equal(agentAddress(1)), "but not for long")
+			Expect(onlyMessage(balancer.HandleClientPacket(now, openingPacket(100+number, 100))).To).To(Equal(agentAddress(1)), "but not for long")
 		}
 	})
 
 	It("takes one entry that lapses alone for an endpoint that has left", func() {
-		known.gone(time.Second, 0)
+		builder.remove(time.Second, 0)
 		install(time.Second)
 		for number := range 20 {
-			Expect(onlyMessage(balancer.HandleClientPacket(time.Second, opening(number, 100))).To).NotTo(Equal(agentAddress(0)))
+			Expect(onlyMessage(balancer.HandleClientPacket(time.Second, openingPacket(number, 100))).To).NotTo(Equal(agentAddress(0)))
 		}
 	})
 
 	It("does not take a lapsed entry for one that may return if another endpoint has come to its address", func() {
 		for number := range 3 {
-			known.gone(time.Second, number)
+			builder.remove(time.Second, number)
 		}
-		known.endpoint(time.Second, 7, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP; e.Service = "other" })
+		builder.putEndpoint(time.Second, 7, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP; e.Service = "other" })
 		install(time.Second)
 		for number := range 20 {
-			Expect(onlyMessage(balancer.HandleClientPacket(time.Second, opening(number, 100))).To).NotTo(Equal(agentAddress(0)))
+			Expect(onlyMessage(balancer.HandleClientPacket(time.Second, openingPacket(number, 100))).To).NotTo(Equal(agentAddress(0)))
 		}
 	})
 
 	It("never gives an endpoint that drained a new flow, even if there are no others", func() {
 		for number := range 3 {
-			known.endpoint(0, number, func(e *directory.Endpoint) { e.Draining = true })
-			known.gone(0, number)
+			builder.putEndpoint(0, number, func(e *directory.Endpoint) { e.Draining = true })
+			builder.remove(0, number)
 		}
 		install(0)
-		Expect(sent(balancer.HandleClientPacket(0, opening(1, 100)))).To(BeEmpty())
+		Expect(sentMessages(balancer.HandleClientPacket(0, openingPacket(1, 100)))).To(BeEmpty())
 	})
 
 	It("leaves out an endpoint that does not answer, and tries it again later with one flow", func() {
@@ -335,22 +335,22 @@
 		now := time.Duration(0)
 		answer := func(effects []relay.Effect, number int) int {
 			offered := 0
-			for _, offer := range sent(effects) {
+			for _, offer := range sentMessages(effects) {
 				if offer.To == victim {
 					offered++
 					continue
 				}
-				placed(balancer, now, offer.To, number, 100)
+				reportPlaced(balancer, now, offer.To, number, 100)
 			}
 			return offered
 		}
 		toVictim := 0
 		for number := range 200 {
 			now += 10 * millisecond
-			toVictim += answer(balancer.HandleClientPacket(now, opening(number, 100)), number)
-			for _, offer := range sent(balancer.Tick(now)) {
+			toVictim += answer(balancer.HandleClientPacket(now, openingPacket(number, 100)), number)
+			for _, offer := range sentMessages(balancer.Tick(now)) {
 				header, _ := codec.Decode(offer.Message.Packet)
-				placed(balancer, now, offer.To, int(header.Source.Port)-40000, 100)
+				reportPlaced(balancer, now, offer.To, int(header.Source.Port)-40000, 100)
 			}
 		}
 		Expect(toVictim).To(BeNumerically(">=", 3))
@@ -358,59 +358,59 @@
 	})
 
 	It("offers a flow last to endpoints that take it only if no other does", func() {
-		bring := func(from segment.Address, last bool) []relay.Effect {
+		returnPacket := func(from segment.Address, last bool) []relay.Effect {
 			return balancer.Receive(millisecond, from, relay.Message{
-				Kind: relay.KindReturned, Service: service, Sequence: 100, LastResort: last, Packet: opening(1, 100),
+				Kind: relay.KindReturned, Service: service, Sequence: 100, LastResort: last, Packet: openingPacket(1, 100),
 			})
 		}
-		first := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
-		second := onlyMessage(bring(first.To, true))
+		first := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
+		second := onlyMessage(returnPacket(first.To, true))
 		Expect(second.Message.LastResort).To(BeFalse())
-		third := onlyMessage(bring(second.To, false))
-		last := onlyMessage(bring(third.To, false))
+		third := onlyMessage(returnPacket(second.To, false))
+		last := onlyMessage(returnPacket(third.To, false))
 		Expect(last.To).To(Equal(first.To))
 		Expect(last.Message.LastResort).To(BeTrue())
-		Expect(last.Message.Packet).To(Equal(opening(1, 100)))
-		Expect(resets(bring(first.To, true))).To(HaveLen(1), "it is asked once")
+		Expect(last.Message.Packet).To(Equal(openingPacket(1, 100)))
+		Expect(resetHeaders(returnPacket(first.To, true))).To(HaveLen(1), "it is asked once")
 	})
 
 	Describe("an address without a route", func() {
 		unrouted := codec.Encode(segment.Header{Source: clientAddress(1), Destination: noRoute, Flags: segment.Synchronize}, nil)
 
 		It("is reset while the directory is current", func() {
-			Expect(resets(balancer.HandleClientPacket(time.Second, unrouted))).To(HaveLen(1))
+			Expect(resetHeaders(balancer.HandleClientPacket(time.Second, unrouted))).To(HaveLen(1))
 		})
 
 		It("is not reset if the directory may be out of date", func() {
-			Expect(resets(balancer.HandleClientPacket(time.Minute, unrouted))).To(BeEmpty())
+			Expect(resetHeaders(balancer.HandleClientPacket(time.Minute, unrouted))).To(BeEmpty())
 		})
 	})
 
 	It("keeps open flows of a route that a configuration drops where they are", func() {
-		offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
-		placed(balancer, 0, offer.To, 1, 100)
-		known.configure()
+		offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
+		reportPlaced(balancer, 0, offer.To, 1, 100)
+		builder.configure()
 		install(0)
-		Expect(onlyMessage(balancer.HandleClientPacket(0, fromClient(1, segment.Acknowledge, 101, 501, "x"))).To).To(Equal(offer.To))
+		Expect(onlyMessage(balancer.HandleClientPacket(0, clientPacket(1, segment.Acknowledge, 101, 501, "x"))).To).To(Equal(offer.To))
 	})
 
 	DescribeTable("drops what no client can have written", func(packet []byte, expected relay.EventKind) {
 		effects := balancer.HandleClientPacket(0, packet)
-		Expect(events(effects)).To(ConsistOf(expected))
-		Expect(sent(effects)).To(BeEmpty())
+		Expect(eventKinds(effects)).To(ConsistOf(expected))
+		Expect(sentMessages(effects)).To(BeEmpty())
 	},
-		Entry("an endpoint's answer", fromClient(1, segment.Synchronize|segment.Acknowledge, 1, 2, ""), relay.EventForged),
-		Entry("a returned packet", fromClient(1, segment.Synchronize|segment.Returned, 1, 2, ""), relay.EventForged),
+		Entry("an endpoint's answer", clientPacket(1, segment.Synchronize|segment.Acknowledge, 1, 2, ""), relay.EventForged),
+		Entry("a returned packet", clientPacket(1, segment.Synchronize|segment.Returned, 1, 2, ""), relay.EventForged),
 		Entry("a truncated packet", []byte{1, 2, 3}, relay.EventMalformed),
 	)
 
 	Describe("cut off from all agents", func() {
-		// endure lets time pass while flows arrive and nobody answers.
-		endure := func(from, to time.Duration) int {
+		// advanceWithoutReplies lets time pass while flows arrive and nobody answers.
+		advanceWithoutReplies := func(from, to time.Duration) int {
 			pings := 0
 			for now := from; now < to; now += 10 * millisecond {
-				balancer.HandleClientPacket(now, opening(int(now/millisecond), 100))
-				for _, each := range sent(balancer.Tick(now)) {
+				balancer.HandleClientPacket(now, openingPacket(int(now/millisecond), 100))
+				for _, each := range sentMessages(balancer.Tick(now)) {
 					if each.Message.Kind == relay.KindPing {
 						pings++
 					}
@@ -420,34 +420,34 @@
 		}
 
 		It("says so after it has pinged agents in vain, and takes it back at the first answer", func() {
-			endure(0, 500*millisecond)
+			advanceWithoutReplies(0, 500*millisecond)
 			Expect(balancer.Isolated()).To(BeFalse())
-			Expect(endure(500*millisecond, time.Second)).To(BeNumerically(">", 3))
+			Expect(advanceWithoutReplies(500*millisecond, time.Second)).To(BeNumerically(">", 3))
 			Expect(balancer.Isolated()).To(BeTrue())
 			balancer.Receive(time.Second, agentAddress(1), relay.Message{Kind: relay.KindPong})
 			Expect(balancer.Isolated()).To(BeFalse())
 		})
 
 		It("does not believe others than agents", func() {
-			endure(0, time.Second)
+			advanceWithoutReplies(0, time.Second)
 			balancer.Receive(time.Second, balancerB, relay.Message{Kind: relay.KindPong})
 			Expect(balancer.Isolated()).To(BeTrue())
 		})
 
 		It("does not take calm for being cut off", func() {
-			offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
-			placed(balancer, millisecond, offer.To, 1, 100)
+			offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
+			reportPlaced(balancer, millisecond, offer.To, 1, 100)
 			balancer.Tick(time.Minute)
-			Expect(sent(balancer.Tick(2 * time.Minute))).To(BeEmpty())
+			Expect(sentMessages(balancer.Tick(2 * time.Minute))).To(BeEmpty())
 			Expect(balancer.Isolated()).To(BeFalse())
 		})
 	})
 
 	It("forgets flows whose clients have closed them", func() {
-		offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
-		placed(balancer, 0, offer.To, 1, 100)
-		balancer.HandleClientPacket(millisecond, fromClient(1, segment.Acknowledge|segment.Finish, 101, 501, ""))
-		Expect(onlyMessage(balancer.HandleClientPacket(2*millisecond, fromClient(1, segment.Acknowledge, 102, 502, ""))).To).To(Equal(offer.To))
+		offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
+		reportPlaced(balancer, 0, offer.To, 1, 100)
+		balancer.HandleClientPacket(millisecond, clientPacket(1, segment.Acknowledge|segment.Finish, 101, 501, ""))
+		Expect(onlyMessage(balancer.HandleClientPacket(2*millisecond, clientPacket(1, segment.Acknowledge, 102, 502, ""))).To).To(Equal(offer.To))
 		balancer.Tick(10 * time.Second)
 		Expect(balancer.FlowCount()).To(BeZero())
 	})
--- a/internal/relay/capacity_test.go
+++ b/internal/relay/capacity_test.go
@@ -12,12 +12,12 @@
 
 var _ = Describe("Agent, telling what its endpoint works on", func() {
 	const work = 50 * millisecond
-	var agent *drivenAgent
+	var agent *testAgent
 
-	BeforeEach(func() { agent = drive(newAgent(true)) })
+	BeforeEach(func() { agent = newTestAgent(newAgent(true)) })
 
 	answerRequest := func(now time.Duration, number int) {
-		agent.HandleEndpointPacket(now, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
+		agent.HandleEndpointPacket(now, endpointPacket(number, segment.Acknowledge, 501, 108, "answer"))
 	}
 
 	It("counts requests at the endpoint, those that wait and those that are about to come", func() {
@@ -56,9 +56,9 @@
 		answerRequest(work, 0)
 		Expect(agent.Load().Pending).To(BeZero())
 		agent.offer(work, 1, 100)
-		agent.forward(work, relay.KindForward, fromClient(1, segment.Reset, 101, 0, ""))
+		agent.forward(work, relay.KindForward, clientPacket(1, segment.Reset, 101, 0, ""))
 		agent.answer(work, 1, 500)
-		agent.HandleEndpointPacket(work, fromEndpoint(1, segment.Reset, 501, 101, ""))
+		agent.HandleEndpointPacket(work, endpointPacket(1, segment.Reset, 501, 101, ""))
 		Expect(agent.Load().Pending).To(BeZero())
 	})
 
--- a/internal/relay/closed_zone_test.go
+++ b/internal/relay/closed_zone_test.go
@@ -16,8 +16,8 @@
 	return func(e *directory.Endpoint) { e.Zone = zone }
 }
 
-// zone closes a zone or opens it again.
-func (f *fleet) zone(now time.Duration, name string, closed bool) {
+// setZone closes a setZone or opens it again.
+func (f *directoryBuilder) setZone(now time.Duration, name string, closed bool) {
 	f.revision++
 	f.machine.Changes(now, []directory.Item{{Key: name, Zone: name, Closed: closed, Revision: f.revision}}, f.revision)
 }
@@ -25,124 +25,124 @@
 var _ = Describe("Balancer, with a closed zone", func() {
 	var (
 		balancer *relay.Balancer
-		known    *fleet
+		builder  *directoryBuilder
 	)
 
-	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, known.machine.Snapshot()) }
+	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.machine.Snapshot()) }
 	closeZone := func(now time.Duration, zone string) {
-		known.zone(now, zone, true)
+		builder.setZone(now, zone, true)
 		install(now)
 	}
 	returnedBy := func(now time.Duration, agent segment.Address, lastResort bool) []relay.Effect {
 		return balancer.Receive(now, agent, relay.Message{
-			Kind: relay.KindReturned, Service: service, LastResort: lastResort, Packet: opening(1, 100),
+			Kind: relay.KindReturned, Service: service, LastResort: lastResort, Packet: openingPacket(1, 100),
 		})
 	}
 	offeredTo := func(effects []relay.Effect) []segment.Address {
 		var agents []segment.Address
-		for _, each := range sent(effects) {
+		for _, each := range sentMessages(effects) {
 			if each.Message.Kind == relay.KindOffer {
 				agents = append(agents, each.To)
 			}
 		}
 		return agents
 	}
-	opened, shut := agentAddress(0), agentAddress(1)
+	openAgent, closedAgent := agentAddress(0), agentAddress(1)
 
 	BeforeEach(func() {
 		balancer = newBalancer()
-		known = newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
-		known.endpoint(0, 0, inZone(ownZone))
-		known.endpoint(0, 1, inZone(otherZone))
+		builder = newDirectoryBuilder()
+		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.putEndpoint(0, 0, inZone(ownZone))
+		builder.putEndpoint(0, 1, inZone(otherZone))
 	})
 
 	It("offers new flows to the endpoints of other zones only, and again once it is open", func() {
 		closeZone(0, otherZone)
 		for number := range 20 {
-			Expect(offeredTo(balancer.HandleClientPacket(0, opening(number, 100)))).To(Equal([]segment.Address{opened}))
+			Expect(offeredTo(balancer.HandleClientPacket(0, openingPacket(number, 100)))).To(Equal([]segment.Address{openAgent}))
 		}
-		known.zone(time.Second, otherZone, false)
+		builder.setZone(time.Second, otherZone, false)
 		install(time.Second)
-		Expect(offeredTo(balancer.HandleClientPacket(time.Second, opening(21, 100)))).To(Equal([]segment.Address{shut}))
+		Expect(offeredTo(balancer.HandleClientPacket(time.Second, openingPacket(21, 100)))).To(Equal([]segment.Address{closedAgent}))
 	})
 
 	It("makes no further offer to it when others return a flow or are silent", func() {
 		closeZone(0, otherZone)
-		balancer.HandleClientPacket(0, opening(1, 100))
+		balancer.HandleClientPacket(0, openingPacket(1, 100))
 		Expect(offeredTo(balancer.Tick(50 * millisecond))).To(BeEmpty())
-		effects := returnedBy(60*millisecond, opened, false)
+		effects := returnedBy(60*millisecond, openAgent, false)
 		Expect(offeredTo(effects)).To(BeEmpty())
-		Expect(resets(effects)).To(HaveLen(1))
+		Expect(resetHeaders(effects)).To(HaveLen(1))
 	})
 
 	It("does not ask an endpoint there as the last resort that has returned the flow before", func() {
-		known.endpoint(0, 2, inZone(ownZone))
+		builder.putEndpoint(0, 2, inZone(ownZone))
 		install(0)
-		tried := offeredTo(balancer.HandleClientPacket(0, opening(1, 100)))
+		tried := offeredTo(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		for len(tried) < 3 {
 			last := tried[len(tried)-1]
-			tried = append(tried, offeredTo(returnedBy(millisecond, last, last == shut))...)
+			tried = append(tried, offeredTo(returnedBy(millisecond, last, last == closedAgent))...)
 		}
 		closeZone(millisecond, otherZone)
-		effects := returnedBy(2*millisecond, tried[2], tried[2] == shut)
+		effects := returnedBy(2*millisecond, tried[2], tried[2] == closedAgent)
 		Expect(offeredTo(effects)).To(BeEmpty())
-		Expect(resets(effects)).To(HaveLen(1))
+		Expect(resetHeaders(effects)).To(HaveLen(1))
 	})
 
 	It("offers a copy of an opening packet elsewhere if the zone was closed since the first", func() {
-		known.endpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
+		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 		install(0)
-		Expect(offeredTo(balancer.HandleClientPacket(0, opening(1, 100)))).To(Equal([]segment.Address{shut}))
-		known.endpoint(0, 2, inZone(ownZone))
+		Expect(offeredTo(balancer.HandleClientPacket(0, openingPacket(1, 100)))).To(Equal([]segment.Address{closedAgent}))
+		builder.putEndpoint(0, 2, inZone(ownZone))
 		closeZone(100*millisecond, otherZone)
-		copied := balancer.HandleClientPacket(200*millisecond, fromClient(1, segment.Synchronize, 100, 1, ""))
+		copied := balancer.HandleClientPacket(200*millisecond, clientPacket(1, segment.Synchronize, 100, 1, ""))
 		Expect(offeredTo(copied)).To(Equal([]segment.Address{agentAddress(2)}))
 	})
 
 	It("offers a packet that came before the directory was known to another zone", func() {
-		balancer.HandleClientPacket(0, opening(1, 100))
-		known.zone(0, otherZone, true)
-		Expect(offeredTo(install(10 * millisecond))).To(Equal([]segment.Address{opened}))
+		balancer.HandleClientPacket(0, openingPacket(1, 100))
+		builder.setZone(0, otherZone, true)
+		Expect(offeredTo(install(10 * millisecond))).To(Equal([]segment.Address{openAgent}))
 	})
 
 	It("doubts the store about lapsed entries of other zones only", func() {
 		install(0)
 		closeZone(0, otherZone)
-		known.gone(0, 0)
-		known.gone(0, 1)
+		builder.remove(0, 0)
+		builder.remove(0, 1)
 		install(0)
 		for number := range 10 {
-			Expect(offeredTo(balancer.HandleClientPacket(millisecond, opening(number, 100)))).To(Equal([]segment.Address{opened}))
+			Expect(offeredTo(balancer.HandleClientPacket(millisecond, openingPacket(number, 100)))).To(Equal([]segment.Address{openAgent}))
 		}
 	})
 
 	It("refuses a flow at once if all endpoints of its service are in it", func() {
-		known.gone(0, 0)
+		builder.remove(0, 0)
 		closeZone(0, otherZone)
-		effects := balancer.HandleClientPacket(10*time.Second, opening(1, 100))
-		Expect(sent(effects)).To(BeEmpty())
-		Expect(resets(effects)).To(HaveLen(1))
+		effects := balancer.HandleClientPacket(10*time.Second, openingPacket(1, 100))
+		Expect(sentMessages(effects)).To(BeEmpty())
+		Expect(resetHeaders(effects)).To(HaveLen(1))
 		Expect(effects[0].Event.Reason).To(Equal("zone_closed"))
 	})
 
 	It("gives new flows to another service of the route if all endpoints of one are in it", func() {
-		known.endpoint(0, 0, func(e *directory.Endpoint) { e.Service = otherService })
-		known.configure(directory.Share{Service: service, Weight: 9}, directory.Share{Service: otherService, Weight: 1})
+		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Service = otherService })
+		builder.configure(directory.Share{Service: service, Weight: 9}, directory.Share{Service: otherService, Weight: 1})
 		closeZone(0, otherZone)
 		for number := range 10 {
-			Expect(offeredTo(balancer.HandleClientPacket(0, opening(number, 100)))).To(Equal([]segment.Address{opened}))
+			Expect(offeredTo(balancer.HandleClientPacket(0, openingPacket(number, 100)))).To(Equal([]segment.Address{openAgent}))
 		}
 	})
 
 	It("carries on the open flows of its endpoints", func() {
-		known.endpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
+		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 		install(0)
-		balancer.HandleClientPacket(0, opening(1, 100))
-		balancer.Receive(0, shut, relay.Message{Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 100})
+		balancer.HandleClientPacket(0, openingPacket(1, 100))
+		balancer.Receive(0, closedAgent, relay.Message{Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 100})
 		closeZone(time.Second, otherZone)
-		forward := onlyMessage(balancer.HandleClientPacket(2*time.Second, fromClient(1, segment.Acknowledge, 101, 501, "request")))
-		Expect(forward.To).To(Equal(shut))
+		forward := onlyMessage(balancer.HandleClientPacket(2*time.Second, clientPacket(1, segment.Acknowledge, 101, 501, "request")))
+		Expect(forward.To).To(Equal(closedAgent))
 		Expect(forward.Message.Kind).To(Equal(relay.KindForward))
 	})
 })
--- a/internal/relay/coldstart_test.go
+++ b/internal/relay/coldstart_test.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	coldRate  = 12.0
-	coldLasts = 2 * time.Second
+	coldRate   = 12.0
+	warmupTime = 2 * time.Second
 )
 
-// coldBound is what the agents of the specs may exceed the rate by.
-var coldBound = relay.ColdStartLimit{Overrun: 1.5, Slack: 5}
+// coldStartLimit is what the agents of the specs may exceed the rate by.
+var coldStartLimit = relay.ColdStartLimit{Overrun: 1.5, Slack: 5}
 
 func newColdAgent(complete bool, bound relay.ColdStartLimit) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
@@ -30,55 +30,55 @@
 // coldEndpoint is an agent under more flows than its endpoint carries, and what the
 // endpoint got.
 type coldEndpoint struct {
-	agent  *relay.Agent
-	number int
-	// told is what balancers tell of the endpoint.
-	told     relay.ColdStart
-	priority uint8
-	got      []time.Duration
+	agent      *relay.Agent
+	lastNumber int
+	// coldStart is what balancers tell of the endpoint.
+	coldStart   relay.ColdStart
+	priority    uint8
+	deliveredAt []time.Duration
 	// down is set while the endpoint answers nothing or, with bounces, takes nothing.
-	down    bool
-	bounces bool
+	down           bool
+	returnsPackets bool
 }
 
 func (c *coldEndpoint) offer(now time.Duration) []relay.Effect {
-	c.number++
-	return c.deliver(now, c.number, 0)
+	c.lastNumber++
+	return c.offerCopy(now, c.lastNumber, 0)
 }
 
-// deliver offers a copy of the opening packet with a number.
-func (c *coldEndpoint) deliver(now time.Duration, number int, copied uint32) []relay.Effect {
+// offerCopy offers a copy of the opening packet with a number.
+func (c *coldEndpoint) offerCopy(now time.Duration, number int, copied uint32) []relay.Effect {
 	effects := c.agent.Receive(now, balancerA, relay.Message{
-		Kind: relay.KindOffer, Service: service, Parameters: relay.FlowParameters{ColdStart: c.told, Priority: c.priority},
-		Packet: fromClient(number, segment.Synchronize, 100, copied, ""),
+		Kind: relay.KindOffer, Service: service, Parameters: relay.FlowParameters{ColdStart: c.coldStart, Priority: c.priority},
+		Packet: clientPacket(number, segment.Synchronize, 100, copied, ""),
 	})
-	if len(ofKind(effects, relay.EffectSendToEndpoint)) > 0 {
-		if c.down && c.bounces {
-			packet := fromClient(number, segment.Synchronize, 100, copied, "")
+	if len(effectsOfKind(effects, relay.EffectSendToEndpoint)) > 0 {
+		if c.down && c.returnsPackets {
+			packet := clientPacket(number, segment.Synchronize, 100, copied, "")
 			codec.MarkReturned(packet)
 			return append(effects, c.agent.HandleEndpointPacket(now, packet)...)
 		}
-		c.got = append(c.got, now)
+		c.deliveredAt = append(c.deliveredAt, now)
 		if !c.down {
-			c.agent.HandleEndpointPacket(now, fromEndpoint(number, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
+			c.agent.HandleEndpointPacket(now, endpointPacket(number, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
 		}
 	}
 	return effects
 }
 
-// press offers a flow in each millisecond of a time.
-func (c *coldEndpoint) press(from, to time.Duration) {
+// offerContinuously offers a flow in each millisecond of a time.
+func (c *coldEndpoint) offerContinuously(from, to time.Duration) {
 	for now := from; now < to; now += millisecond {
 		c.offer(now)
 	}
 }
 
-// most returns the largest number of flows that the endpoint got in any second of a time.
-func (c *coldEndpoint) most(from, to time.Duration) int {
+// maxPerSecond returns the largest number of flows that the endpoint got in any second of a time.
+func (c *coldEndpoint) maxPerSecond(from, to time.Duration) int {
 	most := 0
-	for index, first := range c.got {
+	for index, first := range c.deliveredAt {
 		count := 0
-		for _, later := range c.got[index:] {
+		for _, later := range c.deliveredAt[index:] {
 			if first >= from && later <= first+time.Second && later < to {
 				count++
 			}
@@ -90,32 +90,32 @@
 
 var _ = Describe("Agent, beside a cold endpoint", func() {
 	rate := uint32(coldRate * 1000)
-	told := func(remains time.Duration, revision uint64) relay.ColdStart {
+	coldStart := func(remains time.Duration, revision uint64) relay.ColdStart {
 		return relay.ColdStart{
-			Rate: rate, WarmupTime: uint32(coldLasts.Milliseconds()), Remaining: uint32(remains.Milliseconds()), Revision: revision,
+			Rate: rate, WarmupTime: uint32(warmupTime.Milliseconds()), Remaining: uint32(remains.Milliseconds()), Revision: revision,
 		}
 	}
-	allowed := int(coldBound.Overrun*coldRate + coldBound.Slack)
+	allowed := int(coldStartLimit.Overrun*coldRate + coldStartLimit.Slack)
 
 	It("gives it its rate in the long run and never more than the bound, then all", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(true, coldBound), told: told(coldLasts, 7)}
-		endpoint.press(0, time.Second)
-		endpoint.told = told(time.Second, 7)
-		endpoint.press(time.Second, coldLasts)
-		Expect(endpoint.most(0, coldLasts)).To(BeNumerically("<=", allowed))
-		Expect(len(endpoint.got)).To(BeNumerically("~", 2*coldRate, 3))
-		endpoint.told = told(0, 7)
-		endpoint.press(coldLasts, coldLasts+100*millisecond)
-		Expect(len(endpoint.got)).To(BeNumerically(">", 100))
+		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(warmupTime, 7)}
+		endpoint.offerContinuously(0, time.Second)
+		endpoint.coldStart = coldStart(time.Second, 7)
+		endpoint.offerContinuously(time.Second, warmupTime)
+		Expect(endpoint.maxPerSecond(0, warmupTime)).To(BeNumerically("<=", allowed))
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically("~", 2*coldRate, 3))
+		endpoint.coldStart = coldStart(0, 7)
+		endpoint.offerContinuously(warmupTime, warmupTime+100*millisecond)
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">", 100))
 	})
 
 	DescribeTable("keeps to other bounds", func(bound relay.ColdStartLimit, perSecond float64) {
-		cold := told(coldLasts, 7)
+		cold := coldStart(warmupTime, 7)
 		cold.Rate = uint32(perSecond * 1000)
-		endpoint := &coldEndpoint{agent: newColdAgent(true, bound), told: cold}
-		endpoint.press(0, coldLasts)
-		Expect(endpoint.most(0, coldLasts)).To(BeNumerically("<=", bound.Overrun*perSecond+bound.Slack))
-		Expect(len(endpoint.got)).To(BeNumerically(">=", perSecond*coldLasts.Seconds()/2))
+		endpoint := &coldEndpoint{agent: newColdAgent(true, bound), coldStart: cold}
+		endpoint.offerContinuously(0, warmupTime)
+		Expect(endpoint.maxPerSecond(0, warmupTime)).To(BeNumerically("<=", bound.Overrun*perSecond+bound.Slack))
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">=", perSecond*warmupTime.Seconds()/2))
 	},
 		Entry("no slack", relay.ColdStartLimit{Overrun: 1}, 8.0),
 		Entry("a factor only", relay.ColdStartLimit{Overrun: 1.5}, 20.0),
@@ -123,87 +123,87 @@
 	)
 
 	It("keeps to the bound though it is restarted itself and does not know what it let through", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(true, coldBound), told: told(coldLasts, 7)}
-		endpoint.press(0, 500*millisecond)
-		endpoint.agent = newColdAgent(false, coldBound)
-		endpoint.told = told(1500*millisecond, 7)
-		endpoint.press(500*millisecond, coldLasts)
-		Expect(endpoint.most(0, coldLasts)).To(BeNumerically("<=", allowed))
+		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(warmupTime, 7)}
+		endpoint.offerContinuously(0, 500*millisecond)
+		endpoint.agent = newColdAgent(false, coldStartLimit)
+		endpoint.coldStart = coldStart(1500*millisecond, 7)
+		endpoint.offerContinuously(500*millisecond, warmupTime)
+		Expect(endpoint.maxPerSecond(0, warmupTime)).To(BeNumerically("<=", allowed))
 	})
 
 	It("takes its endpoint for cold after its own start, until it is told of a start that was", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(false, coldBound), told: told(0, 3)}
-		endpoint.press(0, time.Second)
-		Expect(len(endpoint.got)).To(BeNumerically("<=", allowed))
-		endpoint.told = told(500*millisecond, 9)
-		endpoint.press(time.Second, 1500*millisecond)
-		Expect(len(endpoint.got)).To(BeNumerically("<=", allowed+int(coldRate)))
-		endpoint.press(1501*millisecond, 1600*millisecond)
-		Expect(len(endpoint.got)).To(BeNumerically(">", 100), "the entry tells when it is warm")
+		endpoint := &coldEndpoint{agent: newColdAgent(false, coldStartLimit), coldStart: coldStart(0, 3)}
+		endpoint.offerContinuously(0, time.Second)
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", allowed))
+		endpoint.coldStart = coldStart(500*millisecond, 9)
+		endpoint.offerContinuously(time.Second, 1500*millisecond)
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", allowed+int(coldRate)))
+		endpoint.offerContinuously(1501*millisecond, 1600*millisecond)
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">", 100), "the entry tells when it is warm")
 	})
 
 	It("limits it again when it becomes cold again, as its entry tells", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(true, coldBound), told: told(0, 3)}
-		endpoint.press(0, 100*millisecond)
-		Expect(len(endpoint.got)).To(Equal(100))
-		endpoint.told = told(coldLasts, 8)
-		endpoint.press(10*time.Second, 11*time.Second)
-		Expect(len(endpoint.got)).To(BeNumerically("<=", 100+allowed))
+		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(0, 3)}
+		endpoint.offerContinuously(0, 100*millisecond)
+		Expect(len(endpoint.deliveredAt)).To(Equal(100))
+		endpoint.coldStart = coldStart(warmupTime, 8)
+		endpoint.offerContinuously(10*time.Second, 11*time.Second)
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", 100+allowed))
 	})
 
 	It("does not believe an older entry that says it is warm, nor a later word of the same for longer", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(true, coldBound), told: told(coldLasts, 8)}
+		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(warmupTime, 8)}
 		endpoint.offer(0)
-		endpoint.told = told(0, 3)
-		endpoint.press(0, time.Second)
-		Expect(len(endpoint.got)).To(BeNumerically("<=", allowed))
-		endpoint.told = told(coldLasts, 8)
-		endpoint.press(coldLasts, coldLasts+100*millisecond)
-		Expect(len(endpoint.got)).To(BeNumerically(">", 100))
+		endpoint.coldStart = coldStart(0, 3)
+		endpoint.offerContinuously(0, time.Second)
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", allowed))
+		endpoint.coldStart = coldStart(warmupTime, 8)
+		endpoint.offerContinuously(warmupTime, warmupTime+100*millisecond)
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">", 100))
 	})
 
 	It("limits an endpoint that answers again after a silence, before its entry tells of the start", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(true, coldBound), told: told(0, 3)}
-		endpoint.press(0, 10*millisecond)
+		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(0, 3)}
+		endpoint.offerContinuously(0, 10*millisecond)
 		endpoint.down = true
 		endpoint.offer(time.Second)
 		endpoint.down = false
-		endpoint.press(2*time.Second, 3*time.Second)
-		Expect(endpoint.most(2*time.Second, 3*time.Second)).To(BeNumerically("<=", allowed))
+		endpoint.offerContinuously(2*time.Second, 3*time.Second)
+		Expect(endpoint.maxPerSecond(2*time.Second, 3*time.Second)).To(BeNumerically("<=", allowed))
 	})
 
 	It("limits an endpoint that no longer knows a flow that it held", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(true, coldBound), told: told(0, 3)}
+		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(0, 3)}
 		endpoint.offer(0)
-		request := fromClient(1, segment.Acknowledge, 101, 501, "request")
+		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 		endpoint.agent.Receive(time.Second, balancerA, relay.Message{Kind: relay.KindForward, Service: service, Packet: request})
 		codec.MarkReturned(request)
 		endpoint.agent.HandleEndpointPacket(time.Second, request)
-		endpoint.press(time.Second, 2*time.Second)
-		Expect(endpoint.most(time.Second, 2*time.Second)).To(BeNumerically("<=", allowed))
+		endpoint.offerContinuously(time.Second, 2*time.Second)
+		Expect(endpoint.maxPerSecond(time.Second, 2*time.Second)).To(BeNumerically("<=", allowed))
 	})
 
 	It("counts the copies of opening packets that a restarted endpoint has not seen", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(true, coldBound), told: told(0, 3), down: true}
-		endpoint.press(0, 100*millisecond)
+		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(0, 3), down: true}
+		endpoint.offerContinuously(0, 100*millisecond)
 		endpoint.down = false
-		endpoint.deliver(400*millisecond, 1, 1)
-		before := len(endpoint.got)
+		endpoint.offerCopy(400*millisecond, 1, 1)
+		before := len(endpoint.deliveredAt)
 		for number := 2; number <= 100; number++ {
-			endpoint.deliver(401*millisecond, number, 1)
+			endpoint.offerCopy(401*millisecond, number, 1)
 		}
-		Expect(len(endpoint.got) - before).To(BeNumerically("<=", allowed))
+		Expect(len(endpoint.deliveredAt) - before).To(BeNumerically("<=", allowed))
 	})
 
 	It("gives the most urgent first, and the others something", func() {
 		const lasts = 5 * time.Second
-		endpoint := &coldEndpoint{agent: newColdAgent(true, coldBound), told: told(lasts, 7)}
+		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(lasts, 7)}
 		urgent, others := 0, 0
 		for now := time.Duration(0); now < lasts; now += millisecond {
 			endpoint.priority = uint8(1 + now/millisecond%2)
-			before := len(endpoint.got)
+			before := len(endpoint.deliveredAt)
 			endpoint.offer(now)
-			taken := len(endpoint.got) - before
+			taken := len(endpoint.deliveredAt) - before
 			if endpoint.priority == 1 {
 				urgent += taken
 			} else {
@@ -214,18 +214,18 @@
 		Expect(others).To(BeNumerically(">=", 4))
 	})
 
-	// relapsing is an endpoint that fails half a second after each start, for as long as it
+	// crashingEndpoint is an endpoint that fails half a second after each start, for as long as it
 	// gets more than it carries a second, and is away for a second.
-	type relapsing struct {
+	type crashingEndpoint struct {
 		coldEndpoint
-		carries int
-		started time.Duration
-		failed  time.Duration
-		falls   int
+		capacity int
+		started  time.Duration
+		failed   time.Duration
+		crashes  int
 	}
-	step := func(endpoint *relapsing, now time.Duration) {
+	step := func(endpoint *crashingEndpoint, now time.Duration) {
 		recent := 0
-		for _, at := range endpoint.got {
+		for _, at := range endpoint.deliveredAt {
 			if at >= endpoint.started && now-at <= time.Second {
 				recent++
 			}
@@ -234,12 +234,12 @@
 		case endpoint.down && now-endpoint.failed >= time.Second:
 			endpoint.down = false
 			endpoint.started = now
-		case !endpoint.down && now-endpoint.started < coldLasts && recent > endpoint.carries:
+		case !endpoint.down && now-endpoint.started < warmupTime && recent > endpoint.capacity:
 			endpoint.down = true
 			endpoint.failed = now
-			endpoint.falls++
-			if endpoint.bounces {
-				lost := fromClient(endpoint.number, segment.Acknowledge, 101, 501, "request")
+			endpoint.crashes++
+			if endpoint.returnsPackets {
+				lost := clientPacket(endpoint.lastNumber, segment.Acknowledge, 101, 501, "request")
 				endpoint.agent.Receive(now, balancerA, relay.Message{Kind: relay.KindForward, Service: service, Packet: lost})
 				codec.MarkReturned(lost)
 				endpoint.agent.HandleEndpointPacket(now, lost)
@@ -248,16 +248,16 @@
 		endpoint.offer(now)
 	}
 
-	DescribeTable("lets an endpoint recover whose rate nobody has told", func(carries int, bounces bool) {
-		endpoint := &relapsing{carries: carries}
-		endpoint.bounces = bounces
+	DescribeTable("lets an endpoint recover whose rate nobody has told", func(capacity int, returnsPackets bool) {
+		endpoint := &crashingEndpoint{capacity: capacity}
+		endpoint.returnsPackets = returnsPackets
 		endpoint.agent = newColdAgent(false, relay.ColdStartLimit{Overrun: 1})
 		for now := time.Duration(0); now < 12*time.Second; now += 5 * millisecond {
 			step(endpoint, now)
 		}
 		Expect(endpoint.down).To(BeFalse())
-		Expect(endpoint.falls).To(BeNumerically("<=", 2))
-		Expect(endpoint.most(11*time.Second, 12*time.Second)).To(BeNumerically(">", 100), "it gets all once it holds")
+		Expect(endpoint.crashes).To(BeNumerically("<=", 2))
+		Expect(endpoint.maxPerSecond(11*time.Second, 12*time.Second)).To(BeNumerically(">", 100), "it gets all once it holds")
 	},
 		Entry("8 a second", 8, false),
 		Entry("12 a second", 12, false),
@@ -269,31 +269,31 @@
 
 	It("does not bound an endpoint that fails long after its start", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(false, relay.ColdStartLimit{Overrun: 1})}
-		endpoint.press(0, 10*millisecond)
-		endpoint.press(20*time.Second, 20*time.Second+10*millisecond)
+		endpoint.offerContinuously(0, 10*millisecond)
+		endpoint.offerContinuously(20*time.Second, 20*time.Second+10*millisecond)
 		endpoint.down = true
-		endpoint.press(20*time.Second+10*millisecond, 20*time.Second+50*millisecond)
+		endpoint.offerContinuously(20*time.Second+10*millisecond, 20*time.Second+50*millisecond)
 		endpoint.down = false
-		endpoint.press(22*time.Second, 22*time.Second+100*millisecond)
-		Expect(endpoint.most(22*time.Second, 23*time.Second)).To(Equal(100))
+		endpoint.offerContinuously(22*time.Second, 22*time.Second+100*millisecond)
+		Expect(endpoint.maxPerSecond(22*time.Second, 23*time.Second)).To(Equal(100))
 	})
 
 	It("takes the flows that one restart has lost for one", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, relay.ColdStartLimit{Overrun: 1})}
-		endpoint.press(0, 10*millisecond)
+		endpoint.offerContinuously(0, 10*millisecond)
 		for number := 1; number <= 10; number++ {
-			request := fromClient(number, segment.Acknowledge, 101, 501, "request")
+			request := clientPacket(number, segment.Acknowledge, 101, 501, "request")
 			endpoint.agent.Receive(time.Second, balancerA, relay.Message{Kind: relay.KindForward, Service: service, Packet: request})
 			codec.MarkReturned(request)
 			endpoint.agent.HandleEndpointPacket(time.Second, request)
 		}
-		endpoint.press(time.Second, 1100*millisecond)
-		Expect(endpoint.got).To(HaveLen(110))
+		endpoint.offerContinuously(time.Second, 1100*millisecond)
+		Expect(endpoint.deliveredAt).To(HaveLen(110))
 	})
 
 	It("returns what is too much at once and tells for how long", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(true, coldBound), told: told(coldLasts, 7)}
-		endpoint.press(0, 100*millisecond)
+		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(warmupTime, 7)}
+		endpoint.offerContinuously(0, 100*millisecond)
 		answer := onlyMessage(endpoint.offer(100 * millisecond))
 		Expect(answer.Message.Kind).To(Equal(relay.KindReturned))
 		Expect(answer.Message.LastResort).To(BeFalse())
@@ -302,45 +302,45 @@
 	})
 
 	It("limits nothing where there is no rate", func() {
-		endpoint := &coldEndpoint{agent: newColdAgent(false, coldBound)}
-		endpoint.press(0, 100*millisecond)
-		Expect(endpoint.got).To(HaveLen(100))
+		endpoint := &coldEndpoint{agent: newColdAgent(false, coldStartLimit)}
+		endpoint.offerContinuously(0, 100*millisecond)
+		Expect(endpoint.deliveredAt).To(HaveLen(100))
 	})
 })
 
 var _ = Describe("Balancer, with cold endpoints", func() {
 	var (
 		balancer *relay.Balancer
-		known    *fleet
+		builder  *directoryBuilder
 	)
 
 	returned := func(now time.Duration, from segment.Address, number int, hold uint32) []relay.Effect {
 		return balancer.Receive(now, from, relay.Message{
-			Kind: relay.KindReturned, Service: service, Load: relay.Load{ColdWait: hold}, Packet: opening(number, 100),
+			Kind: relay.KindReturned, Service: service, Load: relay.Load{ColdWait: hold}, Packet: openingPacket(number, 100),
 		})
 	}
 
 	BeforeEach(func() {
 		balancer = newBalancer()
-		known = newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
-		known.version++
-		known.revision++
-		known.machine.Changes(0, []directory.Item{{Revision: known.revision, Configuration: &directory.Configuration{
-			Version: known.version,
+		builder = newDirectoryBuilder()
+		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.version++
+		builder.revision++
+		builder.machine.Changes(0, []directory.Item{{Revision: builder.revision, Configuration: &directory.Configuration{
+			Version: builder.version,
 			Routes: []directory.Route{{
 				IP: routeAddress.IP, Port: routeAddress.Port, Shares: []directory.Share{{Service: service, Weight: 1}},
 			}},
-			ColdStarts: []directory.ColdStart{{Service: service, Lasts: coldLasts, Rate: coldRate}},
-		}}}, known.revision)
+			ColdStarts: []directory.ColdStart{{Service: service, Lasts: warmupTime, Rate: coldRate}},
+		}}}, builder.revision)
 		for number := range 2 {
-			known.endpoint(0, number, func(e *directory.Endpoint) { e.Warming = coldLasts })
+			builder.putEndpoint(0, number, func(e *directory.Endpoint) { e.Warming = warmupTime })
 		}
-		balancer.Install(0, known.machine.Snapshot())
+		balancer.Install(0, builder.machine.Snapshot())
 	})
 
 	It("tells agents what their endpoints carry, for how long, and when that was announced", func() {
-		offer := onlyMessage(balancer.HandleClientPacket(500*millisecond, opening(1, 100)))
+		offer := onlyMessage(balancer.HandleClientPacket(500*millisecond, openingPacket(1, 100)))
 		Expect(offer.Message.Parameters.ColdStart.Rate).To(Equal(uint32(12000)))
 		Expect(offer.Message.Parameters.ColdStart.WarmupTime).To(Equal(uint32(2000)))
 		Expect(offer.Message.Parameters.ColdStart.Remaining).To(Equal(uint32(1500)))
@@ -348,32 +348,32 @@
 	})
 
 	It("offers a returned flow to another, and refuses at once what none takes for now", func() {
-		first := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
+		first := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		second := onlyMessage(returned(millisecond, first.To, 1, 80))
 		Expect(second.To).NotTo(Equal(first.To))
 		refused := returned(2*millisecond, second.To, 1, 50)
-		Expect(sent(refused)).To(BeEmpty())
-		Expect(resets(refused)).To(HaveLen(1))
-		Expect(ofKind(refused, relay.EffectEvent)[0].Event.Reason).To(Equal("cold"))
-		Expect(resets(balancer.HandleClientPacket(3*millisecond, opening(2, 100)))).To(HaveLen(1))
+		Expect(sentMessages(refused)).To(BeEmpty())
+		Expect(resetHeaders(refused)).To(HaveLen(1))
+		Expect(effectsOfKind(refused, relay.EffectEvent)[0].Event.Reason).To(Equal("cold"))
+		Expect(resetHeaders(balancer.HandleClientPacket(3*millisecond, openingPacket(2, 100)))).To(HaveLen(1))
 	})
 
 	It("offers flows again once an endpoint takes another", func() {
-		first := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
+		first := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		second := onlyMessage(returned(millisecond, first.To, 1, 80))
 		returned(2*millisecond, second.To, 1, 50)
-		Expect(onlyMessage(balancer.HandleClientPacket(60*millisecond, opening(3, 100))).To).To(Equal(second.To))
+		Expect(onlyMessage(balancer.HandleClientPacket(60*millisecond, openingPacket(3, 100))).To).To(Equal(second.To))
 	})
 
 	It("takes the endpoints of a zone that was opened again for cold before they say so", func() {
 		for number := range 2 {
-			known.endpoint(0, number, inZone(otherZone))
+			builder.putEndpoint(0, number, inZone(otherZone))
 		}
-		known.zone(time.Second, otherZone, true)
-		known.zone(5*time.Second, otherZone, false)
-		balancer.Install(5*time.Second, known.machine.Snapshot())
-		offer := onlyMessage(balancer.HandleClientPacket(5*time.Second, opening(1, 100)))
+		builder.setZone(time.Second, otherZone, true)
+		builder.setZone(5*time.Second, otherZone, false)
+		balancer.Install(5*time.Second, builder.machine.Snapshot())
+		offer := onlyMessage(balancer.HandleClientPacket(5*time.Second, openingPacket(1, 100)))
 		Expect(offer.Message.Parameters.ColdStart.Remaining).To(Equal(uint32(2000)))
-		Expect(offer.Message.Parameters.ColdStart.Revision).To(Equal(uint64(known.revision)))
+		Expect(offer.Message.Parameters.ColdStart.Revision).To(Equal(uint64(builder.revision)))
 	})
 })
--- a/internal/relay/ejection_test.go
+++ b/internal/relay/ejection_test.go
@@ -14,108 +14,108 @@
 )
 
 var _ = Describe("Agent, beside an endpoint whose answers are bad", func() {
-	var agent *drivenAgent
+	var agent *testAgent
 	number := 0
 
-	BeforeEach(func() { agent, number = drive(newAgent(true)), 0 })
+	BeforeEach(func() { agent, number = newTestAgent(newAgent(true)), 0 })
 
 	offerIn := func(zone string, now time.Duration, from segment.Address, insist bool) []relay.Effect {
 		number++
 		return agent.Receive(now, from, relay.Message{
-			Kind: relay.KindOffer, Service: service, Zone: zone, Parameters: agent.terms, IgnoreEjection: insist, Packet: opening(number, 100),
+			Kind: relay.KindOffer, Service: service, Zone: zone, Parameters: agent.terms, IgnoreEjection: insist, Packet: openingPacket(number, 100),
 		})
 	}
-	// answers lets the endpoint answer a new flow of a zone's balancer.
-	answers := func(now time.Duration, zone string, from segment.Address, data string) []relay.Effect {
+	// answerNewFlow lets the endpoint answer a new flow of a zone's balancer.
+	answerNewFlow := func(now time.Duration, zone string, from segment.Address, data string) []relay.Effect {
 		offerIn(zone, now, from, true)
 		agent.answer(now, number, 500)
-		agent.forward(now, relay.KindForward, fromClient(number, segment.Acknowledge, 101, 501, "request"))
-		return agent.HandleEndpointPacket(now, fromEndpoint(number, segment.Acknowledge, 501, 108, data))
+		agent.forward(now, relay.KindForward, clientPacket(number, segment.Acknowledge, 101, 501, "request"))
+		return agent.HandleEndpointPacket(now, endpointPacket(number, segment.Acknowledge, 501, 108, data))
 	}
-	returnsNew := func(zone string, now time.Duration) bool {
-		return len(delivered(offerIn(zone, now, balancerA, false))) == 0
+	returnsNewFlow := func(zone string, now time.Duration) bool {
+		return len(deliveredPackets(offerIn(zone, now, balancerA, false))) == 0
 	}
 
 	It("gives it no new flows and tells balancers of that at once", func() {
-		answers(0, ownZone, balancerA, segmenttest.FailureMark)
-		answers(0, otherZone, balancerB, segmenttest.FailureMark)
-		effects := answers(millisecond, ownZone, balancerA, segmenttest.FailureMark)
-		Expect(events(effects)).To(ContainElement(relay.EventEjected))
+		answerNewFlow(0, ownZone, balancerA, segmenttest.FailureMark)
+		answerNewFlow(0, otherZone, balancerB, segmenttest.FailureMark)
+		effects := answerNewFlow(millisecond, ownZone, balancerA, segmenttest.FailureMark)
+		Expect(eventKinds(effects)).To(ContainElement(relay.EventEjected))
 		for _, balancer := range []segment.Address{balancerA, balancerB} {
-			told := sentTo(balancer, effects)
-			Expect(told).To(HaveLen(1))
-			Expect(told[0].Message.Kind).To(Equal(relay.KindPong))
-			Expect(told[0].Message.Load.Report).To(Equal(outlier.Report{
+			notices := messagesTo(balancer, effects)
+			Expect(notices).To(HaveLen(1))
+			Expect(notices[0].Message.Kind).To(Equal(relay.KindPong))
+			Expect(notices[0].Message.Load.Report).To(Equal(outlier.Report{
 				Outcomes: 3, Failures: 3, Reason: outlier.Failure, Hold: 1000,
 			}))
 		}
-		Expect(returnsNew(ownZone, 2*millisecond)).To(BeTrue())
-		Expect(delivered(offerIn(ownZone, 2*millisecond, balancerA, true))).To(HaveLen(1), "a balancer insists")
+		Expect(returnsNewFlow(ownZone, 2*millisecond)).To(BeTrue())
+		Expect(deliveredPackets(offerIn(ownZone, 2*millisecond, balancerA, true))).To(HaveLen(1), "a balancer insists")
 	})
 
 	It("tells only the balancers of a zone whose clients alone get bad answers", func() {
-		answers(0, otherZone, balancerB, "answer")
+		answerNewFlow(0, otherZone, balancerB, "answer")
 		var effects []relay.Effect
 		for range 3 {
-			effects = answers(0, ownZone, balancerA, segmenttest.FailureMark)
+			effects = answerNewFlow(0, ownZone, balancerA, segmenttest.FailureMark)
 		}
-		Expect(sentTo(balancerA, effects)).To(HaveLen(1))
-		Expect(sentTo(balancerB, effects)).To(BeEmpty())
-		Expect(returnsNew(ownZone, millisecond)).To(BeTrue())
-		Expect(returnsNew(otherZone, millisecond)).To(BeFalse())
+		Expect(messagesTo(balancerA, effects)).To(HaveLen(1))
+		Expect(messagesTo(balancerB, effects)).To(BeEmpty())
+		Expect(returnsNewFlow(ownZone, millisecond)).To(BeTrue())
+		Expect(returnsNewFlow(otherZone, millisecond)).To(BeFalse())
 	})
 
 	It("spares it after a refusal for as long as it asks", func() {
-		answers(0, ownZone, balancerA, segmenttest.RefusalMark+"700")
-		Expect(returnsNew(ownZone, 699*millisecond)).To(BeTrue())
-		Expect(returnsNew(ownZone, 700*millisecond)).To(BeFalse())
+		answerNewFlow(0, ownZone, balancerA, segmenttest.RefusalMark+"700")
+		Expect(returnsNewFlow(ownZone, 699*millisecond)).To(BeTrue())
+		Expect(returnsNewFlow(ownZone, 700*millisecond)).To(BeFalse())
 	})
 
 	It("takes a reset before an answer for a bad one", func() {
 		for range 3 {
 			offerIn(ownZone, 0, balancerA, true)
 			agent.answer(0, number, 500)
-			agent.forward(0, relay.KindForward, fromClient(number, segment.Acknowledge, 101, 501, "request"))
-			agent.HandleEndpointPacket(0, fromEndpoint(number, segment.Reset, 501, 108, ""))
+			agent.forward(0, relay.KindForward, clientPacket(number, segment.Acknowledge, 101, 501, "request"))
+			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Reset, 501, 108, ""))
 		}
-		Expect(returnsNew(ownZone, 0)).To(BeTrue())
+		Expect(returnsNewFlow(ownZone, 0)).To(BeTrue())
 	})
 
 	It("reads an answer once, where it begins, whatever comes before or again", func() {
 		for range 6 {
 			offerIn(ownZone, 0, balancerA, true)
 			agent.answer(0, number, 500)
-			agent.forward(0, relay.KindForward, fromClient(number, segment.Acknowledge, 101, 501, "request"))
-			agent.HandleEndpointPacket(0, fromEndpoint(number, segment.Acknowledge, 507, 108, segmenttest.FailureMark+" in a body that came first"))
-			agent.HandleEndpointPacket(0, fromEndpoint(number, segment.Acknowledge, 501, 108, "answer"))
-			agent.HandleEndpointPacket(0, fromEndpoint(number, segment.Acknowledge, 501, 108, segmenttest.FailureMark))
+			agent.forward(0, relay.KindForward, clientPacket(number, segment.Acknowledge, 101, 501, "request"))
+			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, 507, 108, segmenttest.FailureMark+" in a body that came first"))
+			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, 501, 108, "answer"))
+			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, 501, 108, segmenttest.FailureMark))
 		}
-		Expect(returnsNew(ownZone, 0)).To(BeFalse())
+		Expect(returnsNewFlow(ownZone, 0)).To(BeFalse())
 		Expect(agent.Load().Report).To(Equal(outlier.Report{Outcomes: 6}))
 	})
 
 	It("reads the later answers of a flow that is kept", func() {
-		answers(0, ownZone, balancerA, "answer")
+		answerNewFlow(0, ownZone, balancerA, "answer")
 		next, written := uint32(108), uint32(507)
 		for range 3 {
-			agent.forward(0, relay.KindForward, fromClient(number, segment.Acknowledge, next, written, "request"))
+			agent.forward(0, relay.KindForward, clientPacket(number, segment.Acknowledge, next, written, "request"))
 			next += 7
-			agent.HandleEndpointPacket(0, fromEndpoint(number, segment.Acknowledge, written, next, segmenttest.FailureMark))
+			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, written, next, segmenttest.FailureMark))
 			written += uint32(len(segmenttest.FailureMark))
 		}
 		Expect(agent.Load().Report.Failures).To(BeEquivalentTo(3))
-		Expect(returnsNew(ownZone, 0)).To(BeTrue())
+		Expect(returnsNewFlow(ownZone, 0)).To(BeTrue())
 	})
 
 	It("tells balancers of an endpoint that returns a flow, once each", func() {
 		offerIn(otherZone, 0, balancerB, false)
 		agent.answer(0, number, 500)
 		offerIn(ownZone, 0, balancerA, false)
-		effects := agent.HandleEndpointPacket(0, returned(opening(number, 100)))
-		Expect(sentTo(balancerA, effects)).To(HaveLen(1))
-		Expect(sentTo(balancerA, effects)[0].Message.Kind).To(Equal(relay.KindReturned))
-		Expect(sentTo(balancerB, effects)).To(HaveLen(1))
-		Expect(sentTo(balancerB, effects)[0].Message.Load.Report.Held()).To(Equal(300 * millisecond))
+		effects := agent.HandleEndpointPacket(0, returnedCopy(openingPacket(number, 100)))
+		Expect(messagesTo(balancerA, effects)).To(HaveLen(1))
+		Expect(messagesTo(balancerA, effects)[0].Message.Kind).To(Equal(relay.KindReturned))
+		Expect(messagesTo(balancerB, effects)).To(HaveLen(1))
+		Expect(messagesTo(balancerB, effects)[0].Message.Load.Report.Held()).To(Equal(300 * millisecond))
 	})
 
 	It("notices without another packet that opening packets get no answer", func() {
@@ -123,7 +123,7 @@
 		offerIn(ownZone, millisecond, balancerA, false)
 		due := agent.NextTick(millisecond)
 		Expect(due).To(Equal(45 * millisecond))
-		Expect(sentTo(balancerA, agent.Tick(due))).To(HaveLen(1))
+		Expect(messagesTo(balancerA, agent.Tick(due))).To(HaveLen(1))
 	})
 })
 
@@ -131,17 +131,17 @@
 	const endpoints = 12
 	var (
 		balancer *relay.Balancer
-		known    *fleet
+		builder  *directoryBuilder
 		number   int
 	)
 
 	BeforeEach(func() {
-		balancer, known, number = newBalancer(), newFleet(), 0
-		known.configure(directory.Share{Service: service, Weight: 1})
+		balancer, builder, number = newBalancer(), newDirectoryBuilder(), 0
+		builder.configure(directory.Share{Service: service, Weight: 1})
 		for each := range endpoints {
-			known.endpoint(0, each, nil)
+			builder.putEndpoint(0, each, nil)
 		}
-		balancer.Install(0, known.machine.Snapshot())
+		balancer.Install(0, builder.machine.Snapshot())
 		balancer.MarkConfirmed(0)
 	})
 
@@ -153,11 +153,11 @@
 	failing := outlier.Report{Outcomes: 10, Failures: 6, Reason: outlier.Failure, Hold: 1000}
 	arrive := func(now time.Duration) []relay.Effect {
 		number++
-		return balancer.HandleClientPacket(now, opening(number, 100))
+		return balancer.HandleClientPacket(now, openingPacket(number, 100))
 	}
-	// offers counts the offers among effects by the number of the endpoint.
-	offers := func(effects []relay.Effect, counts map[int]int) {
-		for _, effect := range sent(effects) {
+	// countOffers counts the countOffers among effects by the number of the endpoint.
+	countOffers := func(effects []relay.Effect, counts map[int]int) {
+		for _, effect := range sentMessages(effects) {
 			if effect.Message.Kind == relay.KindOffer {
 				counts[int(effect.To.IP[3])]++
 			}
@@ -168,7 +168,7 @@
 	shareOf := func(endpoint int) float64 {
 		counts := make(map[int]int)
 		for range 240 {
-			offers(arrive(millisecond), counts)
+			countOffers(arrive(millisecond), counts)
 		}
 		return float64(counts[endpoint]) / (240 / endpoints)
 	}
@@ -180,7 +180,7 @@
 				now := time.Duration(number) * millisecond
 				effects := arrive(now)
 				for {
-					messages := sent(effects)
+					messages := sentMessages(effects)
 					if len(messages) == 0 {
 						refused++
 						break
@@ -188,11 +188,11 @@
 					attempts++
 					to := messages[0].To
 					if !returns(int(to.IP[3])) {
-						placed(balancer, now, to, number, 100)
+						reportPlaced(balancer, now, to, number, 100)
 						break
 					}
 					effects = balancer.Receive(now, to, relay.Message{
-						Kind: relay.KindReturned, Service: service, Packet: opening(number, 100),
+						Kind: relay.KindReturned, Service: service, Packet: openingPacket(number, 100),
 					})
 				}
 			}
@@ -207,25 +207,25 @@
 	It("refuses a flow at once that every endpoint returns", func() {
 		effects := arrive(0)
 		for range endpoints - 1 {
-			to := sent(effects)[0].To
-			effects = balancer.Receive(0, to, relay.Message{Kind: relay.KindReturned, Service: service, Packet: opening(number, 100)})
-			Expect(resets(effects)).To(BeEmpty())
+			to := sentMessages(effects)[0].To
+			effects = balancer.Receive(0, to, relay.Message{Kind: relay.KindReturned, Service: service, Packet: openingPacket(number, 100)})
+			Expect(resetHeaders(effects)).To(BeEmpty())
 		}
-		to := sent(effects)[0].To
-		effects = balancer.Receive(0, to, relay.Message{Kind: relay.KindReturned, Service: service, Packet: opening(number, 100)})
-		Expect(resets(effects)).To(HaveLen(1))
-		Expect(sent(arrive(millisecond))).To(HaveLen(1), "the next flow is a trial")
+		to := sentMessages(effects)[0].To
+		effects = balancer.Receive(0, to, relay.Message{Kind: relay.KindReturned, Service: service, Packet: openingPacket(number, 100)})
+		Expect(resetHeaders(effects)).To(HaveLen(1))
+		Expect(sentMessages(arrive(millisecond))).To(HaveLen(1), "the next flow is a trial")
 	})
 
 	It("gives no new flow to an endpoint that its agent holds back, until that ends", func() {
 		report(0, 3, failing)
 		counts := make(map[int]int)
 		for range 120 {
-			offers(arrive(millisecond), counts)
+			countOffers(arrive(millisecond), counts)
 		}
 		Expect(counts).To(HaveLen(endpoints - 1))
 		Expect(counts).NotTo(HaveKey(3))
-		offers(arrive(1001*millisecond), counts)
+		countOffers(arrive(1001*millisecond), counts)
 		Expect(counts).To(HaveKeyWithValue(3, 1))
 	})
 
@@ -237,7 +237,7 @@
 		counts := make(map[int]int)
 		for range 120 {
 			effects := arrive(millisecond)
-			offers(effects, counts)
+			countOffers(effects, counts)
 			if onlyMessage(effects).Message.IgnoreEjection {
 				insisted++
 			}
@@ -263,31 +263,31 @@
 			message := onlyMessage(effects)
 			Expect(message.Message.IgnoreEjection).To(BeFalse())
 			effects = balancer.Receive(millisecond, message.To, relay.Message{
-				Kind: relay.KindReturned, Service: service, LastResort: true, Packet: opening(number, 100),
+				Kind: relay.KindReturned, Service: service, LastResort: true, Packet: openingPacket(number, 100),
 				Load: relay.Load{Report: outlier.Report{Reason: outlier.Return, Hold: 299}},
 			})
 		}
 		lastResort := onlyMessage(effects)
 		Expect(lastResort.Message.LastResort).To(BeTrue())
 		effects = balancer.Receive(millisecond, lastResort.To, relay.Message{
-			Kind: relay.KindReturned, Service: service, Packet: opening(number, 100),
+			Kind: relay.KindReturned, Service: service, Packet: openingPacket(number, 100),
 		})
-		Expect(resets(effects)).To(HaveLen(1))
+		Expect(resetHeaders(effects)).To(HaveLen(1))
 	})
 
 	It("does not believe an agent that counts more failures than outcomes", func() {
 		effects := report(0, 3, outlier.Report{Outcomes: 3, Failures: 9, Reason: outlier.Failure, Hold: 1000})
-		Expect(events(effects)).To(Equal([]relay.EventKind{relay.EventForged}))
+		Expect(eventKinds(effects)).To(Equal([]relay.EventKind{relay.EventForged}))
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
 
 	It("holds nothing against another endpoint at the address of one that was ejected", func() {
 		report(0, 3, failing)
-		known.gone(0, 3)
-		known.endpoint(0, endpoints, func(endpoint *directory.Endpoint) {
+		builder.remove(0, 3)
+		builder.putEndpoint(0, endpoints, func(endpoint *directory.Endpoint) {
 			endpoint.IP = endpointAddress(3).IP
 		})
-		balancer.Install(0, known.machine.Snapshot())
+		balancer.Install(0, builder.machine.Snapshot())
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
 
--- a/internal/relay/endpointpacket.go
+++ b/internal/relay/endpointpacket.go
@@ -9,140 +9,140 @@
 // HandleEndpointPacket handles a packet that the endpoint wrote or did not take. The
 // returned effects are valid until the next call.
 func (a *Agent) HandleEndpointPacket(now time.Duration, packet []byte) []Effect {
-	a.begin(now)
+	a.beginCall(now)
 	header, outcome := a.config.Codec.Decode(packet)
 	if outcome != segment.Decoded {
-		a.event(Event{Kind: EventMalformed, Reason: outcome.String()})
+		a.recordEvent(Event{Kind: EventMalformed, Reason: outcome.String()})
 		return a.effects
 	}
-	a.noteRelapse(a.cold.heard(now))
+	a.reportCrashLoop(a.coldStart.noteOutput(now))
 	if header.Flags.Has(segment.Returned) {
 		a.detector.Heard(now, false)
-		a.emittedReturned(now, header, packet)
+		a.handleReturned(now, header, packet)
 	} else {
 		a.detector.Heard(now, header.Flags.Has(segment.Synchronize))
-		a.emittedOwn(now, header, packet)
+		a.handleWritten(now, header, packet)
 	}
-	a.noteStarts(now)
-	a.tellChanges()
+	a.markWorkStarted(now)
+	a.reportStateChanges()
 	return a.effects
 }
 
-// noteRelapse records that the endpoint has failed soon after its start, if it has.
-func (a *Agent) noteRelapse(relapsed bool) {
+// reportCrashLoop records that the endpoint has failed soon after its start, if it has.
+func (a *Agent) reportCrashLoop(relapsed bool) {
 	if relapsed {
-		a.event(Event{Kind: EventRelapsed})
+		a.recordEvent(Event{Kind: EventRelapsed})
 	}
 }
 
-// emittedReturned handles a client's packet that the endpoint did not take.
-func (a *Agent) emittedReturned(now time.Duration, header segment.Header, packet []byte) {
+// handleReturned handles a client's packet that the endpoint did not take.
+func (a *Agent) handleReturned(now time.Duration, header segment.Header, packet []byte) {
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-	known, exists := a.flows[key]
+	flow, exists := a.flows[key]
 	a.config.Codec.ClearReturned(packet)
 	if header.Opening() {
-		a.returnedOpening(now, key, known, header, packet)
+		a.handleReturnedOpening(now, key, flow, header, packet)
 		return
 	}
 	if !exists {
 		return
 	}
-	before := known.state
-	a.forget(now, key)
-	a.flows[key] = &agentFlow{state: stateDenied, touched: now}
+	before := flow.state
+	a.forgetFlow(now, key)
+	a.flows[key] = &agentFlow{state: stateDenied, lastActivity: now}
 	switch before {
 	case stateOpen:
-		a.lost(now, key, known, header)
+		a.resetLostFlow(now, key, flow, header)
 	case stateProbed:
-		a.probedInVain(now, key, known, header, packet)
+		a.reportNotHeld(now, key, flow, header, packet)
 	}
 }
 
-// probedInVain tells the balancer of a flow that the endpoint does not hold it.
-func (a *Agent) probedInVain(now time.Duration, key segment.FlowKey, known *agentFlow, header segment.Header, packet []byte) {
-	if known.forwarded {
-		a.bringBack(known.prober, key, header, packet, "not_held")
+// reportNotHeld tells the balancer of a flow that the endpoint does not hold it.
+func (a *Agent) reportNotHeld(now time.Duration, key segment.FlowKey, flow *agentFlow, header segment.Header, packet []byte) {
+	if flow.probedByForward {
+		a.returnPacket(flow.prober, key, header, packet, "not_held")
 		return
 	}
-	a.event(Event{Kind: EventDenied, Flow: key, Peer: known.prober})
-	a.deny(now, known.prober, key)
+	a.recordEvent(Event{Kind: EventDenied, Flow: key, Peer: flow.prober})
+	a.deny(now, flow.prober, key)
 }
 
-func (a *Agent) returnedOpening(now time.Duration, key segment.FlowKey, known *agentFlow, header segment.Header, packet []byte) {
-	if known == nil || known.state != stateOffered || known.sequence != header.Sequence {
+func (a *Agent) handleReturnedOpening(now time.Duration, key segment.FlowKey, flow *agentFlow, header segment.Header, packet []byte) {
+	if flow == nil || flow.state != stateOffered || flow.clientISN != header.Sequence {
 		return
 	}
-	balancer := known.balancer
-	a.forget(now, key)
+	balancer := flow.balancer
+	a.forgetFlow(now, key)
 	a.detector.Returned(now)
-	a.bringBack(balancer, key, header, packet, "endpoint")
+	a.returnPacket(balancer, key, header, packet, "endpoint")
 }
 
-// emittedOwn handles a packet that the endpoint wrote.
-func (a *Agent) emittedOwn(now time.Duration, header segment.Header, packet []byte) {
+// handleWritten handles a packet that the endpoint wrote.
+func (a *Agent) handleWritten(now time.Duration, header segment.Header, packet []byte) {
 	key := segment.FlowKey{Client: header.Destination, Service: header.Source}
-	known, exists := a.flows[key]
-	if !exists || !known.running() && known.state != stateEnded {
-		known = a.adopt(now, key, header)
+	flow, exists := a.flows[key]
+	if !exists || !flow.active() && flow.state != stateEnded {
+		flow = a.adoptFlow(now, key, header)
 	}
-	known.touched = now
+	flow.lastActivity = now
 	if header.Flags.Has(segment.Synchronize) {
-		if a.cold.takes(now) {
+		if a.coldStart.noteAccepted(now) {
 			a.detector.Reset()
-			a.event(Event{Kind: EventRestarted})
-			a.noteRestart()
+			a.recordEvent(Event{Kind: EventRestarted})
+			a.probeAfterRestart()
 		}
-		a.answer(key, known, header)
+		a.handleOpeningAnswer(key, flow, header)
 	}
-	known.life = a.life
-	known.follow(header.Sequence)
-	a.wrote(now, known, header, packet)
+	flow.endpointIncarnation = a.endpointIncarnation
+	flow.advanceAckBase(header.Sequence)
+	a.noteWritten(now, flow, header, packet)
 	// An endpoint may end its side of the flow with the answer or, in another packet,
 	// before it.
 	if header.Length > 0 || header.Flags.Has(segment.Finish) {
-		a.measure(now, key, known)
-		a.responded(now, key, known)
+		a.measureServiceTime(now, key, flow)
+		a.noteResponse(now, key, flow)
 	}
 	if header.Flags.Has(segment.Finish) || header.Flags.Has(segment.Reset) {
-		a.end(now, known)
+		a.endFlow(now, flow)
 	}
 	a.effects = append(a.effects, Effect{Kind: EffectSendToClient, To: key.Client, Packet: packet})
 }
 
-// adopt remembers a flow that the endpoint turns out to hold.
-func (a *Agent) adopt(now time.Duration, key segment.FlowKey, header segment.Header) *agentFlow {
-	known := &agentFlow{state: stateOpen, touched: now, work: work{sent: header.Acknowledgment}}
+// adoptFlow remembers a flow that the endpoint turns out to hold.
+func (a *Agent) adoptFlow(now time.Duration, key segment.FlowKey, header segment.Header) *agentFlow {
+	flow := &agentFlow{state: stateOpen, lastActivity: now, request: requestState{sentEnd: header.Acknowledgment}}
 	if previous := a.flows[key]; previous != nil {
-		known.balancer = previous.balancer
-		known.work = previous.work
-		known.zone = previous.zone
+		flow.balancer = previous.balancer
+		flow.request = previous.request
+		flow.zone = previous.zone
 	}
 	if header.Flags.Has(segment.Synchronize) {
-		known.state = stateOffered
+		flow.state = stateOffered
 	}
-	a.flows[key] = known
-	a.running++
-	if known.work.given {
-		known.work.given = false
-		a.occupy(known.work.since, known)
+	a.flows[key] = flow
+	a.activeFlows++
+	if flow.request.givenBeforeOwned {
+		flow.request.givenBeforeOwned = false
+		a.occupySlot(flow.request.admittedAt, flow)
 	}
-	if !known.balancer.IsZero() && known.state == stateOpen {
-		a.send(known.balancer, Message{Kind: KindOwned, Service: a.config.Service, Flow: EncodeFlow(key), Load: a.Load()})
+	if !flow.balancer.IsZero() && flow.state == stateOpen {
+		a.send(flow.balancer, Message{Kind: KindOwned, Service: a.config.Service, Flow: EncodeFlow(key), Load: a.Load()})
 	}
-	return known
+	return flow
 }
 
-func (a *Agent) answer(key segment.FlowKey, known *agentFlow, header segment.Header) {
-	known.answer = header.Sequence
-	known.answered = true
-	if known.state != stateOffered {
+func (a *Agent) handleOpeningAnswer(key segment.FlowKey, flow *agentFlow, header segment.Header) {
+	flow.ackBase = header.Sequence
+	flow.ackBaseKnown = true
+	if flow.state != stateOffered {
 		return
 	}
-	known.state = stateAnswered
-	if known.balancer.IsZero() {
+	flow.state = stateAnswered
+	if flow.balancer.IsZero() {
 		return
 	}
-	a.send(known.balancer, Message{
-		Kind: KindPlaced, Service: a.config.Service, Flow: EncodeFlow(key), Sequence: known.sequence, Load: a.Load(),
+	a.send(flow.balancer, Message{
+		Kind: KindPlaced, Service: a.config.Service, Flow: EncodeFlow(key), Sequence: flow.clientISN, Load: a.Load(),
 	})
 }
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -43,24 +43,24 @@
 	return segment.Address{IP: [4]byte{100, 64, 0, byte(number >> 8)}, Port: uint16(40000 + number)}
 }
 
-func keyOf(number int) segment.FlowKey {
+func flowKey(number int) segment.FlowKey {
 	return segment.FlowKey{Client: clientAddress(number), Service: routeAddress}
 }
 
-// fromClient returns a packet of the client with a number.
-func fromClient(number int, flags segment.Flags, sequence, acknowledgment uint32, data string) []byte {
+// clientPacket returns a packet of the client with a number.
+func clientPacket(number int, flags segment.Flags, sequence, acknowledgment uint32, data string) []byte {
 	return codec.Encode(segment.Header{
 		Source: clientAddress(number), Destination: routeAddress,
 		Flags: flags, Sequence: sequence, Acknowledgment: acknowledgment,
 	}, []byte(data))
 }
 
-func opening(number int, sequence uint32) []byte {
-	return fromClient(number, segment.Synchronize, sequence, 0, "")
+func openingPacket(number int, sequence uint32) []byte {
+	return clientPacket(number, segment.Synchronize, sequence, 0, "")
 }
 
-// fromEndpoint returns a packet of an endpoint to the client with a number.
-func fromEndpoint(number int, flags segment.Flags, sequence, acknowledgment uint32, data string) []byte {
+// endpointPacket returns a packet of an endpoint to the client with a number.
+func endpointPacket(number int, flags segment.Flags, sequence, acknowledgment uint32, data string) []byte {
 	return codec.Encode(segment.Header{
 		Source: routeAddress, Destination: clientAddress(number),
 		Flags: flags, Sequence: sequence, Acknowledgment: acknowledgment,
@@ -73,16 +73,16 @@
 
 func agentAddress(number int) segment.Address { return endpointAddress(number).WithPort(agentPort) }
 
-// fleet builds snapshots of a directory.
-type fleet struct {
+// directoryBuilder builds snapshots of a directory.
+type directoryBuilder struct {
 	machine  *directory.Machine
 	revision directory.Revision
 	version  uint64
 }
 
-func newFleet() *fleet { return &fleet{machine: directory.New()} }
+func newDirectoryBuilder() *directoryBuilder { return &directoryBuilder{machine: directory.New()} }
 
-func (f *fleet) endpoint(now time.Duration, number int, change func(*directory.Endpoint)) {
+func (f *directoryBuilder) putEndpoint(now time.Duration, number int, change func(*directory.Endpoint)) {
 	f.revision++
 	value := &directory.Endpoint{
 		Service: service, IP: endpointAddress(number).IP, Port: endpointAddress(number).Port, Zone: ownZone, Slots: 4,
@@ -94,16 +94,16 @@
 	f.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: f.revision, Endpoint: value}}, f.revision)
 }
 
-func (f *fleet) gone(now time.Duration, number int) {
+func (f *directoryBuilder) remove(now time.Duration, number int) {
 	f.revision++
 	id := directory.Named(string(rune('a' + number)))
 	f.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: f.revision}}, f.revision)
 }
 
-// follow makes the directory reach back to a time.
-func (f *fleet) follow(since time.Duration) { f.machine.Listing(since, nil, 0) }
+// setSince makes the directory reach back to a time.
+func (f *directoryBuilder) setSince(since time.Duration) { f.machine.Listing(since, nil, 0) }
 
-func (f *fleet) configure(shares ...directory.Share) {
+func (f *directoryBuilder) configure(shares ...directory.Share) {
 	f.revision++
 	f.version++
 	configuration := &directory.Configuration{Version: f.version}
@@ -124,22 +124,22 @@
 	})
 }
 
-// balancerOfThree returns a balancer with a directory of three endpoints of a route.
-func balancerOfThree() (*relay.Balancer, *fleet) {
-	balancer, known := newBalancer(), newFleet()
-	known.configure(directory.Share{Service: service, Weight: 1})
+// newBalancerWithThreeEndpoints returns a balancer with a directory of three endpoints of a route.
+func newBalancerWithThreeEndpoints() (*relay.Balancer, *directoryBuilder) {
+	balancer, builder := newBalancer(), newDirectoryBuilder()
+	builder.configure(directory.Share{Service: service, Weight: 1})
 	for number := range 3 {
-		known.endpoint(0, number, nil)
+		builder.putEndpoint(0, number, nil)
 	}
-	balancer.Install(0, known.machine.Snapshot())
+	balancer.Install(0, builder.machine.Snapshot())
 	balancer.MarkConfirmed(0)
-	return balancer, known
+	return balancer, builder
 }
 
-// placed lets an agent tell a balancer that its endpoint has answered a flow.
-func placed(balancer *relay.Balancer, now time.Duration, agent segment.Address, number int, sequence uint32) []relay.Effect {
+// reportPlaced lets an agent tell a balancer that its endpoint has answered a flow.
+func reportPlaced(balancer *relay.Balancer, now time.Duration, agent segment.Address, number int, sequence uint32) []relay.Effect {
 	return balancer.Receive(now, agent, relay.Message{
-		Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(keyOf(number)), Sequence: sequence,
+		Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(flowKey(number)), Sequence: sequence,
 	})
 }
 
@@ -154,15 +154,17 @@
 	})
 }
 
-// sent returns the messages among effects, with their receivers.
-func sent(effects []relay.Effect) []relay.Effect { return ofKind(effects, relay.EffectSendMessage) }
+// sentMessages returns the messages among effects, with their receivers.
+func sentMessages(effects []relay.Effect) []relay.Effect {
+	return effectsOfKind(effects, relay.EffectSendMessage)
+}
 
-// sentTo returns the messages to one receiver.
-func sentTo(to segment.Address, effects []relay.Effect) []relay.Effect {
-	return slices.DeleteFunc(sent(effects), func(effect relay.Effect) bool { return effect.To != to })
+// messagesTo returns the messages to one receiver.
+func messagesTo(to segment.Address, effects []relay.Effect) []relay.Effect {
+	return slices.DeleteFunc(sentMessages(effects), func(effect relay.Effect) bool { return effect.To != to })
 }
 
-func ofKind(effects []relay.Effect, kind relay.EffectKind) []relay.Effect {
+func effectsOfKind(effects []relay.Effect, kind relay.EffectKind) []relay.Effect {
 	var found []relay.Effect
 	for _, effect := range effects {
 		if effect.Kind == kind {
@@ -175,23 +177,23 @@
 // onlyMessage expects exactly one message among the effects.
 func onlyMessage(effects []relay.Effect) relay.Effect {
 	GinkgoHelper()
-	messages := sent(effects)
+	messages := sentMessages(effects)
 	Expect(messages).To(HaveLen(1))
 	return messages[0]
 }
 
-func events(effects []relay.Effect) []relay.EventKind {
+func eventKinds(effects []relay.Effect) []relay.EventKind {
 	var kinds []relay.EventKind
-	for _, effect := range ofKind(effects, relay.EffectEvent) {
+	for _, effect := range effectsOfKind(effects, relay.EffectEvent) {
 		kinds = append(kinds, effect.Event.Kind)
 	}
 	return kinds
 }
 
-// resets returns the resets to clients among effects.
-func resets(effects []relay.Effect) []segment.Header {
+// resetHeaders returns the resetHeaders to clients among effects.
+func resetHeaders(effects []relay.Effect) []segment.Header {
 	var found []segment.Header
-	for _, effect := range ofKind(effects, relay.EffectSendToClient) {
+	for _, effect := range effectsOfKind(effects, relay.EffectSendToClient) {
 		header, _ := codec.Decode(effect.Packet)
 		if header.Flags.Has(segment.Reset) {
 			found = append(found, header)
@@ -200,45 +202,45 @@
 	return found
 }
 
-// drivenAgent is an agent with the inputs that specs give it.
-type drivenAgent struct {
+// testAgent is an agent with the inputs that specs give it.
+type testAgent struct {
 	*relay.Agent
 	// terms are those of what is offered, and lastResort is set if others have returned it.
 	terms      relay.FlowParameters
 	lastResort bool
 }
 
-func drive(agent *relay.Agent) *drivenAgent {
-	return &drivenAgent{Agent: agent, terms: relay.FlowParameters{Slots: 2, LatencyTarget: 250, Timeout: 2000}}
+func newTestAgent(agent *relay.Agent) *testAgent {
+	return &testAgent{Agent: agent, terms: relay.FlowParameters{Slots: 2, LatencyTarget: 250, Timeout: 2000}}
 }
 
-func (a *drivenAgent) offer(now time.Duration, number int, sequence uint32) []relay.Effect {
+func (a *testAgent) offer(now time.Duration, number int, sequence uint32) []relay.Effect {
 	return a.Receive(now, balancerA, relay.Message{
-		Kind: relay.KindOffer, Service: service, Parameters: a.terms, LastResort: a.lastResort, Packet: opening(number, sequence),
+		Kind: relay.KindOffer, Service: service, Parameters: a.terms, LastResort: a.lastResort, Packet: openingPacket(number, sequence),
 	})
 }
 
-func (a *drivenAgent) forward(now time.Duration, kind relay.MessageKind, packet []byte) []relay.Effect {
+func (a *testAgent) forward(now time.Duration, kind relay.MessageKind, packet []byte) []relay.Effect {
 	return a.Receive(now, balancerB, relay.Message{Kind: kind, Service: service, Packet: packet})
 }
 
-func (a *drivenAgent) locate(now time.Duration, packet []byte) []relay.Effect {
-	return a.Receive(now, balancerB, question(packet))
+func (a *testAgent) locate(now time.Duration, packet []byte) []relay.Effect {
+	return a.Receive(now, balancerB, locateQuery(packet))
 }
 
-func (a *drivenAgent) answer(now time.Duration, number int, sequence uint32) []relay.Effect {
-	return a.HandleEndpointPacket(now, fromEndpoint(number, segment.Synchronize|segment.Acknowledge, sequence, 101, ""))
+func (a *testAgent) answer(now time.Duration, number int, sequence uint32) []relay.Effect {
+	return a.HandleEndpointPacket(now, endpointPacket(number, segment.Synchronize|segment.Acknowledge, sequence, 101, ""))
 }
 
 // open opens a flow whose endpoint's initial sequence number is 500.
-func (a *drivenAgent) open(now time.Duration, number int) {
+func (a *testAgent) open(now time.Duration, number int) {
 	a.offer(now, number, 100)
 	a.answer(now, number, 500)
-	a.forward(now, relay.KindForward, fromClient(number, segment.Acknowledge, 101, 501, "request"))
+	a.forward(now, relay.KindForward, clientPacket(number, segment.Acknowledge, 101, 501, "request"))
 }
 
-// question is a search for the owner of a packet's flow.
-func question(packet []byte) relay.Message {
+// locateQuery is a search for the owner of a packet's flow.
+func locateQuery(packet []byte) relay.Message {
 	header, _ := codec.Decode(packet)
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 	return relay.Message{
@@ -247,13 +249,13 @@
 	}
 }
 
-// delivered returns what an agent gave its endpoint.
-func delivered(effects []relay.Effect) []relay.Effect {
-	return ofKind(effects, relay.EffectSendToEndpoint)
+// deliveredPackets returns what an agent gave its endpoint.
+func deliveredPackets(effects []relay.Effect) []relay.Effect {
+	return effectsOfKind(effects, relay.EffectSendToEndpoint)
 }
 
-// returned is a packet as an endpoint returns it that does not take it.
-func returned(packet []byte) []byte {
+// returnedCopy is a packet as an endpoint returns it that does not take it.
+func returnedCopy(packet []byte) []byte {
 	copied := append([]byte(nil), packet...)
 	codec.MarkReturned(copied)
 	return copied
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -11,16 +11,16 @@
 // FuzzReceive gives both parts any datagram as a message of another daemon.
 func FuzzReceive(f *testing.F) {
 	for kind := relay.KindOffer; kind <= relay.KindDrain; kind++ {
-		message := relay.Message{Kind: kind, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Packet: opening(1, 100)}
+		message := relay.Message{Kind: kind, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Packet: openingPacket(1, 100)}
 		encoded, err := message.MarshalMsg(nil)
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(encoded)
 	}
-	known := newFleet()
-	known.configure(directory.Share{Service: service, Weight: 1})
-	known.endpoint(0, 0, nil)
+	builder := newDirectoryBuilder()
+	builder.configure(directory.Share{Service: service, Weight: 1})
+	builder.putEndpoint(0, 0, nil)
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		var message relay.Message
 		if _, err := message.UnmarshalMsg(datagram); err != nil {
@@ -28,8 +28,8 @@
 		}
 		agent := newAgent(false)
 		balancer := newBalancer()
-		balancer.Install(0, known.machine.Snapshot())
-		balancer.HandleClientPacket(0, opening(1, 100))
+		balancer.Install(0, builder.machine.Snapshot())
+		balancer.HandleClientPacket(0, openingPacket(1, 100))
 		for step := range 3 {
 			now := time.Duration(step) * time.Second
 			agent.Receive(now, balancerA, message)
@@ -42,16 +42,16 @@
 
 // FuzzPacket gives both parts any datagram as a packet of a client or endpoint.
 func FuzzPacket(f *testing.F) {
-	f.Add(opening(1, 100))
-	f.Add(fromClient(1, 0xff, 1, 2, "data"))
-	f.Add(fromEndpoint(1, 0x03, 1, 2, ""))
+	f.Add(openingPacket(1, 100))
+	f.Add(clientPacket(1, 0xff, 1, 2, "data"))
+	f.Add(endpointPacket(1, 0x03, 1, 2, ""))
 	f.Add([]byte{})
-	known := newFleet()
-	known.configure(directory.Share{Service: service, Weight: 1})
-	known.endpoint(0, 0, nil)
+	builder := newDirectoryBuilder()
+	builder.configure(directory.Share{Service: service, Weight: 1})
+	builder.putEndpoint(0, 0, nil)
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		balancer := newBalancer()
-		balancer.Install(0, known.machine.Snapshot())
+		balancer.Install(0, builder.machine.Snapshot())
 		for step := range 3 {
 			balancer.HandleClientPacket(time.Duration(step)*time.Second, packet)
 		}
--- a/internal/relay/knownbalancers.go
+++ b/internal/relay/knownbalancers.go
@@ -8,12 +8,12 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// balancerLimit bounds the balancers that an agent remembers.
-const balancerLimit = 4096
+// maxKnownBalancers bounds the balancers that an agent remembers.
+const maxKnownBalancers = 4096
 
 // knownBalancer is a balancer that has sent this agent a message.
 type knownBalancer struct {
-	heard time.Duration
+	heardAt time.Duration
 	// zone is empty until it has offered a flow.
 	zone string
 }
@@ -24,24 +24,24 @@
 	return slices.SortedFunc(maps.Keys(a.balancers), segment.Address.Compare)
 }
 
-// balancerOf returns the balancer that a message came from, or for which another agent
+// originBalancer returns the balancer that a message came from, or for which another agent
 // sent it.
-func balancerOf(from segment.Address, message Message) segment.Address {
+func originBalancer(from segment.Address, message Message) segment.Address {
 	if replyTo := message.ReplyTo.Address(); !replyTo.IsZero() {
 		return replyTo
 	}
 	return from
 }
 
-// remember notes a balancer, which is told when the agent stops.
-func (a *Agent) remember(now time.Duration, balancer segment.Address, zone string) {
-	known, exists := a.balancers[balancer]
-	if !exists && len(a.balancers) >= balancerLimit {
+// rememberBalancer notes a balancer, which is told when the agent stops.
+func (a *Agent) rememberBalancer(now time.Duration, balancer segment.Address, zone string) {
+	record, exists := a.balancers[balancer]
+	if !exists && len(a.balancers) >= maxKnownBalancers {
 		return
 	}
 	if zone != "" {
-		known.zone = zone
+		record.zone = zone
 	}
-	known.heard = now
-	a.balancers[balancer] = known
+	record.heardAt = now
+	a.balancers[balancer] = record
 }
--- a/internal/relay/loadstats.go
+++ b/internal/relay/loadstats.go
@@ -18,9 +18,9 @@
 	PriorityKnown bool
 }
 
-// severalServices is the service of a flow for which none was chosen, on a route that has
+// multipleServices is the service of a flow for which none was chosen, on a route that has
 // several.
-const severalServices = "several"
+const multipleServices = "several"
 
 // QueueStats is what waits of a class.
 type QueueStats struct {
@@ -46,44 +46,44 @@
 func (l EndpointLoad) Capacity() float64 { return capacity(l.Slots, l.ResponseTime) }
 
 // capacity is that of slots with a mean time to an answer (Little's law).
-func capacity(slots uint32, pace time.Duration) float64 {
-	if pace <= 0 {
+func capacity(slots uint32, responseTime time.Duration) float64 {
+	if responseTime <= 0 {
 		return 0
 	}
-	return float64(slots) / pace.Seconds()
+	return float64(slots) / responseTime.Seconds()
 }
 
 // EndpointLoad returns how much the endpoint can do and what waits for it.
 func (a *Agent) EndpointLoad(now time.Duration) EndpointLoad {
-	observed := EndpointLoad{
-		Service: a.config.Service, Slots: a.pace.slots, Occupied: a.pace.occupied,
-		ResponseTime: time.Duration(a.pace.working * float64(time.Second)),
+	load := EndpointLoad{
+		Service: a.config.Service, Slots: a.usage.slots, Occupied: a.usage.occupied,
+		ResponseTime: time.Duration(a.usage.meanResponseTime * float64(time.Second)),
 		Waiting:      make(map[TrafficClass]QueueStats),
 	}
 	for _, waiting := range a.queue.waiting {
-		class := a.classOf(waiting.flow.work.terms)
-		sum := observed.Waiting[class]
-		sum.Requests++
-		sum.LongestWait = max(sum.LongestWait, now-waiting.flow.work.asked)
-		observed.Waiting[class] = sum
+		class := a.classOf(waiting.flow.request.parameters)
+		stats := load.Waiting[class]
+		stats.Requests++
+		stats.LongestWait = max(stats.LongestWait, now-waiting.flow.request.askedAt)
+		load.Waiting[class] = stats
 	}
-	return observed
+	return load
 }
 
-func (a *Agent) classOf(terms FlowParameters) TrafficClass {
-	if terms == (FlowParameters{}) {
+func (a *Agent) classOf(parameters FlowParameters) TrafficClass {
+	if parameters == (FlowParameters{}) {
 		return TrafficClass{Service: a.config.Service}
 	}
-	return TrafficClass{Service: a.config.Service, Priority: terms.Priority, PriorityKnown: true}
+	return TrafficClass{Service: a.config.Service, Priority: parameters.Priority, PriorityKnown: true}
 }
 
 // classify returns the class of an event: that of its flow or, if that is not known, of the
 // message in hand.
 func (a *Agent) classify(event Event) TrafficClass {
-	if known, exists := a.flows[event.Flow]; exists && known.work.terms != (FlowParameters{}) {
-		return a.classOf(known.work.terms)
+	if flow, exists := a.flows[event.Flow]; exists && flow.request.parameters != (FlowParameters{}) {
+		return a.classOf(flow.request.parameters)
 	}
-	return a.classOf(a.terms)
+	return a.classOf(a.currentParameters)
 }
 
 // ServiceLoad is what a balancer knows of the endpoints of a service that take new flows.
@@ -111,9 +111,9 @@
 		sum := sums[service]
 		sum.Endpoints++
 		sum.Slots += candidate.Endpoint.Slots
-		if pace := b.paceOf(candidate); pace > 0 {
+		if serviceTime := b.serviceTimeOf(candidate); serviceTime > 0 {
 			measured[service] += candidate.Endpoint.Slots
-			sum.Capacity += capacity(candidate.Endpoint.Slots, pace)
+			sum.Capacity += capacity(candidate.Endpoint.Slots, serviceTime)
 		}
 	}
 	for service, sum := range sums {
@@ -121,10 +121,10 @@
 			sum.Capacity *= float64(sum.Slots) / float64(measured[service])
 		}
 	}
-	return sorted(sums)
+	return sortedLoads(sums)
 }
 
-func sorted(sums map[string]*ServiceLoad) []ServiceLoad {
+func sortedLoads(sums map[string]*ServiceLoad) []ServiceLoad {
 	all := make([]ServiceLoad, 0, len(sums))
 	for sum := range maps.Values(sums) {
 		all = append(all, *sum)
@@ -133,13 +133,13 @@
 	return all
 }
 
-// paceOf returns the mean time to an answer of an endpoint, 0 if its agent has not told it.
-func (b *Balancer) paceOf(candidate directory.Candidate) time.Duration {
-	known, exists := b.health[candidate.ID]
+// serviceTimeOf returns the mean time to an answer of an endpoint, 0 if its agent has not told it.
+func (b *Balancer) serviceTimeOf(candidate directory.Candidate) time.Duration {
+	health, exists := b.health[candidate.ID]
 	if !exists {
 		return 0
 	}
-	return time.Duration(known.pace) * time.Microsecond
+	return time.Duration(health.serviceTime) * time.Microsecond
 }
 
 // classify returns the class of an event, that of its flow's route.
@@ -148,19 +148,19 @@
 	if !exists {
 		return TrafficClass{}
 	}
-	class := TrafficClass{Service: severalServices, Priority: route.Priority, PriorityKnown: true}
-	known, exists := b.flows[event.Flow]
+	class := TrafficClass{Service: multipleServices, Priority: route.Priority, PriorityKnown: true}
+	flow, exists := b.flows[event.Flow]
 	switch {
-	case exists && known.service != "":
-		class.Service = known.service
+	case exists && flow.service != "":
+		class.Service = flow.service
 	case len(route.Shares) == 1:
 		class.Service = route.Shares[0].Service
 	}
 	return class
 }
 
-// timed gives the events of a decision the time that ended with them.
-func (b *Balancer) timed(elapsed time.Duration, decide func()) {
+// withElapsed gives the events of a decision the time that ended with them.
+func (b *Balancer) withElapsed(elapsed time.Duration, decide func()) {
 	first := len(b.effects)
 	decide()
 	for index := first; index < len(b.effects); index++ {
--- a/internal/relay/loadstats_test.go
+++ b/internal/relay/loadstats_test.go
@@ -14,7 +14,7 @@
 // classesOf returns the classes of the events of a kind.
 func classesOf(effects []relay.Effect, kind relay.EventKind) []relay.TrafficClass {
 	var classes []relay.TrafficClass
-	for _, effect := range ofKind(effects, relay.EffectEvent) {
+	for _, effect := range effectsOfKind(effects, relay.EffectEvent) {
 		if effect.Event.Kind == kind {
 			classes = append(classes, effect.Event.Class)
 		}
@@ -27,14 +27,14 @@
 }
 
 var _ = Describe("Load of an endpoint", func() {
-	var agent *drivenAgent
+	var agent *testAgent
 
 	// Two slots and one to spare are taken, and the first answer took 20 ms.
 	BeforeEach(func() {
-		agent = drive(newAgent(true))
+		agent = newTestAgent(newAgent(true))
 		agent.lastResort = true
 		agent.open(0, 0)
-		agent.HandleEndpointPacket(20*millisecond, fromEndpoint(0, segment.Acknowledge, 501, 108, "answer"))
+		agent.HandleEndpointPacket(20*millisecond, endpointPacket(0, segment.Acknowledge, 501, 108, "answer"))
 		for number := 1; number < 4; number++ {
 			agent.open(20*millisecond, number)
 		}
@@ -67,68 +67,68 @@
 		agent.lastResort = false
 		Expect(classesOf(agent.offer(30*millisecond, 20, 100), relay.EventReturned)).To(Equal([]relay.TrafficClass{classOf(3)}))
 		agent.terms.Priority = 0
-		answered := agent.HandleEndpointPacket(60*millisecond, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
+		answered := agent.HandleEndpointPacket(60*millisecond, endpointPacket(1, segment.Acknowledge, 501, 108, "answer"))
 		Expect(classesOf(answered, relay.EventAnswered)).To(Equal([]relay.TrafficClass{classOf(0)}))
 	})
 
 	It("leaves the priority open of a flow that was opened before the agent was started", func() {
-		agent := drive(newAgent(false))
-		agent.forward(0, relay.KindForward, fromClient(1, segment.Acknowledge, 101, 501, "request"))
-		effects := agent.HandleEndpointPacket(millisecond, returned(fromClient(1, segment.Acknowledge, 101, 501, "request")))
-		for _, effect := range ofKind(effects, relay.EffectEvent) {
+		agent := newTestAgent(newAgent(false))
+		agent.forward(0, relay.KindForward, clientPacket(1, segment.Acknowledge, 101, 501, "request"))
+		effects := agent.HandleEndpointPacket(millisecond, returnedCopy(clientPacket(1, segment.Acknowledge, 101, 501, "request")))
+		for _, effect := range effectsOfKind(effects, relay.EffectEvent) {
 			Expect(effect.Event.Class).To(Equal(relay.TrafficClass{Service: service}))
 		}
-		Expect(ofKind(effects, relay.EffectEvent)).NotTo(BeEmpty())
+		Expect(effectsOfKind(effects, relay.EffectEvent)).NotTo(BeEmpty())
 	})
 })
 
 var _ = Describe("Load of services", func() {
-	pace := func(balancer *relay.Balancer, number int, took time.Duration) {
+	reportServiceTime := func(balancer *relay.Balancer, number int, took time.Duration) {
 		balancer.Receive(0, agentAddress(number), relay.Message{
 			Kind: relay.KindPong, Service: service, Load: relay.Load{ServiceTime: uint32(took.Microseconds())},
 		})
 	}
 
 	It("takes endpoints of which nothing is known to be as fast as the others", func() {
-		balancer, known := balancerOfThree()
-		known.endpoint(0, 3, func(each *directory.Endpoint) { each.Service = otherService })
-		known.endpoint(0, 4, func(each *directory.Endpoint) { each.Draining = true })
-		balancer.Install(0, known.machine.Snapshot())
+		balancer, builder := newBalancerWithThreeEndpoints()
+		builder.putEndpoint(0, 3, func(each *directory.Endpoint) { each.Service = otherService })
+		builder.putEndpoint(0, 4, func(each *directory.Endpoint) { each.Draining = true })
+		balancer.Install(0, builder.machine.Snapshot())
 		Expect(balancer.ServiceLoads()).To(Equal([]relay.ServiceLoad{
 			{Service: otherService, Endpoints: 1, Slots: 4},
 			{Service: service, Endpoints: 3, Slots: 12},
 		}))
-		pace(balancer, 0, 20*millisecond)
-		pace(balancer, 1, 40*millisecond)
-		pace(balancer, 4, millisecond)
+		reportServiceTime(balancer, 0, 20*millisecond)
+		reportServiceTime(balancer, 1, 40*millisecond)
+		reportServiceTime(balancer, 4, millisecond)
 		Expect(balancer.ServiceLoads()[1].Capacity).To(BeNumerically("~", (200+100)*1.5))
 	})
 
 	It("is told apart by the service and priority of the route of a refused flow", func() {
-		balancer, known := newBalancer(), newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
-		balancer.Install(0, known.machine.Snapshot())
-		Expect(classesOf(balancer.HandleClientPacket(0, opening(1, 100)), relay.EventNoEndpoint)).To(Equal([]relay.TrafficClass{classOf(0)}))
-		known.configure(directory.Share{Service: service, Weight: 1}, directory.Share{Service: otherService, Weight: 1})
-		balancer.Install(0, known.machine.Snapshot())
-		Expect(classesOf(balancer.HandleClientPacket(0, opening(2, 100)), relay.EventNoEndpoint)[0].Service).To(Equal("several"))
+		balancer, builder := newBalancer(), newDirectoryBuilder()
+		builder.configure(directory.Share{Service: service, Weight: 1})
+		balancer.Install(0, builder.machine.Snapshot())
+		Expect(classesOf(balancer.HandleClientPacket(0, openingPacket(1, 100)), relay.EventNoEndpoint)).To(Equal([]relay.TrafficClass{classOf(0)}))
+		builder.configure(directory.Share{Service: service, Weight: 1}, directory.Share{Service: otherService, Weight: 1})
+		balancer.Install(0, builder.machine.Snapshot())
+		Expect(classesOf(balancer.HandleClientPacket(0, openingPacket(2, 100)), relay.EventNoEndpoint)[0].Service).To(Equal("several"))
 	})
 
 	It("shows how long it took to find out that no endpoint holds a flow", func() {
-		const asked = 20 * time.Second
-		balancer, known := newBalancer(), newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
-		known.endpoint(0, 0, nil)
-		known.follow(0)
-		balancer.Install(asked, known.machine.Snapshot())
-		balancer.HandleClientPacket(asked, fromClient(1, segment.Acknowledge, 101, 501, "request"))
-		balancer.Tick(asked + 10*millisecond)
-		balancer.MarkCurrentThrough(asked+12*millisecond, asked)
-		effects := balancer.Receive(asked+25*millisecond, agentAddress(0), relay.Message{
-			Kind: relay.KindDenied, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Uptime: asked,
+		const start = 20 * time.Second
+		balancer, builder := newBalancer(), newDirectoryBuilder()
+		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.putEndpoint(0, 0, nil)
+		builder.setSince(0)
+		balancer.Install(start, builder.machine.Snapshot())
+		balancer.HandleClientPacket(start, clientPacket(1, segment.Acknowledge, 101, 501, "request"))
+		balancer.Tick(start + 10*millisecond)
+		balancer.MarkCurrentThrough(start+12*millisecond, start)
+		effects := balancer.Receive(start+25*millisecond, agentAddress(0), relay.Message{
+			Kind: relay.KindDenied, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Uptime: start,
 		})
-		Expect(resets(effects)).To(HaveLen(1))
-		found := ofKind(effects, relay.EffectEvent)
+		Expect(resetHeaders(effects)).To(HaveLen(1))
+		found := effectsOfKind(effects, relay.EffectEvent)
 		Expect(found).To(HaveLen(1))
 		Expect(found[0].Event.Kind).To(Equal(relay.EventOwnerless))
 		Expect(found[0].Event.Elapsed).To(Equal(25 * millisecond))
--- a/internal/relay/locate.go
+++ b/internal/relay/locate.go
@@ -9,186 +9,186 @@
 )
 
 const (
-	// searchesOfRoute is the number of searches among the services of a route
+	// routeOnlyRounds is the number of searches among the services of a route
 	// after which those that it had before are asked too.
-	searchesOfRoute = 1
-	// roundLimit bounds the searches for one owner, whatever agents answer, and
+	routeOnlyRounds = 1
+	// maxSearchRounds bounds the searches for one owner, whatever agents answer, and
 	// searchInterval is the least time between two of them.
-	roundLimit     = 64
-	searchInterval = 100 * time.Millisecond
-	// searchRate bounds the messages a second that a balancer sends to find
+	maxSearchRounds = 64
+	searchInterval  = 100 * time.Millisecond
+	// searchMessageRate bounds the messages a second that a balancer sends to find
 	// owners, and searchBurst those at once, so that flows whose endpoints have
 	// died do not take the network from others. Clients repeat their packets.
-	searchRate  = 2000
-	searchBurst = 1000
-	// probesAtOnce bounds the endpoints that get a packet of a flow which may
+	searchMessageRate  = 2000
+	searchMessageBurst = 1000
+	// probesPerPeriod bounds the endpoints that get a packet of a flow which may
 	// not be theirs, in probePeriod.
-	probesAtOnce = 2
-	probePeriod  = 2100 * time.Millisecond
-	// probeAfter is how long after the first search endpoints are probed: the
+	probesPerPeriod = 2
+	probePeriod     = 2100 * time.Millisecond
+	// probeDelay is how long after the first search endpoints are probed: the
 	// client has then repeated its packet.
-	probeAfter = 120 * time.Millisecond
+	probeDelay = 120 * time.Millisecond
 )
 
-// search is the search for the owner of a flow.
-type search struct {
-	key    segment.FlowKey
-	rounds int
-	begun  time.Duration
-	asked  time.Duration
+// ownerSearch is the ownerSearch for the owner of a flow.
+type ownerSearch struct {
+	key         segment.FlowKey
+	rounds      int
+	beganAt     time.Duration
+	lastRoundAt time.Duration
 	// held are packets for the owner; the client repeats others.
 	held [][]byte
 	// uncertain are restarted agents that may own the flow, in the order of
 	// their answers; those before the index probed have been probed.
 	uncertain []segment.Address
-	probed    int
-	// period is when the present period of probes began, and probes is their
+	nextProbe int
+	// periodBeganAt is when the present periodBeganAt of probes began, and probes is their
 	// number.
-	period time.Duration
-	probes int
-	// header is that of the client's latest packet.
-	header segment.Header
+	periodBeganAt time.Duration
+	periodProbes  int
+	// latestHeader is that of the client's latest packet.
+	latestHeader segment.Header
 	// verifyAt is when it is verified that no endpoint holds the flow, and
 	// verified how often that was begun.
-	verifyAt time.Duration
-	verified int
-	// confirmAgain is when a confirmation of the directory may be asked for again, 0 if none
+	verifyAt      time.Duration
+	verifications int
+	// nextConfirmAt is when a confirmation of the directory may be asked for again, 0 if none
 	// was.
-	confirmAgain time.Duration
+	nextConfirmAt time.Duration
 	// replies are what agents have answered, by their addresses.
-	replies map[segment.Address]reply
-	// undecided is set once all agents have answered without a proof: they are asked again
+	replies map[segment.Address]surveyReply
+	// inconclusive is set once all agents have answered without a proof: they are asked again
 	// when the search resumes, after a pause.
-	undecided bool
-	resumes   time.Duration
-	pause     time.Duration
+	inconclusive bool
+	resumeAt     time.Duration
+	pause        time.Duration
 	// delegated are the parts of the latest round that were left to agents.
-	delegated []delegated
+	delegated []delegatedSurvey
 }
 
-func newSearch(now time.Duration, key segment.FlowKey) *search {
-	return &search{key: key, begun: now, period: now, replies: make(map[segment.Address]reply)}
+func newOwnerSearch(now time.Duration, key segment.FlowKey) *ownerSearch {
+	return &ownerSearch{key: key, beganAt: now, periodBeganAt: now, replies: make(map[segment.Address]surveyReply)}
 }
 
 // resume makes agents be asked again after a pause.
-func (s *search) resume() {
-	if s.undecided {
-		s.undecided = false
-		s.verified = verifyRounds
+func (s *ownerSearch) resume() {
+	if s.inconclusive {
+		s.inconclusive = false
+		s.verifications = verifyRounds
 		clear(s.replies)
 	}
 }
 
 // hold keeps a packet for the owner, unless it is a copy.
-func (s *search) hold(packet []byte) {
-	copied := slices.ContainsFunc(s.held, func(held []byte) bool { return slices.Equal(held, packet) })
-	if !copied && len(s.held) < heldPackets {
+func (s *ownerSearch) hold(packet []byte) {
+	duplicate := slices.ContainsFunc(s.held, func(held []byte) bool { return slices.Equal(held, packet) })
+	if !duplicate && len(s.held) < maxHeldPackets {
 		s.held = append(s.held, slices.Clone(packet))
 	}
 }
 
-// remember begins the search for the owner of a flow. It returns nil if there
+// startSearch begins the search for the owner of a flow. It returns nil if there
 // are too many flows.
-func (b *Balancer) remember(now time.Duration, key segment.FlowKey) *balancerFlow {
+func (b *Balancer) startSearch(now time.Duration, key segment.FlowKey) *balancerFlow {
 	if len(b.flows) >= b.config.FlowLimit {
-		b.event(Event{Kind: EventNoEndpoint, Flow: key, Reason: "flow_limit"})
+		b.recordEvent(Event{Kind: EventNoEndpoint, Flow: key, Reason: "flow_limit"})
 		return nil
 	}
-	known := &balancerFlow{state: flowLocating, touched: now, search: newSearch(now, key)}
-	b.flows[key] = known
-	return known
+	flow := &balancerFlow{state: flowLocating, lastActivity: now, search: newOwnerSearch(now, key)}
+	b.flows[key] = flow
+	return flow
 }
 
 // locate holds a packet of a flow and asks all agents that may own the flow. If
 // none has said that it does, it lets some of those that do not know probe.
-func (b *Balancer) locate(now time.Duration, key segment.FlowKey, known *balancerFlow, header segment.Header, packet []byte) {
-	sought := known.search
-	sought.hold(packet)
-	sought.header = header
-	if sought.rounds >= roundLimit || sought.rounds > 0 && now-sought.asked < searchInterval {
+func (b *Balancer) locate(now time.Duration, key segment.FlowKey, flow *balancerFlow, header segment.Header, packet []byte) {
+	search := flow.search
+	search.hold(packet)
+	search.latestHeader = header
+	if search.rounds >= maxSearchRounds || search.rounds > 0 && now-search.lastRoundAt < searchInterval {
 		return
 	}
-	if sought.undecided && now < sought.resumes {
-		b.probeSome(now, sought, packet)
+	if search.inconclusive && now < search.resumeAt {
+		b.probeNext(now, search, packet)
 		return
 	}
-	sought.resume()
-	if owners := b.everyOwner(sought); len(owners) >= surveyFirstMinimum {
-		b.locateBySurvey(now, sought, owners, packet)
+	search.resume()
+	if owners := b.allPossibleOwners(search); len(owners) >= minFirstRoundSurveyAgents {
+		b.locateBySurvey(now, search, owners, packet)
 		return
 	}
-	asked, _ := b.ownersAmong(key, sought.rounds >= searchesOfRoute)
-	if !b.maySearch(now, key, len(asked)) {
+	agents, _ := b.possibleOwners(key, search.rounds >= routeOnlyRounds)
+	if !b.allowSearch(now, key, len(agents)) {
 		return
 	}
-	b.event(Event{Kind: EventLocating, Flow: key, Version: b.snapshot.Version()})
-	question := Message{
+	b.recordEvent(Event{Kind: EventLocating, Flow: key, Version: b.snapshot.Version()})
+	query := Message{
 		Kind: KindLocate, Flow: EncodeFlow(key), Acknowledgment: header.Acknowledgment, Flags: header.Flags,
 	}
-	probing := sought.nextProbes(now)
-	for _, candidate := range asked {
-		to := b.agentOf(candidate)
-		message := question
-		if slices.Contains(probing, to) {
+	probes := search.nextProbes(now)
+	for _, candidate := range agents {
+		to := b.agentAddress(candidate)
+		message := query
+		if slices.Contains(probes, to) {
 			message = Message{Kind: KindProbe, Packet: packet}
 		}
 		message.Service = candidate.Endpoint.Service
 		b.send(to, message)
 	}
-	sought.asked = now
-	sought.rounds++
-	if sought.rounds == 1 {
-		b.verifyAt(now+verifyDelay, sought)
+	search.lastRoundAt = now
+	search.rounds++
+	if search.rounds == 1 {
+		b.scheduleVerification(now+verifyDelay, search)
 	}
 }
 
-// maySearch reports whether so many messages may be sent to find the owner of a flow.
-func (b *Balancer) maySearch(now time.Duration, key segment.FlowKey, messages int) bool {
-	allowed := b.searches.AllowN(time.Unix(0, int64(now)), messages)
+// allowSearch reports whether so many messages may be sent to find the owner of a flow.
+func (b *Balancer) allowSearch(now time.Duration, key segment.FlowKey, messages int) bool {
+	allowed := b.searchLimiter.AllowN(time.Unix(0, int64(now)), messages)
 	if !allowed {
-		b.event(Event{Kind: EventLocating, Flow: key, Version: b.snapshot.Version(), Reason: "limited"})
+		b.recordEvent(Event{Kind: EventLocating, Flow: key, Version: b.snapshot.Version(), Reason: "limited"})
 	}
 	return allowed
 }
 
 // nextProbes returns the agents that shall probe now.
-func (s *search) nextProbes(now time.Duration) []segment.Address {
-	if now-s.begun < probeAfter {
+func (s *ownerSearch) nextProbes(now time.Duration) []segment.Address {
+	if now-s.beganAt < probeDelay {
 		return nil
 	}
-	if now-s.period >= probePeriod {
-		s.period = now
-		s.probes = 0
+	if now-s.periodBeganAt >= probePeriod {
+		s.periodBeganAt = now
+		s.periodProbes = 0
 	}
-	count := min(probesAtOnce-s.probes, len(s.uncertain)-s.probed)
-	chosen := s.uncertain[s.probed : s.probed+count]
-	s.probed += count
-	s.probes += count
+	count := min(probesPerPeriod-s.periodProbes, len(s.uncertain)-s.nextProbe)
+	chosen := s.uncertain[s.nextProbe : s.nextProbe+count]
+	s.nextProbe += count
+	s.periodProbes += count
 	return chosen
 }
 
-// ownersAmong returns the endpoints, leaving ones included, of the services that the
+// possibleOwners returns the endpoints, leaving ones included, of the services that the
 // flow's route has. With widen, which is for after a search among these in vain, it
 // returns also those of services that the route had before, since the configuration
 // may have changed under the flow: in a small fleet, all endpoints. It reports whether
 // the result has all that may hold the flow, given widen; there may be too many to ask.
-func (b *Balancer) ownersAmong(key segment.FlowKey, widen bool) (owners []directory.Candidate, all bool) {
-	if widen && len(b.snapshot.All()) <= locateLimit {
+func (b *Balancer) possibleOwners(key segment.FlowKey, widen bool) (owners []directory.Candidate, complete bool) {
+	if widen && len(b.snapshot.All()) <= maxLocateAgents {
 		owners = b.reachable(b.snapshot.All())
 		return owners, len(owners) > 0
 	}
 	var candidates []directory.Candidate
-	for _, service := range b.servicesOf(key, widen) {
+	for _, service := range b.ownerServices(key, widen) {
 		candidates = append(candidates, b.snapshot.Candidates(service)...)
 	}
 	candidates = b.reachable(candidates)
-	all = widen && len(candidates) > 0 && len(candidates) <= locateLimit
-	return candidates[:min(len(candidates), locateLimit)], all
+	complete = widen && len(candidates) > 0 && len(candidates) <= maxLocateAgents
+	return candidates[:min(len(candidates), maxLocateAgents)], complete
 }
 
-// servicesOf returns the services of the flow's route. With widen, and for an
+// ownerServices returns the services of the flow's route. With widen, and for an
 // address without a route, it adds those that the address had before.
-func (b *Balancer) servicesOf(key segment.FlowKey, widen bool) []string {
+func (b *Balancer) ownerServices(key segment.FlowKey, widen bool) []string {
 	var services []string
 	route, exists := b.snapshot.Route(key.Service)
 	if exists {
@@ -223,82 +223,82 @@
 
 // receiveUncertain handles that a restarted agent may own a flow.
 func (b *Balancer) receiveUncertain(now time.Duration, from segment.Address, message Message) {
-	known, exists := b.soughtFlow(message)
+	flow, exists := b.searchedFlow(message)
 	if !exists {
 		return
 	}
-	if !slices.Contains(known.search.uncertain, from) {
-		known.search.uncertain = append(known.search.uncertain, from)
+	if !slices.Contains(flow.search.uncertain, from) {
+		flow.search.uncertain = append(flow.search.uncertain, from)
 	}
-	b.replied(now, known, from, reply{began: now - message.Uptime})
+	b.noteReply(now, flow, from, surveyReply{agentStartedAt: now - message.Uptime})
 }
 
 // receiveOwned handles that an agent owns a flow.
 func (b *Balancer) receiveOwned(now time.Duration, from segment.Address, message Message) {
 	key := message.Flow.Key()
-	known, exists := b.flows[key]
-	if !exists || known.state == flowClosing || known.agent == from {
+	flow, exists := b.flows[key]
+	if !exists || flow.state == flowClosing || flow.agent == from {
 		return
 	}
-	b.settle(known)
-	sought := known.search
-	known.search = nil
-	known.state = flowPlaced
-	b.moveTo(known, from)
-	known.service = message.Service
-	known.terms = b.termsAt(key, from)
-	b.event(Event{Kind: EventLocated, Flow: key, Peer: from})
-	if sought != nil {
-		b.forwardHeld(known, sought.held)
+	b.endOffer(flow)
+	search := flow.search
+	flow.search = nil
+	flow.state = flowPlaced
+	b.setOwner(flow, from)
+	flow.service = message.Service
+	flow.parameters = b.parametersAt(key, from)
+	b.recordEvent(Event{Kind: EventLocated, Flow: key, Peer: from})
+	if search != nil {
+		b.forwardHeld(flow, search.held)
 	}
 }
 
-// termsAt returns the terms of a flow that was opened before, for the agent that may
+// parametersAt returns the terms of a flow that was opened before, for the agent that may
 // own it: it may have been restarted.
-func (b *Balancer) termsAt(key segment.FlowKey, agent segment.Address) FlowParameters {
+func (b *Balancer) parametersAt(key segment.FlowKey, agent segment.Address) FlowParameters {
 	route, routed := b.snapshot.Route(key.Service)
 	candidate, exists := b.snapshot.At(agent.IP)
 	if !routed || !exists {
 		return FlowParameters{}
 	}
-	terms := termsOf(route)
-	terms.Slots = candidate.Endpoint.Slots
-	return terms
+	parameters := parametersOf(route)
+	parameters.Slots = candidate.Endpoint.Slots
+	return parameters
 }
 
 // forwardHeld sends the owner of a flow the packets that waited for it.
-func (b *Balancer) forwardHeld(known *balancerFlow, held [][]byte) {
+func (b *Balancer) forwardHeld(flow *balancerFlow, held [][]byte) {
 	for _, packet := range held {
-		b.send(known.agent, Message{Kind: KindForward, Service: known.service, Parameters: known.terms, Packet: packet})
+		b.send(flow.agent, Message{Kind: KindForward, Service: flow.service, Parameters: flow.parameters, Packet: packet})
 		if header, outcome := b.config.Codec.Decode(packet); outcome == segment.Decoded {
-			b.noteClosing(known, header)
+			b.markClosing(flow, header)
 		}
 	}
 }
 
-// receiveUnknown handles a packet that the believed owner of its flow brought
+// receiveNotOwned handles a packet that the believed owner of its flow brought
 // back: the owner is sought.
-func (b *Balancer) receiveUnknown(now time.Duration, from segment.Address, message Message) {
+func (b *Balancer) receiveNotOwned(now time.Duration, from segment.Address, message Message) {
 	header, outcome := b.config.Codec.Decode(message.Packet)
-	if outcome != segment.Decoded || !writtenByClient(header) {
-		b.event(Event{Kind: EventMalformed, Peer: from, Reason: "unknown"})
+	if outcome != segment.Decoded || !validFromClient(header) {
+		b.recordEvent(Event{Kind: EventMalformed, Peer: from, Reason: "unknown"})
 		return
 	}
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-	known, exists := b.flows[key]
+	flow, exists := b.flows[key]
 	if !exists {
 		return
 	}
-	if known.agent != from && known.state != flowLocating {
-		b.send(known.agent, Message{Kind: KindForward, Service: known.service, Packet: message.Packet})
+	if flow.agent != from && flow.state != flowLocating {
+		b.send(flow.agent, Message{Kind: KindForward, Service: flow.service, Packet: message.Packet})
 		return
 	}
-	b.settle(known)
-	b.uncount(known)
-	if known.search == nil {
-		known.search = newSearch(now, key)
+	b.endOffer(flow)
+	b.uncountFlow(flow)
+	if flow.search == nil {
+		flow.search = newOwnerSearch(now, key)
 	}
-	known.state = flowLocating
-	known.agent = segment.Address{}
-	b.locate(now, key, known, header, message.Packet)
+	flow.state = flowLocating
+	flow.agent = segment.Address{}
+	b.locate(now, key, flow, header, message.Packet)
 }
--- a/internal/relay/locate_test.go
+++ b/internal/relay/locate_test.go
@@ -15,43 +15,43 @@
 var _ = Describe("Balancer, in a search for the owner of a flow", func() {
 	var (
 		balancer *relay.Balancer
-		known    *fleet
+		builder  *directoryBuilder
 	)
 
-	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, known.machine.Snapshot()) }
+	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.machine.Snapshot()) }
 
-	BeforeEach(func() { balancer, known = balancerOfThree() })
+	BeforeEach(func() { balancer, builder = newBalancerWithThreeEndpoints() })
 
 	Describe("a flow that it does not know", func() {
-		request := fromClient(1, segment.Acknowledge, 101, 501, "request")
+		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 
-		// own lets an agent answer that it owns the flow.
-		own := func(now time.Duration, number int) []relay.Effect {
+		// reportOwned lets an agent answer that it owns the flow.
+		reportOwned := func(now time.Duration, number int) []relay.Effect {
 			return balancer.Receive(now, agentAddress(number), relay.Message{
-				Kind: relay.KindOwned, Service: service, Flow: relay.EncodeFlow(keyOf(1)),
+				Kind: relay.KindOwned, Service: service, Flow: relay.EncodeFlow(flowKey(1)),
 			})
 		}
 
 		It("asks all endpoints of the route, leaving and gone ones included", func() {
-			known.endpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
-			known.gone(0, 1)
+			builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
+			builder.remove(0, 1)
 			install(0)
-			asked := sent(balancer.HandleClientPacket(0, request))
-			Expect(asked).To(HaveLen(3))
-			for _, each := range asked {
+			queries := sentMessages(balancer.HandleClientPacket(0, request))
+			Expect(queries).To(HaveLen(3))
+			for _, each := range queries {
 				Expect(each.Message.Kind).To(Equal(relay.KindLocate))
 			}
 		})
 
 		It("is never reset", func() {
 			for step := range 20 {
-				Expect(resets(balancer.HandleClientPacket(time.Duration(step)*200*millisecond, request))).To(BeEmpty())
+				Expect(resetHeaders(balancer.HandleClientPacket(time.Duration(step)*200*millisecond, request))).To(BeEmpty())
 			}
 		})
 
 		It("goes to its owner once that has answered", func() {
 			balancer.HandleClientPacket(0, request)
-			forwarded := onlyMessage(own(millisecond, 2))
+			forwarded := onlyMessage(reportOwned(millisecond, 2))
 			Expect(forwarded.To).To(Equal(agentAddress(2)))
 			Expect(forwarded.Message.Kind).To(Equal(relay.KindForward))
 			Expect(forwarded.Message.Packet).To(Equal(request), "the packet that waited")
@@ -59,79 +59,79 @@
 		})
 
 		It("has its packets held in their order, each once, and no search for each", func() {
-			second := fromClient(1, segment.Acknowledge, 108, 501, "second")
-			Expect(sent(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
+			second := clientPacket(1, segment.Acknowledge, 108, 501, "second")
+			Expect(sentMessages(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
 			for _, packet := range [][]byte{second, request, second} {
-				Expect(sent(balancer.HandleClientPacket(10*millisecond, packet))).To(BeEmpty())
+				Expect(sentMessages(balancer.HandleClientPacket(10*millisecond, packet))).To(BeEmpty())
 			}
-			forwarded := sent(own(20*millisecond, 0))
+			forwarded := sentMessages(reportOwned(20*millisecond, 0))
 			Expect(forwarded).To(HaveLen(2))
 			Expect(forwarded[0].Message.Packet).To(Equal(request))
 			Expect(forwarded[1].Message.Packet).To(Equal(second))
 		})
 
 		It("is sought without its data, which may be long", func() {
-			long := fromClient(1, segment.Acknowledge, 101, 501, strings.Repeat("x", 1200))
-			for _, each := range sent(balancer.HandleClientPacket(0, long)) {
+			long := clientPacket(1, segment.Acknowledge, 101, 501, strings.Repeat("x", 1200))
+			for _, each := range sentMessages(balancer.HandleClientPacket(0, long)) {
 				Expect(each.Message.Packet).To(BeEmpty())
 				Expect(each.Message.Acknowledgment).To(Equal(uint32(501)))
-				Expect(each.Message.Flow).To(Equal(relay.EncodeFlow(keyOf(1))))
+				Expect(each.Message.Flow).To(Equal(relay.EncodeFlow(flowKey(1))))
 			}
 		})
 
 		It("is sought once at an address that several endpoints have had", func() {
-			known.gone(0, 0)
-			known.endpoint(0, 9, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP })
+			builder.remove(0, 0)
+			builder.putEndpoint(0, 9, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP })
 			install(0)
-			Expect(sent(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
-			Expect(sent(balancer.HandleClientPacket(200*millisecond, request))).To(HaveLen(3))
+			Expect(sentMessages(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
+			Expect(sentMessages(balancer.HandleClientPacket(200*millisecond, request))).To(HaveLen(3))
 		})
 
 		It("takes no more than a part of the network if there are many such flows", func() {
-			asked := 0
+			queryCount := 0
 			for number := range 10_000 {
 				now := time.Duration(number) * millisecond / 2
-				asked += len(sent(balancer.HandleClientPacket(now, fromClient(number%900, segment.Acknowledge, 101, 501, "x"))))
+				queryCount += len(sentMessages(balancer.HandleClientPacket(now, clientPacket(number%900, segment.Acknowledge, 101, 501, "x"))))
 			}
-			Expect(asked).To(BeNumerically("<=", 1000+5*2000))
-			Expect(asked).To(BeNumerically(">", 5*1900))
+			Expect(queryCount).To(BeNumerically("<=", 1000+5*2000))
+			Expect(queryCount).To(BeNumerically(">", 5*1900))
 		})
 
 		It("is sought among all endpoints after a search in vain, since routes may have changed", func() {
-			known.endpoint(0, 9, func(e *directory.Endpoint) { e.Service = otherService })
+			builder.putEndpoint(0, 9, func(e *directory.Endpoint) { e.Service = otherService })
 			install(0)
-			Expect(sent(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
-			Expect(sent(balancer.HandleClientPacket(200*millisecond, request))).To(HaveLen(4))
+			Expect(sentMessages(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
+			Expect(sentMessages(balancer.HandleClientPacket(200*millisecond, request))).To(HaveLen(4))
 		})
 
 		It("is sought again if the believed owner does not know it", func() {
-			offer := onlyMessage(balancer.HandleClientPacket(0, opening(1, 100)))
-			placed(balancer, 0, offer.To, 1, 100)
+			offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
+			reportPlaced(balancer, 0, offer.To, 1, 100)
 			balancer.HandleClientPacket(millisecond, request)
-			asked := sent(balancer.Receive(2*millisecond, offer.To, relay.Message{Kind: relay.KindNotOwned, Packet: request}))
-			Expect(asked).To(HaveLen(3))
-			for _, each := range asked {
+			queries := sentMessages(balancer.Receive(2*millisecond, offer.To, relay.Message{Kind: relay.KindNotOwned, Packet: request}))
+			Expect(queries).To(HaveLen(3))
+			for _, each := range queries {
 				Expect(each.Message.Kind).To(Equal(relay.KindLocate))
 			}
-			Expect(onlyMessage(own(3*millisecond, 1)).Message.Packet).To(Equal(request))
+			Expect(onlyMessage(reportOwned(3*millisecond, 1)).Message.Packet).To(Equal(request))
 		})
 	})
 
 	It("ends a search that agents answer with its packet again and again", func() {
-		request := fromClient(1, segment.Acknowledge, 101, 501, "request")
-		asked := len(sent(balancer.HandleClientPacket(0, request)))
+		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
+		queryCount := len(sentMessages(balancer.HandleClientPacket(0, request)))
 		for range 1000 {
-			asked += len(sent(balancer.Receive(millisecond, agentAddress(0), relay.Message{Kind: relay.KindNotOwned, Packet: request})))
+			queryCount += len(sentMessages(balancer.Receive(millisecond, agentAddress(0), relay.Message{Kind: relay.KindNotOwned, Packet: request})))
 		}
-		Expect(asked).To(BeNumerically("<", 200))
+		Expect(queryCount).To(BeNumerically("<", 200))
 	})
 
 	Describe("a flow of which restarted agents may be the owners", func() {
-		request := fromClient(1, segment.Acknowledge, 101, 501, "request")
+		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 
 		probes := func(now time.Duration) []segment.Address {
 			var probed []segment.Address
-			for _, each := range sent(balancer.HandleClientPacket(now, request)) {
+			for _, each := range sentMessages(balancer.HandleClientPacket(now, request)) {
 				if each.Message.Kind == relay.KindProbe {
 					probed = append(probed, each.To)
 				}
@@ -143,7 +143,7 @@
 			Expect(probes(0)).To(BeEmpty())
 			for number := range 3 {
 				balancer.Receive(millisecond, agentAddress(number), relay.Message{
-					Kind: relay.KindUncertain, Service: service, Flow: relay.EncodeFlow(keyOf(1)),
+					Kind: relay.KindUncertain, Service: service, Flow: relay.EncodeFlow(flowKey(1)),
 				})
 			}
 		})
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -66,9 +66,9 @@
 )
 
 // EncodedFlow is the encoded form of a segment.FlowKey.
-type EncodedFlow [flowSize]byte
+type EncodedFlow [encodedFlowSize]byte
 
-const flowSize = 12
+const encodedFlowSize = 12
 
 // EncodeFlow encodes a flow key.
 func EncodeFlow(key segment.FlowKey) EncodedFlow {
@@ -115,20 +115,20 @@
 	IPs []byte
 }
 
-const ipSize = 4
+const ipv4Size = 4
 
 // Addresses returns the addresses of the agents. Bytes after the last whole one are
 // ignored.
 func (t AgentGroup) Addresses() []segment.Address {
-	addresses := make([]segment.Address, 0, len(t.IPs)/ipSize)
-	for rest := t.IPs; len(rest) >= ipSize; rest = rest[ipSize:] {
-		addresses = append(addresses, segment.Address{IP: [4]byte(rest[:ipSize]), Port: t.Port})
+	addresses := make([]segment.Address, 0, len(t.IPs)/ipv4Size)
+	for rest := t.IPs; len(rest) >= ipv4Size; rest = rest[ipv4Size:] {
+		addresses = append(addresses, segment.Address{IP: [4]byte(rest[:ipv4Size]), Port: t.Port})
 	}
 	return addresses
 }
 
-// appendTarget adds an agent to the group of its service and port.
-func appendTarget(groups []AgentGroup, service string, agent segment.Address) []AgentGroup {
+// appendToGroup adds an agent to the group of its service and port.
+func appendToGroup(groups []AgentGroup, service string, agent segment.Address) []AgentGroup {
 	for index := range groups {
 		if groups[index].Service == service && groups[index].Port == agent.Port {
 			groups[index].IPs = append(groups[index].IPs, agent.IP[:]...)
@@ -138,8 +138,8 @@
 	return append(groups, AgentGroup{Service: service, Port: agent.Port, IPs: agent.IP[:]})
 }
 
-// addressesOf returns the addresses of all agents in groups.
-func addressesOf(groups []AgentGroup) []segment.Address {
+// groupAddresses returns the addresses of all agents in groups.
+func groupAddresses(groups []AgentGroup) []segment.Address {
 	var addresses []segment.Address
 	for _, group := range groups {
 		addresses = append(addresses, group.Addresses()...)
--- a/internal/relay/message_gen.go
+++ b/internal/relay/message_gen.go
@@ -370,7 +370,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *EncodedFlow) Msgsize() (s int) {
-	s = msgp.ArrayHeaderSize + (flowSize * (msgp.ByteSize))
+	s = msgp.ArrayHeaderSize + (encodedFlowSize * (msgp.ByteSize))
 	return
 }
 
@@ -1481,7 +1481,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Message) Msgsize() (s int) {
-	s = 3 + msgp.Uint8Size + msgp.StringPrefixSize + len(z.Service) + msgp.ArrayHeaderSize + (flowSize * (msgp.ByteSize)) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.BoolSize + msgp.BoolSize + msgp.StringPrefixSize + len(z.Zone) + msgp.DurationSize + msgp.BytesPrefixSize + len([]byte(z.ReplyTo)) + msgp.ArrayHeaderSize
+	s = 3 + msgp.Uint8Size + msgp.StringPrefixSize + len(z.Service) + msgp.ArrayHeaderSize + (encodedFlowSize * (msgp.ByteSize)) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.BoolSize + msgp.BoolSize + msgp.StringPrefixSize + len(z.Zone) + msgp.DurationSize + msgp.BytesPrefixSize + len([]byte(z.ReplyTo)) + msgp.ArrayHeaderSize
 	for za0002 := range z.Targets {
 		s += 1 + msgp.StringPrefixSize + len(z.Targets[za0002].Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.Targets[za0002].IPs)
 	}
