--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -9,10 +9,10 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// busyLimit is the number of agents that may return an opening packet for being busy
+// maxBusyReturns is the number of agents that may return an opening packet for being busy
 // before the least busy of them has to take it. Three choices are nearly as good as all
 // (the power of two choices: Mitzenmacher, 2001), and each costs a round trip.
-const busyLimit = 3
+const maxBusyReturns = 3
 
 // offer is an opening packet that no endpoint has answered yet.
 type offer struct {
@@ -20,28 +20,28 @@
 	packet   []byte
 	deadline time.Duration
 	tried    []directory.EndpointID
-	// lastResort is an agent that takes the flow if no other does, zero if there is
+	// lastResortAgent is an agent that takes the flow if no other does, zero if there is
 	// none; one is asked once.
-	lastResort      segment.Address
+	lastResortAgent segment.Address
 	lastResortAsked bool
-	// used is the number of requests at that agent, and busy that of agents which have
+	// lastResortPending is the number of requests at that agent, and busy that of agents which have
 	// returned the packet since others may be less busy.
-	used uint32
-	busy int
-	// doubtful counts the endpoints that were asked although they did not seem well.
-	doubtful int
-	done     bool
+	lastResortPending uint32
+	busyReturns       int
+	// untrustedOffers counts the endpoints that were asked although they did not seem well.
+	untrustedOffers int
+	done            bool
 }
 
-// arriveOpening handles a packet that opens a flow, or a copy of it.
-func (b *Balancer) arriveOpening(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
-	known, exists := b.flows[key]
-	if exists && known.sequence == header.Sequence && known.state != flowLocating && !b.mustMove(known) {
-		b.repeatOffer(now, known, packet)
+// routeOpening handles a packet that opens a flow, or a copy of it.
+func (b *Balancer) routeOpening(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
+	flow, exists := b.flows[key]
+	if exists && flow.clientISN == header.Sequence && flow.state != flowLocating && !b.offeredToClosedZone(flow) {
+		b.repeatOffer(now, flow, packet)
 		return
 	}
 	if exists {
-		b.forget(key, known)
+		b.forgetFlow(key, flow)
 	}
 	route, exists := b.snapshot.Route(key.Service)
 	if !exists {
@@ -49,36 +49,36 @@
 		return
 	}
 	if len(b.flows) >= b.config.FlowLimit {
-		b.event(Event{Kind: EventNoEndpoint, Flow: key, Version: b.snapshot.Version(), Reason: "flow_limit"})
+		b.recordEvent(Event{Kind: EventNoEndpoint, Flow: key, Version: b.snapshot.Version(), Reason: "flow_limit"})
 		return
 	}
-	b.budget.earn()
-	opened := &balancerFlow{
-		sequence: header.Sequence, opened: now, touched: now, terms: termsOf(route), began: now - header.Waited,
+	b.retryBudget.earn()
+	newFlow := &balancerFlow{
+		clientISN: header.Sequence, openedAt: now, lastActivity: now, parameters: parametersOf(route), clientBeganAt: now - header.Waited,
 	}
-	opened.offer = &offer{key: key, packet: slices.Clone(packet)}
-	opened.service = b.chooseService(now, route)
-	if !b.offerNext(now, opened) {
-		b.refuse(key, header, b.reasonOfNone(now, opened))
+	newFlow.offer = &offer{key: key, packet: slices.Clone(packet)}
+	newFlow.service = b.chooseService(now, route)
+	if !b.offerNext(now, newFlow) {
+		b.refuseFlow(key, header, b.refusalReason(now, newFlow))
 		return
 	}
-	b.flows[key] = opened
-	b.offers = append(b.offers, opened.offer)
+	b.flows[key] = newFlow
+	b.offers = append(b.offers, newFlow.offer)
 }
 
-// mustMove reports whether a flow that no endpoint has answered was offered to one whose
+// offeredToClosedZone reports whether a flow that no endpoint has answered was offered to one whose
 // zone has been closed since.
-func (b *Balancer) mustMove(known *balancerFlow) bool {
-	candidate, exists := b.snapshot.Candidate(known.endpoint)
-	return known.state == flowOffering && exists && candidate.Closed
+func (b *Balancer) offeredToClosedZone(flow *balancerFlow) bool {
+	candidate, exists := b.snapshot.Candidate(flow.endpoint)
+	return flow.state == flowOffering && exists && candidate.Closed
 }
 
-// reasonOfNone tells why no endpoint can take a flow.
-func (b *Balancer) reasonOfNone(now time.Duration, opened *balancerFlow) string {
-	if b.anyHeld(now, opened.service) {
+// refusalReason tells why no endpoint can take a flow.
+func (b *Balancer) refusalReason(now time.Duration, flow *balancerFlow) string {
+	if b.anyInColdWait(now, flow.service) {
 		return reasonCold
 	}
-	closed := slices.ContainsFunc(b.snapshot.Candidates(opened.service), func(candidate directory.Candidate) bool {
+	closed := slices.ContainsFunc(b.snapshot.Candidates(flow.service), func(candidate directory.Candidate) bool {
 		return candidate.Closed && !candidate.Leaving
 	})
 	if closed {
@@ -87,7 +87,7 @@
 	return "no_candidate"
 }
 
-func termsOf(route *directory.Route) FlowParameters {
+func parametersOf(route *directory.Route) FlowParameters {
 	return FlowParameters{
 		Priority:      route.Priority,
 		LatencyTarget: uint32(route.Target.Milliseconds()),
@@ -97,54 +97,54 @@
 
 // waited returns for how long the client has tried to open the flow, in milliseconds.
 func (f *balancerFlow) waited(now time.Duration) uint32 {
-	return uint32((now - f.began).Milliseconds())
+	return uint32((now - f.clientBeganAt).Milliseconds())
 }
 
 // repeatOffer sends a copy of an opening packet to where the last went.
-func (b *Balancer) repeatOffer(now time.Duration, known *balancerFlow, packet []byte) {
-	known.touched = now
-	known.terms.Waited = known.waited(now)
-	if candidate, exists := b.snapshot.Candidate(known.endpoint); exists {
-		known.terms.ColdStart = b.coldOf(now, candidate)
-	}
-	b.send(known.agent, Message{
-		Kind: KindOffer, Service: known.service, Zone: b.config.Zone, Parameters: known.terms, Packet: packet,
+func (b *Balancer) repeatOffer(now time.Duration, flow *balancerFlow, packet []byte) {
+	flow.lastActivity = now
+	flow.parameters.Waited = flow.waited(now)
+	if candidate, exists := b.snapshot.Candidate(flow.endpoint); exists {
+		flow.parameters.ColdStart = b.coldStartOf(now, candidate)
+	}
+	b.send(flow.agent, Message{
+		Kind: KindOffer, Service: flow.service, Zone: b.config.Zone, Parameters: flow.parameters, Packet: packet,
 	})
 }
 
-// offerFurther offers the opening packet of a flow to an endpoint that it was
+// offerToAnother offers the opening packet of a flow to an endpoint that it was
 // not offered to, and waits for that. It reports whether there is one.
-func (b *Balancer) offerFurther(now time.Duration, known *balancerFlow, reason string) bool {
-	if now-known.opened >= offersLast || !b.offerNext(now, known) {
+func (b *Balancer) offerToAnother(now time.Duration, flow *balancerFlow, reason string) bool {
+	if now-flow.openedAt >= offerLifetime || !b.offerNext(now, flow) {
 		return false
 	}
-	b.event(Event{Kind: EventOfferedAgain, Flow: known.offer.key, Peer: known.agent, Reason: reason})
+	b.recordEvent(Event{Kind: EventOfferedAgain, Flow: flow.offer.key, Peer: flow.agent, Reason: reason})
 	return true
 }
 
 // offerNext offers the opening packet of a flow to the best endpoint that it
 // was not offered to. It reports whether there is one.
-func (b *Balancer) offerNext(now time.Duration, opened *balancerFlow) bool {
-	chosen, exists := b.choose(now, opened.service, opened.offer.tried)
-	if !exists || chosen.doubtful && opened.offer.doubtful >= doubtfulOffers {
+func (b *Balancer) offerNext(now time.Duration, flow *balancerFlow) bool {
+	chosen, exists := b.chooseEndpoint(now, flow.service, flow.offer.tried)
+	if !exists || chosen.untrusted && flow.offer.untrustedOffers >= maxUntrustedOffers {
 		return false
 	}
-	if chosen.doubtful {
-		opened.offer.doubtful++
-	}
-	b.uncount(opened)
-	opened.agent = b.agentOf(chosen.Candidate)
-	opened.endpoint = chosen.ID
-	opened.offer.tried = append(opened.offer.tried, chosen.ID)
-	opened.offer.deadline = now + offerTimeout
-	b.count(opened)
-	b.awaitAgent(now)
-	opened.terms.Slots = chosen.Endpoint.Slots
-	opened.terms.Waited = opened.waited(now)
-	opened.terms.ColdStart = b.coldOf(now, chosen.Candidate)
-	b.send(opened.agent, Message{
-		Kind: KindOffer, Service: opened.service, Zone: b.config.Zone, Parameters: opened.terms,
-		IgnoreEjection: chosen.overruled, Packet: opened.offer.packet,
+	if chosen.untrusted {
+		flow.offer.untrustedOffers++
+	}
+	b.uncountFlow(flow)
+	flow.agent = b.agentAddress(chosen.Candidate)
+	flow.endpoint = chosen.ID
+	flow.offer.tried = append(flow.offer.tried, chosen.ID)
+	flow.offer.deadline = now + offerTimeout
+	b.countFlow(flow)
+	b.expectAgentReply(now)
+	flow.parameters.Slots = chosen.Endpoint.Slots
+	flow.parameters.Waited = flow.waited(now)
+	flow.parameters.ColdStart = b.coldStartOf(now, chosen.Candidate)
+	b.send(flow.agent, Message{
+		Kind: KindOffer, Service: flow.service, Zone: b.config.Zone, Parameters: flow.parameters,
+		IgnoreEjection: chosen.ignoreEjection, Packet: flow.offer.packet,
 	})
 	return true
 }
@@ -152,82 +152,82 @@
 // refuseUnrouted resets a flow to an address that has no route, unless the
 // directory may be out of date.
 func (b *Balancer) refuseUnrouted(now time.Duration, key segment.FlowKey, header segment.Header) {
-	if now-b.confirmed > b.config.ApplyTimeout+confirmationMargin {
-		b.event(Event{Kind: EventNoRoute, Flow: key, Version: b.snapshot.Version(), Reason: "unconfirmed"})
+	if now-b.confirmedAt > b.config.ApplyTimeout+confirmationMargin {
+		b.recordEvent(Event{Kind: EventNoRoute, Flow: key, Version: b.snapshot.Version(), Reason: "unconfirmed"})
 		return
 	}
-	b.event(Event{Kind: EventNoRoute, Flow: key, Version: b.snapshot.Version(), Reason: "reset"})
-	b.reset(key, header)
+	b.recordEvent(Event{Kind: EventNoRoute, Flow: key, Version: b.snapshot.Version(), Reason: "reset"})
+	b.resetFlow(key, header)
 }
 
-// refuse resets a flow that no endpoint can take; nothing of it has run.
-func (b *Balancer) refuse(key segment.FlowKey, header segment.Header, reason string) {
-	b.event(Event{Kind: EventNoEndpoint, Flow: key, Version: b.snapshot.Version(), Reason: reason})
-	b.reset(key, header)
+// refuseFlow resets a flow that no endpoint can take; nothing of it has run.
+func (b *Balancer) refuseFlow(key segment.FlowKey, header segment.Header, reason string) {
+	b.recordEvent(Event{Kind: EventNoEndpoint, Flow: key, Version: b.snapshot.Version(), Reason: reason})
+	b.resetFlow(key, header)
 }
 
-func (b *Balancer) reset(key segment.FlowKey, header segment.Header) {
+func (b *Balancer) resetFlow(key segment.FlowKey, header segment.Header) {
 	packet := b.config.Codec.AppendReset(nil, key, header.Acknowledgment)
 	b.effects = append(b.effects, Effect{Kind: EffectSendToClient, To: key.Client, Packet: packet})
 }
 
 func (b *Balancer) receivePlaced(now time.Duration, from segment.Address, message Message) {
 	key := message.Flow.Key()
-	known, exists := b.flows[key]
-	if !exists || known.sequence != message.Sequence {
+	flow, exists := b.flows[key]
+	if !exists || flow.clientISN != message.Sequence {
 		return
 	}
-	b.heard(now, known, from, message.Load)
-	if known.state != flowOffering {
+	b.noteAgentReply(now, flow, from, message.Load)
+	if flow.state != flowOffering {
 		return
 	}
 	// An earlier offer may be answered after a later one was made: the agent
 	// that answered first is the likely owner, and others would return the
 	// client's packets.
-	if known.agent != from {
-		b.moveTo(known, from)
+	if flow.agent != from {
+		b.setOwner(flow, from)
 	}
-	b.settle(known)
-	known.state = flowPlaced
-	b.event(Event{
-		Kind: EventPlaced, Flow: key, Peer: from, Version: b.snapshot.Version(), Elapsed: now - known.opened,
+	b.endOffer(flow)
+	flow.state = flowPlaced
+	b.recordEvent(Event{
+		Kind: EventPlaced, Flow: key, Peer: from, Version: b.snapshot.Version(), Elapsed: now - flow.openedAt,
 	})
 }
 
-// moveTo makes another agent the believed owner of a flow.
-func (b *Balancer) moveTo(known *balancerFlow, agent segment.Address) {
-	b.uncount(known)
-	known.agent = agent
-	known.endpoint = directory.EndpointID{}
+// setOwner makes another agent the believed owner of a flow.
+func (b *Balancer) setOwner(flow *balancerFlow, agent segment.Address) {
+	b.uncountFlow(flow)
+	flow.agent = agent
+	flow.endpoint = directory.EndpointID{}
 	if candidate, exists := b.snapshot.At(agent.IP); exists {
-		known.endpoint = candidate.ID
-		known.service = candidate.Endpoint.Service
-		b.count(known)
+		flow.endpoint = candidate.ID
+		flow.service = candidate.Endpoint.Service
+		b.countFlow(flow)
 	}
 }
 
 func (b *Balancer) receiveReturned(now time.Duration, from segment.Address, message Message) {
 	header, outcome := b.config.Codec.Decode(message.Packet)
 	if outcome != segment.Decoded || !header.Opening() {
-		b.event(Event{Kind: EventMalformed, Peer: from, Reason: "returned"})
+		b.recordEvent(Event{Kind: EventMalformed, Peer: from, Reason: "returned"})
 		return
 	}
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-	known, exists := b.flows[key]
-	if !exists || known.state != flowOffering || known.sequence != header.Sequence || known.agent != from {
+	flow, exists := b.flows[key]
+	if !exists || flow.state != flowOffering || flow.clientISN != header.Sequence || flow.agent != from {
 		return
 	}
-	b.heard(now, known, from, message.Load)
+	b.noteAgentReply(now, flow, from, message.Load)
 	switch {
 	case message.LastResort:
-		known.offer.noteLastResort(from, message.Load)
+		flow.offer.noteLastResort(from, message.Load)
 	case message.Load.ColdWait == 0:
-		b.healthOf(known.endpoint).avoid(now)
+		b.healthOf(flow.endpoint).avoid(now)
 	}
-	if known.offer.busy >= busyLimit && b.offerLastResort(now, known) {
+	if flow.offer.busyReturns >= maxBusyReturns && b.offerLastResort(now, flow) {
 		return
 	}
-	b.offerAgain(now, key, known, "returned")
+	b.offerAgain(now, key, flow, "returned")
 }
 
 // noteLastResort notes an agent that would take the flow if no other does. The least busy is
@@ -236,76 +236,76 @@
 func (o *offer) noteLastResort(agent segment.Address, load Load) {
 	if load.Report.Hold > 0 {
 		// It is left out for longer, as its endpoint is not well.
-		if o.lastResort.IsZero() {
-			o.lastResort, o.used = agent, math.MaxUint32
+		if o.lastResortAgent.IsZero() {
+			o.lastResortAgent, o.lastResortPending = agent, math.MaxUint32
 		}
 		return
 	}
-	o.busy++
-	if o.lastResort.IsZero() || load.Pending < o.used {
-		o.lastResort, o.used = agent, load.Pending
+	o.busyReturns++
+	if o.lastResortAgent.IsZero() || load.Pending < o.lastResortPending {
+		o.lastResortAgent, o.lastResortPending = agent, load.Pending
 	}
 }
 
 // offerAgain offers an opening packet to a further endpoint. If there is none,
 // the client is refused at once.
-func (b *Balancer) offerAgain(now time.Duration, key segment.FlowKey, known *balancerFlow, reason string) {
-	if b.offerFurther(now, known, reason) || b.offerLastResort(now, known) {
+func (b *Balancer) offerAgain(now time.Duration, key segment.FlowKey, flow *balancerFlow, reason string) {
+	if b.offerToAnother(now, flow, reason) || b.offerLastResort(now, flow) {
 		return
 	}
 	refusal := "all_returned"
-	if b.anyHeld(now, known.service) {
+	if b.anyInColdWait(now, flow.service) {
 		refusal = reasonCold
 	}
-	b.forget(key, known)
-	b.refuse(key, segment.Header{}, refusal)
+	b.forgetFlow(key, flow)
+	b.refuseFlow(key, segment.Header{}, refusal)
 }
 
 // offerLastResort offers the opening packet of a flow to an endpoint that takes it
 // since no other does. It reports whether there is one.
-func (b *Balancer) offerLastResort(now time.Duration, known *balancerFlow) bool {
-	agent := known.offer.lastResort
-	if agent.IsZero() || known.offer.lastResortAsked {
+func (b *Balancer) offerLastResort(now time.Duration, flow *balancerFlow) bool {
+	agent := flow.offer.lastResortAgent
+	if agent.IsZero() || flow.offer.lastResortAsked {
 		return false
 	}
 	candidate, exists := b.snapshot.At(agent.IP)
 	if exists && candidate.Closed {
 		return false
 	}
-	known.offer.lastResortAsked = true
-	b.moveTo(known, agent)
+	flow.offer.lastResortAsked = true
+	b.setOwner(flow, agent)
 	if exists {
-		known.terms.Slots = candidate.Endpoint.Slots
-		known.terms.ColdStart = b.coldOf(now, candidate)
+		flow.parameters.Slots = candidate.Endpoint.Slots
+		flow.parameters.ColdStart = b.coldStartOf(now, candidate)
 	}
-	known.offer.deadline = now + offerTimeout
-	b.event(Event{Kind: EventOfferedAgain, Flow: known.offer.key, Peer: agent, Reason: "last_resort"})
+	flow.offer.deadline = now + offerTimeout
+	b.recordEvent(Event{Kind: EventOfferedAgain, Flow: flow.offer.key, Peer: agent, Reason: "last_resort"})
 	b.send(agent, Message{
-		Kind: KindOffer, Service: known.service, Zone: b.config.Zone, Parameters: known.terms, LastResort: true,
-		Packet: known.offer.packet,
+		Kind: KindOffer, Service: flow.service, Zone: b.config.Zone, Parameters: flow.parameters, LastResort: true,
+		Packet: flow.offer.packet,
 	})
 	return true
 }
 
-// offerExpired handles an opening packet that an agent has not answered.
-func (b *Balancer) offerExpired(now time.Duration, waiting *offer) {
-	known, exists := b.flows[waiting.key]
-	if !exists || known.offer != waiting {
-		waiting.done = true
+// expireOffer handles an opening packet that an agent has not answered.
+func (b *Balancer) expireOffer(now time.Duration, offer *offer) {
+	flow, exists := b.flows[offer.key]
+	if !exists || flow.offer != offer {
+		offer.done = true
 		return
 	}
-	b.silent(now, known)
-	if b.budget.spend() && (b.offerFurther(now, known, "silence") || b.offerLastResort(now, known)) {
+	b.noteSilence(now, flow)
+	if b.retryBudget.spend() && (b.offerToAnother(now, flow, "silence") || b.offerLastResort(now, flow)) {
 		return
 	}
 	// The client repeats the packet; it goes to the agent that had it last.
-	waiting.done = true
+	offer.done = true
 }
 
-// settle ends the offering of an opening packet.
-func (b *Balancer) settle(known *balancerFlow) {
-	if known.offer != nil {
-		known.offer.done = true
-		known.offer = nil
+// endOffer ends the offering of an opening packet.
+func (b *Balancer) endOffer(flow *balancerFlow) {
+	if flow.offer != nil {
+		flow.offer.done = true
+		flow.offer = nil
 	}
 }
--- a/internal/relay/persistentflow_test.go
+++ b/internal/relay/persistentflow_test.go
@@ -12,34 +12,34 @@
 
 var _ = Describe("Balancer, with flows that are kept", func() {
 	const (
-		keptFlows = 90
-		pace      = 50 * millisecond
+		persistentFlows = 90
+		serviceTime     = 50 * millisecond
 	)
 	var (
 		balancer *relay.Balancer
-		known    *fleet
+		builder  *directoryBuilder
 		number   int
 	)
 
 	// open opens a flow and returns the number of its endpoint.
 	open := func(now time.Duration) int {
 		number++
-		to := onlyMessage(balancer.HandleClientPacket(now, opening(number, 100))).To
+		to := onlyMessage(balancer.HandleClientPacket(now, openingPacket(number, 100))).To
 		balancer.Receive(now, to, relay.Message{
-			Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(keyOf(number)), Sequence: 100,
-			Load: relay.Load{ServiceTime: uint32(pace.Microseconds())},
+			Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(flowKey(number)), Sequence: 100,
+			Load: relay.Load{ServiceTime: uint32(serviceTime.Microseconds())},
 		})
 		return int(to.IP[3])
 	}
-	end := func(now time.Duration, flow int) {
-		balancer.HandleClientPacket(now, fromClient(flow, segment.Acknowledge|segment.Finish, 101, 501, ""))
+	closeFlow := func(now time.Duration, flow int) {
+		balancer.HandleClientPacket(now, clientPacket(flow, segment.Acknowledge|segment.Finish, 101, 501, ""))
 	}
-	// keep lets the kept flows make a request in each interval of some seconds.
-	keep := func(from, until, interval time.Duration) {
+	// sendRequests lets the kept flows make a request in each interval of some seconds.
+	sendRequests := func(from, until, interval time.Duration) {
 		sequence := uint32(101)
 		for now := from; now < until; now += interval {
-			for flow := 1; flow <= keptFlows; flow++ {
-				balancer.HandleClientPacket(now, fromClient(flow, segment.Acknowledge, sequence, 501, "request"))
+			for flow := 1; flow <= persistentFlows; flow++ {
+				balancer.HandleClientPacket(now, clientPacket(flow, segment.Acknowledge, sequence, 501, "request"))
 			}
 			sequence += 7
 			balancer.Tick(now)
@@ -47,20 +47,20 @@
 	}
 
 	BeforeEach(func() {
-		balancer, known = balancerOfThree()
+		balancer, builder = newBalancerWithThreeEndpoints()
 		number = 0
 		counts := make(map[int]int)
-		for range keptFlows {
+		for range persistentFlows {
 			counts[open(0)]++
 		}
 		Expect(counts).To(Equal(map[int]int{0: 30, 1: 30, 2: 30}), "an even share to begin with")
 	})
 
-	// shareOfNew returns how many of 40 flows under way at a time a fourth endpoint gets that has
+	// flowsToNewEndpoint returns how many of 40 flows under way at a time a fourth endpoint gets that has
 	// no kept flow.
-	shareOfNew := func(now time.Duration) int {
-		known.endpoint(now, 3, nil)
-		balancer.Install(now, known.machine.Snapshot())
+	flowsToNewEndpoint := func(now time.Duration) int {
+		builder.putEndpoint(now, 3, nil)
+		balancer.Install(now, builder.machine.Snapshot())
 		got := 0
 		for range 40 {
 			if open(now) == 3 {
@@ -71,25 +71,25 @@
 	}
 
 	It("gives a new endpoint about its share of the others, as the kept ones mostly rest", func() {
-		keep(0, 12*time.Second, time.Second)
+		sendRequests(0, 12*time.Second, time.Second)
 		// 30 flows with a request of 50 ms each second take 1.5 slots of an endpoint.
-		Expect(shareOfNew(12 * time.Second)).To(BeNumerically("~", 11, 1))
+		Expect(flowsToNewEndpoint(12 * time.Second)).To(BeNumerically("~", 11, 1))
 	})
 
 	It("gives it more if they are at work", func() {
-		keep(0, 12*time.Second, 200*millisecond)
-		Expect(shareOfNew(12 * time.Second)).To(BeNumerically("~", 15, 2))
+		sendRequests(0, 12*time.Second, 200*millisecond)
+		Expect(flowsToNewEndpoint(12 * time.Second)).To(BeNumerically("~", 15, 2))
 	})
 
 	It("counts a flow as one with a request until it knows more", func() {
-		Expect(shareOfNew(500*millisecond)).To(Equal(32), "a quarter of all")
+		Expect(flowsToNewEndpoint(500*millisecond)).To(Equal(32), "a quarter of all")
 	})
 
 	It("forgets those that have ended", func() {
-		keep(0, 12*time.Second, time.Second)
-		for flow := 1; flow <= keptFlows; flow++ {
-			end(12*time.Second, flow)
+		sendRequests(0, 12*time.Second, time.Second)
+		for flow := 1; flow <= persistentFlows; flow++ {
+			closeFlow(12*time.Second, flow)
 		}
-		Expect(shareOfNew(13 * time.Second)).To(Equal(10))
+		Expect(flowsToNewEndpoint(13 * time.Second)).To(Equal(10))
 	})
 })
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -11,102 +11,102 @@
 )
 
 const (
-	// silencesToSuspect is the number of offers in a row without an answer
+	// suspectAfterSilences is the number of offers in a row without an answer
 	// after which an endpoint gets no new flows.
-	silencesToSuspect = 2
-	// firstSuspicion is how long an endpoint is left out at first; the time
+	suspectAfterSilences = 2
+	// minSuspicion is how long an endpoint is left out at first; the time
 	// doubles up to longestSuspicion while its answers stay out.
-	firstSuspicion   = 300 * time.Millisecond
-	longestSuspicion = 2400 * time.Millisecond
+	minSuspicion = 300 * time.Millisecond
+	maxSuspicion = 2400 * time.Millisecond
 )
 
-// health is what a balancer believes of one endpoint.
-type health struct {
+// endpointHealth is what a balancer believes of one endpoint.
+type endpointHealth struct {
 	// outstanding is the number of flows that this balancer gave the endpoint
 	// and whose clients have not closed them.
 	outstanding int
-	// kept is the number of those that are kept open for many requests; they are not among
+	// persistent is the number of those that are persistent open for many requests; they are not among
 	// outstanding.
-	kept        int
-	silences    int
-	suspicion   time.Duration
-	suspectEnds time.Duration
-	// pace is what the agent told last of the time to an answer, told when that
+	persistent     int
+	silences       int
+	suspicion      time.Duration
+	suspectedUntil time.Duration
+	// serviceTime is what the agent told last of the time to an answer, told when that
 	// was, or when it was asked.
-	pace uint32
-	// paceChanged is when it told another pace than before.
-	paceChanged time.Duration
-	told        time.Duration
-	// news is what it told last of how far the endpoint is used.
-	news placement.News
+	serviceTime uint32
+	// serviceTimeChangedAt is when it told another pace than before.
+	serviceTimeChangedAt time.Duration
+	serviceTimeAskedAt   time.Duration
+	// utilization is what it told last of how far the endpoint is used.
+	utilization placement.News
 	// report is what its agent told last of its health, and ejectionEnds until when it
 	// holds the endpoint back.
 	report       outlier.Report
-	ejectionEnds time.Duration
+	ejectedUntil time.Duration
 	// avoidedUntil is until when it is left out since it has returned a flow.
 	avoidedUntil time.Duration
-	// heldUntil is until when it takes no request since it is cold.
-	heldUntil time.Duration
+	// coldWaitUntil is until when it takes no request since it is cold.
+	coldWaitUntil time.Duration
 }
 
-func (h *health) suspected(now time.Duration) bool {
-	return now < h.suspectEnds || now < h.avoidedUntil
+func (h *endpointHealth) suspected(now time.Duration) bool {
+	return now < h.suspectedUntil || now < h.avoidedUntil
 }
 
 // avoid leaves the endpoint out for a while, since it has returned a flow. Else it would be
 // chosen again at once, as it has the fewest flows, and get the next one in vain.
-func (h *health) avoid(now time.Duration) { h.avoidedUntil = now + firstSuspicion }
+func (h *endpointHealth) avoid(now time.Duration) { h.avoidedUntil = now + minSuspicion }
 
 // suspect leaves the endpoint out for a while, then lets one flow find out.
-func (h *health) suspect(now time.Duration) {
-	h.suspicion = min(max(2*h.suspicion, firstSuspicion), longestSuspicion)
-	h.suspectEnds = now + h.suspicion
+func (h *endpointHealth) suspect(now time.Duration) {
+	h.suspicion = min(max(2*h.suspicion, minSuspicion), maxSuspicion)
+	h.suspectedUntil = now + h.suspicion
 }
 
-func (h *health) trust() {
+func (h *endpointHealth) clearSuspicion() {
 	h.silences = 0
 	h.suspicion = 0
-	h.suspectEnds = 0
+	h.suspectedUntil = 0
 }
 
-func (b *Balancer) healthOf(id directory.EndpointID) *health {
-	known, exists := b.health[id]
+func (b *Balancer) healthOf(id directory.EndpointID) *endpointHealth {
+	health, exists := b.health[id]
 	if !exists {
-		known = &health{}
-		b.health[id] = known
+		health = &endpointHealth{}
+		b.health[id] = health
 	}
-	return known
+	return health
 }
 
-func (b *Balancer) count(flow *balancerFlow) {
+func (b *Balancer) countFlow(flow *balancerFlow) {
 	if flow.counted {
 		return
 	}
 	flow.counted = true
-	if flow.kept {
-		b.healthOf(flow.endpoint).kept++
+	if flow.persistent {
+		b.healthOf(flow.endpoint).persistent++
 		return
 	}
 	b.healthOf(flow.endpoint).outstanding++
 }
 
-func (b *Balancer) uncount(flow *balancerFlow) {
+func (b *Balancer) uncountFlow(flow *balancerFlow) {
 	if !flow.counted {
 		return
 	}
 	flow.counted = false
-	known, exists := b.health[flow.endpoint]
+	health, exists := b.health[flow.endpoint]
 	switch {
 	case !exists:
-	case flow.kept:
-		known.kept = max(known.kept-1, 0)
+	case flow.persistent:
+		health.persistent = max(health.persistent-1, 0)
 	default:
-		known.outstanding = max(known.outstanding-1, 0)
+		health.outstanding = max(health.outstanding-1, 0)
 	}
 }
 
-// heard notes that an agent has answered about a flow.
-func (b *Balancer) heard(now time.Duration, flow *balancerFlow, from segment.Address, load Load) {
+// noteAgentReply notes that an agent has answered about a flow.
+func (b *Balancer) noteAgentReply(now time.Duration, flow *balancerFlow, from segment.Address, load Load) {
 	if flow.agent != from {
 		return
 	}
@@ -115,60 +115,62 @@
 	if occupant, exists := b.snapshot.At(from.IP); exists {
 		id = occupant.ID
 	}
-	b.noteHeld(now, id, load)
-	known := b.healthOf(id)
-	if known.suspicion > 0 {
-		b.event(Event{Kind: EventRecovered, Peer: from})
+	b.noteColdWait(now, id, load)
+	health := b.healthOf(id)
+	if health.suspicion > 0 {
+		b.recordEvent(Event{Kind: EventRecovered, Peer: from})
 	}
-	known.trust()
+	health.clearSuspicion()
 	if load.Refusing {
-		known.suspect(now)
+		health.suspect(now)
 	}
 }
 
-// silent notes that an agent has not answered an offer. It says nothing of an endpoint that
+// noteSilence notes that an agent has not answered an offer. It says nothing of an endpoint that
 // has been started since.
-func (b *Balancer) silent(now time.Duration, flow *balancerFlow) {
+func (b *Balancer) noteSilence(now time.Duration, flow *balancerFlow) {
 	if _, exists := b.snapshot.Candidate(flow.endpoint); !exists {
 		return
 	}
-	known := b.healthOf(flow.endpoint)
-	known.silences++
-	if known.silences < silencesToSuspect && known.suspicion == 0 {
+	health := b.healthOf(flow.endpoint)
+	health.silences++
+	if health.silences < suspectAfterSilences && health.suspicion == 0 {
 		return
 	}
-	if now < known.suspectEnds {
+	if now < health.suspectedUntil {
 		return
 	}
-	known.suspect(now)
-	b.event(Event{Kind: EventSuspected, Peer: flow.agent})
+	health.suspect(now)
+	b.recordEvent(Event{Kind: EventSuspected, Peer: flow.agent})
 }
 
 // choice is an endpoint chosen for a flow.
 type choice struct {
 	directory.Candidate
-	// doubtful is set if the endpoint is suspected or ejected: no other is left. It is
+	// untrusted is set if the endpoint is suspected or ejected: no other is left. It is
 	// overruled if its agent holds it back and nothing else speaks against it.
-	doubtful  bool
-	overruled bool
+	untrusted      bool
+	ignoreEjection bool
 }
 
-// choose returns an endpoint of a service that is expected to answer a new flow soon, among
+// chooseEndpoint returns an endpoint of a service that is expected to answer a new flow soon, among
 // those not tried. Endpoints that are suspected or ejected are taken
 // only if there are no others, those in a closed zone never, and those that are too cold
 // not now.
-func (b *Balancer) choose(now time.Duration, service string, tried []directory.EndpointID) (choice, bool) {
-	compared := b.panel(now, service)
+func (b *Balancer) chooseEndpoint(now time.Duration, service string, tried []directory.EndpointID) (choice, bool) {
+	panel := b.panel(now, service)
 	massLapse := b.massLapse(now, service)
-	open := func(c directory.Candidate) bool { return !c.Closed && !b.healthOf(c.ID).held(now) }
-	usable := func(c directory.Candidate) bool { return open(c) && (!c.Leaving || massLapse && b.mayReturn(now, c)) }
+	open := func(c directory.Candidate) bool { return !c.Closed && !b.healthOf(c.ID).inColdWait(now) }
+	usable := func(c directory.Candidate) bool {
+		return open(c) && (!c.Leaving || massLapse && b.mayStillServe(now, c))
+	}
 	trusted := func(c directory.Candidate) bool {
-		known := b.healthOf(c.ID)
-		return usable(c) && !known.suspected(now) && !known.leftOut(now, compared)
+		health := b.healthOf(c.ID)
+		return usable(c) && !health.suspected(now) && !health.excluded(now, panel)
 	}
-	mayReturn := func(c directory.Candidate) bool { return open(c) && b.mayReturn(now, c) }
-	for tier, accepts := range []func(directory.Candidate) bool{trusted, usable, mayReturn} {
-		chosen, exists := b.quickest(now, service, tried, accepts)
+	lapsed := func(c directory.Candidate) bool { return open(c) && b.mayStillServe(now, c) }
+	for tier, accepts := range []func(directory.Candidate) bool{trusted, usable, lapsed} {
+		chosen, exists := b.bestCandidate(now, service, tried, accepts)
 		if exists {
 			doubtful := tier > 0
 			overruled := !doubtful && b.healthOf(chosen.ID).ejected(now)
@@ -186,8 +188,8 @@
 	// massLapseRatio is how many entries must have lapsed for each that is there
 	// to doubt the store rather than the endpoints.
 	massLapseRatio = 0.5
-	// massLapseMinimum is how many it must be at least.
-	massLapseMinimum = 2
+	// minMassLapse is how many it must be at least.
+	minMassLapse = 2
 )
 
 // massLapse reports whether so many entries of a service have lapsed at once
@@ -200,16 +202,16 @@
 		switch {
 		case !candidate.Leaving:
 			present++
-		case b.mayReturn(now, candidate):
+		case b.mayStillServe(now, candidate):
 			lapsed++
 		}
 	}
-	return lapsed >= massLapseMinimum && float64(lapsed) > massLapseRatio*float64(present)
+	return lapsed >= minMassLapse && float64(lapsed) > massLapseRatio*float64(present)
 }
 
-// mayReturn reports whether the entry of an endpoint has lapsed so recently that
+// mayStillServe reports whether the entry of an endpoint has lapsed so recently that
 // the endpoint may still be there. If another has come to its address, it is not.
-func (b *Balancer) mayReturn(now time.Duration, candidate directory.Candidate) bool {
+func (b *Balancer) mayStillServe(now time.Duration, candidate directory.Candidate) bool {
 	tolerated := time.Duration(lapseTolerance * float64(b.config.DrainTimeout))
 	if candidate.LapsedSince(now) >= tolerated {
 		return false
@@ -218,51 +220,51 @@
 	return occupant.ID == candidate.ID
 }
 
-// quickest returns the endpoint of a service that is expected to answer a new flow first
+// bestCandidate returns the endpoint of a service that is expected to answer a new flow first
 // among a few that are drawn from those that are accepted and were not tried.
-func (b *Balancer) quickest(now time.Duration, service string, tried []directory.EndpointID, accepts func(directory.Candidate) bool) (directory.Candidate, bool) {
-	b.candidates, b.local, b.places = b.candidates[:0], b.local[:0], b.places[:0]
+func (b *Balancer) bestCandidate(now time.Duration, service string, tried []directory.EndpointID, accepts func(directory.Candidate) bool) (directory.Candidate, bool) {
+	b.candidateScratch, b.localScratch, b.placementScratch = b.candidateScratch[:0], b.localScratch[:0], b.placementScratch[:0]
 	for _, candidate := range b.snapshot.Candidates(service) {
 		if !accepts(candidate) || slices.Contains(tried, candidate.ID) {
 			continue
 		}
-		b.candidates = append(b.candidates, candidate)
-		b.local = append(b.local, candidate.Endpoint.Zone == b.config.Zone)
+		b.candidateScratch = append(b.candidateScratch, candidate)
+		b.localScratch = append(b.localScratch, candidate.Endpoint.Zone == b.config.Zone)
 	}
-	usual := b.usualPace(now, service)
-	asks := b.demandOf(service).slots(usual)
-	drawn := placement.Draw(b.local, b.config.Random)
-	for _, index := range drawn {
-		b.places = append(b.places, b.placeOf(now, b.candidates[index], usual, asks))
+	medianServiceTime := b.medianServiceTime(now, service)
+	slotsPerFlow := b.demandOf(service).slotsPerFlow(medianServiceTime)
+	sample := placement.Draw(b.localScratch, b.config.Random)
+	for _, index := range sample {
+		b.placementScratch = append(b.placementScratch, b.placementCandidate(now, b.candidateScratch[index], medianServiceTime, slotsPerFlow))
 	}
-	best, exists := placement.Best(b.places)
+	best, exists := placement.Best(b.placementScratch)
 	if !exists {
 		return directory.Candidate{}, false
 	}
-	return b.candidates[drawn[best]], true
+	return b.candidateScratch[sample[best]], true
 }
 
-// placeOf is what is known of an endpoint that may get a new flow, given the pace that is
+// placementCandidate is what is known of an endpoint that may get a new flow, given the pace that is
 // usual for its service and the slots that one of its kept flows takes.
-func (b *Balancer) placeOf(now time.Duration, candidate directory.Candidate, usual uint32, asks float64) placement.Candidate {
-	known := b.healthOf(candidate.ID)
-	slowness := known.slowness(now, usual)
+func (b *Balancer) placementCandidate(now time.Duration, candidate directory.Candidate, medianServiceTime uint32, slotsPerFlow float64) placement.Candidate {
+	health := b.healthOf(candidate.ID)
+	slowness := health.slowness(now, medianServiceTime)
 	if slowness > 1 {
-		b.refreshPace(now, candidate, known)
+		b.refreshServiceTime(now, candidate, health)
 	}
-	pace := time.Duration(known.pace) * time.Microsecond
-	level := b.levelOf(candidate, slowness).At(now) * float64(candidate.Endpoint.Slots)
+	serviceTime := time.Duration(health.serviceTime) * time.Microsecond
+	groupUse := b.utilizationOf(candidate, slowness).At(now) * float64(candidate.Endpoint.Slots)
 	return placement.Candidate{
-		Slots: candidate.Endpoint.Slots, Outstanding: known.outstanding, Kept: asks * float64(known.kept),
-		Others: known.news.Estimate(now, pace, level), Slowness: slowness, Warming: now < candidate.WarmAt,
+		Slots: candidate.Endpoint.Slots, Outstanding: health.outstanding, Kept: slotsPerFlow * float64(health.persistent),
+		Others: health.utilization.Estimate(now, serviceTime, groupUse), Slowness: slowness, Warming: now < candidate.WarmAt,
 		Local: candidate.Endpoint.Zone == b.config.Zone,
 	}
 }
 
-// sharing spreads the new flows of one route over its services by smooth
+// weightedRoundRobin spreads the new flows of one route over its services by smooth
 // weighted round robin (as in nginx, 2012), which keeps every prefix of the
 // choices within one flow of its weights.
-type sharing struct {
+type weightedRoundRobin struct {
 	shares  []directory.Share
 	credits []int64
 }
@@ -277,37 +279,37 @@
 	case 1:
 		return route.Shares[0].Service
 	}
-	chosen := b.sharingOf(route).next()
-	if _, exists := b.choose(now, chosen, nil); exists {
+	chosen := b.roundRobinFor(route).next()
+	if _, exists := b.chooseEndpoint(now, chosen, nil); exists {
 		return chosen
 	}
 	for _, share := range route.Shares {
-		if _, exists := b.choose(now, share.Service, nil); exists {
+		if _, exists := b.chooseEndpoint(now, share.Service, nil); exists {
 			return share.Service
 		}
 	}
 	return chosen
 }
 
-func (b *Balancer) sharingOf(route *directory.Route) *sharing {
-	known, exists := b.sharing[route.Address()]
-	if !exists || !slices.Equal(known.shares, route.Shares) {
-		known = &sharing{shares: route.Shares, credits: make([]int64, len(route.Shares))}
-		b.sharing[route.Address()] = known
+func (b *Balancer) roundRobinFor(route *directory.Route) *weightedRoundRobin {
+	roundRobin, exists := b.roundRobins[route.Address()]
+	if !exists || !slices.Equal(roundRobin.shares, route.Shares) {
+		roundRobin = &weightedRoundRobin{shares: route.Shares, credits: make([]int64, len(route.Shares))}
+		b.roundRobins[route.Address()] = roundRobin
 	}
-	return known
+	return roundRobin
 }
 
-func (s *sharing) next() string {
+func (w *weightedRoundRobin) next() string {
 	var total int64
 	best := 0
-	for index, share := range s.shares {
-		s.credits[index] += int64(share.Weight)
+	for index, share := range w.shares {
+		w.credits[index] += int64(share.Weight)
 		total += int64(share.Weight)
-		if s.credits[index] > s.credits[best] {
+		if w.credits[index] > w.credits[best] {
 			best = index
 		}
 	}
-	s.credits[best] -= total
-	return s.shares[best].Service
+	w.credits[best] -= total
+	return w.shares[best].Service
 }
--- a/internal/relay/reachability.go
+++ b/internal/relay/reachability.go
@@ -7,65 +7,65 @@
 )
 
 const (
-	// pingAfter is how long no agent may be heard, while opening packets wait
+	// pingDelay is how long no agent may be heard, while opening packets wait
 	// for an answer, before agents are pinged.
-	pingAfter = 250 * time.Millisecond
-	// isolatedAfter is how long pings may stay without an answer before the
+	pingDelay = 250 * time.Millisecond
+	// isolationDelay is how long pings may stay without an answer before the
 	// balancer takes itself for cut off from all agents.
-	isolatedAfter = 500 * time.Millisecond
+	isolationDelay = 500 * time.Millisecond
 	// pingInterval is the time between two rounds of pings.
 	pingInterval = 150 * time.Millisecond
-	// pingLimit bounds the agents that are pinged in one round.
-	pingLimit = 16
+	// maxPingedAgents bounds the agents that are pinged in one round.
+	maxPingedAgents = 16
 )
 
-// reach tells whether a balancer can reach any agent. One that cannot is better
+// reachability tells whether a balancer can reachability any agent. One that cannot is better
 // left out by the fabric: it would lose every new flow.
-type reach struct {
-	// unanswered is set if an opening packet was sent and no agent was heard
+type reachability struct {
+	// awaiting is set if an opening packet was sent and no agent was heard
 	// since; waiting is when that began.
-	unanswered bool
-	waiting    time.Duration
-	pinging    bool
-	pinged     time.Duration
-	nextPing   time.Duration
-	isolated   bool
-	// turn is the position of the next agent to ping.
-	turn int
+	awaiting      bool
+	awaitingSince time.Duration
+	pinging       bool
+	pingingSince  time.Duration
+	nextPing      time.Duration
+	isolated      bool
+	// nextAgent is the position of the next agent to ping.
+	nextAgent int
 }
 
 // Isolated reports whether the balancer cannot reach any agent.
-func (b *Balancer) Isolated() bool { return b.reach.isolated }
+func (b *Balancer) Isolated() bool { return b.reachability.isolated }
 
-// heardAgent notes that some agent can be reached.
-func (b *Balancer) heardAgent() {
-	if b.reach.isolated {
-		b.event(Event{Kind: EventReconnected})
+// noteAgentHeard notes that some agent can be reached.
+func (b *Balancer) noteAgentHeard() {
+	if b.reachability.isolated {
+		b.recordEvent(Event{Kind: EventReconnected})
 	}
-	b.reach = reach{turn: b.reach.turn}
+	b.reachability = reachability{nextAgent: b.reachability.nextAgent}
 }
 
-// awaitAgent notes that an agent should answer.
-func (b *Balancer) awaitAgent(now time.Duration) {
-	if !b.reach.unanswered {
-		b.reach.unanswered = true
-		b.reach.waiting = now
+// expectAgentReply notes that an agent should answer.
+func (b *Balancer) expectAgentReply(now time.Duration) {
+	if !b.reachability.awaiting {
+		b.reachability.awaiting = true
+		b.reachability.awaitingSince = now
 	}
 }
 
-// watchReach pings agents while none is heard.
-func (b *Balancer) watchReach(now time.Duration) {
-	r := &b.reach
-	if !r.unanswered || now-r.waiting < pingAfter {
+// checkReachability pings agents while none is heard.
+func (b *Balancer) checkReachability(now time.Duration) {
+	r := &b.reachability
+	if !r.awaiting || now-r.awaitingSince < pingDelay {
 		return
 	}
 	if !r.pinging {
 		r.pinging = true
-		r.pinged = now
+		r.pingingSince = now
 	}
-	if !r.isolated && now-r.pinged >= isolatedAfter {
+	if !r.isolated && now-r.pingingSince >= isolationDelay {
 		r.isolated = true
-		b.event(Event{Kind: EventIsolated, Version: b.snapshot.Version()})
+		b.recordEvent(Event{Kind: EventIsolated, Version: b.snapshot.Version()})
 	}
 	if now >= r.nextPing {
 		r.nextPing = now + pingInterval
@@ -73,29 +73,29 @@
 	}
 }
 
-// nextReach returns when watchReach should be called at the latest.
-func (b *Balancer) nextReach() time.Duration {
+// nextReachabilityCheck returns when watchReach should be called at the latest.
+func (b *Balancer) nextReachabilityCheck() time.Duration {
 	switch {
-	case !b.reach.unanswered:
+	case !b.reachability.awaiting:
 		return never
-	case !b.reach.pinging:
-		return b.reach.waiting + pingAfter
+	case !b.reachability.pinging:
+		return b.reachability.awaitingSince + pingDelay
 	}
-	return b.reach.nextPing
+	return b.reachability.nextPing
 }
 
 func (b *Balancer) pingAgents() {
 	all := b.snapshot.All()
-	for range min(len(all), pingLimit) {
-		b.reach.turn = (b.reach.turn + 1) % len(all)
-		candidate := all[b.reach.turn]
-		b.send(b.agentOf(candidate), Message{Kind: KindPing, Service: candidate.Endpoint.Service})
+	for range min(len(all), maxPingedAgents) {
+		b.reachability.nextAgent = (b.reachability.nextAgent + 1) % len(all)
+		candidate := all[b.reachability.nextAgent]
+		b.send(b.agentAddress(candidate), Message{Kind: KindPing, Service: candidate.Endpoint.Service})
 	}
 }
 
 // isAgent reports whether an address is that of a known agent, so that others
 // cannot make a balancer believe that it reaches agents.
 func (b *Balancer) isAgent(from segment.Address) bool {
-	_, known := b.snapshot.At(from.IP)
-	return known && from.Port == b.config.AgentPort
+	_, exists := b.snapshot.At(from.IP)
+	return exists && from.Port == b.config.AgentPort
 }
--- a/internal/relay/relay_bench_test.go
+++ b/internal/relay/relay_bench_test.go
@@ -38,7 +38,7 @@
 	return machine
 }
 
-func openingTo(number int) []byte {
+func openingPacketFrom(number int) []byte {
 	return codec.Encode(segment.Header{
 		Source:      segment.Address{IP: [4]byte{100, 64, byte(number >> 16), byte(number >> 8)}, Port: uint16(number)},
 		Destination: routeAddress, Flags: segment.Synchronize, Sequence: 100,
@@ -60,7 +60,7 @@
 			balancer := benchmarkBalancer(benchmarkFleet(services))
 			b.ReportAllocs()
 			for number := range b.N {
-				packet := openingTo(number)
+				packet := openingPacketFrom(number)
 				effects := balancer.HandleClientPacket(0, packet)
 				to := effects[0].To
 				header, _ := codec.Decode(packet)
@@ -74,8 +74,8 @@
 // BenchmarkBalancerForward measures a packet of a known flow.
 func BenchmarkBalancerForward(b *testing.B) {
 	balancer := benchmarkBalancer(benchmarkFleet(1500))
-	balancer.HandleClientPacket(0, opening(1, 100))
-	packet := fromClient(1, segment.Acknowledge, 101, 501, "request")
+	balancer.HandleClientPacket(0, openingPacket(1, 100))
+	packet := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 	b.ReportAllocs()
 	for b.Loop() {
 		balancer.HandleClientPacket(0, packet)
@@ -87,17 +87,17 @@
 	const flows = 15_500
 	machine := benchmarkFleet(15)
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		balancer := benchmarkBalancer(machine)
 		for number := range flows {
-			packet := openingTo(number)
+			packet := openingPacketFrom(number)
 			effects := balancer.HandleClientPacket(0, packet)
 			header, _ := codec.Decode(packet)
 			key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 			balancer.Receive(0, effects[0].To, relay.Message{Kind: relay.KindPlaced, Flow: relay.EncodeFlow(key), Sequence: 100})
 		}
 		balancer.Tick(time.Second)
-		b.ReportMetric(float64(heap()-before)/flows, "B/flow")
+		b.ReportMetric(float64(heapBytes()-before)/flows, "B/flow")
 		runtime.KeepAlive(balancer)
 	}
 }
@@ -108,14 +108,14 @@
 	agent := newAgent(true)
 	b.ReportAllocs()
 	for b.Loop() {
-		agent.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Packet: opening(1, 100)})
-		agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
+		agent.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Packet: openingPacket(1, 100)})
+		agent.HandleEndpointPacket(0, endpointPacket(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
 		agent.Receive(0, balancerA, relay.Message{
-			Kind: relay.KindForward, Service: service, Packet: fromClient(1, segment.Acknowledge, 101, 501, "request"),
+			Kind: relay.KindForward, Service: service, Packet: clientPacket(1, segment.Acknowledge, 101, 501, "request"),
 		})
-		agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
+		agent.HandleEndpointPacket(0, endpointPacket(1, segment.Acknowledge, 501, 108, "answer"))
 		agent.Receive(0, balancerA, relay.Message{
-			Kind: relay.KindForward, Service: service, Packet: fromClient(1, segment.Acknowledge|segment.Finish, 108, 507, ""),
+			Kind: relay.KindForward, Service: service, Packet: clientPacket(1, segment.Acknowledge|segment.Finish, 108, 507, ""),
 		})
 	}
 }
@@ -142,9 +142,9 @@
 	for _, services := range []int{15, 150, 1500} {
 		b.Run(fmt.Sprintf("endpoints=%d", services*8), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				machine := benchmarkFleet(services)
-				b.ReportMetric(float64(heap()-before), "B")
+				b.ReportMetric(float64(heapBytes()-before), "B")
 				state := machine.State(0)
 				encoded, err := state.MarshalMsg(nil)
 				if err != nil {
@@ -157,7 +157,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var statistics runtime.MemStats
 	runtime.ReadMemStats(&statistics)
--- a/internal/relay/retrybudget.go
+++ b/internal/relay/retrybudget.go
@@ -1,20 +1,20 @@
 package relay
 
-// budget bounds the further offers that are made for silence, as retry budgets
+// retryBudget bounds the further offers that are made for silence, as retry budgets
 // do, so that they cannot double an overload.
-type budget struct{ tokens float64 }
+type retryBudget struct{ tokens float64 }
 
 const (
-	budgetBurst = 50
-	// budgetShare is the number of further offers earned by each new flow.
-	budgetShare = 0.2
+	retryBudgetBurst = 50
+	// retriesPerFlow is the number of further offers earned by each new flow.
+	retriesPerFlow = 0.2
 )
 
-func newBudget() budget { return budget{budgetBurst} }
+func newRetryBudget() retryBudget { return retryBudget{retryBudgetBurst} }
 
-func (b *budget) earn() { b.tokens = min(b.tokens+budgetShare, budgetBurst) }
+func (b *retryBudget) earn() { b.tokens = min(b.tokens+retriesPerFlow, retryBudgetBurst) }
 
-func (b *budget) spend() bool {
+func (b *retryBudget) spend() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/relay/survey_test.go
+++ b/internal/relay/survey_test.go
@@ -12,10 +12,10 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-var surveyRequest = fromClient(1, segment.Acknowledge, 101, 501, "request")
+var surveyRequest = clientPacket(1, segment.Acknowledge, 101, 501, "request")
 
-// targets returns the agents with some numbers as a survey names them.
-func targets(numbers ...int) []relay.AgentGroup {
+// agentGroup returns the agents with some numbers as a survey names them.
+func agentGroup(numbers ...int) []relay.AgentGroup {
 	group := relay.AgentGroup{Service: service, Port: agentPort}
 	for _, number := range numbers {
 		address := agentAddress(number)
@@ -24,8 +24,8 @@
 	return []relay.AgentGroup{group}
 }
 
-// namedIn returns the addresses of all agents that a message names.
-func namedIn(groups []relay.AgentGroup) []segment.Address {
+// addressesIn returns the addresses of all agents that a message names.
+func addressesIn(groups []relay.AgentGroup) []segment.Address {
 	var addresses []segment.Address
 	for _, group := range groups {
 		addresses = append(addresses, group.Addresses()...)
@@ -36,11 +36,11 @@
 var _ = Describe("Agent, asked for a survey", func() {
 	var agent *relay.Agent
 
-	// survey makes the agent ask agents 1 and 2.
-	survey := func(now time.Duration, probing bool) []relay.Effect {
+	// startSurvey makes the agent ask agents 1 and 2.
+	startSurvey := func(now time.Duration, probing bool) []relay.Effect {
 		message := relay.Message{
-			Kind: relay.KindSurvey, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 5,
-			Acknowledgment: 501, Flags: segment.Acknowledge, Targets: targets(1, 2),
+			Kind: relay.KindSurvey, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 5,
+			Acknowledgment: 501, Flags: segment.Acknowledge, Targets: agentGroup(1, 2),
 		}
 		if probing {
 			message.Packet = surveyRequest
@@ -49,7 +49,7 @@
 	}
 	answer := func(now time.Duration, number int, kind relay.MessageKind, age time.Duration) []relay.Effect {
 		return agent.Receive(now, agentAddress(number), relay.Message{
-			Kind: kind, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Uptime: age,
+			Kind: kind, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Uptime: age,
 		})
 	}
 
@@ -59,12 +59,12 @@
 	})
 
 	It("asks the others for the balancer, and answers for itself", func() {
-		asked := sent(survey(0, false))
-		Expect(asked).To(HaveLen(3))
-		Expect(asked[0].To).To(Equal(balancerA))
-		Expect(asked[0].Message.Kind).To(Equal(relay.KindDenied))
+		queried := sentMessages(startSurvey(0, false))
+		Expect(queried).To(HaveLen(3))
+		Expect(queried[0].To).To(Equal(balancerA))
+		Expect(queried[0].Message.Kind).To(Equal(relay.KindDenied))
 		for index, number := range []int{1, 2} {
-			each := asked[index+1]
+			each := queried[index+1]
 			Expect(each.To).To(Equal(agentAddress(number)))
 			Expect(each.Message.Kind).To(Equal(relay.KindVerify))
 			Expect(each.Message.Acknowledgment).To(Equal(uint32(501)))
@@ -73,45 +73,45 @@
 	})
 
 	It("makes the others ask their endpoints if the balancer wants that", func() {
-		for _, each := range sent(survey(0, true))[1:] {
+		for _, each := range sentMessages(startSurvey(0, true))[1:] {
 			Expect(each.Message.Kind).To(Equal(relay.KindProbe))
 			Expect(each.Message.Packet).To(Equal(surveyRequest))
 		}
 	})
 
 	It("tells the balancer once all have answered, with the age of the oldest", func() {
-		survey(0, false)
+		startSurvey(0, false)
 		Expect(answer(millisecond, 1, relay.KindDenied, 7*time.Second)).To(BeEmpty())
 		Expect(answer(millisecond, 1, relay.KindDenied, 7*time.Second)).To(BeEmpty(), "a copy")
-		told := onlyMessage(answer(millisecond, 2, relay.KindDenied, 5*time.Second))
-		Expect(told.To).To(Equal(balancerA))
-		Expect(told.Message.Kind).To(Equal(relay.KindSurveyResult))
-		Expect(told.Message.Uptime).To(Equal(7 * time.Second))
-		Expect(told.Message.Uncertain).To(BeEmpty())
-		Expect(told.Message.Unresponsive).To(BeEmpty())
-		Expect(told.Message.Sequence).To(Equal(uint32(5)), "the number of the survey")
+		result := onlyMessage(answer(millisecond, 2, relay.KindDenied, 5*time.Second))
+		Expect(result.To).To(Equal(balancerA))
+		Expect(result.Message.Kind).To(Equal(relay.KindSurveyResult))
+		Expect(result.Message.Uptime).To(Equal(7 * time.Second))
+		Expect(result.Message.Uncertain).To(BeEmpty())
+		Expect(result.Message.Unresponsive).To(BeEmpty())
+		Expect(result.Message.Sequence).To(Equal(uint32(5)), "the number of the survey")
 	})
 
 	It("tells the balancer who do not know", func() {
-		survey(0, false)
+		startSurvey(0, false)
 		answer(millisecond, 1, relay.KindUncertain, time.Second)
-		Expect(onlyMessage(answer(millisecond, 2, relay.KindDenied, time.Second)).Message.Uncertain).To(Equal(targets(1)))
+		Expect(onlyMessage(answer(millisecond, 2, relay.KindDenied, time.Second)).Message.Uncertain).To(Equal(agentGroup(1)))
 	})
 
 	It("tells the balancer in time who have not answered, and again once all have", func() {
-		survey(0, false)
+		startSurvey(0, false)
 		answer(millisecond, 1, relay.KindDenied, time.Second)
-		Expect(sent(agent.Tick(59 * millisecond))).To(BeEmpty())
+		Expect(sentMessages(agent.Tick(59 * millisecond))).To(BeEmpty())
 		Expect(agent.NextTick(59 * millisecond)).To(Equal(60 * millisecond))
-		told := onlyMessage(agent.Tick(60 * millisecond)).Message
-		Expect(told.Kind).To(Equal(relay.KindSurveyResult))
-		Expect(told.Unresponsive).To(Equal(targets(2)))
-		Expect(sent(agent.Tick(70*millisecond))).To(BeEmpty(), "once")
+		result := onlyMessage(agent.Tick(60 * millisecond)).Message
+		Expect(result.Kind).To(Equal(relay.KindSurveyResult))
+		Expect(result.Unresponsive).To(Equal(agentGroup(2)))
+		Expect(sentMessages(agent.Tick(70*millisecond))).To(BeEmpty(), "once")
 		Expect(onlyMessage(answer(80*millisecond, 2, relay.KindDenied, time.Second)).Message.Unresponsive).To(BeEmpty())
 	})
 
 	It("believes nobody that was not asked, and nobody who answers late", func() {
-		survey(0, false)
+		startSurvey(0, false)
 		answer(millisecond, 1, relay.KindDenied, time.Second)
 		Expect(answer(millisecond, 3, relay.KindDenied, time.Second)).To(BeEmpty())
 		agent.Tick(time.Second)
@@ -119,15 +119,15 @@
 	})
 
 	It("answers another agent that it does not own the flow, and the balancer that it does", func() {
-		question := relay.Message{
-			Kind: relay.KindVerify, Service: service, Flow: relay.EncodeFlow(keyOf(1)),
+		query := relay.Message{
+			Kind: relay.KindVerify, Service: service, Flow: relay.EncodeFlow(flowKey(1)),
 			Flags: segment.Acknowledge, Acknowledgment: 501, ReplyTo: relay.EncodeAddress(balancerA),
 		}
-		Expect(onlyMessage(agent.Receive(0, agentAddress(1), question)).To).To(Equal(agentAddress(1)))
-		offered := relay.Message{Kind: relay.KindOffer, Service: service, Packet: opening(1, 100)}
+		Expect(onlyMessage(agent.Receive(0, agentAddress(1), query)).To).To(Equal(agentAddress(1)))
+		offered := relay.Message{Kind: relay.KindOffer, Service: service, Packet: openingPacket(1, 100)}
 		agent.Receive(0, balancerB, offered)
-		agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
-		owned := onlyMessage(agent.Receive(0, agentAddress(1), question))
+		agent.HandleEndpointPacket(0, endpointPacket(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
+		owned := onlyMessage(agent.Receive(0, agentAddress(1), query))
 		Expect(owned.Message.Kind).To(Equal(relay.KindOwned))
 		Expect(owned.To).To(Equal(balancerA))
 	})
@@ -136,43 +136,43 @@
 var _ = Describe("Balancer, among many agents", func() {
 	const (
 		agents = 60
-		asked  = 20 * time.Second
+		start  = 20 * time.Second
 	)
 	var (
 		balancer *relay.Balancer
-		known    *fleet
+		builder  *directoryBuilder
 	)
 
-	install := func() { balancer.Install(asked, known.machine.Snapshot()) }
+	install := func() { balancer.Install(start, builder.machine.Snapshot()) }
 
 	BeforeEach(func() {
 		balancer = newBalancer()
-		known = newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		builder = newDirectoryBuilder()
+		builder.configure(directory.Share{Service: service, Weight: 1})
 		for number := range agents {
-			known.endpoint(0, number, nil)
+			builder.putEndpoint(0, number, nil)
 		}
-		known.follow(0)
+		builder.setSince(0)
 		install()
 	})
 
-	report := func(from segment.Address, unsure, silent []relay.AgentGroup) []relay.Effect {
-		return balancer.Receive(asked+3*millisecond, from, relay.Message{
-			Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 1, Uptime: asked,
+	reportSurvey := func(from segment.Address, unsure, silent []relay.AgentGroup) []relay.Effect {
+		return balancer.Receive(start+3*millisecond, from, relay.Message{
+			Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 1, Uptime: start,
 			Uncertain: unsure, Unresponsive: silent,
 		})
 	}
 	deny := func(from segment.Address) []relay.Effect {
-		return balancer.Receive(asked+3*millisecond, from, relay.Message{
-			Kind: relay.KindDenied, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Uptime: asked,
+		return balancer.Receive(start+3*millisecond, from, relay.Message{
+			Kind: relay.KindDenied, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Uptime: start,
 		})
 	}
 
 	It("leaves a search to one of them", func() {
-		surveyor := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest))
+		surveyor := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
 		Expect(surveyor.Message.Kind).To(Equal(relay.KindSurvey))
-		Expect(namedIn(surveyor.Message.Targets)).To(HaveLen(agents - 1))
-		Expect(namedIn(surveyor.Message.Targets)).NotTo(ContainElement(surveyor.To))
+		Expect(addressesIn(surveyor.Message.Targets)).To(HaveLen(agents - 1))
+		Expect(addressesIn(surveyor.Message.Targets)).NotTo(ContainElement(surveyor.To))
 		Expect(surveyor.Message.Packet).To(BeEmpty(), "no endpoint gets a packet that may be another's")
 		Expect(surveyor.Message.Acknowledgment).To(Equal(uint32(501)))
 		Expect(surveyor.Message.Flags).To(Equal(segment.Acknowledge))
@@ -180,120 +180,120 @@
 
 	It("leaves the agents of each zone to one of them", func() {
 		for number := range agents {
-			known.endpoint(0, number, func(e *directory.Endpoint) { e.Zone = []string{ownZone, otherZone}[number%2] })
+			builder.putEndpoint(0, number, func(e *directory.Endpoint) { e.Zone = []string{ownZone, otherZone}[number%2] })
 		}
 		install()
-		parts := sent(balancer.HandleClientPacket(asked, surveyRequest))
+		parts := sentMessages(balancer.HandleClientPacket(start, surveyRequest))
 		Expect(parts).To(HaveLen(2))
 		for _, part := range parts {
-			asked := append(namedIn(part.Message.Targets), part.To)
-			Expect(asked).To(HaveLen(agents / 2))
-			for _, agent := range asked {
+			agentsAsked := append(addressesIn(part.Message.Targets), part.To)
+			Expect(agentsAsked).To(HaveLen(agents / 2))
+			for _, agent := range agentsAsked {
 				Expect(agent.IP[3]%2).To(Equal(part.To.IP[3]%2), "it asks those of its own zone")
 			}
 		}
 	})
 
 	It("resets the flow once that one and all others have denied it, and the directory is confirmed", func() {
-		surveyor := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest)).To
-		Expect(resets(report(surveyor, nil, nil))).To(BeEmpty())
-		Expect(ofKind(deny(surveyor), relay.EffectConfirmDirectory)).To(HaveLen(1))
-		Expect(resets(balancer.MarkCurrentThrough(asked+9*millisecond, asked+4*millisecond))).To(HaveLen(1))
+		surveyor := onlyMessage(balancer.HandleClientPacket(start, surveyRequest)).To
+		Expect(resetHeaders(reportSurvey(surveyor, nil, nil))).To(BeEmpty())
+		Expect(effectsOfKind(deny(surveyor), relay.EffectConfirmDirectory)).To(HaveLen(1))
+		Expect(resetHeaders(balancer.MarkCurrentThrough(start+9*millisecond, start+4*millisecond))).To(HaveLen(1))
 	})
 
 	It("makes them ask their endpoints if some do not know, again through one of them", func() {
-		first := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest))
-		Expect(sent(report(first.To, first.Message.Targets, nil))).To(BeEmpty(), "that one has not answered for itself")
+		first := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
+		Expect(sentMessages(reportSurvey(first.To, first.Message.Targets, nil))).To(BeEmpty(), "that one has not answered for itself")
 		second := onlyMessage(deny(first.To))
 		Expect(second.Message.Kind).To(Equal(relay.KindSurvey))
 		Expect(second.Message.Packet).To(Equal(surveyRequest))
-		Expect(namedIn(second.Message.Targets)).To(HaveLen(agents - 2))
+		Expect(addressesIn(second.Message.Targets)).To(HaveLen(agents - 2))
 	})
 
 	It("makes only those ask their endpoints that do not know", func() {
-		first := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest))
+		first := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
 		unsure := first.Message.Targets[0].Addresses()[3]
 		deny(first.To)
-		probed := onlyMessage(report(first.To, []relay.AgentGroup{{Service: service, Port: agentPort, IPs: unsure.IP[:]}}, nil))
+		probed := onlyMessage(reportSurvey(first.To, []relay.AgentGroup{{Service: service, Port: agentPort, IPs: unsure.IP[:]}}, nil))
 		Expect(probed.Message.Kind).To(Equal(relay.KindProbe))
 		Expect(probed.To).To(Equal(unsure))
 	})
 
 	It("asks only those again that have not answered", func() {
-		first := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest))
+		first := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
 		silent := first.Message.Targets[0].Addresses()[5]
 		deny(first.To)
-		Expect(sent(report(first.To, nil, []relay.AgentGroup{{Service: service, Port: agentPort, IPs: silent.IP[:]}}))).To(BeEmpty())
-		again := onlyMessage(balancer.Tick(asked + 100*millisecond))
+		Expect(sentMessages(reportSurvey(first.To, nil, []relay.AgentGroup{{Service: service, Port: agentPort, IPs: silent.IP[:]}}))).To(BeEmpty())
+		again := onlyMessage(balancer.Tick(start + 100*millisecond))
 		Expect(again.To).To(Equal(silent))
 		Expect(again.Message.Kind).To(Equal(relay.KindVerify))
 	})
 
 	It("believes no other agent that says so", func() {
-		surveyor := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest))
-		report(surveyor.Message.Targets[0].Addresses()[0], nil, nil)
-		Expect(ofKind(deny(surveyor.To), relay.EffectConfirmDirectory)).To(BeEmpty())
+		surveyor := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
+		reportSurvey(surveyor.Message.Targets[0].Addresses()[0], nil, nil)
+		Expect(effectsOfKind(deny(surveyor.To), relay.EffectConfirmDirectory)).To(BeEmpty())
 	})
 
 	It("does not take the answer to an earlier survey for one about those that it asks now", func() {
-		surveyor := onlyMessage(balancer.HandleClientPacket(asked, surveyRequest)).To
-		balancer.Receive(asked+3*millisecond, surveyor, relay.Message{
-			Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 7, Uptime: asked,
+		surveyor := onlyMessage(balancer.HandleClientPacket(start, surveyRequest)).To
+		balancer.Receive(start+3*millisecond, surveyor, relay.Message{
+			Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 7, Uptime: start,
 		})
-		Expect(ofKind(deny(surveyor), relay.EffectConfirmDirectory)).To(BeEmpty())
+		Expect(effectsOfKind(deny(surveyor), relay.EffectConfirmDirectory)).To(BeEmpty())
 	})
 
 	It("asks another each time that one does not answer", func() {
-		asking := map[segment.Address]bool{onlyMessage(balancer.HandleClientPacket(asked, surveyRequest)).To: true}
+		asking := map[segment.Address]bool{onlyMessage(balancer.HandleClientPacket(start, surveyRequest)).To: true}
 		for round := range 8 {
-			again := onlyMessage(balancer.Tick(asked + time.Duration(round+1)*100*millisecond))
+			again := onlyMessage(balancer.Tick(start + time.Duration(round+1)*100*millisecond))
 			Expect(again.Message.Kind).To(Equal(relay.KindSurvey))
-			Expect(namedIn(again.Message.Targets)).To(HaveLen(agents - 1))
+			Expect(addressesIn(again.Message.Targets)).To(HaveLen(agents - 1))
 			asking[again.To] = true
 		}
 		Expect(len(asking)).To(BeNumerically(">", 5))
 	})
 
 	It("leaves nothing more to them while the client repeats its packet, and begins again when all rounds were in vain", func() {
-		balancer.HandleClientPacket(asked, surveyRequest)
-		Expect(sent(balancer.HandleClientPacket(asked+50*millisecond, surveyRequest))).To(BeEmpty())
-		Expect(sent(balancer.HandleClientPacket(asked+150*millisecond, surveyRequest))).To(BeEmpty())
-		ended := asked
+		balancer.HandleClientPacket(start, surveyRequest)
+		Expect(sentMessages(balancer.HandleClientPacket(start+50*millisecond, surveyRequest))).To(BeEmpty())
+		Expect(sentMessages(balancer.HandleClientPacket(start+150*millisecond, surveyRequest))).To(BeEmpty())
+		ended := start
 		for range 20 {
 			ended += 100 * millisecond
 			balancer.Tick(ended)
 		}
-		Expect(sent(balancer.Tick(ended + 100*millisecond))).To(BeEmpty())
+		Expect(sentMessages(balancer.Tick(ended + 100*millisecond))).To(BeEmpty())
 		Expect(onlyMessage(balancer.HandleClientPacket(ended+200*millisecond, surveyRequest)).Message.Kind).To(Equal(relay.KindSurvey))
 	})
 
 	It("does not ask all agents again and again if their answers prove nothing, since they are older than the directory", func() {
 		balancer = newBalancer()
-		known.machine = directory.New()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		builder.machine = directory.New()
+		builder.configure(directory.Share{Service: service, Weight: 1})
 		for number := range agents {
-			known.endpoint(asked, number, nil)
+			builder.putEndpoint(start, number, nil)
 		}
-		known.follow(asked - millisecond)
+		builder.setSince(start - millisecond)
 		install()
 		surveys := 0
 		answerAll := func(now time.Duration, effects []relay.Effect) {
-			for _, effect := range slices.Clone(sent(effects)) {
+			for _, effect := range slices.Clone(sentMessages(effects)) {
 				if effect.Message.Kind != relay.KindSurvey {
 					continue
 				}
 				surveys++
 				balancer.Receive(now+millisecond, effect.To, relay.Message{
-					Kind: relay.KindUncertain, Service: service, Flow: relay.EncodeFlow(keyOf(1)), Uptime: asked,
+					Kind: relay.KindUncertain, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Uptime: start,
 				})
 				balancer.Receive(now+millisecond, effect.To, relay.Message{
-					Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(keyOf(1)),
-					Sequence: effect.Message.Sequence, Uptime: asked, Uncertain: effect.Message.Targets,
+					Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(flowKey(1)),
+					Sequence: effect.Message.Sequence, Uptime: start, Uncertain: effect.Message.Targets,
 				})
 			}
 		}
 		for step := range 40 {
-			now := asked + time.Duration(step)*100*millisecond
+			now := start + time.Duration(step)*100*millisecond
 			answerAll(now, balancer.Tick(now))
 			answerAll(now, balancer.HandleClientPacket(now, surveyRequest))
 		}
@@ -304,14 +304,14 @@
 		for length := range 1200 {
 			balancer = newBalancer()
 			install()
-			packet := fromClient(1, segment.Acknowledge, 101, 501, string(make([]byte, length)))
-			Expect(sizeOf(onlyMessage(balancer.HandleClientPacket(asked, packet)))).To(BeNumerically("<=", relay.MaxMessageSize))
+			packet := clientPacket(1, segment.Acknowledge, 101, 501, string(make([]byte, length)))
+			Expect(encodedSize(onlyMessage(balancer.HandleClientPacket(start, packet)))).To(BeNumerically("<=", relay.MaxMessageSize))
 		}
 	})
 })
 
-// sizeOf returns the encoded size of a message.
-func sizeOf(effect relay.Effect) int {
+// encodedSize returns the encoded size of a message.
+func encodedSize(effect relay.Effect) int {
 	GinkgoHelper()
 	encoded, err := effect.Message.MarshalMsg(nil)
 	Expect(err).NotTo(HaveOccurred())
@@ -321,36 +321,36 @@
 var _ = Describe("Balancer, among hundreds of agents", func() {
 	const (
 		agents = 330
-		asked  = 20 * time.Second
+		start  = 20 * time.Second
 	)
 	var (
 		balancer *relay.Balancer
-		known    *fleet
+		builder  *directoryBuilder
 	)
 
 	BeforeEach(func() {
 		balancer = newBalancer()
-		known = newFleet()
-		known.configure(directory.Share{Service: service, Weight: 1})
+		builder = newDirectoryBuilder()
+		builder.configure(directory.Share{Service: service, Weight: 1})
 		for number := range agents {
-			known.endpoint(0, number, func(endpoint *directory.Endpoint) {
+			builder.putEndpoint(0, number, func(endpoint *directory.Endpoint) {
 				endpoint.IP[2] = byte(number >> 8)
 				if number%5 == 0 {
 					endpoint.Service = otherService
 				}
 			})
 		}
-		known.follow(0)
-		balancer.Install(asked, known.machine.Snapshot())
+		builder.setSince(0)
+		balancer.Install(start, builder.machine.Snapshot())
 	})
 
 	It("finds an owner by a handful of messages, each of which fits", func() {
 		searches := 0
 		for number := range 100 {
-			packet := fromClient(number, segment.Acknowledge, 101, 501, string(make([]byte, 900)))
-			for _, effect := range sent(balancer.HandleClientPacket(asked, packet)) {
+			packet := clientPacket(number, segment.Acknowledge, 101, 501, string(make([]byte, 900)))
+			for _, effect := range sentMessages(balancer.HandleClientPacket(start, packet)) {
 				Expect(effect.Message.Kind).To(Equal(relay.KindSurvey))
-				Expect(sizeOf(effect)).To(BeNumerically("<=", relay.MaxMessageSize))
+				Expect(encodedSize(effect)).To(BeNumerically("<=", relay.MaxMessageSize))
 				searches++
 			}
 		}
@@ -358,19 +358,19 @@
 	})
 
 	It("hears of each agent once from several of them if the packet leaves little room", func() {
-		long := fromClient(1, segment.Acknowledge, 101, 501, string(make([]byte, 1200)))
-		first := onlyMessage(balancer.HandleClientPacket(asked, long))
-		balancer.Receive(asked, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.EncodeFlow(keyOf(1)), Uptime: asked})
-		parts := sent(balancer.Receive(asked, first.To, relay.Message{
-			Kind: relay.KindSurveyResult, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 1, Uptime: asked, Uncertain: first.Message.Targets,
+		long := clientPacket(1, segment.Acknowledge, 101, 501, string(make([]byte, 1200)))
+		first := onlyMessage(balancer.HandleClientPacket(start, long))
+		balancer.Receive(start, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.EncodeFlow(flowKey(1)), Uptime: start})
+		parts := sentMessages(balancer.Receive(start, first.To, relay.Message{
+			Kind: relay.KindSurveyResult, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 1, Uptime: start, Uncertain: first.Message.Targets,
 		}))
 		Expect(len(parts)).To(BeNumerically("~", 3, 1))
 		reached := make(map[segment.Address]int)
 		for _, part := range parts {
 			Expect(part.Message.Packet).To(Equal(long))
-			Expect(sizeOf(part)).To(BeNumerically("<=", relay.MaxMessageSize))
+			Expect(encodedSize(part)).To(BeNumerically("<=", relay.MaxMessageSize))
 			reached[part.To]++
-			for _, target := range namedIn(part.Message.Targets) {
+			for _, target := range addressesIn(part.Message.Targets) {
 				reached[target]++
 			}
 		}
@@ -381,25 +381,25 @@
 	})
 
 	It("resets the flow once every part has denied it", func() {
-		long := fromClient(1, segment.Acknowledge, 101, 501, string(make([]byte, 1200)))
-		first := onlyMessage(balancer.HandleClientPacket(asked, long))
-		balancer.Receive(asked, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.EncodeFlow(keyOf(1)), Uptime: asked})
-		probing := slices.Clone(balancer.Receive(asked, first.To, relay.Message{
-			Kind: relay.KindSurveyResult, Flow: relay.EncodeFlow(keyOf(1)), Sequence: 1, Uptime: asked, Uncertain: first.Message.Targets,
+		long := clientPacket(1, segment.Acknowledge, 101, 501, string(make([]byte, 1200)))
+		first := onlyMessage(balancer.HandleClientPacket(start, long))
+		balancer.Receive(start, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.EncodeFlow(flowKey(1)), Uptime: start})
+		probing := slices.Clone(balancer.Receive(start, first.To, relay.Message{
+			Kind: relay.KindSurveyResult, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 1, Uptime: start, Uncertain: first.Message.Targets,
 		}))
-		Expect(ofKind(probing, relay.EffectConfirmDirectory)).To(HaveLen(1), "the directory is confirmed while endpoints are asked")
-		for _, part := range sent(probing) {
+		Expect(effectsOfKind(probing, relay.EffectConfirmDirectory)).To(HaveLen(1), "the directory is confirmed while endpoints are asked")
+		for _, part := range sentMessages(probing) {
 			answered := func(kind relay.MessageKind) []relay.Effect {
-				return balancer.Receive(asked+millisecond, part.To, relay.Message{
-					Kind: kind, Flow: relay.EncodeFlow(keyOf(1)), Sequence: part.Message.Sequence, Uptime: asked,
+				return balancer.Receive(start+millisecond, part.To, relay.Message{
+					Kind: kind, Flow: relay.EncodeFlow(flowKey(1)), Sequence: part.Message.Sequence, Uptime: start,
 				})
 			}
 			for _, kind := range []relay.MessageKind{relay.KindDenied, relay.KindSurveyResult} {
 				effects := answered(kind)
-				Expect(ofKind(effects, relay.EffectConfirmDirectory)).To(BeEmpty(), "one confirmation is under way")
-				Expect(resets(effects)).To(BeEmpty(), "it has not come")
+				Expect(effectsOfKind(effects, relay.EffectConfirmDirectory)).To(BeEmpty(), "one confirmation is under way")
+				Expect(resetHeaders(effects)).To(BeEmpty(), "it has not come")
 			}
 		}
-		Expect(resets(balancer.MarkCurrentThrough(asked+9*millisecond, asked+4*millisecond))).To(HaveLen(1))
+		Expect(resetHeaders(balancer.MarkCurrentThrough(start+9*millisecond, start+4*millisecond))).To(HaveLen(1))
 	})
 })
--- a/internal/relay/utilization.go
+++ b/internal/relay/utilization.go
@@ -8,38 +8,38 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// group is a set of endpoints that are used alike: those of a service, in a zone, that are
+// endpointGroup is a set of endpoints that are used alike: those of a service, in a zone, that are
 // slow or not. Slow ones get less, and each zone has a demand of its own.
-type group struct {
+type endpointGroup struct {
 	service string
 	zone    string
 	slow    bool
 }
 
-// levelOf returns how far the endpoints like one of some slowness are used.
-func (b *Balancer) levelOf(candidate directory.Candidate, slowness float64) *placement.Level {
-	key := group{candidate.Endpoint.Service, candidate.Endpoint.Zone, slowness > 1}
-	known, exists := b.levels[key]
+// utilizationOf returns how far the endpoints like one of some slowness are used.
+func (b *Balancer) utilizationOf(candidate directory.Candidate, slowness float64) *placement.Level {
+	key := endpointGroup{candidate.Endpoint.Service, candidate.Endpoint.Zone, slowness > 1}
+	level, exists := b.utilization[key]
 	if !exists {
-		known = &placement.Level{}
-		b.levels[key] = known
+		level = &placement.Level{}
+		b.utilization[key] = level
 	}
-	return known
+	return level
 }
 
-// noteUse notes how many requests an endpoint works on, as its agent tells. A flow that it
+// noteUtilization notes how many requests an endpoint works on, as its agent tells. A flow that it
 // returns is not among them, but still among those that this balancer has placed there.
-func (b *Balancer) noteUse(now time.Duration, from segment.Address, message Message) {
+func (b *Balancer) noteUtilization(now time.Duration, from segment.Address, message Message) {
 	candidate, exists := b.snapshot.At(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service || candidate.Endpoint.Slots == 0 {
 		return
 	}
-	known := b.healthOf(candidate.ID)
-	usual := b.usualPace(now, message.Service)
-	own := float64(known.outstanding) + b.demandOf(message.Service).slots(usual)*float64(known.kept)
+	health := b.healthOf(candidate.ID)
+	medianServiceTime := b.medianServiceTime(now, message.Service)
+	own := float64(health.outstanding) + b.demandOf(message.Service).slotsPerFlow(medianServiceTime)*float64(health.persistent)
 	if message.Kind == KindReturned {
 		own--
 	}
-	known.news = placement.News{Used: max(float64(message.Load.Pending)-max(own, 0), 0), At: now, Known: true}
-	b.levelOf(candidate, known.slowness(now, usual)).Note(now, known.news.Used/float64(candidate.Endpoint.Slots))
+	health.utilization = placement.News{Used: max(float64(message.Load.Pending)-max(own, 0), 0), At: now, Known: true}
+	b.utilizationOf(candidate, health.slowness(now, medianServiceTime)).Note(now, health.utilization.Used/float64(candidate.Endpoint.Slots))
 }
