--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -15,26 +15,26 @@
 	// Service is the service of the endpoint beside the agent.
 	Service string
 	Codec   segment.Codec
-	// StartedWithEndpoint is set if the agent starts together with its endpoint, so that
-	// no flow can have been opened before.
+	// StartedWithEndpoint is set if the agent starts together with its endpoint, so that the
+	// endpoint holds no flow that the agent does not know.
 	StartedWithEndpoint bool
-	// FlowLifetime is the longest time for which a flow may last.
+	// FlowLifetime is the longest time that a flow may last.
 	FlowLifetime time.Duration
-	// FlowLimit is the largest number of flows remembered.
+	// FlowLimit is the maximum number of flows remembered.
 	FlowLimit int
-	// ColdStartLimit is what a cold endpoint may get beyond its rate.
+	// ColdStartLimit is how far the requests for a cold endpoint may exceed its rate.
 	ColdStartLimit ColdStartLimit
-	// OutlierLimits are the limits within which the endpoint counts as well.
+	// OutlierLimits are the limits of outlier detection for the endpoint.
 	OutlierLimits outlier.Limits
-	// QueuePolicy decides which request that waits is served first.
+	// QueuePolicy decides which waiting request is served first.
 	QueuePolicy requestqueue.Policy
 }
 
-// agentFlowState is the progress of a flow as its agent sees it.
+// agentFlowState is the state of a flow at its agent.
 type agentFlowState uint8
 
 const (
-	// stateOffered: the opening packet went to the endpoint.
+	// stateOffered: the endpoint was given the opening packet.
 	stateOffered agentFlowState = iota
 	// stateAnswered: the endpoint answered the opening packet.
 	stateAnswered
@@ -42,97 +42,97 @@
 	stateOpen
 	// stateEnded: one end has closed the flow, or reset it.
 	stateEnded
-	// stateProbed: the agent does not know the flow and has handed one packet
-	// of it to the endpoint to learn whether it does.
+	// stateProbed: the agent does not know the flow and gave the endpoint one packet of it to find
+	// out whether the endpoint holds it.
 	stateProbed
 	// stateDenied: the endpoint does not hold the flow.
 	stateDenied
 )
 
-// agentFlow is what an agent remembers of a flow.
+// agentFlow is what an agent knows of a flow.
 type agentFlow struct {
 	state agentFlowState
-	// clientISN is the client's initial clientISN number, answer the endpoint's or, once
-	// that has sent much, a later one.
+	// clientISN is the initial sequence number of the client. ackBase is that of the endpoint or,
+	// once the endpoint has sent much data, a later sequence number.
 	clientISN uint32
 	ackBase   uint32
-	// ackBaseKnown is set once answer is known.
+	// ackBaseKnown is set once ackBase is known.
 	ackBaseKnown bool
 	balancer     segment.Address
-	// zone is that of the client, as far as the balancer told it when the flow was opened.
+	// zone is the zone of the client, empty unless the balancer named it when the flow was opened.
 	zone string
-	// writtenEnd is how far the endpoint has writtenEnd, once wrote is set.
+	// writtenEnd is the sequence number after the last data that the endpoint has written. It is
+	// valid once writtenKnown is set.
 	writtenEnd   uint32
 	writtenKnown bool
-	// prober is the daemon that wants to know, in stateProbed, if the endpoint does not
-	// hold the flow, and forwarded is set if it took this agent for the owner.
+	// prober is the daemon to notify, in stateProbed, if the endpoint does not hold the flow.
+	// probedByForward is set if the prober took this agent for the owner.
 	prober          segment.Address
 	probedByForward bool
-	// openedAt is when its opening packet was first given to the endpoint, 0 if that is not
-	// known.
+	// openedAt is when the endpoint was first given the opening packet, 0 if unknown.
 	openedAt     time.Duration
 	lastActivity time.Duration
-	// endpointIncarnation is the endpoint's, as far as it is told apart, in which it has written in the
-	// flow last.
+	// endpointIncarnation is the value of Agent.endpointIncarnation when the endpoint last wrote in
+	// the flow.
 	endpointIncarnation uint64
 	request             requestState
-	// workStarted is when the endpoint began to work on the latest request, if that is not
-	// before it was given it.
+	// workStarted is when the endpoint began to work on the latest request. It is out of date while
+	// it is before the admission of that request.
 	workStarted time.Duration
 }
 
-// active reports whether the endpoint has the flow and it has not ended.
+// active reports whether the endpoint has the flow and the flow has not ended.
 func (f *agentFlow) active() bool { return f.state <= stateOpen }
 
 // never is later than any time.
 const never = time.Duration(math.MaxInt64)
 
 const (
-	// ackWindow is how far a client's acknowledgment may be ahead of the
-	// initial sequence number of the endpoint that holds its flow.
+	// ackWindow is how far an acknowledgment of the client may be ahead of ackBase for the packet
+	// to belong to the flow.
 	ackWindow = 1 << 26
-	// handshakeAckWindow is the same for the first packet after the handshake. The
-	// endpoint has sent next to nothing then, and a packet for another endpoint
-	// fits by chance only once in 2^16 times.
+	// handshakeAckWindow replaces ackWindow for the first packet after the handshake. The endpoint
+	// has sent next to nothing then, and a packet for another endpoint falls into the window by
+	// chance only once in 2^16 times.
 	handshakeAckWindow = 1 << 16
-	// offeredRetention is how long an opening packet that was not answered, or
-	// whose answer was not acknowledged, is remembered.
+	// offeredRetention is how long a flow is remembered whose opening packet was not answered, or
+	// whose answer was not acknowledged.
 	offeredRetention = 5 * time.Second
-	// endedRetention is how long an ended flow is remembered, so that its last
-	// packets reach the endpoint.
+	// endedRetention is how long an ended flow is remembered, so that its last packets still reach
+	// the endpoint.
 	endedRetention = 10 * time.Second
 	// sweepInterval is the time between removals of old flows.
 	sweepInterval = time.Second
-	// drainRetention is how long an agent believes that its endpoint is draining.
-	// It outlasts what any balancer may not have heard, and ends since another
-	// endpoint may come to the agent's address.
+	// drainRetention is how long an agent takes its endpoint for draining after the last notice. It
+	// is longer than any balancer can miss the change, and finite because another endpoint may take
+	// over the agent's address.
 	drainRetention = 30 * time.Second
 )
 
-// Agent decides what becomes of packets to and from one endpoint. It is not
-// safe for concurrent use.
+// Agent decides what happens to packets to and from one endpoint. It is not safe for concurrent
+// use.
 type Agent struct {
 	config      AgentConfig
 	startedAt   time.Duration
 	initialized bool
 	now         time.Duration
-	// currentParameters are those of the message in hand.
+	// currentParameters are those of the message being handled.
 	currentParameters FlowParameters
 	flows             map[segment.FlowKey]*agentFlow
 	activeFlows       uint32
 	queue             requestQueue
 	usage             slotUsage
 	serviceTimeMeter  placement.Meter
-	// awaitingFirstRequest are the flows that have been accepted and whose first request may be to come.
+	// awaitingFirstRequest are accepted flows whose first request may still come.
 	awaitingFirstRequest []*agentFlow
-	// unanswered and detector tell how well the endpoint is.
+	// unanswered and detector judge the health of the endpoint.
 	unanswered unansweredRequests
 	detector   *outlier.Detector
 	coldStart  coldStartLimiter
-	// endpointIncarnation counts the times that the endpoint seemed to have been started again.
+	// endpointIncarnation counts the detected restarts of the endpoint.
 	endpointIncarnation uint64
 	surveys             map[segment.FlowKey]*agentSurvey
-	// drainingUntil is until when the endpoint is believed to be draining.
+	// drainingUntil is the time until which the endpoint counts as draining.
 	drainingUntil time.Duration
 	stopping      bool
 	balancers     map[segment.Address]knownBalancer
@@ -140,7 +140,7 @@
 	effects       []Effect
 }
 
-// NewAgent returns an agent that knows no flow.
+// NewAgent returns an agent that knows no flows.
 func NewAgent(config AgentConfig) *Agent {
 	return &Agent{
 		config:    config,
@@ -156,10 +156,10 @@
 // FlowCount returns the number of flows remembered.
 func (a *Agent) FlowCount() int { return len(a.flows) }
 
-// Load returns how busy and how well the endpoint is.
+// Load returns the load and the health of the endpoint.
 func (a *Agent) Load() Load { return a.loadFor("") }
 
-// loadFor is the load as a balancer of a zone shall know it.
+// loadFor returns the load and the health of the endpoint as reported to balancers of a zone.
 func (a *Agent) loadFor(zone string) Load {
 	serviceTime := uint32(min(a.serviceTimeMeter.Pace().Microseconds(), math.MaxUint32))
 	coldWait := uint32(math.Ceil(a.coldStart.waitTime(a.now).Seconds() * 1000))
@@ -192,8 +192,8 @@
 	return a.config.StartedWithEndpoint || now-a.startedAt > a.config.FlowLifetime
 }
 
-// Stop makes the agent take no more new flows and tells balancers so. The
-// returned effects are valid until the next call.
+// Stop makes the agent refuse new flows and notifies the balancers that it knows. The returned
+// effects are valid until the next call.
 func (a *Agent) Stop(now time.Duration) []Effect {
 	a.beginCall(now)
 	a.stopping = true
@@ -203,7 +203,7 @@
 	return a.effects
 }
 
-// Receive handles a message from a balancer. The returned effects are valid
+// Receive handles a message from a balancer or from another agent. The returned effects are valid
 // until the next call.
 func (a *Agent) Receive(now time.Duration, from segment.Address, message Message) []Effect {
 	a.beginCall(now)
@@ -257,8 +257,9 @@
 	a.receiveSegment(now, from, key, header, message)
 }
 
-// refuseOtherService handles a packet for an endpoint that had this address before. A
-// probe is part of a search and is not answered, or the search would never end.
+// refuseOtherService handles a packet for an endpoint of another service that had this address
+// before. It does not answer a probe: an answer would restart the search that the probe is part of,
+// and the search would never end.
 func (a *Agent) refuseOtherService(from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
 	if message.Kind == KindProbe {
 		return
@@ -266,7 +267,7 @@
 	a.returnPacket(from, key, header, message.Packet, "other_service")
 }
 
-// returnPacket returns a packet to the balancer it came from.
+// returnPacket sends a packet back to the balancer it came from.
 func (a *Agent) returnPacket(to segment.Address, key segment.FlowKey, header segment.Header, packet []byte, reason string) {
 	message := Message{Kind: KindNotOwned, Service: a.config.Service, Sequence: header.Sequence, Packet: packet}
 	event := EventNotOwned
@@ -279,15 +280,14 @@
 	a.recordEvent(Event{Kind: event, Flow: key, Peer: to, Reason: reason})
 }
 
-// The reasons of the return of an opening packet which this endpoint shall get only if no
-// other takes it.
+// Reasons for returning an opening packet that this endpoint still takes if no other does.
 const (
 	reasonEjected = "ejected"
 	reasonBusy    = "busy"
 )
 
-// reasonCold is the reason of the return of an opening packet for which the endpoint is
-// too cold.
+// reasonCold is the reason for returning an opening packet that exceeds the rate of a cold
+// endpoint.
 const reasonCold = "cold"
 
 func (a *Agent) receiveOpening(now time.Duration, from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
@@ -334,8 +334,9 @@
 	a.deliver(message.Packet)
 }
 
-// learnColdStart takes what a balancer tells of the endpoint's start. An agent that has just
-// been started does not know whether its endpoint has been, too.
+// learnColdStart records what a balancer says about the start of the endpoint. If the balancer
+// names no start, an agent that has itself just started assumes that its endpoint has started too,
+// since it cannot know.
 func (a *Agent) learnColdStart(now time.Duration, coldStart ColdStart) {
 	first := a.coldStart.rate == 0
 	a.coldStart.update(now, coldStart)
@@ -344,8 +345,9 @@
 	}
 }
 
-// receiveOpeningCopy handles a copy of an opening packet that the endpoint was given. One that it
-// has not answered may open a flow after it was restarted.
+// receiveOpeningCopy handles a copy of an opening packet that the endpoint was given. The cold
+// start limit applies if the endpoint has not answered the first copy: it may have restarted, and
+// the copy then opens a flow.
 func (a *Agent) receiveOpeningCopy(now time.Duration, from segment.Address, key segment.FlowKey, flow *agentFlow, header segment.Header, message Message) {
 	if flow.state == stateOffered && !a.coldStart.admit(now, message.Parameters.Priority) {
 		a.forgetFlow(now, key)
@@ -368,9 +370,10 @@
 	case a.mayOwn(now, flow):
 		a.probe(now, from, key, header, message)
 	case flow != nil && flow.state == stateProbed:
-		// An endpoint returns what it does not hold and need not answer a packet without data
-		// that it does. Sent elsewhere, the packets of a flow that was alive reached six other
-		// endpoints and not its own for 6 s, after its agent had been killed.
+		// The endpoint returns packets of flows that it does not hold, but it need not answer a
+		// packet without data of a flow that it holds. No answer therefore does not mean that it
+		// lacks the flow. When such packets were sent elsewhere after an agent had been killed,
+		// packets of a live flow reached six other endpoints and not its own for 6 s.
 		flow.balancer, flow.prober = originBalancer(from, message), from
 		flow.probedByForward = message.Kind == KindForward
 		a.deliver(message.Packet)
@@ -402,7 +405,7 @@
 	a.releaseSlot(now, flow)
 }
 
-// NextTick returns when Tick should be called at the latest.
+// NextTick returns the latest time for the next call of Tick.
 func (a *Agent) NextTick(now time.Duration) time.Duration {
 	next := now + sweepInterval
 	if len(a.queue.waiting) > 0 {
@@ -428,7 +431,7 @@
 	return a.effects
 }
 
-// sweep forgets what is too old.
+// sweep removes flows and balancers that were idle for too long.
 func (a *Agent) sweep(now time.Duration) {
 	a.nextSweep = now + sweepInterval
 	for key, flow := range a.flows {
--- a/internal/relay/agent_coldstart.go
+++ b/internal/relay/agent_coldstart.go
@@ -5,58 +5,59 @@
 )
 
 const (
-	// restartSilence is how long an endpoint says nothing, while opening packets wait for
-	// it, before it is taken for restarted when it answers again. One that works answers
-	// them within a few milliseconds.
+	// restartSilence is how long an endpoint must be silent while opening packets await its answer,
+	// to count as restarted when it answers again. A running endpoint answers them within a few
+	// milliseconds.
 	restartSilence = 300 * time.Millisecond
-	// coldBurstShare is the part of what the bound leaves above the rate that a burst may
-	// take. An agent that is restarted does not know what the one before it let through, so
-	// that two bursts may come within a second.
+	// coldBurstShare is the share of the margin above the rate that one burst may use. A restarted
+	// agent does not know what its predecessor let through, so two bursts may come within a second.
 	coldBurstShare = 0.25
-	// maxLowPriorityWait is how long requests that are less urgent than others wait for one at the
-	// most, so that they do not starve, and urgentMemory how long a request counts in what
-	// is the most urgent.
+	// maxLowPriorityWait is the maximum time that requests of lower priority wait for one of them
+	// to be admitted, so that they do not starve. urgentRetention is how long a request determines
+	// the most urgent priority.
 	maxLowPriorityWait = time.Second
 	urgentRetention    = time.Second
-	// maxColdWait bounds for how long balancers are told to leave an endpoint out: what it
-	// gets may grow meanwhile.
+	// maxColdWait limits the time for which balancers are told to avoid an endpoint. Its permitted
+	// rate may grow in the meantime.
 	maxColdWait = 250 * time.Millisecond
 )
 
-// ColdStartLimit is how much of the rate of a cold endpoint a fleet may exceed in any second.
+// ColdStartLimit is how far the requests for a cold endpoint may exceed its rate in any second.
 type ColdStartLimit struct {
-	// Overrun is the factor, at least 1, and Slack the number of requests beside it.
+	// Overrun is a factor on the rate, at least 1. Slack is a number of requests on top of it.
 	Overrun float64
 	Slack   float64
 }
 
-// coldStartLimiter bounds what an endpoint gets that is cold, or that has failed soon after its
-// start, in the one place through which all of its requests pass. It is a token bucket: in
-// any second it lets no more through than the rate and one burst.
+// coldStartLimiter limits the opening packets for an endpoint that is cold or that has failed soon
+// after its start. It is part of the agent because all requests of the endpoint pass there. It is a
+// token bucket: in any second it admits at most the rate and one burst.
 //
-// Without it, 51 endpoints that carry 12 requests a second each while they are cold failed
-// 255 times in the 18 s after a loss of power under 1,555 requests a second, and a quarter
-// of all requests of the run with them; with it none fails (89 emulated machines).
+// Without it, 51 endpoints that serve 12 requests a second each while cold failed 255 times in the
+// 18 s after a power loss under 1,555 requests a second, and a quarter of all requests of the run
+// failed with them. With it none failed (89 emulated machines).
 type coldStartLimiter struct {
 	limit ColdStartLimit
-	// rate, in requests a second, and lasts are as told last; rate is 0 if there is no limit.
+	// rate, in requests a second, and warmupTime are the latest values from balancers. A rate of 0
+	// means no limit.
 	rate       float64
 	warmupTime time.Duration
-	// coldUntil is until when the endpoint is believed to be cold, and told the revision at
-	// which that was announced, 0 if the agent has concluded it.
+	// coldUntil is the time until which the endpoint counts as cold. revision is the store revision
+	// of the entry that it is from, 0 if the agent inferred it.
 	coldUntil time.Duration
 	revision  uint64
 	crashLoop crashLoopLimiter
-	// down is set from when the endpoint has failed until it takes a flow again.
+	// down is set from a failure of the endpoint until it accepts a flow again.
 	down bool
-	// tokens are what the bucket held at the time filled.
+	// tokens is the fill level of the bucket at refilledAt.
 	tokens     float64
 	refilledAt time.Duration
-	// unansweredSince is when the first opening packet came that the endpoint has not answered,
+	// unansweredSince is when the first opening packet arrived that the endpoint has not answered,
 	// never if there is none.
 	unansweredSince time.Duration
-	// urgentPriority is the most urgentPriority priority of late and seen when that was; neglected is since
-	// when another has been waiting, never if none has.
+	// urgentPriority is the most urgent recent priority, last seen at urgentSeenAt.
+	// lowPriorityWaitingSince is since when a request of lower priority has been waiting, never if
+	// none has.
 	urgentPriority          uint8
 	urgentSeenAt            time.Duration
 	lowPriorityWaitingSince time.Duration
@@ -66,8 +67,8 @@
 	return coldStartLimiter{limit: bound, crashLoop: newCrashLoopLimiter(), unansweredSince: never, lowPriorityWaitingSince: never, urgentSeenAt: -2 * urgentRetention}
 }
 
-// update takes what a balancer tells. A later revision replaces what was known; of the same
-// one the least is right, since it takes time to be told.
+// update records the values from a balancer. A later revision replaces the end of the cold phase.
+// For the same revision the earliest end is right, because messages take time to arrive.
 func (c *coldStartLimiter) update(now time.Duration, coldStart ColdStart) {
 	c.rate = float64(coldStart.Rate) / 1000
 	c.warmupTime = milliseconds(coldStart.WarmupTime)
@@ -81,11 +82,11 @@
 	}
 }
 
-// noteAgentStart notes that the agent was noteAgentStart, perhaps together with its endpoint.
+// noteAgentStart records the start of the agent, which may be that of its endpoint too.
 func (c *coldStartLimiter) noteAgentStart(now time.Duration) { c.crashLoop.lastStart = now }
 
-// noteFailure notes that the endpoint has failed, at a time, unless that is known. It reports
-// whether that was soon after its start.
+// noteFailure records a failure of the endpoint, unless it is known to be down. It reports whether
+// the failure came soon after a start.
 func (c *coldStartLimiter) noteFailure(at time.Duration) bool {
 	if c.down {
 		return false
@@ -94,8 +95,9 @@
 	return c.crashLoop.noteFailure(at)
 }
 
-// noteLostFlow notes that the endpoint does not know a flow that it held: it has failed, unless
-// that flow was opened before a start that is known.
+// noteLostFlow records that the endpoint no longer knows a flow that it held. That is a failure
+// unless the flow was opened before a known start. It reports whether the failure came soon after a
+// start.
 func (c *coldStartLimiter) noteLostFlow(now, openedAt time.Duration) (crashLooping bool) {
 	if c.crashLoop.lastStart != never && openedAt <= c.crashLoop.lastStart {
 		return false
@@ -103,14 +105,14 @@
 	return c.noteFailure(now)
 }
 
-// noteOpening notes that the endpoint is given an opening packet.
+// noteOpening records that the endpoint was given an opening packet.
 func (c *coldStartLimiter) noteOpening(now time.Duration) {
 	c.crashLoop.noteRequest(now)
 	c.unansweredSince = min(c.unansweredSince, now)
 }
 
-// noteOutput notes that the endpoint says something. One that was silent for long has failed.
-// It reports whether that was soon after its start.
+// noteOutput records that the endpoint wrote a packet. A long silence before it counts as a
+// failure. noteOutput reports whether the failure came soon after a start.
 func (c *coldStartLimiter) noteOutput(now time.Duration) (crashLooping bool) {
 	if c.unansweredSince != never && now-c.unansweredSince >= restartSilence {
 		crashLooping = c.noteFailure(c.unansweredSince)
@@ -119,8 +121,8 @@
 	return crashLooping
 }
 
-// noteAccepted notes that the endpoint noteAccepted a flow. It reports whether it has been started again,
-// which may not have been announced yet.
+// noteAccepted records that the endpoint accepted a flow. It reports whether the endpoint has
+// restarted, which its entry in the store may not show yet.
 func (c *coldStartLimiter) noteAccepted(now time.Duration) bool {
 	if !c.down {
 		return false
@@ -131,18 +133,18 @@
 	return true
 }
 
-// isCold reports whether the endpoint gets no more than its rate now. One that has failed
-// does, too, since it is isCold as soon as it is back.
+// isCold reports whether the endpoint is limited to its rate. That includes a failed endpoint,
+// which is cold as soon as it is back.
 func (c *coldStartLimiter) isCold(now time.Duration) bool {
 	return c.rate > 0 && (c.down || now < c.coldUntil)
 }
 
-// limited reports whether what the endpoint gets is bounded now.
+// limited reports whether the requests for the endpoint are limited.
 func (c *coldStartLimiter) limited(now time.Duration) bool {
 	return c.isCold(now) || c.crashLoop.limited(now)
 }
 
-// burst is how many requests may come at once.
+// burst returns the capacity of the token bucket.
 func (c *coldStartLimiter) burst(now time.Duration) float64 {
 	if !c.isCold(now) || c.crashLoop.limited(now) {
 		return 1
@@ -151,8 +153,8 @@
 	return max(1, coldBurstShare*headroom)
 }
 
-// sustainedRate is how many requests a second are let through in the long run: the rate, unless
-// that and two bursts are more than the bound.
+// sustainedRate returns the refill rate of the bucket in requests a second. It is the rate of the
+// endpoint, or less if that rate and two bursts would exceed the limit.
 func (c *coldStartLimiter) sustainedRate(now time.Duration) float64 {
 	if !c.isCold(now) {
 		return c.crashLoop.rate(now)
@@ -170,7 +172,7 @@
 	c.refilledAt = now
 }
 
-// admit reports whether the endpoint may get a request now, and takes account of it.
+// admit reports whether the endpoint may get a request now, and takes a token if so.
 func (c *coldStartLimiter) admit(now time.Duration, priority uint8) bool {
 	if !c.limited(now) {
 		return true
@@ -186,8 +188,8 @@
 	return true
 }
 
-// requiredTokens returns how many tokens there must be for a request of a priority. The most
-// urgent go first while there is less than all ask for: others need a full bucket.
+// requiredTokens returns how many tokens a request of a priority needs to be admitted. While tokens
+// are scarce the most urgent requests go first: others need a full bucket.
 func (c *coldStartLimiter) requiredTokens(now time.Duration, priority uint8) float64 {
 	if priority <= c.urgentPriority || now-c.urgentSeenAt > urgentRetention {
 		c.urgentPriority, c.urgentSeenAt = priority, now
@@ -200,7 +202,7 @@
 	return c.burst(now)
 }
 
-// waitTime returns how long it takes until the endpoint may get another request.
+// waitTime returns the time until the endpoint may get another request.
 func (c *coldStartLimiter) waitTime(now time.Duration) time.Duration {
 	if !c.limited(now) {
 		return 0
--- a/internal/relay/agent_survey.go
+++ b/internal/relay/agent_survey.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// surveyReportDelay is how long an agent waits before it tells the balancer who has not
-	// answered. It is shorter than verifyInterval, so that the next round asks only those.
+	// surveyReportDelay is how long an agent waits for replies before it reports the agents that
+	// have not replied. It is shorter than verifyInterval, so that the balancer's next round asks
+	// only those.
 	surveyReportDelay = 60 * time.Millisecond
-	// surveyLifetime is how long an agent takes answers. The balancer has asked again by
-	// then.
+	// surveyLifetime is how long an agent accepts replies. The balancer has asked again by then.
 	surveyLifetime = 500 * time.Millisecond
-	// maxSurveys bounds the surveys that an agent has under way.
+	// maxSurveys limits the concurrent surveys of an agent.
 	maxSurveys = 1024
 )
 
-// agentSurvey is the search for the owner of a flow among other agents, which an agent makes
-// for a balancer: there are many agents, with time to spare, when a few balancers have
-// all flows to find.
+// agentSurvey is a search for the owner of a flow that an agent makes among other agents on behalf
+// of a balancer. There are many agents with time to spare when a few balancers have to find the
+// owners of all flows.
 type agentSurvey struct {
 	flow     segment.FlowKey
 	balancer segment.Address
 	number   uint32
-	// pending are the agents that have not answered, and the service that each was asked
-	// about; unsure are those that do not know.
+	// pending holds the agents that have not replied, with the service that each was asked about.
+	// uncertain holds those that do not know whether they own the flow.
 	pending   map[segment.Address]string
 	uncertain []AgentGroup
-	// maxUptime is the greatest age of those that have answered.
+	// maxUptime is the longest uptime of the agents that have replied.
 	maxUptime time.Duration
-	// reportAt is when the balancer is told who has not answered, never once it was.
+	// reportAt is when unresponsive agents are reported to the balancer, never once that is done.
 	reportAt  time.Duration
 	expiresAt time.Duration
 }
 
-// receiveSurvey asks other agents for the owner of a flow, and this one too. The owner
-// answers the balancer itself, the others this agent.
+// receiveSurvey asks other agents, and this one, for the owner of a flow. The owner replies to the
+// balancer, the others to this agent.
 func (a *Agent) receiveSurvey(now time.Duration, from segment.Address, message Message) {
 	if len(a.surveys) >= maxSurveys {
 		return
@@ -62,15 +62,15 @@
 	query.ReplyTo = EncodeAddress(from)
 	for _, group := range message.Targets {
 		query.Service = group.Service
-		for _, target := range group.Addresses() {
-			survey.pending[target] = group.Service
-			a.send(target, query)
+		for _, agent := range group.Addresses() {
+			survey.pending[agent] = group.Service
+			a.send(agent, query)
 		}
 	}
 }
 
-// receiveSurveyReply notes that another agent does not own a flow, or does not know. The
-// balancer is told once all have answered.
+// receiveSurveyReply records that another agent does not own a flow, or does not know. It reports
+// to the balancer once all agents have replied.
 func (a *Agent) receiveSurveyReply(from segment.Address, message Message) {
 	survey, exists := a.surveys[message.Flow.Key()]
 	if !exists {
@@ -91,7 +91,7 @@
 	}
 }
 
-// reportSurvey tells the balancer of a survey what has been answered.
+// reportSurvey sends the result of a survey to its balancer.
 func (a *Agent) reportSurvey(survey *agentSurvey) {
 	a.send(survey.balancer, Message{
 		Kind: KindSurveyResult, Service: a.config.Service, Flow: EncodeFlow(survey.flow), Sequence: survey.number,
@@ -99,7 +99,7 @@
 	})
 }
 
-// unresponsive returns the agents that have not answered, in the order of their addresses.
+// unresponsive returns the agents that have not replied, in the order of their addresses.
 func (s *agentSurvey) unresponsive() []AgentGroup {
 	addresses := make([]segment.Address, 0, len(s.pending))
 	for address := range s.pending {
@@ -113,8 +113,7 @@
 	return groups
 }
 
-// expireSurveys tells balancers of the agents that have not answered, and later forgets
-// the surveys.
+// expireSurveys reports unresponsive agents to balancers, and later removes the surveys.
 func (a *Agent) expireSurveys(now time.Duration) {
 	var due []*agentSurvey
 	for key, survey := range a.surveys {
@@ -140,7 +139,7 @@
 	return encoded[:]
 }
 
-// nextSurveyReport returns when expireSurveys should be called at the latest.
+// nextSurveyReport returns the latest time for the next call of expireSurveys.
 func (a *Agent) nextSurveyReport() time.Duration {
 	next := never
 	for _, survey := range a.surveys {
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -20,64 +20,63 @@
 	Codec segment.Codec
 	// AgentPort is the port on which all agents receive messages.
 	AgentPort uint16
-	// FlowLifetime is the longest time for which a flow may last.
+	// FlowLifetime is the longest time that a flow may last.
 	FlowLifetime time.Duration
-	// FlowLimit is the largest number of flows remembered.
+	// FlowLimit is the maximum number of flows remembered.
 	FlowLimit int
-	// ApplyTimeout is the time in which a change of the configuration has to be
-	// in force.
+	// ApplyTimeout is the time within which a configuration change must take effect.
 	ApplyTimeout time.Duration
-	// DrainTimeout is the time after which an endpoint that is known to be
-	// leaving must get no new flow.
+	// DrainTimeout is the time after which an endpoint that is known to be leaving must not get new
+	// flows.
 	DrainTimeout time.Duration
-	// Random breaks ties. The balancer alone may use it.
+	// Random breaks ties between endpoints. It must not be shared with other users.
 	Random *rand.Rand
 }
 
 const (
-	// offerTimeout is how long a balancer waits for an agent to tell that its
-	// endpoint answered an opening packet before it offers the packet to
-	// another. It is shorter than any client's first repetition.
+	// offerTimeout is how long a balancer waits for an agent to report that its endpoint answered
+	// an opening packet, before it offers the packet to another endpoint. It is shorter than the
+	// first retransmission timeout of any client.
 	offerTimeout = 45 * time.Millisecond
-	// offerLifetime is how long an opening packet is offered to further endpoints: clients
-	// give up then.
+	// offerLifetime is how long an opening packet is offered to further endpoints. Clients give up
+	// after that time.
 	offerLifetime = 1400 * time.Millisecond
-	// maxUntrustedOffers bounds how many endpoints are asked that are suspected or ejected:
-	// those that are well have been asked before.
+	// maxUntrustedOffers limits the offers of a flow to endpoints that are suspected or ejected.
+	// All healthy endpoints have been asked before.
 	maxUntrustedOffers = 3
-	// confirmationMargin is how much longer than ApplyTimeout after the last
-	// answer of the store a missing route is still believed to be missing.
+	// confirmationMargin is added to ApplyTimeout. Their sum is how long after the last reply of
+	// the store the balancer still relies on the absence of a route.
 	confirmationMargin = time.Second
-	// closingRetention is how long a flow is remembered after its client has
-	// closed it.
+	// closingRetention is how long a flow is remembered after its client has closed it.
 	closingRetention = 5 * time.Second
-	// maxLocateAgents bounds the agents that are asked for the owner of one flow. A survey
-	// has room for some 400 of them; flows whose route has more are not proved dead.
+	// maxLocateAgents limits the agents that are asked for the owner of one flow. A flow whose
+	// route has more agents is never declared ownerless. One survey has room for about 400 agents.
 	maxLocateAgents = 2048
 )
 
-// balancerFlowState is the progress of a flow as a balancer sees it.
+// balancerFlowState is the state of a flow at a balancer.
 type balancerFlowState uint8
 
 const (
-	// flowOffering: the opening packet was offered and nobody has answered.
+	// flowOffering: the opening packet was offered and no endpoint has answered.
 	flowOffering balancerFlowState = iota
 	// flowPlaced: the owner is known.
 	flowPlaced
-	// flowLocating: agents were asked for the owner.
+	// flowLocating: agents are being asked for the owner.
 	flowLocating
-	// flowClosing: the client has closed its end.
+	// flowClosing: the client has closed its side.
 	flowClosing
-	// flowOwnerless: no endpoint holds the flow; its client was told.
+	// flowOwnerless: no endpoint holds the flow and its client was reset.
 	flowOwnerless
 )
 
-// balancerFlow is what a balancer remembers of a flow. It is a cache: the
-// agent of the flow's endpoint knows better.
+// balancerFlow is what a balancer knows of a flow. It is a cache; the agent of the owning endpoint
+// is authoritative.
 type balancerFlow struct {
 	state balancerFlowState
-	// counted is set while the flow counts for its endpoint, and kept once it does so as a
-	// flow for many requests, the last of which began at asked.
+	// counted is set while the flow is counted in the load of its endpoint. persistent is set once
+	// it is counted as a flow for many requests. lastRequestAt is when the client last sent data in
+	// it.
 	counted       bool
 	persistent    bool
 	lastRequestAt time.Duration
@@ -88,44 +87,42 @@
 	openedAt      time.Duration
 	lastActivity  time.Duration
 	parameters    FlowParameters
-	// clientBeganAt is when the client clientBeganAt to open the flow, as far as its packets show.
+	// clientBeganAt is when the client began to open the flow, according to its packets.
 	clientBeganAt time.Duration
-	// offer is set while the state is flowOffering, search while it is
-	// flowLocating.
+	// offer is set in state flowOffering, search in state flowLocating.
 	offer  *offer
 	search *ownerSearch
 }
 
-// Balancer decides what becomes of clients' packets. It is not safe for
-// concurrent use.
+// Balancer decides what happens to packets of clients. It is not safe for concurrent use.
 type Balancer struct {
 	config        BalancerConfig
 	snapshot      *directory.Snapshot
 	hasDirectory  bool
 	startupBuffer startupBuffer
 	confirmedAt   time.Duration
-	// currentThrough is the time before which everything is known that the store had
+	// currentThrough is the time up to which the directory contains everything that the store had
 	// accepted.
 	currentThrough time.Duration
 	flows          map[segment.FlowKey]*balancerFlow
 	offers         []*offer
-	// pendingVerifications are searches that are due to be verified.
+	// pendingVerifications are searches with a verification scheduled.
 	pendingVerifications []*ownerSearch
-	// surveyCount counts the questions that were left to agents.
+	// surveyCount is the number of the last survey that was sent.
 	surveyCount uint32
 	health      map[directory.EndpointID]*endpointHealth
-	// lastEjectionEnd is when the last ejection ends of which agents have told.
+	// lastEjectionEnd is the latest end of the ejections reported by agents.
 	lastEjectionEnd time.Duration
-	// demand are what the kept flows of services ask for, measured at swept.
+	// demand holds the demand of persistent flows by service, updated at lastSweep.
 	demand    map[string]*persistentDemand
 	lastSweep time.Duration
-	// utilization are how far groups of endpoints are used.
+	// utilization holds how busy each group of endpoints is.
 	utilization map[endpointGroup]*placement.Level
-	// medianServiceTimes are the paces that are medianServiceTimes for services.
+	// medianServiceTimes caches the median service time of each service.
 	medianServiceTimes map[string]cachedMedian
-	// serviceTimeScratch is room for the serviceTimeScratch of a service.
+	// serviceTimeScratch is reused by computeMedian.
 	serviceTimeScratch []uint32
-	// candidateScratch, local and places are room for the endpoints that may get a flow.
+	// candidateScratch, localScratch and placementScratch are reused by bestCandidate.
 	candidateScratch []directory.Candidate
 	localScratch     []bool
 	placementScratch []placement.Candidate
@@ -156,9 +153,8 @@
 // FlowCount returns the number of flows remembered.
 func (b *Balancer) FlowCount() int { return len(b.flows) }
 
-// Install makes later decisions use a snapshot of the directory, and tells the
-// agents of endpoints that are leaving so. The returned effects are valid until
-// the next call.
+// Install replaces the snapshot of the directory for later decisions and notifies the agents of
+// endpoints that are leaving. The returned effects are valid until the next call.
 func (b *Balancer) Install(now time.Duration, snapshot *directory.Snapshot) []Effect {
 	b.effects = b.effects[:0]
 	previous := b.snapshot
@@ -175,9 +171,9 @@
 	return b.effects
 }
 
-// notifyDraining tells agents that their endpoint must get no new flows, in case
-// that a balancer which does not know offers it one. The address of an endpoint
-// that has gone may be another's already.
+// notifyDraining tells agents whose endpoint began to drain that it must not get new flows, because
+// a balancer that has not learned of the change may still offer some. It skips an endpoint that is
+// gone or whose address belongs to another endpoint now.
 func (b *Balancer) notifyDraining(previous, current *directory.Snapshot) {
 	for _, candidate := range current.All() {
 		before, existedBefore := previous.Candidate(candidate.ID)
@@ -190,11 +186,11 @@
 	}
 }
 
-// MarkConfirmed tells that the directory was current at a time.
+// MarkConfirmed records that the directory was up to date at a time.
 func (b *Balancer) MarkConfirmed(now time.Duration) { b.confirmedAt = max(b.confirmedAt, now) }
 
-// HandleClientPacket handles a client's packet. The returned effects are valid until the
-// next call, and so must packet be.
+// HandleClientPacket handles a packet of a client. The returned effects are valid until the next
+// call, and packet must not change before then.
 func (b *Balancer) HandleClientPacket(now time.Duration, packet []byte) []Effect {
 	b.effects = b.effects[:0]
 	header, outcome := b.config.Codec.Decode(packet)
@@ -215,7 +211,7 @@
 	return b.effects
 }
 
-// routePacket handles a client's packet once the directory is known.
+// routePacket handles a packet of a client once the directory is known.
 func (b *Balancer) routePacket(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
 	if header.Opening() {
 		b.routeOpening(now, key, header, packet)
@@ -224,13 +220,13 @@
 	b.routeSegment(now, key, header, packet)
 }
 
-// validFromClient reports whether a client may write such a packet.
+// validFromClient reports whether the flags of a packet are ones that a client may send.
 func validFromClient(header segment.Header) bool {
 	openingAnswer := header.Flags.Has(segment.Synchronize | segment.Acknowledge)
 	return !openingAnswer && !header.Flags.Has(segment.Returned)
 }
 
-// routeSegment handles a packet of a flow that was opened before.
+// routeSegment handles a packet of a client that does not open a flow.
 func (b *Balancer) routeSegment(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
 	flow, exists := b.flows[key]
 	if !exists {
@@ -294,14 +290,14 @@
 	return b.effects
 }
 
-// receiveLeaving handles that an agent is about to stop.
+// receiveLeaving handles the notice of an agent that it is about to stop.
 func (b *Balancer) receiveLeaving(now time.Duration, from segment.Address) {
 	if candidate, exists := b.snapshot.At(from.IP); exists {
 		b.healthOf(candidate.ID).suspect(now)
 	}
 }
 
-// NextTick returns when Tick should be called at the latest.
+// NextTick returns the latest time for the next call of Tick.
 func (b *Balancer) NextTick(time.Duration) time.Duration {
 	next := min(b.nextSweep, b.nextReachabilityCheck())
 	for _, offer := range b.offers {
--- a/internal/relay/balancer_coldstart.go
+++ b/internal/relay/balancer_coldstart.go
@@ -8,7 +8,7 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// coldStartOf returns what the agent of an endpoint has to know of its start.
+// coldStartOf returns what the agent of an endpoint needs to know about its start.
 func (b *Balancer) coldStartOf(now time.Duration, candidate directory.Candidate) ColdStart {
 	start, limited := b.snapshot.ColdStart(candidate.Endpoint.Service)
 	if !limited {
@@ -22,16 +22,16 @@
 	}
 }
 
-// inColdWait reports whether a cold endpoint takes no request now, as its agent has told.
+// inColdWait reports whether a cold endpoint accepts no request now, according to its agent.
 func (h *endpointHealth) inColdWait(now time.Duration) bool { return now < h.coldWaitUntil }
 
-// noteColdWait notes until when a cold endpoint takes no further request.
+// noteColdWait records until when a cold endpoint accepts no further request.
 func (b *Balancer) noteColdWait(now time.Duration, id directory.EndpointID, load Load) {
 	b.healthOf(id).coldWaitUntil = now + milliseconds(load.ColdWait)
 }
 
-// anyInColdWait reports whether an endpoint of a service takes no request only because it is
-// cold: then a new flow is refused at once.
+// anyInColdWait reports whether some endpoint of a service accepts no request only because it is
+// cold. A new flow that no endpoint takes is then refused with that reason.
 func (b *Balancer) anyInColdWait(now time.Duration, service string) bool {
 	return slices.ContainsFunc(b.snapshot.Candidates(service), func(candidate directory.Candidate) bool {
 		return b.healthOf(candidate.ID).inColdWait(now) && !candidate.Leaving && !candidate.Closed
--- a/internal/relay/balancer_survey.go
+++ b/internal/relay/balancer_survey.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// minSurveyAgents is the least number of agents for which it is less work to leave a
-	// round to one of them, which asks the others.
+	// minSurveyAgents is the minimum number of agents to ask for a survey to be cheaper than direct
+	// queries. In a survey one agent asks the others.
 	minSurveyAgents = 4
-	// minFirstRoundSurveyAgents is the number of agents from which already the first round is
-	// left to some of them, and every later one that has so many to ask. With fewer, the
-	// owner is found sooner without.
+	// minFirstRoundSurveyAgents is the number of agents from which any round, even the first, is a
+	// survey. With fewer agents direct queries find the owner sooner.
 	minFirstRoundSurveyAgents = 16
-	// smallSurveyRounds is how many rounds with fewer agents than that are left to one.
+	// smallSurveyRounds is the number of verification rounds in which fewer agents than that are
+	// surveyed too, if they have to probe.
 	smallSurveyRounds = 2
-	// messagesPerSurvey is the number of messages of a survey on the network of the balancer.
+	// messagesPerSurvey is the number of messages of a survey on the balancer's network.
 	messagesPerSurvey = 3
-	// surveyPayloadSize is how much a survey carries, in bytes, of a packet and of targets, each
-	// of which takes ipSize; groupSize and the name of the service come to each group.
+	// surveyPayloadSize is the size in bytes that a survey has for a packet and targets. Each
+	// target takes ipv4Size, each group groupOverhead and the length of its service name.
 	surveyPayloadSize = MaxMessageSize - 200
 	groupOverhead     = 12
 )
 
-// delegatedSurvey is a part of a round that was left to an agent, the surveyor.
+// delegatedSurvey is the part of a round that one agent, the surveyor, carries out.
 type delegatedSurvey struct {
 	surveyor segment.Address
 	number   uint32
-	// targets are the endpoints whose agents the surveyor asks; it answers for itself.
+	// targets are the endpoints whose agents the surveyor asks. The surveyor replies for itself.
 	targets []directory.Candidate
 }
 
-// splitSurvey divides the agents to ask so that each part is of one zone, whose agents are
-// near to each other, and fits into one message beside a packet of a length: two messages
-// between zones find out what all agents of another zone say.
+// splitSurvey splits the agents to ask into parts of one zone each that fit into one message beside
+// a packet of the given size. Agents of a zone are near to each other, so two messages between
+// zones are enough to learn the replies of all agents of another zone.
 func splitSurvey(agents []directory.Candidate, packetSize int) [][]directory.Candidate {
 	sorted := slices.Clone(agents)
 	slices.SortStableFunc(sorted, func(a, b directory.Candidate) int {
@@ -62,8 +62,8 @@
 	return parts
 }
 
-// delegateSurvey leaves it to agents to ask the others, with probing to make them ask their
-// endpoints. It reports whether that is less work than to ask all.
+// delegateSurvey makes agents ask the others, by KindProbe if probe is set. It reports whether it
+// did so, which it does only if that is cheaper than to ask all agents directly.
 func (b *Balancer) delegateSurvey(search *ownerSearch, agents []directory.Candidate, probe bool) bool {
 	if len(agents) < minSurveyAgents {
 		return false
@@ -79,7 +79,7 @@
 	return true
 }
 
-// sendSurvey leaves some of the agents to one among them.
+// sendSurvey sends a survey of the given agents to one of them.
 func (b *Balancer) sendSurvey(search *ownerSearch, agents []directory.Candidate, packet []byte) {
 	chosen := b.config.Random.IntN(len(agents))
 	surveyor := agents[chosen]
@@ -99,15 +99,15 @@
 	b.send(delegated.surveyor, message)
 }
 
-// receiveSurveyResult handles what the agents have answered that another agent asked. That
-// one answers for itself.
+// receiveSurveyResult handles the result of a survey. It does not cover the surveyor, which replies
+// for itself.
 func (b *Balancer) receiveSurveyResult(now time.Duration, from segment.Address, message Message) {
 	flow, exists := b.searchedFlow(message)
 	if !exists {
 		return
 	}
 	search := flow.search
-	// The answer to an earlier survey says nothing of those asked in a later one.
+	// The result of an earlier survey does not apply to the agents asked in a later one.
 	index := slices.IndexFunc(search.delegated, func(delegated delegatedSurvey) bool {
 		return delegated.surveyor == from && delegated.number == message.Sequence
 	})
@@ -121,15 +121,15 @@
 		if slices.Contains(unresponsive, agent) {
 			continue
 		}
-		search.replies[agent] = surveyReply{
+		search.replies[agent] = searchReply{
 			denied: !slices.Contains(uncertain, agent), probed: search.replies[agent].probed, agentStartedAt: now - message.Uptime,
 		}
 	}
 	b.conclude(now, flow)
 }
 
-// probeUncertain makes agents ask their endpoints. The owner is among them, so that its
-// flow is found by its own endpoint at the same time as others see a packet of it.
+// probeUncertain makes uncertain agents ask their endpoints. The owner is among them, so its own
+// endpoint sees the packet at the same time as the others.
 func (b *Balancer) probeUncertain(search *ownerSearch, uncertain []directory.Candidate) {
 	var unprobed []directory.Candidate
 	for _, candidate := range uncertain {
@@ -150,8 +150,8 @@
 	}
 }
 
-// locateBySurvey leaves the search for an owner among many agents to some of them. While
-// their answers are out, it lets some of those that do not know probe.
+// locateBySurvey searches for an owner among many agents by surveys. While results are outstanding
+// it makes some of the uncertain agents probe.
 func (b *Balancer) locateBySurvey(now time.Duration, search *ownerSearch, owners []directory.Candidate, packet []byte) {
 	restart := search.rounds == 0 || search.verifications >= verifyRounds
 	if restart && !b.beginSurvey(now, search, owners) {
@@ -164,8 +164,8 @@
 	search.rounds++
 }
 
-// beginSurvey makes the first round of a search. It reports whether the network has room
-// for it.
+// beginSurvey sends the first round of a search. It reports whether the limit of search messages
+// permits it.
 func (b *Balancer) beginSurvey(now time.Duration, search *ownerSearch, owners []directory.Candidate) bool {
 	if !b.allowSearch(now, search.key, messagesPerSurvey*len(splitSurvey(owners, 0))) {
 		return false
@@ -177,7 +177,7 @@
 	return true
 }
 
-// probeNext makes some agents that do not know ask their endpoints.
+// probeNext sends a probe to the next uncertain agents.
 func (b *Balancer) probeNext(now time.Duration, search *ownerSearch, packet []byte) {
 	for _, agent := range search.nextProbes(now) {
 		candidate, exists := b.snapshot.At(agent.IP)
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -9,28 +9,27 @@
 )
 
 const (
-	// responseTimeWeight is the weight of a new measurement in a moving average.
+	// responseTimeWeight is the weight of a new measurement in the moving average.
 	responseTimeWeight = 0.1
-	// spareSlots is how many requests more than it works on an endpoint is
-	// given, so that it is never idle.
+	// spareSlots is the number of requests beyond its slots that an endpoint is given, so that it
+	// is never idle.
 	spareSlots = 1
-	// firstRequestWindow is for how long a flow counts as one whose first request is about to come.
-	// Clients that open flows ahead of need let them rest for longer.
+	// firstRequestWindow is how long an opened flow without a request is expected to get its first
+	// request. Clients that open flows in advance leave them idle for longer.
 	firstRequestWindow = time.Second
 )
 
-// slotUsage is what an agent measures of its endpoint.
+// slotUsage is the use of the endpoint's slots as measured by its agent.
 type slotUsage struct {
 	slots uint32
-	// occupied is the number of requests that the endpoint was given and has
-	// not answered.
+	// occupied is the number of requests that the endpoint was given and has not answered.
 	occupied uint32
-	// meanResponseTime is the mean time from request to answer, in seconds.
+	// meanResponseTime is the mean time from a request to its answer, in seconds.
 	meanResponseTime float64
 }
 
-// limit returns how many requests the endpoint is given at once: all its slots
-// are busy then, and none of the requests waits for long.
+// limit returns how many requests the endpoint is given at a time. It keeps all slots busy while no
+// request waits long at the endpoint.
 func (u *slotUsage) limit() uint32 {
 	if u.slots == 0 {
 		return math.MaxUint32
@@ -48,9 +47,9 @@
 	u.meanResponseTime += responseTimeWeight * (responseTime.Seconds() - u.meanResponseTime)
 }
 
-// overloaded reports whether the endpoint would take longer for the requests
-// that wait than a client waits for an answer, so that a new flow is better
-// offered to another or refused before anything of it has run.
+// overloaded reports whether the endpoint needs more time for the waiting requests than a client
+// waits for an answer. A new flow is then better offered to another endpoint, or refused while no
+// request of it has run.
 func (a *Agent) overloaded(parameters FlowParameters) bool {
 	a.usage.slots = parameters.Slots
 	if parameters.Slots == 0 || parameters.Timeout == 0 {
@@ -60,16 +59,16 @@
 	return backlog > float64(parameters.Timeout)/1000
 }
 
-// busy reports whether a new request would have to wait. A balancer knows only the flows
-// that it has placed itself, among hundreds next to nothing, so that it may find one that is
-// not.
+// busy reports whether a new request would have to wait. The flow may then go to an endpoint that
+// is not busy: its balancer cannot tell busy ones, because it knows only the flows that it has
+// placed itself, which are very few of all flows if there are hundreds of balancers.
 func (a *Agent) busy(parameters FlowParameters) bool {
 	return parameters.Slots > 0 && a.pending() >= a.usage.limit()
 }
 
-// pending is the number of requests that the endpoint works on or that wait and can be in
-// time, with those that are about to come in flows which are just being opened. Late ones that
-// wait keep no new request waiting, which goes first.
+// pending returns the number of requests that the endpoint works on, that wait and can still meet
+// their objective, or that are expected in flows being opened. Late waiting requests do not count,
+// because a new request goes before them.
 func (a *Agent) pending() uint32 {
 	a.awaitingFirstRequest = slices.DeleteFunc(a.awaitingFirstRequest, func(flow *agentFlow) bool {
 		expired := a.now-flow.openedAt >= firstRequestWindow
@@ -78,7 +77,7 @@
 	return a.usage.occupied + a.queue.countInTime(a.now, a.queueCapacity().Work) + uint32(len(a.awaitingFirstRequest))
 }
 
-// markWorkStarted notes which requests the endpoint has begun to work on: it takes them in the
+// markWorkStarted records which requests the endpoint has begun to work on. It takes them in the
 // order in which it was given them, as many at a time as it has slots.
 func (a *Agent) markWorkStarted(now time.Duration) {
 	inProgress := min(len(a.unanswered.flows), int(a.usage.slots))
@@ -89,8 +88,8 @@
 	}
 }
 
-// measureServiceTime takes account of how long the endpoint has worked on a request that it begins to
-// answer, without the time for which the request has waited there.
+// measureServiceTime records how long the endpoint worked on a request that it begins to answer,
+// without the time that the request waited at the endpoint.
 func (a *Agent) measureServiceTime(now time.Duration, key segment.FlowKey, flow *agentFlow) {
 	if flow.request.occupiesSlot && flow.workStarted >= flow.request.admittedAt {
 		a.serviceTimeMeter.Answered(key.Service, now-flow.workStarted)
--- a/internal/relay/crashloop.go
+++ b/internal/relay/crashloop.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// crashLoopWindow is how soon after a start an endpoint has to fail for the start to have
-	// been too much for it. Afterwards what it gets is bounded for as long.
+	// crashLoopWindow is the time after a start within which a failure is attributed to too much
+	// load at the start. The limit then applies for the same time after the restart.
 	crashLoopWindow = 5 * time.Second
-	// crashLoopShare is the part that it gets at first of what it got in the second before it
-	// failed. That doubles in each relapseDoubling (slow start: Jacobson, 1988), so that it
-	// is above that part after four of them.
+	// crashLoopShare is the initial rate after such a failure as a share of the rate in the second
+	// before it. The rate doubles every crashLoopDoubling (slow start: Jacobson, 1988), and is
+	// above the rate before the failure after four of them.
 	crashLoopShare    = 0.125
 	crashLoopDoubling = time.Second
-	// maxRecentRequests bounds the requests whose times are remembered.
+	// maxRecentRequests limits the request times that are remembered.
 	maxRecentRequests = 512
 )
 
-// crashLoopLimiter tells how much an endpoint may get that has failed soon after its start, and
-// would again: nobody has to name what it carries. Without it such an endpoint goes up and
-// down for good, since what it leaves undone comes again: 7 endpoints that carry 12 requests
-// a second after a start, and 127 later, failed 35 times in the 16 s after a loss of power
-// under 375 a second; with it they fail 9 times and then hold (16 emulated machines).
+// crashLoopLimiter limits the requests for an endpoint that has failed soon after its start and
+// would fail again. It needs no configured rate. Without it such an endpoint fails again and again,
+// since the requests that it leaves undone are repeated: 7 endpoints that serve 12 requests a
+// second after a start, and 127 later, failed 35 times in the 16 s after a power loss under 375
+// requests a second. With it they fail 9 times and then stay up (16 emulated machines).
 type crashLoopLimiter struct {
-	// lastStart is when the endpoint was lastStart last, as far as is known, never if that is
-	// long ago.
+	// lastStart is when the endpoint last started, never if no start is known.
 	lastStart time.Duration
 	// recentRequests are the times of the requests of the last second.
 	recentRequests []time.Duration
-	// initialRate is how many requests a second it gets at first, 0 if it has not relapsed.
+	// initialRate is the rate in requests a second with which the limit begins, 0 if the endpoint
+	// has not failed soon after a start.
 	initialRate float64
-	// restartedAt is when it was started after that, never if it has not been.
+	// restartedAt is when the endpoint restarted after such a failure, never if it has not.
 	restartedAt time.Duration
 }
 
 func newCrashLoopLimiter() crashLoopLimiter { return crashLoopLimiter{lastStart: never} }
 
-// noteRequest notes that the endpoint was given a request.
+// noteRequest records that the endpoint was given a request.
 func (c *crashLoopLimiter) noteRequest(now time.Duration) {
 	c.recentRequests = slices.DeleteFunc(c.recentRequests, func(at time.Duration) bool { return now-at > time.Second })
 	if len(c.recentRequests) < maxRecentRequests {
@@ -46,7 +46,8 @@
 	}
 }
 
-// noteFailure notes that the endpoint has noteFailure. It reports whether that was a relapse.
+// noteFailure records a failure of the endpoint. It reports whether the failure came soon after a
+// start.
 func (c *crashLoopLimiter) noteFailure(at time.Duration) bool {
 	if c.lastStart == never || at-c.lastStart >= crashLoopWindow {
 		c.initialRate = 0
@@ -66,16 +67,15 @@
 	return true
 }
 
-// noteRestart notes that the endpoint has been started again.
+// noteRestart records a restart of the endpoint.
 func (c *crashLoopLimiter) noteRestart(now time.Duration) { c.lastStart, c.restartedAt = now, now }
 
-// limited reports whether what the endpoint gets is bounded.
+// limited reports whether the requests for the endpoint are limited.
 func (c *crashLoopLimiter) limited(now time.Duration) bool {
 	return c.initialRate > 0 && now-c.restartedAt < crashLoopWindow
 }
 
-// rate returns how many requests a second the endpoint gets now. Until it has been started
-// again that does not grow.
+// rate returns the permitted requests a second. It does not grow before the endpoint has restarted.
 func (c *crashLoopLimiter) rate(now time.Duration) float64 {
 	if c.restartedAt == never {
 		return c.initialRate
--- a/internal/relay/effect.go
+++ b/internal/relay/effect.go
@@ -7,7 +7,7 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// EffectKind tells what an effect is.
+// EffectKind is the kind of an effect.
 type EffectKind uint8
 
 // The kinds of effects.
@@ -18,15 +18,15 @@
 	EffectSendToClient
 	// EffectSendToEndpoint: hand Packet to the endpoint beside the agent.
 	EffectSendToEndpoint
-	// EffectEvent: Event happened; it can be logged and counted.
+	// EffectEvent: record Event in logs and metrics.
 	EffectEvent
-	// EffectConfirmDirectory: the directory has to be confirmed as of now or later, which
-	// Current tells.
+	// EffectConfirmDirectory: ask the store whether the directory is up to date as of now or later,
+	// and pass the result to Balancer.MarkCurrentThrough.
 	EffectConfirmDirectory
 )
 
-// Effect is one thing that the caller has to do. Packets share memory with the
-// input and are valid until the next call.
+// Effect is an action that the caller has to carry out. Packet shares memory with the input and is
+// valid until the next call.
 type Effect struct {
 	Kind    EffectKind
 	To      segment.Address
@@ -35,14 +35,14 @@
 	Event   Event
 }
 
-// EventKind names a decision that operators may want to trace.
+// EventKind is the kind of a decision that is recorded.
 type EventKind uint8
 
 // The kinds of events.
 const (
 	// EventMalformed: a packet could not be decoded.
 	EventMalformed EventKind = iota
-	// EventForged: a packet or message cannot have come from where it claims.
+	// EventForged: a packet or message cannot have come from its claimed source.
 	EventForged
 	// EventPlaced: an endpoint answered the opening packet of a flow.
 	EventPlaced
@@ -50,60 +50,61 @@
 	EventAnswered
 	// EventAdmitted: a request that had waited was given to the endpoint.
 	EventAdmitted
-	// EventOfferedAgain: an opening packet was offered to a further endpoint,
-	// since the one before was silent or did not take it.
+	// EventOfferedAgain: an opening packet was offered to another endpoint, because the previous
+	// one did not answer or did not accept it.
 	EventOfferedAgain
 	// EventLocating: agents are asked for the owner of a flow.
 	EventLocating
 	// EventLocated: the owner of a flow was found.
 	EventLocated
-	// EventNoRoute: a flow was reset since its address has no route.
+	// EventNoRoute: the address of a new flow has no route. The flow was reset, unless the
+	// directory may be out of date.
 	EventNoRoute
-	// EventNoEndpoint: a flow was reset or left since no endpoint can take it.
+	// EventNoEndpoint: no endpoint can take a flow, which was reset, or the flow limit is reached
+	// and the packet was dropped.
 	EventNoEndpoint
-	// EventNotReady: a packet was dropped since the directory is not known and too many
-	// wait for that.
+	// EventNotReady: a packet was dropped because the directory is not known yet and the buffer for
+	// such packets is full.
 	EventNotReady
-	// EventSuspected: an agent does not answer.
+	// EventSuspected: an agent does not respond.
 	EventSuspected
-	// EventRecovered: a suspected agent answers again.
+	// EventRecovered: a suspected agent responds again.
 	EventRecovered
-	// EventEndpointLostFlow: the endpoint does not know a flow that it held.
+	// EventEndpointLostFlow: the endpoint no longer knows a flow that it held.
 	EventEndpointLostFlow
-	// EventNotOwned: a packet was sent back since this agent does not own its
-	// flow.
+	// EventNotOwned: a packet was sent back because this agent does not own its flow.
 	EventNotOwned
-	// EventProbed: a packet of a flow that a restarted agent does not know was
-	// handed to the endpoint to learn whether it holds the flow.
+	// EventProbed: a restarted agent gave its endpoint a packet of an unknown flow to find out
+	// whether the endpoint holds the flow.
 	EventProbed
-	// EventReturned: an opening packet was not taken.
+	// EventReturned: an opening packet was sent back.
 	EventReturned
 	// EventIsolated: no agent can be reached.
 	EventIsolated
 	// EventReconnected: an agent can be reached again.
 	EventReconnected
-	// EventHeld: a request waits for its endpoint.
+	// EventHeld: a request waits in the queue of its endpoint.
 	EventHeld
-	// EventGiven: a request was given to its endpoint at once.
+	// EventGiven: a request was given to its endpoint without waiting.
 	EventGiven
-	// EventExpired: a request that waited was dropped, since its client has given up.
+	// EventExpired: a waiting request was dropped because its client has given up.
 	EventExpired
-	// EventDenied: the endpoint of this agent turned out not to hold a flow.
+	// EventDenied: the endpoint of this agent does not hold a flow that it was probed for.
 	EventDenied
-	// EventOwnerless: a flow was reset since no endpoint holds it.
+	// EventOwnerless: a flow was reset because no endpoint holds it.
 	EventOwnerless
-	// EventReleased: a packet is handled that came before the directory was known.
+	// EventReleased: a packet that arrived before the directory was known is handled.
 	EventReleased
-	// EventRestarted: the endpoint takes flows again after it was silent for long, or did
-	// not know those that it had held.
+	// EventRestarted: the endpoint accepts flows again after a long silence or after it lost the
+	// flows that it had held.
 	EventRestarted
-	// EventRelapsed: the endpoint has failed soon after its start.
+	// EventRelapsed: the endpoint failed soon after its start.
 	EventRelapsed
-	// EventEjected: the endpoint gets no new flows for a time, which Elapsed gives.
+	// EventEjected: the endpoint gets no new flows for the time in Elapsed.
 	EventEjected
-	// EventProbation: an endpoint that was ejected gets single flows as trials.
+	// EventProbation: an ejected endpoint gets single flows as a trial.
 	EventProbation
-	// EventRestored: an endpoint that was ejected gets its share of new flows again.
+	// EventRestored: an ejected endpoint gets its share of new flows again.
 	EventRestored
 	eventKindCount
 )
@@ -115,31 +116,31 @@
 	"relapsed", "ejected", "probation", "restored",
 }
 
-// Event is one decision with what decided it.
+// Event describes a decision and what led to it.
 type Event struct {
 	Kind EventKind
 	Flow segment.FlowKey
-	// Class is that of the flow, if there is one.
+	// Class is the traffic class of the flow, if there is one.
 	Class TrafficClass
-	// Request is the identifier of the request, if a packet has shown one.
+	// Request is the identifier of the request, if a packet contained one.
 	Request string
-	// Peer is the daemon concerned, if any.
+	// Peer is the daemon at the other end, if any.
 	Peer segment.Address
-	// Version is the version of the configuration that decided, if any.
+	// Version is the version of the configuration used for the decision, if any.
 	Version uint64
-	// Reason tells more, in the form of a metric label.
+	// Reason gives the cause in the form of a metric label.
 	Reason string
-	// Zone is that of the clients to whom a change of an endpoint's state applies, empty
-	// for all. Failures of the latest Outcomes decided it.
+	// Zone is the zone of the clients for which the state of an endpoint changed, empty for all
+	// zones. Failures is the number of failures among the latest Outcomes that led to the change.
 	Zone               string
 	Failures, Outcomes int
-	// Elapsed is the time that ended with the event: from the first offer to
-	// EventPlaced, from the request to EventAnswered, the wait before EventAdmitted,
-	// EventExpired and EventReleased, and from the first question to EventOwnerless.
+	// Elapsed is a duration that depends on the kind: from the first offer to EventPlaced, from
+	// admission to EventAnswered, the wait before EventAdmitted, EventExpired and EventReleased,
+	// the length of an ejection, and from the first query to EventOwnerless.
 	Elapsed time.Duration
 }
 
-// EventKinds lists every kind, for counters that are kept by kind.
+// EventKinds lists all kinds.
 func EventKinds() []EventKind { return label.All(eventKindCount) }
 
 // String returns the kind in the form used as a metric label.
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -8,8 +8,8 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// admitsNewFlow reports whether the endpoint is well enough for a new flow of a client's zone, and
-// takes account of it if it is a trial.
+// admitsNewFlow reports whether outlier detection permits a new flow of a client in a zone. If the
+// flow is a trial, it is counted as one.
 func (a *Agent) admitsNewFlow(now time.Duration, zone string) bool {
 	if a.unanswered.stuck(now, a.usage.meanResponseTime) {
 		a.detector.Hung(now)
@@ -17,9 +17,9 @@
 	return a.detector.Admits(now, zone)
 }
 
-// noteWritten notes how far the endpoint has written, and what an answer among that says. An
-// answer begins where the endpoint had stopped writing when it was given the request, so
-// that copies and later packets which come first are not taken for it.
+// noteWritten records how far the endpoint has written, and reads the outcome from the first packet
+// of an answer. An answer begins at the sequence number that the endpoint had reached when it was
+// given the request, so copies and later packets that arrive first are not mistaken for it.
 func (a *Agent) noteWritten(now time.Duration, flow *agentFlow, header segment.Header, packet []byte) {
 	if header.Flags.Has(segment.Reset) && flow.request.occupiesSlot {
 		a.detector.Answered(now, flow.zone, outlier.Break, 0)
@@ -50,9 +50,9 @@
 	}
 }
 
-// reportStateChanges records changes of the endpoint's state, and tells the balancers concerned of
-// those that they would not find out in time: among 16 balancers each sees an endpoint
-// every other second.
+// reportStateChanges records changes in the health of the endpoint and notifies the balancers
+// concerned. They would learn of a change too late by themselves: with 16 balancers each exchanges
+// messages with an endpoint only every other second.
 func (a *Agent) reportStateChanges() {
 	for _, change := range a.detector.Changes() {
 		a.recordEvent(Event{
@@ -66,7 +66,8 @@
 	}
 }
 
-// sendReport tells the balancers of a zone, empty for all, how well the endpoint is.
+// sendReport sends the health of the endpoint to the balancers of a zone, or to all if zone is
+// empty.
 func (a *Agent) sendReport(zone string) {
 	for _, balancer := range a.knownBalancers() {
 		concerned := zone == "" || zone == a.balancers[balancer].zone
@@ -76,7 +77,8 @@
 	}
 }
 
-// returnsFlowTo reports whether a balancer learns of a change by the return of a flow.
+// returnsFlowTo reports whether a balancer learns of a change from a flow that is returned to it in
+// the same call.
 func (a *Agent) returnsFlowTo(balancer segment.Address) bool {
 	return slices.ContainsFunc(a.effects, func(effect Effect) bool {
 		return effect.Kind == EffectSendMessage && effect.Message.Kind == KindReturned && effect.To == balancer
@@ -93,8 +95,8 @@
 	return EventRestored
 }
 
-// noteReport notes what an agent tells of the health of its endpoint. Another endpoint may
-// have come to its address.
+// noteReport records the health that an agent reports for its endpoint. It ignores a report for
+// another service, since another endpoint may have taken over the address.
 func (b *Balancer) noteReport(now time.Duration, from segment.Address, message Message) {
 	candidate, exists := b.snapshot.At(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service {
@@ -111,7 +113,8 @@
 	b.lastEjectionEnd = max(b.lastEjectionEnd, health.ejectedUntil)
 }
 
-// panel compares the endpoints of a service. It is nil while no endpoint at all is ejected.
+// panel compares the endpoints of a service. It returns nil while no endpoint of any service is
+// ejected.
 func (b *Balancer) panel(now time.Duration, service string) *outlier.Panel {
 	if now >= b.lastEjectionEnd {
 		return nil
@@ -126,11 +129,11 @@
 	return panel
 }
 
-// excluded reports whether an endpoint gets no new flow since its agent holds it back and
-// the others of its service do better.
+// excluded reports whether an endpoint gets no new flow because its agent has ejected it and the
+// other endpoints of its service do better.
 func (h *endpointHealth) excluded(now time.Duration, panel *outlier.Panel) bool {
 	return panel != nil && h.ejected(now) && panel.Honors(h.report)
 }
 
-// ejected reports whether the agent of an endpoint holds it back.
+// ejected reports whether the agent of the endpoint has ejected it.
 func (h *endpointHealth) ejected(now time.Duration) bool { return now < h.ejectedUntil }
--- a/internal/relay/endpointpacket.go
+++ b/internal/relay/endpointpacket.go
@@ -6,8 +6,8 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// HandleEndpointPacket handles a packet that the endpoint wrote or did not take. The
-// returned effects are valid until the next call.
+// HandleEndpointPacket handles a packet that the endpoint wrote, or one of a client that the
+// endpoint returned. The returned effects are valid until the next call.
 func (a *Agent) HandleEndpointPacket(now time.Duration, packet []byte) []Effect {
 	a.beginCall(now)
 	header, outcome := a.config.Codec.Decode(packet)
@@ -28,14 +28,14 @@
 	return a.effects
 }
 
-// reportCrashLoop records that the endpoint has failed soon after its start, if it has.
-func (a *Agent) reportCrashLoop(relapsed bool) {
-	if relapsed {
+// reportCrashLoop records an event if the endpoint has failed soon after its start.
+func (a *Agent) reportCrashLoop(crashLooping bool) {
+	if crashLooping {
 		a.recordEvent(Event{Kind: EventRelapsed})
 	}
 }
 
-// handleReturned handles a client's packet that the endpoint did not take.
+// handleReturned handles a packet of a client that the endpoint returned.
 func (a *Agent) handleReturned(now time.Duration, header segment.Header, packet []byte) {
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 	flow, exists := a.flows[key]
@@ -58,7 +58,7 @@
 	}
 }
 
-// reportNotHeld tells the balancer of a flow that the endpoint does not hold it.
+// reportNotHeld tells the prober of a flow that the endpoint does not hold it.
 func (a *Agent) reportNotHeld(now time.Duration, key segment.FlowKey, flow *agentFlow, header segment.Header, packet []byte) {
 	if flow.probedByForward {
 		a.returnPacket(flow.prober, key, header, packet, "not_held")
@@ -97,8 +97,8 @@
 	flow.endpointIncarnation = a.endpointIncarnation
 	flow.advanceAckBase(header.Sequence)
 	a.noteWritten(now, flow, header, packet)
-	// An endpoint may end its side of the flow with the answer or, in another packet,
-	// before it.
+	// An endpoint may close its side of the flow together with the answer or, in a packet of its
+	// own, before the answer.
 	if header.Length > 0 || header.Flags.Has(segment.Finish) {
 		a.measureServiceTime(now, key, flow)
 		a.noteResponse(now, key, flow)
@@ -109,7 +109,7 @@
 	a.effects = append(a.effects, Effect{Kind: EffectSendToClient, To: key.Client, Packet: packet})
 }
 
-// adoptFlow remembers a flow that the endpoint turns out to hold.
+// adoptFlow records a flow that the endpoint holds and the agent did not know.
 func (a *Agent) adoptFlow(now time.Duration, key segment.FlowKey, header segment.Header) *agentFlow {
 	flow := &agentFlow{state: stateOpen, lastActivity: now, request: requestState{sentEnd: header.Acknowledgment}}
 	if previous := a.flows[key]; previous != nil {
--- a/internal/relay/knownbalancers.go
+++ b/internal/relay/knownbalancers.go
@@ -8,13 +8,13 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// maxKnownBalancers bounds the balancers that an agent remembers.
+// maxKnownBalancers limits the balancers that an agent remembers.
 const maxKnownBalancers = 4096
 
 // knownBalancer is a balancer that has sent this agent a message.
 type knownBalancer struct {
 	heardAt time.Duration
-	// zone is empty until it has offered a flow.
+	// zone is empty until the balancer has offered a flow.
 	zone string
 }
 
@@ -24,7 +24,7 @@
 	return slices.SortedFunc(maps.Keys(a.balancers), segment.Address.Compare)
 }
 
-// originBalancer returns the balancer that a message came from, or for which another agent
+// originBalancer returns the balancer that a message came from, or on whose behalf another agent
 // sent it.
 func originBalancer(from segment.Address, message Message) segment.Address {
 	if replyTo := message.ReplyTo.Address(); !replyTo.IsZero() {
@@ -33,7 +33,7 @@
 	return from
 }
 
-// rememberBalancer notes a balancer, which is told when the agent stops.
+// rememberBalancer records a balancer, so that it is notified of changes and of the agent's stop.
 func (a *Agent) rememberBalancer(now time.Duration, balancer segment.Address, zone string) {
 	record, exists := a.balancers[balancer]
 	if !exists && len(a.balancers) >= maxKnownBalancers {
--- a/internal/relay/loadstats.go
+++ b/internal/relay/loadstats.go
@@ -9,43 +9,44 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// TrafficClass is what load is told apart by: the service of a flow and the priority of its route.
+// TrafficClass is the key by which load is broken down: the service of a flow and the priority of
+// its route.
 type TrafficClass struct {
 	Service string
-	// Priority is meaningful only if Prioritized is set: an agent that was started after
-	// its endpoint does not know the routes of all flows.
+	// Priority is valid only if PriorityKnown is set. An agent that was started after its endpoint
+	// does not know the routes of all flows.
 	Priority      uint8
 	PriorityKnown bool
 }
 
-// multipleServices is the service of a flow for which none was chosen, on a route that has
+// multipleServices is the service reported for a flow without a chosen service on a route that has
 // several.
 const multipleServices = "several"
 
-// QueueStats is what waits of a class.
+// QueueStats describes the waiting requests of a class.
 type QueueStats struct {
 	Requests int
-	// LongestWait is for how long the client of one of them has been waiting.
+	// LongestWait is the longest time that a client of these requests has been waiting.
 	LongestWait time.Duration
 }
 
-// EndpointLoad is what an agent observes of its endpoint.
+// EndpointLoad is the load of an endpoint as measured by its agent.
 type EndpointLoad struct {
 	Service string
-	// Slots is how many requests the endpoint works on at the same time, 0 if that is not
-	// known, and Occupied how many it was given and has not answered.
+	// Slots is the number of requests that the endpoint can work on at the same time, 0 if unknown.
+	// Occupied is the number of requests that it was given and has not answered.
 	Slots    uint32
 	Occupied uint32
-	// ResponseTime is the mean time from request to answer, 0 if that is not known.
+	// ResponseTime is the mean time from a request to its answer, 0 if unknown.
 	ResponseTime time.Duration
 	Waiting      map[TrafficClass]QueueStats
 }
 
-// Capacity returns how many requests a second the endpoint can answer, 0 if that is not
-// known.
+// Capacity returns the requests a second that the endpoint can answer, 0 if unknown.
 func (l EndpointLoad) Capacity() float64 { return capacity(l.Slots, l.ResponseTime) }
 
-// capacity is that of slots with a mean time to an answer (Little's law).
+// capacity returns the requests a second that a number of slots can answer at a mean response time
+// (Little's law).
 func capacity(slots uint32, responseTime time.Duration) float64 {
 	if responseTime <= 0 {
 		return 0
@@ -53,7 +54,7 @@
 	return float64(slots) / responseTime.Seconds()
 }
 
-// EndpointLoad returns how much the endpoint can do and what waits for it.
+// EndpointLoad returns the capacity of the endpoint and the requests that wait for it.
 func (a *Agent) EndpointLoad(now time.Duration) EndpointLoad {
 	load := EndpointLoad{
 		Service: a.config.Service, Slots: a.usage.slots, Occupied: a.usage.occupied,
@@ -77,8 +78,8 @@
 	return TrafficClass{Service: a.config.Service, Priority: parameters.Priority, PriorityKnown: true}
 }
 
-// classify returns the class of an event: that of its flow or, if that is not known, of the
-// message in hand.
+// classify returns the class of the event's flow or, if that is unknown, of the message being
+// handled.
 func (a *Agent) classify(event Event) TrafficClass {
 	if flow, exists := a.flows[event.Flow]; exists && flow.request.parameters != (FlowParameters{}) {
 		return a.classOf(flow.request.parameters)
@@ -86,17 +87,17 @@
 	return a.classOf(a.currentParameters)
 }
 
-// ServiceLoad is what a balancer knows of the endpoints of a service that take new flows.
+// ServiceLoad is the load of a service's endpoints that accept new flows, as known to a balancer.
 type ServiceLoad struct {
 	Service   string
 	Endpoints int
 	Slots     uint32
-	// Capacity is how many requests a second they can answer: those of which nothing is
-	// known are taken to be as fast as the others. It is 0 if nothing is known of any.
+	// Capacity is the requests a second that the endpoints can answer. Endpoints without
+	// measurements count as fast as the others. It is 0 if none has measurements.
 	Capacity float64
 }
 
-// ServiceLoads returns the load of each service, in the order of their names.
+// ServiceLoads returns the load of each service, sorted by name.
 func (b *Balancer) ServiceLoads() []ServiceLoad {
 	sums := make(map[string]*ServiceLoad)
 	measured := make(map[string]uint32)
@@ -133,7 +134,7 @@
 	return all
 }
 
-// serviceTimeOf returns the mean time to an answer of an endpoint, 0 if its agent has not told it.
+// serviceTimeOf returns the service time of an endpoint, 0 if its agent has not reported one.
 func (b *Balancer) serviceTimeOf(candidate directory.Candidate) time.Duration {
 	health, exists := b.health[candidate.ID]
 	if !exists {
@@ -142,7 +143,7 @@
 	return time.Duration(health.serviceTime) * time.Microsecond
 }
 
-// classify returns the class of an event, that of its flow's route.
+// classify returns the class of the route of the event's flow.
 func (b *Balancer) classify(event Event) TrafficClass {
 	route, exists := b.snapshot.Route(event.Flow.Service)
 	if !exists {
@@ -159,7 +160,7 @@
 	return class
 }
 
-// withElapsed gives the events of a decision the time that ended with them.
+// withElapsed sets Elapsed in the events that decide records.
 func (b *Balancer) withElapsed(elapsed time.Duration, decide func()) {
 	first := len(b.effects)
 	decide()
--- a/internal/relay/locate.go
+++ b/internal/relay/locate.go
@@ -9,68 +9,68 @@
 )
 
 const (
-	// routeOnlyRounds is the number of searches among the services of a route
-	// after which those that it had before are asked too.
+	// routeOnlyRounds is the number of rounds in which only the current services of the route are
+	// asked. Later rounds include its former services.
 	routeOnlyRounds = 1
-	// maxSearchRounds bounds the searches for one owner, whatever agents answer, and
-	// searchInterval is the least time between two of them.
+	// maxSearchRounds limits the rounds of one search, whatever agents reply. searchInterval is the
+	// minimum time between two of them.
 	maxSearchRounds = 64
 	searchInterval  = 100 * time.Millisecond
-	// searchMessageRate bounds the messages a second that a balancer sends to find
-	// owners, and searchBurst those at once, so that flows whose endpoints have
-	// died do not take the network from others. Clients repeat their packets.
+	// searchMessageRate limits the messages a second that a balancer sends to find owners, and
+	// searchMessageBurst the messages at once, so that flows whose endpoints have died do not use
+	// up the network. Clients repeat their packets, so a search that is refused is retried.
 	searchMessageRate  = 2000
 	searchMessageBurst = 1000
-	// probesPerPeriod bounds the endpoints that get a packet of a flow which may
-	// not be theirs, in probePeriod.
+	// probesPerPeriod limits the endpoints that get, within probePeriod, a packet of a flow that
+	// may belong to another endpoint.
 	probesPerPeriod = 2
 	probePeriod     = 2100 * time.Millisecond
-	// probeDelay is how long after the first search endpoints are probed: the
-	// client has then repeated its packet.
+	// probeDelay is the time from the first search to the first probe. The client has repeated its
+	// packet by then.
 	probeDelay = 120 * time.Millisecond
 )
 
-// ownerSearch is the ownerSearch for the owner of a flow.
+// ownerSearch is a search for the owner of a flow.
 type ownerSearch struct {
 	key         segment.FlowKey
 	rounds      int
 	beganAt     time.Duration
 	lastRoundAt time.Duration
-	// held are packets for the owner; the client repeats others.
+	// held are packets to forward to the owner. The client repeats those that are not held.
 	held [][]byte
-	// uncertain are restarted agents that may own the flow, in the order of
-	// their answers; those before the index probed have been probed.
+	// uncertain are restarted agents that may own the flow, in the order of their replies. Those
+	// before index nextProbe have been probed.
 	uncertain []segment.Address
 	nextProbe int
-	// periodBeganAt is when the present periodBeganAt of probes began, and probes is their
-	// number.
+	// periodBeganAt is when the current probe period began. periodProbes is the number of probes
+	// sent in it.
 	periodBeganAt time.Duration
 	periodProbes  int
-	// latestHeader is that of the client's latest packet.
+	// latestHeader is the header of the client's latest packet.
 	latestHeader segment.Header
-	// verifyAt is when it is verified that no endpoint holds the flow, and
-	// verified how often that was begun.
+	// verifyAt is the time of the next verification that no endpoint holds the flow. verifications
+	// is the number of verification rounds begun.
 	verifyAt      time.Duration
 	verifications int
-	// nextConfirmAt is when a confirmation of the directory may be asked for again, 0 if none
-	// was.
+	// nextConfirmAt is the earliest time to ask for another confirmation of the directory, 0 if
+	// none was requested.
 	nextConfirmAt time.Duration
-	// replies are what agents have answered, by their addresses.
-	replies map[segment.Address]surveyReply
-	// inconclusive is set once all agents have answered without a proof: they are asked again
-	// when the search resumes, after a pause.
+	// replies holds the replies of agents by their addresses.
+	replies map[segment.Address]searchReply
+	// inconclusive is set once all agents have replied without a proof that the flow has no owner.
+	// They are asked again at resumeAt, after a pause.
 	inconclusive bool
 	resumeAt     time.Duration
 	pause        time.Duration
-	// delegated are the parts of the latest round that were left to agents.
+	// delegated are the parts of the latest round that agents carry out.
 	delegated []delegatedSurvey
 }
 
 func newOwnerSearch(now time.Duration, key segment.FlowKey) *ownerSearch {
-	return &ownerSearch{key: key, beganAt: now, periodBeganAt: now, replies: make(map[segment.Address]surveyReply)}
+	return &ownerSearch{key: key, beganAt: now, periodBeganAt: now, replies: make(map[segment.Address]searchReply)}
 }
 
-// resume makes agents be asked again after a pause.
+// resume starts the search anew after an inconclusive result.
 func (s *ownerSearch) resume() {
 	if s.inconclusive {
 		s.inconclusive = false
@@ -79,7 +79,7 @@
 	}
 }
 
-// hold keeps a packet for the owner, unless it is a copy.
+// hold keeps a copy of a packet for the owner, unless the same packet is held already.
 func (s *ownerSearch) hold(packet []byte) {
 	duplicate := slices.ContainsFunc(s.held, func(held []byte) bool { return slices.Equal(held, packet) })
 	if !duplicate && len(s.held) < maxHeldPackets {
@@ -87,8 +87,7 @@
 	}
 }
 
-// startSearch begins the search for the owner of a flow. It returns nil if there
-// are too many flows.
+// startSearch creates a flow in state flowLocating. It returns nil if the flow limit is reached.
 func (b *Balancer) startSearch(now time.Duration, key segment.FlowKey) *balancerFlow {
 	if len(b.flows) >= b.config.FlowLimit {
 		b.recordEvent(Event{Kind: EventNoEndpoint, Flow: key, Reason: "flow_limit"})
@@ -99,8 +98,8 @@
 	return flow
 }
 
-// locate holds a packet of a flow and asks all agents that may own the flow. If
-// none has said that it does, it lets some of those that do not know probe.
+// locate holds a packet of a flow and asks all agents that may own the flow. It makes some of the
+// uncertain agents probe.
 func (b *Balancer) locate(now time.Duration, key segment.FlowKey, flow *balancerFlow, header segment.Header, packet []byte) {
 	search := flow.search
 	search.hold(packet)
@@ -142,7 +141,8 @@
 	}
 }
 
-// allowSearch reports whether so many messages may be sent to find the owner of a flow.
+// allowSearch reports whether the rate limit permits a number of messages to find the owner of a
+// flow.
 func (b *Balancer) allowSearch(now time.Duration, key segment.FlowKey, messages int) bool {
 	allowed := b.searchLimiter.AllowN(time.Unix(0, int64(now)), messages)
 	if !allowed {
@@ -151,7 +151,7 @@
 	return allowed
 }
 
-// nextProbes returns the agents that shall probe now.
+// nextProbes returns the agents to probe now.
 func (s *ownerSearch) nextProbes(now time.Duration) []segment.Address {
 	if now-s.beganAt < probeDelay {
 		return nil
@@ -167,11 +167,11 @@
 	return chosen
 }
 
-// possibleOwners returns the endpoints, leaving ones included, of the services that the
-// flow's route has. With widen, which is for after a search among these in vain, it
-// returns also those of services that the route had before, since the configuration
-// may have changed under the flow: in a small fleet, all endpoints. It reports whether
-// the result has all that may hold the flow, given widen; there may be too many to ask.
+// possibleOwners returns the endpoints that may hold a flow: those of the services of its route,
+// including endpoints that are leaving. With widen, which is used after an unsuccessful search, it
+// adds endpoints of the route's former services, since the configuration may have changed during
+// the flow; in a small fleet it returns all endpoints. The result is complete if widen is set, it
+// is not empty, and maxLocateAgents has cut off none.
 func (b *Balancer) possibleOwners(key segment.FlowKey, widen bool) (owners []directory.Candidate, complete bool) {
 	if widen && len(b.snapshot.All()) <= maxLocateAgents {
 		owners = b.reachable(b.snapshot.All())
@@ -186,8 +186,8 @@
 	return candidates[:min(len(candidates), maxLocateAgents)], complete
 }
 
-// ownerServices returns the services of the flow's route. With widen, and for an
-// address without a route, it adds those that the address had before.
+// ownerServices returns the services of the flow's route. With widen, or if the address has no
+// route, it adds the services that the address had before.
 func (b *Balancer) ownerServices(key segment.FlowKey, widen bool) []string {
 	var services []string
 	route, exists := b.snapshot.Route(key.Service)
@@ -207,10 +207,9 @@
 	return services
 }
 
-// reachable returns the candidates without those whose address is another's by
-// now: one agent answers for all that an address has had of its service. Of an
-// address whose endpoints have all gone, one of each service is kept, since it is
-// not known which was the last.
+// reachable removes candidates whose address now belongs to another endpoint: one agent replies for
+// all endpoints of its service that an address has had. If all endpoints of an address are gone,
+// one of each service stays, because it is not known which was the last.
 func (b *Balancer) reachable(candidates []directory.Candidate) []directory.Candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(c directory.Candidate) bool {
 		occupant, _ := b.snapshot.At(c.Endpoint.IP)
@@ -221,7 +220,7 @@
 	})
 }
 
-// receiveUncertain handles that a restarted agent may own a flow.
+// receiveUncertain handles a reply that a restarted agent may own a flow.
 func (b *Balancer) receiveUncertain(now time.Duration, from segment.Address, message Message) {
 	flow, exists := b.searchedFlow(message)
 	if !exists {
@@ -230,10 +229,10 @@
 	if !slices.Contains(flow.search.uncertain, from) {
 		flow.search.uncertain = append(flow.search.uncertain, from)
 	}
-	b.noteReply(now, flow, from, surveyReply{agentStartedAt: now - message.Uptime})
+	b.noteReply(now, flow, from, searchReply{agentStartedAt: now - message.Uptime})
 }
 
-// receiveOwned handles that an agent owns a flow.
+// receiveOwned handles a reply that an agent owns a flow.
 func (b *Balancer) receiveOwned(now time.Duration, from segment.Address, message Message) {
 	key := message.Flow.Key()
 	flow, exists := b.flows[key]
@@ -253,8 +252,8 @@
 	}
 }
 
-// parametersAt returns the terms of a flow that was opened before, for the agent that may
-// own it: it may have been restarted.
+// parametersAt returns the parameters of an open flow for an agent that may own it. The agent may
+// have restarted and lost them.
 func (b *Balancer) parametersAt(key segment.FlowKey, agent segment.Address) FlowParameters {
 	route, routed := b.snapshot.Route(key.Service)
 	candidate, exists := b.snapshot.At(agent.IP)
@@ -266,7 +265,7 @@
 	return parameters
 }
 
-// forwardHeld sends the owner of a flow the packets that waited for it.
+// forwardHeld sends the held packets of a flow to its owner.
 func (b *Balancer) forwardHeld(flow *balancerFlow, held [][]byte) {
 	for _, packet := range held {
 		b.send(flow.agent, Message{Kind: KindForward, Service: flow.service, Parameters: flow.parameters, Packet: packet})
@@ -276,8 +275,8 @@
 	}
 }
 
-// receiveNotOwned handles a packet that the believed owner of its flow brought
-// back: the owner is sought.
+// receiveNotOwned handles a packet that the presumed owner of its flow has sent back. It starts a
+// search for the owner.
 func (b *Balancer) receiveNotOwned(now time.Duration, from segment.Address, message Message) {
 	header, outcome := b.config.Codec.Decode(message.Packet)
 	if outcome != segment.Decoded || !validFromClient(header) {
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -14,7 +14,7 @@
 //msgp:ignore ColdStartLimit
 //msgp:shim segment.Flags as:uint8 using:uint8/segment.Flags
 
-// MaxMessageSize bounds an encoded message in bytes.
+// MaxMessageSize is the maximum size of an encoded message in bytes.
 const MaxMessageSize = 2048
 
 // MessageKind is the purpose of a message between a balancer and an agent.
@@ -22,46 +22,44 @@
 
 // The kinds of messages.
 const (
-	// KindOffer carries an opening packet that the agent's endpoint may take.
+	// KindOffer carries an opening packet that the agent's endpoint may accept.
 	KindOffer MessageKind = iota
-	// KindForward carries a packet of a flow that the agent is believed to
-	// own.
+	// KindForward carries a packet of a flow that the sender believes the agent owns.
 	KindForward
-	// KindLocate asks whether the agent owns a flow, of which the client has
-	// acknowledged Acknowledgment.
+	// KindLocate asks whether the agent owns a flow. Acknowledgment and Flags are those of a packet
+	// of the client. Only an agent that owns the flow, or may own it, replies.
 	KindLocate
-	// KindProbe carries a packet that the agent shall hand to its endpoint even
-	// if it does not know the flow, provided that it was restarted. Any other
-	// agent denies the flow.
+	// KindProbe carries a packet of an unknown flow. An agent that has restarted hands it to its
+	// endpoint to find out whether the endpoint holds the flow. Any other agent denies the flow.
 	KindProbe
-	// KindPlaced tells that the endpoint has answered an opening packet.
+	// KindPlaced reports that the endpoint has answered an opening packet.
 	KindPlaced
-	// KindReturned brings back an opening packet that was not taken.
+	// KindReturned sends back an opening packet that was not accepted.
 	KindReturned
-	// KindOwned tells that the agent owns a flow.
+	// KindOwned reports that the agent owns a flow.
 	KindOwned
-	// KindUncertain tells that the agent was restarted and does not know
-	// whether its endpoint holds a flow.
+	// KindUncertain reports that the agent has restarted and does not know whether its endpoint
+	// holds a flow.
 	KindUncertain
-	// KindNotOwned brings back a packet of a flow that the agent does not own.
+	// KindNotOwned sends back a packet of a flow that the agent does not own.
 	KindNotOwned
-	// KindPing asks the agent whether it is there.
+	// KindPing asks the agent for a KindPong.
 	KindPing
-	// KindPong answers a ping, or tells that the endpoint's health has changed.
+	// KindPong answers a ping, or reports that the endpoint's health has changed.
 	KindPong
-	// KindLeaving tells that the agent is about to stop.
+	// KindLeaving reports that the agent is about to stop.
 	KindLeaving
-	// KindDrain tells the agent that its endpoint must get no new flows.
+	// KindDrain tells the agent that its endpoint must not get new flows.
 	KindDrain
-	// KindVerify asks as KindLocate does, and wants an answer in any case.
+	// KindVerify asks the same as KindLocate and requires a reply in any case.
 	KindVerify
-	// KindDenied tells that the agent's endpoint does not hold a flow.
+	// KindDenied reports that the agent's endpoint does not hold a flow.
 	KindDenied
-	// KindSurvey makes an agent ask the agents in Targets, and itself, for the owner of
-	// a flow: as KindProbe does if it carries a packet, else as KindVerify.
+	// KindSurvey makes an agent ask the agents in Targets, and itself, for the owner of a flow. It
+	// asks by KindProbe if the message carries a packet, else by KindVerify.
 	KindSurvey
-	// KindSurveyResult tells what the agents of a survey have answered: all but those in
-	// Unsure and Silent have denied the flow. Age is that of the oldest that answered.
+	// KindSurveyResult reports the replies to a survey. All agents asked have denied the flow
+	// except those in Uncertain and Unresponsive. Uptime is the longest of the agents that replied.
 	KindSurveyResult
 )
 
@@ -88,7 +86,7 @@
 	}
 }
 
-// EncodedAddress is the encoded form of a segment.Address, empty for none.
+// EncodedAddress is the encoded form of a segment.Address. It is empty for no address.
 type EncodedAddress []byte
 
 // EncodeAddress encodes an address.
@@ -98,7 +96,7 @@
 
 const encodedAddressSize = 6
 
-// Address decodes the address. It is zero for none.
+// Address decodes the address. It returns the zero address for an empty or invalid encoding.
 func (e EncodedAddress) Address() segment.Address {
 	if len(e) != encodedAddressSize {
 		return segment.Address{}
@@ -106,23 +104,23 @@
 	return segment.Address{IP: [4]byte(e[:4]), Port: binary.BigEndian.Uint16(e[4:])}
 }
 
-// AgentGroup are agents that a survey asks: those of endpoints that are taken for
-// endpoints of one service. They listen on one port.
+// AgentGroup lists agents that the balancer takes for agents of endpoints of one service. All
+// listen on the same port.
 type AgentGroup struct {
 	Service string
 	Port    uint16
-	// IPs are the addresses, four bytes each.
+	// IPs are the IPv4 addresses of the agents, four bytes each.
 	IPs []byte
 }
 
 const ipv4Size = 4
 
-// Addresses returns the addresses of the agents. Bytes after the last whole one are
-// ignored.
-func (t AgentGroup) Addresses() []segment.Address {
-	addresses := make([]segment.Address, 0, len(t.IPs)/ipv4Size)
-	for rest := t.IPs; len(rest) >= ipv4Size; rest = rest[ipv4Size:] {
-		addresses = append(addresses, segment.Address{IP: [4]byte(rest[:ipv4Size]), Port: t.Port})
+// Addresses returns the addresses of the agents. It ignores an incomplete address at the end of
+// IPs.
+func (g AgentGroup) Addresses() []segment.Address {
+	addresses := make([]segment.Address, 0, len(g.IPs)/ipv4Size)
+	for rest := g.IPs; len(rest) >= ipv4Size; rest = rest[ipv4Size:] {
+		addresses = append(addresses, segment.Address{IP: [4]byte(rest[:ipv4Size]), Port: g.Port})
 	}
 	return addresses
 }
@@ -138,7 +136,7 @@
 	return append(groups, AgentGroup{Service: service, Port: agent.Port, IPs: agent.IP[:]})
 }
 
-// groupAddresses returns the addresses of all agents in groups.
+// groupAddresses returns the addresses of the agents in all groups.
 func groupAddresses(groups []AgentGroup) []segment.Address {
 	var addresses []segment.Address
 	for _, group := range groups {
@@ -147,91 +145,92 @@
 	return addresses
 }
 
-// Load is how busy an agent's endpoint is.
+// Load describes the load and the health of an agent's endpoint.
 type Load struct {
-	// Running is the number of flows that are open or about to be.
+	// Running is the number of flows that are open or being opened.
 	Running uint32
-	// Waiting is the number of requests that the agent holds back.
+	// Waiting is the number of requests that the agent holds in its queue.
 	Waiting uint32
-	// Refusing is set if the endpoint gets no new flows.
+	// Refusing is set if the endpoint accepts no new flows.
 	Refusing bool
-	// ServiceTime is how long the endpoint usually works on a request, in microseconds; 0 means
-	// that this is not known.
+	// ServiceTime is the usual time that the endpoint works on a request, in microseconds, 0 if
+	// unknown.
 	ServiceTime uint32
-	// ColdWait is how long a cold endpoint takes no further request, in milliseconds.
+	// ColdWait is for how long a cold endpoint accepts no further request, in milliseconds.
 	ColdWait uint32
-	// Report is how well the endpoint is, as the balancer's clients see it.
+	// Report is the health of the endpoint for clients in the zone of the receiving balancer.
 	Report outlier.Report
-	// Pending is the number of requests that the endpoint works on or that wait for it and can be
-	// in time, with those that are about to come in flows which are just being opened.
+	// Pending is the number of requests that the endpoint works on, that wait and can still meet
+	// their objective, or that are expected soon in flows being opened.
 	Pending uint32
 }
 
-// FlowParameters tell an agent what a flow needs and what its endpoint can do.
+// FlowParameters tell an agent what a flow requires and what its endpoint can do.
 type FlowParameters struct {
-	// Slots is how many requests the endpoint works on at the same time; 0
-	// means that this is not known.
+	// Slots is the number of requests that the endpoint can work on at the same time, 0 if unknown.
 	Slots uint32
-	// Priority orders flows under overload; 0 is served first.
+	// Priority orders flows under overload. 0 is served first.
 	Priority uint8
-	// LatencyTarget is the latency objective and Timeout the longest useful time of a
-	// request, in milliseconds.
+	// LatencyTarget is the latency objective of a request. Timeout is the time after which its
+	// answer is of no more use. Both are in milliseconds.
 	LatencyTarget uint32
 	Timeout       uint32
-	// Waited is for how long the client had tried to open the flow, in milliseconds.
+	// Waited is for how long the client has been trying to open the flow, in milliseconds.
 	Waited uint32
 	// ColdStart is set in offers.
 	ColdStart ColdStart
 }
 
-// ColdStart tells an agent what its endpoint carries after a start, and whether that was one.
+// ColdStart tells an agent how many requests its endpoint can serve after a start, and how long the
+// effect of the latest start lasts.
 type ColdStart struct {
-	// Rate is how many thousandths of a request a second it carries; 0 means no limit.
+	// Rate is the number of requests per 1000 s that the cold endpoint can serve, 0 for no limit.
 	Rate uint32
-	// WarmupTime is how long it is cold after a start, in milliseconds.
+	// WarmupTime is how long the endpoint is cold after a start, in milliseconds.
 	WarmupTime uint32
-	// Remaining is for how much longer it is cold, in milliseconds, as it was told at a
-	// revision of the store.
+	// Remaining is for how much longer the endpoint is cold, in milliseconds, according to the
+	// store entry at Revision.
 	Remaining uint32
 	Revision  uint64
 }
 
-// Message is what balancers and agents send each other.
+// Message is a message between balancers and agents.
 type Message struct {
 	Kind MessageKind
-	// Service is the service that the balancer takes the endpoint for.
+	// Service is the service of the endpoint according to the balancer.
 	Service string
 	// Flow is set in messages about a flow that carry no packet.
 	Flow EncodedFlow
-	// Sequence is the client's initial sequence number, in messages about an
-	// opening packet, and the number of a survey.
+	// Sequence is the initial sequence number of the client in messages about an opening packet,
+	// and the number of the survey in messages about a survey.
 	Sequence uint32
-	// Acknowledgment and Flags are those of the client's packet whose owner is
-	// sought.
+	// Acknowledgment and Flags are those of the client's packet for which the owner is sought.
 	Acknowledgment uint32
 	Flags          segment.Flags
-	// LastResort tells in an offer that no other endpoint takes the flow, and in a
-	// return that the endpoint would take it then.
+	// LastResort is set in an offer if no other endpoint takes the flow, and in a return if the
+	// endpoint would take the flow in that case.
 	LastResort bool
-	// IgnoreEjection tells in an offer that the endpoint shall get the flow although its agent
-	// holds it back, since the others of its service do no better.
+	// IgnoreEjection is set in an offer if the endpoint must accept the flow although its agent has
+	// ejected it, because the other endpoints of the service do no better.
 	IgnoreEjection bool
-	// Zone is that of the balancer's clients, in offers.
+	// Zone is the zone of the balancer's clients. It is set in offers.
 	Zone string
-	// Uptime is how long the agent has been there, in KindUncertain and KindDenied.
+	// Uptime is how long the agent has been running. It is set in KindUncertain, KindDenied and
+	// KindSurveyResult.
 	Uptime time.Duration
-	// ReplyTo is set in what another agent asks for a balancer: the owner answers
-	// there, the others the sender.
+	// ReplyTo is the balancer on whose behalf another agent asks. The owner replies to that
+	// balancer, other agents reply to the sender.
 	ReplyTo EncodedAddress
-	// Targets are the agents to ask in KindSurvey. In KindSurveyed, Unsure are those
-	// that do not know and Silent those that have not answered.
+	// Targets are the agents to ask in KindSurvey. In KindSurveyResult, Uncertain are the agents
+	// that do not know whether they own the flow, and Unresponsive those that have not replied.
 	Targets      []AgentGroup
 	Uncertain    []AgentGroup
 	Unresponsive []AgentGroup
-	// Parameters are set in offers.
+	// Parameters are set in offers and, as far as the balancer knows them, in messages about an
+	// open flow whose agent may have restarted.
 	Parameters FlowParameters
-	// Load is set in messages of agents.
+	// Load is set in messages from agents.
 	Load Load
-	// Packet is a client's packet as it was sent.
+	// Packet is a packet of a client, unchanged.
 	Packet []byte
 }
--- a/internal/relay/message_gen.go
+++ b/internal/relay/message_gen.go
@@ -13,7 +13,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *AgentGroup) DecodeMsg(dc *msgp.Reader) (err error) {
+func (g *AgentGroup) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -28,19 +28,19 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
-	z.Service, err = dc.ReadString()
+	g.Service, err = dc.ReadString()
 	if err != nil {
 		err = msgp.WrapError(err, "Service")
 		return
 	}
-	z.Port, err = dc.ReadUint16()
+	g.Port, err = dc.ReadUint16()
 	if err != nil {
 		err = msgp.WrapError(err, "Port")
 		return
 	}
-	z.IPs, err = dc.ReadBytesLimit(z.IPs, zdc5d9100limitArrays)
-	if err == nil && z.IPs == nil {
-		z.IPs = []byte{}
+	g.IPs, err = dc.ReadBytesLimit(g.IPs, zdc5d9100limitArrays)
+	if err == nil && g.IPs == nil {
+		g.IPs = []byte{}
 	}
 	if err != nil {
 		err = msgp.WrapError(err, "IPs")
@@ -50,23 +50,23 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *AgentGroup) EncodeMsg(en *msgp.Writer) (err error) {
+func (g *AgentGroup) EncodeMsg(en *msgp.Writer) (err error) {
 	// array header, size 3
 	err = en.Append(0x93)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Service)
+	err = en.WriteString(g.Service)
 	if err != nil {
 		err = msgp.WrapError(err, "Service")
 		return
 	}
-	err = en.WriteUint16(z.Port)
+	err = en.WriteUint16(g.Port)
 	if err != nil {
 		err = msgp.WrapError(err, "Port")
 		return
 	}
-	err = en.WriteBytes(z.IPs)
+	err = en.WriteBytes(g.IPs)
 	if err != nil {
 		err = msgp.WrapError(err, "IPs")
 		return
@@ -75,18 +75,18 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *AgentGroup) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
+func (g *AgentGroup) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, g.Msgsize())
 	// array header, size 3
 	o = append(o, 0x93)
-	o = msgp.AppendString(o, z.Service)
-	o = msgp.AppendUint16(o, z.Port)
-	o = msgp.AppendBytes(o, z.IPs)
+	o = msgp.AppendString(o, g.Service)
+	o = msgp.AppendUint16(o, g.Port)
+	o = msgp.AppendBytes(o, g.IPs)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *AgentGroup) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (g *AgentGroup) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -97,12 +97,12 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
-	z.Service, bts, err = msgp.ReadStringBytes(bts)
+	g.Service, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Service")
 		return
 	}
-	z.Port, bts, err = msgp.ReadUint16Bytes(bts)
+	g.Port, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Port")
 		return
@@ -117,24 +117,24 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if z.IPs == nil || uint32(cap(z.IPs)) < zb0002 {
-		z.IPs = make([]byte, zb0002)
+	if g.IPs == nil || uint32(cap(g.IPs)) < zb0002 {
+		g.IPs = make([]byte, zb0002)
 	} else {
-		z.IPs = z.IPs[:zb0002]
+		g.IPs = g.IPs[:zb0002]
 	}
 	if uint32(len(bts)) < zb0002 {
 		err = msgp.ErrShortBytes
 		return
 	}
-	copy(z.IPs, bts[:zb0002])
+	copy(g.IPs, bts[:zb0002])
 	bts = bts[zb0002:]
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *AgentGroup) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.IPs)
+func (g *AgentGroup) Msgsize() (s int) {
+	s = 1 + msgp.StringPrefixSize + len(g.Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(g.IPs)
 	return
 }
 
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -9,9 +9,9 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// maxBusyReturns is the number of agents that may return an opening packet for being busy
-// before the least busy of them has to take it. Three choices are nearly as good as all
-// (the power of two choices: Mitzenmacher, 2001), and each costs a round trip.
+// maxBusyReturns is the number of agents that may return an opening packet because they are busy.
+// After that the least busy of them must take it. Three choices are nearly as good as all (the
+// power of two choices: Mitzenmacher, 2001), and each costs a round trip.
 const maxBusyReturns = 3
 
 // offer is an opening packet that no endpoint has answered yet.
@@ -20,15 +20,15 @@
 	packet   []byte
 	deadline time.Duration
 	tried    []directory.EndpointID
-	// lastResortAgent is an agent that takes the flow if no other does, zero if there is
-	// none; one is asked once.
+	// lastResortAgent is an agent that takes the flow if no other does, zero if there is none. Only
+	// one such agent is asked, and only once.
 	lastResortAgent segment.Address
 	lastResortAsked bool
-	// lastResortPending is the number of requests at that agent, and busy that of agents which have
-	// returned the packet since others may be less busy.
+	// lastResortPending is the number of pending requests at lastResortAgent. busyReturns is the
+	// number of agents that have returned the packet because others may be less busy.
 	lastResortPending uint32
 	busyReturns       int
-	// untrustedOffers counts the endpoints that were asked although they did not seem well.
+	// untrustedOffers is the number of offers to suspected or ejected endpoints.
 	untrustedOffers int
 	done            bool
 }
@@ -66,14 +66,14 @@
 	b.offers = append(b.offers, newFlow.offer)
 }
 
-// offeredToClosedZone reports whether a flow that no endpoint has answered was offered to one whose
-// zone has been closed since.
+// offeredToClosedZone reports whether an unanswered offer went to an endpoint whose zone has been
+// closed since.
 func (b *Balancer) offeredToClosedZone(flow *balancerFlow) bool {
 	candidate, exists := b.snapshot.Candidate(flow.endpoint)
 	return flow.state == flowOffering && exists && candidate.Closed
 }
 
-// refusalReason tells why no endpoint can take a flow.
+// refusalReason returns the reason why no endpoint can take a flow.
 func (b *Balancer) refusalReason(now time.Duration, flow *balancerFlow) string {
 	if b.anyInColdWait(now, flow.service) {
 		return reasonCold
@@ -100,7 +100,7 @@
 	return uint32((now - f.clientBeganAt).Milliseconds())
 }
 
-// repeatOffer sends a copy of an opening packet to where the last went.
+// repeatOffer sends a copy of an opening packet to the agent that got the last one.
 func (b *Balancer) repeatOffer(now time.Duration, flow *balancerFlow, packet []byte) {
 	flow.lastActivity = now
 	flow.parameters.Waited = flow.waited(now)
@@ -112,8 +112,8 @@
 	})
 }
 
-// offerToAnother offers the opening packet of a flow to an endpoint that it was
-// not offered to, and waits for that. It reports whether there is one.
+// offerToAnother offers the opening packet of a flow to an endpoint that has not had it. It reports
+// whether there is one and offerLifetime has not passed.
 func (b *Balancer) offerToAnother(now time.Duration, flow *balancerFlow, reason string) bool {
 	if now-flow.openedAt >= offerLifetime || !b.offerNext(now, flow) {
 		return false
@@ -122,8 +122,8 @@
 	return true
 }
 
-// offerNext offers the opening packet of a flow to the best endpoint that it
-// was not offered to. It reports whether there is one.
+// offerNext offers the opening packet of a flow to the best endpoint that has not had it. It
+// reports whether there is one.
 func (b *Balancer) offerNext(now time.Duration, flow *balancerFlow) bool {
 	chosen, exists := b.chooseEndpoint(now, flow.service, flow.offer.tried)
 	if !exists || chosen.untrusted && flow.offer.untrustedOffers >= maxUntrustedOffers {
@@ -149,8 +149,8 @@
 	return true
 }
 
-// refuseUnrouted resets a flow to an address that has no route, unless the
-// directory may be out of date.
+// refuseUnrouted resets a flow to an address without a route, unless the directory may be out of
+// date.
 func (b *Balancer) refuseUnrouted(now time.Duration, key segment.FlowKey, header segment.Header) {
 	if now-b.confirmedAt > b.config.ApplyTimeout+confirmationMargin {
 		b.recordEvent(Event{Kind: EventNoRoute, Flow: key, Version: b.snapshot.Version(), Reason: "unconfirmed"})
@@ -160,7 +160,7 @@
 	b.resetFlow(key, header)
 }
 
-// refuseFlow resets a flow that no endpoint can take; nothing of it has run.
+// refuseFlow resets a flow that no endpoint can take. No request of it has run.
 func (b *Balancer) refuseFlow(key segment.FlowKey, header segment.Header, reason string) {
 	b.recordEvent(Event{Kind: EventNoEndpoint, Flow: key, Version: b.snapshot.Version(), Reason: reason})
 	b.resetFlow(key, header)
@@ -181,9 +181,8 @@
 	if flow.state != flowOffering {
 		return
 	}
-	// An earlier offer may be answered after a later one was made: the agent
-	// that answered first is the likely owner, and others would return the
-	// client's packets.
+	// An earlier offer may be answered after a later one was made. The agent that answered first is
+	// the likely owner; others would return the packets of the client.
 	if flow.agent != from {
 		b.setOwner(flow, from)
 	}
@@ -194,7 +193,7 @@
 	})
 }
 
-// setOwner makes another agent the believed owner of a flow.
+// setOwner changes the presumed owner of a flow.
 func (b *Balancer) setOwner(flow *balancerFlow, agent segment.Address) {
 	b.uncountFlow(flow)
 	flow.agent = agent
@@ -230,12 +229,12 @@
 	b.offerAgain(now, key, flow, "returned")
 }
 
-// noteLastResort notes an agent that would take the flow if no other does. The least busy is
-// asked in the end, also if it is slow: where the newest requests go first, a new one does
-// not wait for those that are late already.
+// noteLastResort records an agent that would take the flow if no other does. The agent with the
+// fewest pending requests is asked in the end even if it is slow: where the newest requests go
+// first, a new one does not wait for late ones.
 func (o *offer) noteLastResort(agent segment.Address, load Load) {
 	if load.Report.Hold > 0 {
-		// It is left out for longer, as its endpoint is not well.
+		// An ejected endpoint is unhealthy, so any busy one is preferred to it.
 		if o.lastResortAgent.IsZero() {
 			o.lastResortAgent, o.lastResortPending = agent, math.MaxUint32
 		}
@@ -247,8 +246,8 @@
 	}
 }
 
-// offerAgain offers an opening packet to a further endpoint. If there is none,
-// the client is refused at once.
+// offerAgain offers an opening packet to another endpoint. If there is none, it refuses the flow at
+// once.
 func (b *Balancer) offerAgain(now time.Duration, key segment.FlowKey, flow *balancerFlow, reason string) {
 	if b.offerToAnother(now, flow, reason) || b.offerLastResort(now, flow) {
 		return
@@ -261,8 +260,8 @@
 	b.refuseFlow(key, segment.Header{}, refusal)
 }
 
-// offerLastResort offers the opening packet of a flow to an endpoint that takes it
-// since no other does. It reports whether there is one.
+// offerLastResort offers the opening packet of a flow to the agent that takes it if no other does.
+// It reports whether there is one.
 func (b *Balancer) offerLastResort(now time.Duration, flow *balancerFlow) bool {
 	agent := flow.offer.lastResortAgent
 	if agent.IsZero() || flow.offer.lastResortAsked {
@@ -287,7 +286,7 @@
 	return true
 }
 
-// expireOffer handles an opening packet that an agent has not answered.
+// expireOffer handles an offer that an agent has not answered in time.
 func (b *Balancer) expireOffer(now time.Duration, offer *offer) {
 	flow, exists := b.flows[offer.key]
 	if !exists || flow.offer != offer {
@@ -298,11 +297,11 @@
 	if b.retryBudget.spend() && (b.offerToAnother(now, flow, "silence") || b.offerLastResort(now, flow)) {
 		return
 	}
-	// The client repeats the packet; it goes to the agent that had it last.
+	// The client repeats the packet, and the copy goes to the agent that had it last.
 	offer.done = true
 }
 
-// endOffer ends the offering of an opening packet.
+// endOffer ends the offer of a flow's opening packet.
 func (b *Balancer) endOffer(flow *balancerFlow) {
 	if flow.offer != nil {
 		flow.offer.done = true
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -6,33 +6,33 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// advanceAckBase keeps what the client may acknowledge within openWindow, however much the
-// endpoint sends.
+// advanceAckBase moves ackBase so that acknowledgments of the client stay within ackWindow, however
+// much the endpoint sends.
 func (f *agentFlow) advanceAckBase(sequence uint32) {
 	if sent := sequence - f.ackBase; f.ackBaseKnown && f.state != stateAnswered && sent > ackWindow/2 && sent < ackWindow {
 		f.ackBase = sequence - ackWindow/2
 	}
 }
 
-// certainlyNotHeld reports whether it is certain that the endpoint does not hold a flow, of
-// which a packet has come that is not owned.
+// certainlyNotHeld reports whether the endpoint certainly does not hold a flow, given that a packet
+// of it is not owned.
 func (a *Agent) certainlyNotHeld(now time.Duration, flow *agentFlow) bool {
 	return a.knowsAllFlows(now) || flow != nil && flow.state != stateProbed
 }
 
-// deny tells a balancer that the endpoint does not hold a flow.
+// deny replies that the endpoint does not hold a flow.
 func (a *Agent) deny(now time.Duration, to segment.Address, key segment.FlowKey) {
 	a.send(to, Message{Kind: KindDenied, Service: a.config.Service, Flow: EncodeFlow(key), Uptime: now - a.startedAt})
 }
 
-// mayOwn reports whether the endpoint may hold a flow that this agent does not
-// know, since the agent was restarted.
+// mayOwn reports whether the endpoint may hold a flow that this agent does not know, because the
+// agent has restarted.
 func (a *Agent) mayOwn(now time.Duration, flow *agentFlow) bool {
 	return flow == nil && !a.knowsAllFlows(now) && len(a.flows) < a.config.FlowLimit
 }
 
-// receiveLocate answers whether this agent owns a flow. It does not answer if it
-// does not, since all agents are asked.
+// receiveLocate replies if this agent owns a flow or may own it. It does not reply otherwise,
+// because all agents are asked.
 func (a *Agent) receiveLocate(now time.Duration, from segment.Address, message Message) {
 	if message.Service != a.config.Service {
 		return
@@ -51,8 +51,8 @@
 	a.send(to, Message{Kind: KindUncertain, Service: a.config.Service, Flow: query.Flow, Uptime: now - a.startedAt})
 }
 
-// receiveVerify answers whether the endpoint holds a flow. Of an endpoint of another
-// service, which had this address before, nothing is left.
+// receiveVerify replies whether the endpoint holds a flow. It denies flows of an endpoint of
+// another service that had this address before: nothing of that endpoint is left.
 func (a *Agent) receiveVerify(now time.Duration, from segment.Address, message Message) {
 	key := message.Flow.Key()
 	flow := a.flows[key]
@@ -68,7 +68,7 @@
 	}
 }
 
-// owns reports whether a client's packet belongs to a flow of this endpoint.
+// owns reports whether a packet of the client belongs to a flow of this endpoint.
 func (a *Agent) owns(flow *agentFlow, header segment.Header) bool {
 	switch flow.state {
 	case stateOpen, stateEnded:
@@ -79,8 +79,8 @@
 	return false
 }
 
-// acknowledges reports whether the packet acknowledges what the endpoint with
-// the given initial sequence number has sent. A reset need not.
+// acknowledges reports whether a packet acknowledges data sent after ackBase, within a window. A
+// reset without an acknowledgment is accepted.
 func acknowledges(header segment.Header, ackBase, window uint32) bool {
 	if !header.Flags.Has(segment.Acknowledge) {
 		return header.Flags.Has(segment.Reset)
@@ -107,9 +107,9 @@
 	a.deliver(message.Packet)
 }
 
-// probe lets the endpoint tell whether it holds a flow that this agent does not
-// know, since the agent was restarted. It happens once for each flow: if a
-// balancer takes this agent for the owner or has found no other.
+// probe gives the endpoint a packet of a flow that this restarted agent does not know, to find out
+// whether the endpoint holds the flow. It runs once for each flow, if a balancer takes this agent
+// for the owner or has found no other.
 func (a *Agent) probe(now time.Duration, from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
 	a.flows[key] = &agentFlow{
 		state: stateProbed, balancer: originBalancer(from, message), prober: from,
--- a/internal/relay/persistentflow.go
+++ b/internal/relay/persistentflow.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// persistentAfter is how long a flow has to be open to count as kept for many requests; one
-	// for a single request has mostly ended by then.
+	// persistentAfter is the age from which a flow counts as persistent, that is, as open for many
+	// requests. Most flows for a single request have ended by then.
 	persistentAfter = time.Second
-	// minRequestGap is the least time between the packets of two requests of a flow; those of
+	// minRequestGap is the minimum time between the packets of two requests of a flow. Packets of
 	// one request follow each other faster.
 	minRequestGap = 20 * time.Millisecond
-	// demandWeight is the weight of a new second in what is known of a service's kept flows.
+	// demandWeight is the weight of the latest second in the average demand of a service.
 	demandWeight = 0.2
-	// minDemand bounds from below what a kept flow counts, so that flows which all rest
-	// are still spread evenly.
+	// minDemand is the minimum demand of a persistent flow, so that idle flows are still spread
+	// evenly.
 	minDemand = 0.01
 )
 
-// persistentDemand is what the kept flows of a service ask for: at rest they cost an endpoint nothing,
-// and a flow with a request costs a slot. If each counts as one with a request, endpoints
-// without kept flows, such as those that have just come back, get all new flows.
+// persistentDemand is the demand of the persistent flows of a service. Such a flow uses no slot of
+// its endpoint while idle and one slot during a request. If each flow always counted as one slot,
+// endpoints without persistent flows, such as restarted ones, would get all new flows.
 type persistentDemand struct {
-	// flows is the number of kept flows at the last sweep, and requests how many requests
-	// they have made since.
+	// flows is the number of persistent flows at the last sweep. requests is the number of requests
+	// in them since then.
 	flows    int
 	requests int
-	// requestRate is the mean number of requests a second of one kept flow, 0 if not known.
+	// requestRate is the mean number of requests a second of one persistent flow, 0 if unknown.
 	requestRate float64
 }
 
-// update takes account of what was seen since the last sweep.
+// update averages in the requests since the last sweep.
 func (d *persistentDemand) update(elapsed time.Duration) {
 	if d.flows > 0 && elapsed > 0 {
 		rate := float64(d.requests) / float64(d.flows) / elapsed.Seconds()
@@ -44,9 +44,8 @@
 	d.flows, d.requests = 0, 0
 }
 
-// slotsPerFlow is the mean number of slotsPerFlow that one kept flow takes if an answer takes as long as
-// usual, in microseconds (Little's law). A flow counts as one with a request until its
-// service is known.
+// slotsPerFlow returns the mean number of slots that one persistent flow uses at a service time in
+// microseconds (Little's law). It is 1 until the request rate and the service time are known.
 func (d *persistentDemand) slotsPerFlow(serviceTime uint32) float64 {
 	if d.requestRate == 0 || serviceTime == 0 {
 		return 1
@@ -63,7 +62,7 @@
 	return demand
 }
 
-// markPersistent makes a flow that has been open for long count as kept.
+// markPersistent counts a flow as persistent once it is old enough.
 func (b *Balancer) markPersistent(now time.Duration, flow *balancerFlow) {
 	if flow.state != flowPlaced || !flow.counted {
 		return
@@ -78,7 +77,7 @@
 	}
 }
 
-// noteRequest counts a request of a kept flow.
+// noteRequest counts a request of a persistent flow.
 func (b *Balancer) noteRequest(now time.Duration, flow *balancerFlow, header segment.Header) {
 	if header.Length == 0 {
 		return
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// suspectAfterSilences is the number of offers in a row without an answer
-	// after which an endpoint gets no new flows.
+	// suspectAfterSilences is the number of consecutive unanswered offers after which an endpoint
+	// is suspected and gets no new flows.
 	suspectAfterSilences = 2
-	// minSuspicion is how long an endpoint is left out at first; the time
-	// doubles up to longestSuspicion while its answers stay out.
+	// minSuspicion is the first time for which an endpoint is suspected. The time doubles up to
+	// maxSuspicion while offers stay unanswered.
 	minSuspicion = 300 * time.Millisecond
 	maxSuspicion = 2400 * time.Millisecond
 )
 
-// endpointHealth is what a balancer believes of one endpoint.
+// endpointHealth is what a balancer knows of the health and load of one endpoint.
 type endpointHealth struct {
-	// outstanding is the number of flows that this balancer gave the endpoint
-	// and whose clients have not closed them.
+	// outstanding is the number of flows that this balancer gave the endpoint and whose clients
+	// have not closed them.
 	outstanding int
-	// persistent is the number of those that are persistent open for many requests; they are not among
-	// outstanding.
+	// persistent is the number of such flows that are kept open for many requests. They are not
+	// counted in outstanding.
 	persistent     int
 	silences       int
 	suspicion      time.Duration
 	suspectedUntil time.Duration
-	// serviceTime is what the agent told last of the time to an answer, told when that
-	// was, or when it was asked.
+	// serviceTime is the latest service time from the agent in microseconds. serviceTimeRefreshedAt
+	// is when it was reported or last requested.
 	serviceTime uint32
-	// serviceTimeChangedAt is when it told another pace than before.
-	serviceTimeChangedAt time.Duration
-	serviceTimeAskedAt   time.Duration
-	// utilization is what it told last of how far the endpoint is used.
+	// serviceTimeChangedAt is when the reported service time last changed.
+	serviceTimeChangedAt   time.Duration
+	serviceTimeRefreshedAt time.Duration
+	// utilization is the latest report of how busy the endpoint is.
 	utilization placement.News
-	// report is what its agent told last of its health, and ejectionEnds until when it
-	// holds the endpoint back.
+	// report is the latest health report from the agent. ejectedUntil is the end of the ejection in
+	// it.
 	report       outlier.Report
 	ejectedUntil time.Duration
-	// avoidedUntil is until when it is left out since it has returned a flow.
+	// avoidedUntil is the time until which the endpoint gets no new flow after it returned one.
 	avoidedUntil time.Duration
-	// coldWaitUntil is until when it takes no request since it is cold.
+	// coldWaitUntil is the time until which the endpoint accepts no request because it is cold.
 	coldWaitUntil time.Duration
 }
 
@@ -53,11 +53,11 @@
 	return now < h.suspectedUntil || now < h.avoidedUntil
 }
 
-// avoid leaves the endpoint out for a while, since it has returned a flow. Else it would be
-// chosen again at once, as it has the fewest flows, and get the next one in vain.
+// avoid excludes the endpoint for a while after it returned a flow. Otherwise it would be chosen
+// again at once, because it has the fewest flows, and return the next one too.
 func (h *endpointHealth) avoid(now time.Duration) { h.avoidedUntil = now + minSuspicion }
 
-// suspect leaves the endpoint out for a while, then lets one flow find out.
+// suspect excludes the endpoint for a while. After that one flow tests it.
 func (h *endpointHealth) suspect(now time.Duration) {
 	h.suspicion = min(max(2*h.suspicion, minSuspicion), maxSuspicion)
 	h.suspectedUntil = now + h.suspicion
@@ -105,12 +105,12 @@
 	}
 }
 
-// noteAgentReply notes that an agent has answered about a flow.
+// noteAgentReply records that an agent has replied about a flow.
 func (b *Balancer) noteAgentReply(now time.Duration, flow *balancerFlow, from segment.Address, load Load) {
 	if flow.agent != from {
 		return
 	}
-	// The endpoint may have been started again since the flow was offered to it.
+	// The endpoint may have restarted since the flow was offered to it.
 	id := flow.endpoint
 	if occupant, exists := b.snapshot.At(from.IP); exists {
 		id = occupant.ID
@@ -126,8 +126,8 @@
 	}
 }
 
-// noteSilence notes that an agent has not answered an offer. It says nothing of an endpoint that
-// has been started since.
+// noteSilence records that an agent has not answered an offer. It ignores an endpoint that has
+// restarted since.
 func (b *Balancer) noteSilence(now time.Duration, flow *balancerFlow) {
 	if _, exists := b.snapshot.Candidate(flow.endpoint); !exists {
 		return
@@ -144,19 +144,18 @@
 	b.recordEvent(Event{Kind: EventSuspected, Peer: flow.agent})
 }
 
-// choice is an endpoint chosen for a flow.
+// choice is the endpoint chosen for a flow.
 type choice struct {
 	directory.Candidate
-	// untrusted is set if the endpoint is suspected or ejected: no other is left. It is
-	// overruled if its agent holds it back and nothing else speaks against it.
+	// untrusted is set if the endpoint is suspected or ejected and there is no better one.
+	// ignoreEjection is set if its agent has ejected it and nothing else speaks against it.
 	untrusted      bool
 	ignoreEjection bool
 }
 
-// chooseEndpoint returns an endpoint of a service that is expected to answer a new flow soon, among
-// those not tried. Endpoints that are suspected or ejected are taken
-// only if there are no others, those in a closed zone never, and those that are too cold
-// not now.
+// chooseEndpoint returns an endpoint of a service, not among those tried, that is expected to
+// answer a new flow soon. It takes a suspected or ejected endpoint only if there is no other, and
+// never one in a closed zone or one that accepts no request now because it is cold.
 func (b *Balancer) chooseEndpoint(now time.Duration, service string, tried []directory.EndpointID) (choice, bool) {
 	panel := b.panel(now, service)
 	massLapse := b.massLapse(now, service)
@@ -181,21 +180,21 @@
 }
 
 const (
-	// lapseTolerance is the part of DrainTimeout for which an endpoint whose entry
-	// has gone without notice may still get new flows. The rest is for the time
-	// until the balancer learns of it.
+	// lapseTolerance is the share of DrainTimeout during which an endpoint whose entry lapsed
+	// without notice may still get new flows. The rest is for the time until the balancer learns of
+	// the lapse.
 	lapseTolerance = 0.5
-	// massLapseRatio is how many entries must have lapsed for each that is there
-	// to doubt the store rather than the endpoints.
+	// massLapseRatio is the number of lapsed entries for each present one above which the store
+	// rather than the endpoints is presumed to have failed.
 	massLapseRatio = 0.5
-	// minMassLapse is how many it must be at least.
+	// minMassLapse is the minimum number of lapsed entries for that.
 	minMassLapse = 2
 )
 
-// massLapse reports whether so many entries of a service have lapsed at once
-// that the store rather than the endpoints must have failed, as after an outage
-// in which no endpoint could renew its entry. The few that were first to come back
-// would else get all flows (as the panic threshold of Envoy's load balancing).
+// massLapse reports whether so many entries of a service have lapsed at once that the store rather
+// than the endpoints must have failed, as in an outage in which no endpoint can renew its entry.
+// Otherwise the few endpoints whose entries return first would get all flows. It corresponds to the
+// panic threshold of Envoy's load balancing.
 func (b *Balancer) massLapse(now time.Duration, service string) bool {
 	present, lapsed := 0, 0
 	for _, candidate := range b.snapshot.Candidates(service) {
@@ -209,8 +208,8 @@
 	return lapsed >= minMassLapse && float64(lapsed) > massLapseRatio*float64(present)
 }
 
-// mayStillServe reports whether the entry of an endpoint has lapsed so recently that
-// the endpoint may still be there. If another has come to its address, it is not.
+// mayStillServe reports whether the entry of an endpoint lapsed so recently that the endpoint may
+// still be running. It is not if another endpoint has its address.
 func (b *Balancer) mayStillServe(now time.Duration, candidate directory.Candidate) bool {
 	tolerated := time.Duration(lapseTolerance * float64(b.config.DrainTimeout))
 	if candidate.LapsedSince(now) >= tolerated {
@@ -220,8 +219,8 @@
 	return occupant.ID == candidate.ID
 }
 
-// bestCandidate returns the endpoint of a service that is expected to answer a new flow first
-// among a few that are drawn from those that are accepted and were not tried.
+// bestCandidate returns the endpoint that is expected to answer a new flow first, among a few that
+// are drawn from the accepted endpoints of a service that were not tried.
 func (b *Balancer) bestCandidate(now time.Duration, service string, tried []directory.EndpointID, accepts func(directory.Candidate) bool) (directory.Candidate, bool) {
 	b.candidateScratch, b.localScratch, b.placementScratch = b.candidateScratch[:0], b.localScratch[:0], b.placementScratch[:0]
 	for _, candidate := range b.snapshot.Candidates(service) {
@@ -244,8 +243,8 @@
 	return b.candidateScratch[sample[best]], true
 }
 
-// placementCandidate is what is known of an endpoint that may get a new flow, given the pace that is
-// usual for its service and the slots that one of its kept flows takes.
+// placementCandidate returns what is known of an endpoint that may get a new flow, given the median
+// service time of its service and the slots that one of its persistent flows uses.
 func (b *Balancer) placementCandidate(now time.Duration, candidate directory.Candidate, medianServiceTime uint32, slotsPerFlow float64) placement.Candidate {
 	health := b.healthOf(candidate.ID)
 	slowness := health.slowness(now, medianServiceTime)
@@ -261,17 +260,16 @@
 	}
 }
 
-// weightedRoundRobin spreads the new flows of one route over its services by smooth
-// weighted round robin (as in nginx, 2012), which keeps every prefix of the
-// choices within one flow of its weights.
+// weightedRoundRobin spreads the new flows of one route over its services by smooth weighted round
+// robin (as in nginx, 2012). Every prefix of the choices stays within one flow of the weights.
 type weightedRoundRobin struct {
 	shares  []directory.Share
 	credits []int64
 }
 
-// chooseService returns the service that takes the next new flow of a route:
-// the one whose turn it is or, if that has no endpoint, another of the route. It
-// is empty if no service of the route has a weight.
+// chooseService returns the service for the next new flow of a route: the one whose turn it is or,
+// if that has no endpoint, another one of the route. It returns an empty name if the route has no
+// shares, that is, no service with a weight.
 func (b *Balancer) chooseService(now time.Duration, route *directory.Route) string {
 	switch len(route.Shares) {
 	case 0:
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -9,58 +9,56 @@
 )
 
 const (
-	// queueCheckInterval is the time between looks at requests that are stuck.
+	// queueCheckInterval is the time between checks for stuck requests.
 	queueCheckInterval = 100 * time.Millisecond
-	// maxWorkTime bounds how long a request counts as being worked on without
-	// an answer.
+	// maxWorkTime is the maximum time that a request without an answer occupies a slot.
 	maxWorkTime = 4 * time.Second
-	// maxHeldPackets bounds the packets that are held of one request; the client
-	// repeats the others.
+	// maxHeldPackets limits the packets held of one request. The client repeats the others.
 	maxHeldPackets = 4
 )
 
-// requestState is the progress of the request of a flow.
+// requestState is the progress of the latest request of a flow.
 type requestState struct {
 	parameters FlowParameters
-	// id is the identifier of the id, if its first packet showed one.
+	// id is the identifier of the request, if its first packet contained one.
 	id string
-	// askedAt is when the client began with the request, as far as is known: when it
-	// began to open the flow or, in a flow that is kept, the request came.
+	// askedAt is when the client began with the request, as far as known: when it began to open the
+	// flow or, in a persistent flow, when the request arrived.
 	askedAt time.Duration
-	// admittedAt is when the request was admitted, and fed when the endpoint was given
-	// the last new data of it.
+	// admittedAt is when the request was admitted. lastDataAt is when the endpoint was last given
+	// new data of it.
 	admittedAt time.Duration
 	lastDataAt time.Duration
-	// sentEnd is the sequence number after all data that the endpoint was given.
+	// sentEnd is the sequence number after the last data that the endpoint was given.
 	sentEnd uint32
-	// occupiesSlot is set from the admission of a request until the endpoint
-	// answers.
+	// occupiesSlot is set from the admission of a request until the endpoint begins to answer.
 	occupiesSlot bool
 	// everAdmitted is set once a request of the flow was admitted.
 	everAdmitted bool
-	// givenBeforeOwned is set if the endpoint was givenBeforeOwned a request before it was known to hold
-	// the flow.
+	// givenBeforeOwned is set if the endpoint was given a request before it was known to hold the
+	// flow.
 	givenBeforeOwned bool
-	// answerUnread is set until the answer to the request that the endpoint has is read. It
-	// begins at the sequence number begins or, if follows is not set, with the next packet.
+	// answerUnread is set until the outcome of the current request has been read from its answer.
+	// The answer begins at answerSequence or, if answerSequenceKnown is not set, with the next
+	// packet.
 	answerUnread        bool
 	answerSequence      uint32
 	answerSequenceKnown bool
-	// latestPacket is the first packet of the latestPacket request, which may be given to the endpoint
-	// again to learn whether it still holds the flow.
+	// latestPacket is the first packet of the latest request. It may be given to the endpoint again
+	// to find out whether the endpoint still holds the flow.
 	latestPacket []byte
-	// held are the packets of a request that waits.
+	// held are the packets of a waiting request.
 	held [][]byte
 }
 
-// setParameters takes terms for a flow that was opened before this agent was started.
+// setParameters sets the parameters of a flow that was opened before this agent was started.
 func (r *requestState) setParameters(parameters FlowParameters) {
 	if r.parameters == (FlowParameters{}) {
 		r.parameters = parameters
 	}
 }
 
-// queuedRequest is a flow whose request waits.
+// queuedRequest is a flow with a waiting request.
 type queuedRequest struct {
 	key  segment.FlowKey
 	flow *agentFlow
@@ -68,7 +66,7 @@
 
 func milliseconds(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// queueEntry is the request as the queue sees it.
+// queueEntry returns the request in the form that the queue order uses.
 func (r *requestState) queueEntry() requestqueue.Request {
 	return requestqueue.Request{
 		Priority: r.parameters.Priority, Began: r.askedAt,
@@ -101,7 +99,7 @@
 	return expired
 }
 
-// countInTime returns how many of the requests that wait can be answered within their objective.
+// countInTime returns how many of the waiting requests can still meet their objective.
 func (q *requestQueue) countInTime(now, workTime time.Duration) uint32 {
 	count := uint32(0)
 	for _, w := range q.waiting {
@@ -112,8 +110,8 @@
 	return count
 }
 
-// next removes and returns what shall be served next, and why. It returns false if there is
-// nothing to serve.
+// next removes and returns the request to serve next, and the reason for the choice. It returns
+// false if the queue is empty.
 func (q *requestQueue) next(now time.Duration, capacity requestqueue.Capacity) (queuedRequest, requestqueue.Reason, bool) {
 	if len(q.waiting) == 0 {
 		return queuedRequest{}, 0, false
@@ -132,13 +130,13 @@
 	q.waiting = slices.DeleteFunc(q.waiting, func(w queuedRequest) bool { return w.flow == flow })
 }
 
-// queueCapacity is what the endpoint can do, as far as it is known.
+// queueCapacity returns what is known of the capacity of the endpoint.
 func (a *Agent) queueCapacity() requestqueue.Capacity {
 	return requestqueue.Capacity{Limit: a.usage.limit(), Work: time.Duration(a.usage.meanResponseTime * float64(time.Second))}
 }
 
-// admitPacket reports whether a client's packet with data can be given to the
-// endpoint now. If it begins a request that has to wait, it is held.
+// admitPacket reports whether the endpoint can be given a packet with data now. It holds the packet
+// if that belongs to a request that has to wait.
 func (a *Agent) admitPacket(now time.Duration, key segment.FlowKey, flow *agentFlow, header segment.Header, packet []byte) bool {
 	end := header.Sequence + uint32(header.Length)
 	retransmission := int32(end-flow.request.sentEnd) <= 0
@@ -173,7 +171,7 @@
 	a.recordEvent(Event{Kind: EventHeld, Flow: key, Request: flow.request.id, Peer: flow.balancer})
 }
 
-// holdPacket keeps a further packet of a request that waits, unless it is a copy.
+// holdPacket holds a further packet of a waiting request, unless the same packet is held already.
 func (a *Agent) holdPacket(flow *agentFlow, packet []byte) {
 	duplicate := slices.ContainsFunc(flow.request.held, func(held []byte) bool { return slices.Equal(held, packet) })
 	if !duplicate && len(flow.request.held) < maxHeldPackets {
@@ -181,7 +179,7 @@
 	}
 }
 
-// occupySlot notes that the endpoint gets a request.
+// occupySlot records that the endpoint is given a request.
 func (a *Agent) occupySlot(now time.Duration, flow *agentFlow) {
 	flow.request.occupiesSlot = true
 	flow.request.everAdmitted = true
@@ -194,7 +192,7 @@
 	}
 }
 
-// noteResponse notes that the endpoint has begun to answer.
+// noteResponse records that the endpoint has begun to answer.
 func (a *Agent) noteResponse(now time.Duration, key segment.FlowKey, flow *agentFlow) {
 	if flow.request.occupiesSlot {
 		a.usage.addResponse(now - flow.request.admittedAt)
@@ -203,8 +201,7 @@
 	a.releaseSlot(now, flow)
 }
 
-// releaseSlot frees what a flow occupies of the endpoint and admits requests that
-// wait.
+// releaseSlot frees the slot that a flow occupies and admits waiting requests.
 func (a *Agent) releaseSlot(now time.Duration, flow *agentFlow) {
 	if len(flow.request.held) > 0 && !flow.active() {
 		flow.request.held = nil
@@ -249,8 +246,8 @@
 	a.deliver(packet)
 }
 
-// releaseStuckSlots frees slots of requests that are never answered, as after a crash of
-// the endpoint: its agent would return all new flows as busy.
+// releaseStuckSlots frees the slots of requests that are never answered, as after a crash of the
+// endpoint. Otherwise the agent would return all new flows because the endpoint seems busy.
 func (a *Agent) releaseStuckSlots(now time.Duration) {
 	for _, flow := range a.flows {
 		if flow.request.occupiesSlot && now-flow.request.admittedAt > maxWorkTime {
--- a/internal/relay/reachability.go
+++ b/internal/relay/reachability.go
@@ -7,45 +7,44 @@
 )
 
 const (
-	// pingDelay is how long no agent may be heard, while opening packets wait
-	// for an answer, before agents are pinged.
+	// pingDelay is how long no agent may respond to opening packets before agents are pinged.
 	pingDelay = 250 * time.Millisecond
-	// isolationDelay is how long pings may stay without an answer before the
-	// balancer takes itself for cut off from all agents.
+	// isolationDelay is how long pings may stay unanswered before the balancer considers itself cut
+	// off from all agents.
 	isolationDelay = 500 * time.Millisecond
 	// pingInterval is the time between two rounds of pings.
 	pingInterval = 150 * time.Millisecond
-	// maxPingedAgents bounds the agents that are pinged in one round.
+	// maxPingedAgents limits the agents pinged in one round.
 	maxPingedAgents = 16
 )
 
-// reachability tells whether a balancer can reachability any agent. One that cannot is better
-// left out by the fabric: it would lose every new flow.
+// reachability tracks whether a balancer can reach any agent. The fabric should not send packets to
+// a balancer that cannot: it would lose every new flow.
 type reachability struct {
-	// awaiting is set if an opening packet was sent and no agent was heard
-	// since; waiting is when that began.
+	// awaiting is set if an opening packet was sent and no agent has responded since. awaitingSince
+	// is when that began.
 	awaiting      bool
 	awaitingSince time.Duration
 	pinging       bool
 	pingingSince  time.Duration
 	nextPing      time.Duration
 	isolated      bool
-	// nextAgent is the position of the next agent to ping.
-	nextAgent int
+	// lastPinged is the index of the agent that was pinged last.
+	lastPinged int
 }
 
 // Isolated reports whether the balancer cannot reach any agent.
 func (b *Balancer) Isolated() bool { return b.reachability.isolated }
 
-// noteAgentHeard notes that some agent can be reached.
+// noteAgentHeard records that an agent can be reached.
 func (b *Balancer) noteAgentHeard() {
 	if b.reachability.isolated {
 		b.recordEvent(Event{Kind: EventReconnected})
 	}
-	b.reachability = reachability{nextAgent: b.reachability.nextAgent}
+	b.reachability = reachability{lastPinged: b.reachability.lastPinged}
 }
 
-// expectAgentReply notes that an agent should answer.
+// expectAgentReply records that an agent is expected to respond.
 func (b *Balancer) expectAgentReply(now time.Duration) {
 	if !b.reachability.awaiting {
 		b.reachability.awaiting = true
@@ -53,7 +52,7 @@
 	}
 }
 
-// checkReachability pings agents while none is heard.
+// checkReachability pings agents while none responds.
 func (b *Balancer) checkReachability(now time.Duration) {
 	r := &b.reachability
 	if !r.awaiting || now-r.awaitingSince < pingDelay {
@@ -73,7 +72,7 @@
 	}
 }
 
-// nextReachabilityCheck returns when watchReach should be called at the latest.
+// nextReachabilityCheck returns the latest time for the next call of checkReachability.
 func (b *Balancer) nextReachabilityCheck() time.Duration {
 	switch {
 	case !b.reachability.awaiting:
@@ -87,14 +86,14 @@
 func (b *Balancer) pingAgents() {
 	all := b.snapshot.All()
 	for range min(len(all), maxPingedAgents) {
-		b.reachability.nextAgent = (b.reachability.nextAgent + 1) % len(all)
-		candidate := all[b.reachability.nextAgent]
+		b.reachability.lastPinged = (b.reachability.lastPinged + 1) % len(all)
+		candidate := all[b.reachability.lastPinged]
 		b.send(b.agentAddress(candidate), Message{Kind: KindPing, Service: candidate.Endpoint.Service})
 	}
 }
 
-// isAgent reports whether an address is that of a known agent, so that others
-// cannot make a balancer believe that it reaches agents.
+// isAgent reports whether an address belongs to a known agent, so that other senders cannot make a
+// balancer believe that it reaches agents.
 func (b *Balancer) isAgent(from segment.Address) bool {
 	_, exists := b.snapshot.At(from.IP)
 	return exists && from.Port == b.config.AgentPort
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -9,16 +9,16 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// maxRestartProbes bounds the flows about which an endpoint is asked at once that seems to
-// have been started again: as many packets as it reads in some milliseconds. The clients of
-// others find out with their next packet.
+// maxRestartProbes limits the flows for which an endpoint is probed at once after an apparent
+// restart to the number of packets that it reads within some milliseconds. Clients of other flows
+// learn of the restart with their next packet.
 const maxRestartProbes = 256
 
-// probeAfterRestart notes that the endpoint may have been started again, and lets it tell which
-// flows of the life before it does not hold: each gets a copy of a packet that its client
-// has sent in it before. An endpoint that holds the flow acknowledges the copy. One that
-// does not returns it, whose client is reset at once: it would wait for an answer until it
-// gives up, and its request would count as being worked on.
+// probeAfterRestart handles an apparent restart of the endpoint. It finds out which earlier flows
+// the endpoint no longer holds by giving it, for each, a copy of a packet that the client has sent.
+// An endpoint that holds the flow acknowledges the copy. Otherwise it returns the copy, and the
+// client is reset at once. Without the probe the client would wait for an answer until it gives up,
+// and its request would keep occupying a slot.
 func (a *Agent) probeAfterRestart() {
 	a.endpointIncarnation++
 	for _, flow := range a.unconfirmedFlows() {
@@ -26,8 +26,8 @@
 	}
 }
 
-// unconfirmedFlows returns the flows in which the endpoint has written nothing since it may have
-// been started again, those with the latest requests first.
+// unconfirmedFlows returns the open flows in which the endpoint has written nothing since its last
+// apparent restart, those with the latest requests first.
 func (a *Agent) unconfirmedFlows() []*agentFlow {
 	var flows []*agentFlow
 	for _, flow := range a.flows {
@@ -41,8 +41,7 @@
 	return flows[:min(len(flows), maxRestartProbes)]
 }
 
-// resetLostFlow resets a flow that the endpoint held and does not know any more, since it was
-// started again.
+// resetLostFlow resets a flow that the endpoint held and no longer knows because it has restarted.
 func (a *Agent) resetLostFlow(now time.Duration, key segment.FlowKey, flow *agentFlow, header segment.Header) {
 	a.reportCrashLoop(a.coldStart.noteLostFlow(now, flow.openedAt))
 	a.recordEvent(Event{Kind: EventEndpointLostFlow, Flow: key, Request: flow.request.id})
--- a/internal/relay/retrybudget.go
+++ b/internal/relay/retrybudget.go
@@ -1,12 +1,12 @@
 package relay
 
-// retryBudget bounds the further offers that are made for silence, as retry budgets
-// do, so that they cannot double an overload.
+// retryBudget limits the repeated offers after unanswered ones, so that they cannot double an
+// overload.
 type retryBudget struct{ tokens float64 }
 
 const (
 	retryBudgetBurst = 50
-	// retriesPerFlow is the number of further offers earned by each new flow.
+	// retriesPerFlow is the number of repeated offers that each new flow adds to the budget.
 	retriesPerFlow = 0.2
 )
 
--- a/internal/relay/servicetime.go
+++ b/internal/relay/servicetime.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// slowRatio is how many times as long as usual an endpoint takes for answers when
-	// it counts as slow. Less is chance.
+	// slowRatio is the ratio of service time to median from which an endpoint counts as slow.
+	// Smaller ratios are within chance.
 	slowRatio = 1.5
-	// serviceTimeRefresh is how old what is known of a slow endpoint may be. It gets few new
-	// flows, with which its agent would tell more.
+	// serviceTimeRefresh is the maximum age of the service time of a slow endpoint. Such an
+	// endpoint gets few new flows whose messages would update it.
 	serviceTimeRefresh = 300 * time.Millisecond
-	// medianLifetime is how long the usual pace of a service is taken for unchanged: to find it
-	// takes a look at all of its endpoints.
+	// medianLifetime is how long a median is reused. To compute it takes a pass over all endpoints
+	// of the service.
 	medianLifetime = 100 * time.Millisecond
-	// slowRetention is for how long an endpoint counts as slow by answers that have not changed its
-	// pace. Then it gets flows again and shows whether it has recovered.
+	// slowRetention is how long an endpoint counts as slow while its service time does not change.
+	// After that it gets flows again and shows whether it has recovered.
 	slowRetention = 2 * time.Second
 )
 
-// noteServiceTime notes how long an endpoint takes for answers, as its agent tells. Flows that
-// are kept open for many requests say little about that by their number.
+// noteServiceTime records the service time that an agent reports. For an endpoint with persistent
+// flows the number of flows says little about it.
 func (b *Balancer) noteServiceTime(now time.Duration, from segment.Address, load Load) {
 	candidate, exists := b.snapshot.At(from.IP)
 	if !exists || load.ServiceTime == 0 {
@@ -37,16 +37,17 @@
 	if health.serviceTime != load.ServiceTime {
 		health.serviceTime, health.serviceTimeChangedAt = load.ServiceTime, now
 	}
-	health.serviceTimeAskedAt = now
+	health.serviceTimeRefreshedAt = now
 }
 
-// cachedMedian is the pace that is usual for a service, as found at a time.
+// cachedMedian is the median service time of a service, with the time at which it was computed.
 type cachedMedian struct {
 	serviceTime uint32
 	computedAt  time.Duration
 }
 
-// medianServiceTime returns the median pace of the endpoints of a service, 0 if none is known.
+// medianServiceTime returns the median service time of the endpoints of a service, 0 if none is
+// known.
 func (b *Balancer) medianServiceTime(now time.Duration, service string) uint32 {
 	median, exists := b.medianServiceTimes[service]
 	if !exists || now-median.computedAt >= medianLifetime {
@@ -70,8 +71,8 @@
 	return b.serviceTimeScratch[(len(b.serviceTimeScratch)-1)/2]
 }
 
-// slowness is how many times as long as usual the endpoint takes for answers, 1 if
-// that is within chance or not known.
+// slowness returns the ratio of the endpoint's service time to the median, or 1 if that is within
+// chance or unknown.
 func (h *endpointHealth) slowness(now time.Duration, median uint32) float64 {
 	if median == 0 || now-h.serviceTimeChangedAt >= slowRetention {
 		return 1
@@ -83,11 +84,11 @@
 	return ratio
 }
 
-// refreshServiceTime asks the agent of a slow endpoint how long answers take now.
+// refreshServiceTime pings the agent of a slow endpoint for its current service time.
 func (b *Balancer) refreshServiceTime(now time.Duration, candidate directory.Candidate, health *endpointHealth) {
-	if now-health.serviceTimeAskedAt < serviceTimeRefresh {
+	if now-health.serviceTimeRefreshedAt < serviceTimeRefresh {
 		return
 	}
-	health.serviceTimeAskedAt = now
+	health.serviceTimeRefreshedAt = now
 	b.send(b.agentAddress(candidate), Message{Kind: KindPing, Service: candidate.Endpoint.Service})
 }
--- a/internal/relay/startupbuffer.go
+++ b/internal/relay/startupbuffer.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxBufferedPackets bounds the packets that are held before the directory is known: what
-	// comes in a fifth of a second at a busy balancer.
+	// maxBufferedPackets limits the packets held before the directory is known. A busy balancer
+	// receives that many in a fifth of a second.
 	maxBufferedPackets = 512
-	// bufferLifetime is how long one is held. A client has sent the last copy of its opening
-	// packet by then, and repeats any other.
+	// bufferLifetime is how long a packet is held. A client has sent the last copy of its opening
+	// packet by then, and repeats any other packet.
 	bufferLifetime = time.Second
 )
 
-// bufferedPacket is a packet that came before the directory was known.
+// bufferedPacket is a packet that arrived before the directory was known.
 type bufferedPacket struct {
 	arrivedAt time.Duration
 	key       segment.FlowKey
@@ -24,12 +24,12 @@
 	packet    []byte
 }
 
-// startupBuffer holds the packets that come before the directory is known: routers send them to
-// a balancer that has just been restarted, and clients would repeat them only later. Of a
-// flow that is to be opened it holds the latest copy.
+// startupBuffer holds the packets that arrive before the directory is known. Routers send packets
+// to a balancer as soon as it has restarted, and clients would repeat them only later. The buffer
+// keeps only the latest copy of an opening packet.
 type startupBuffer struct{ packets []bufferedPacket }
 
-// add keeps a packet. It reports whether there was room.
+// add holds a copy of a packet. It reports whether there was room.
 func (s *startupBuffer) add(now time.Duration, key segment.FlowKey, opening bool, packet []byte) bool {
 	s.packets = slices.DeleteFunc(s.packets, func(held bufferedPacket) bool {
 		olderCopy := opening && held.opening && held.key == key
@@ -42,8 +42,8 @@
 	return true
 }
 
-// takeAll removes and returns what is held: packets that open flows first, and among them the
-// newest, whose clients have waited least.
+// takeAll removes and returns the packets held: opening packets first, and among them the newest,
+// whose clients have waited least.
 func (s *startupBuffer) takeAll(now time.Duration) []bufferedPacket {
 	packets := slices.DeleteFunc(s.packets, func(held bufferedPacket) bool { return now-held.arrivedAt > bufferLifetime })
 	s.packets = nil
@@ -60,14 +60,14 @@
 	return packets
 }
 
-// bufferPacket handles a packet that comes before the directory is known.
+// bufferPacket handles a packet that arrives before the directory is known.
 func (b *Balancer) bufferPacket(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
 	if !b.startupBuffer.add(now, key, header.Opening(), packet) {
 		b.recordEvent(Event{Kind: EventNotReady, Flow: key})
 	}
 }
 
-// releaseBuffered handles what came before the directory was known.
+// releaseBuffered handles the packets that arrived before the directory was known.
 func (b *Balancer) releaseBuffered(now time.Duration) {
 	for _, held := range b.startupBuffer.takeAll(now) {
 		header, _ := b.config.Codec.Decode(held.packet)
--- a/internal/relay/stuck.go
+++ b/internal/relay/stuck.go
@@ -6,25 +6,24 @@
 )
 
 const (
-	// stuckFactor is how many times as long as others a request may take, after its
-	// last packet, before its endpoint counts as stuck, and shortestStuck the least
-	// time for that.
+	// stuckFactor is the ratio of the time since the last data of a request to the mean response
+	// time from which the endpoint counts as stuck. minStuckTime is the minimum time for that.
 	stuckFactor  = 12
 	minStuckTime = 300 * time.Millisecond
 )
 
-// unansweredRequests are the flows whose requests the endpoint has and has not begun to answer.
+// unansweredRequests holds the flows whose requests the endpoint has not begun to answer.
 type unansweredRequests struct{ flows []*agentFlow }
 
-// add notes that the endpoint was given the request of a flow.
+// add records that the endpoint was given the request of a flow.
 func (u *unansweredRequests) add(flow *agentFlow) { u.flows = append(u.flows, flow) }
 
-// remove notes that the endpoint does not work on the request of a flow any more.
+// remove records that the endpoint no longer works on the request of a flow.
 func (u *unansweredRequests) remove(flow *agentFlow) {
 	u.flows = slices.DeleteFunc(u.flows, func(each *agentFlow) bool { return each == flow })
 }
 
-// stuck reports whether a request takes far longer than the mean, in seconds.
+// stuck reports whether a request takes far longer than the mean response time in seconds.
 func (u *unansweredRequests) stuck(now time.Duration, meanResponseTime float64) bool {
 	if meanResponseTime == 0 {
 		return false
--- a/internal/relay/utilization.go
+++ b/internal/relay/utilization.go
@@ -8,15 +8,16 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// endpointGroup is a set of endpoints that are used alike: those of a service, in a zone, that are
-// slow or not. Slow ones get less, and each zone has a demand of its own.
+// endpointGroup is a set of endpoints that are expected to be equally busy: those of a service in a
+// zone that are slow, or those that are not. Slow endpoints get fewer flows, and the demand differs
+// between zones.
 type endpointGroup struct {
 	service string
 	zone    string
 	slow    bool
 }
 
-// utilizationOf returns how far the endpoints like one of some slowness are used.
+// utilizationOf returns the utilization of the group of an endpoint.
 func (b *Balancer) utilizationOf(candidate directory.Candidate, slowness float64) *placement.Level {
 	key := endpointGroup{candidate.Endpoint.Service, candidate.Endpoint.Zone, slowness > 1}
 	level, exists := b.utilization[key]
@@ -27,8 +28,9 @@
 	return level
 }
 
-// noteUtilization notes how many requests an endpoint works on, as its agent tells. A flow that it
-// returns is not among them, but still among those that this balancer has placed there.
+// noteUtilization records how many requests an endpoint works on according to its agent. A flow
+// that the agent returns is not included, but is still counted among the flows that this balancer
+// gave the endpoint.
 func (b *Balancer) noteUtilization(now time.Duration, from segment.Address, message Message) {
 	candidate, exists := b.snapshot.At(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service || candidate.Endpoint.Slots == 0 {
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	// verifyDelay is how long the owner of a flow has to answer a search, before all
-	// agents are asked to deny the flow. Few answers come later.
+	// verifyDelay is how long the owner of a flow has to reply to a search before all agents are
+	// asked to confirm or deny the flow. Few replies come later.
 	verifyDelay = 10 * time.Millisecond
-	// verifyInterval is the time between two rounds of that, and verifyRounds their
-	// largest number; an agent that starts together with others needs some.
+	// verifyInterval is the time between two verification rounds. verifyRounds is their maximum
+	// number; an agent that starts together with others needs some of them.
 	verifyInterval = 100 * time.Millisecond
 	verifyRounds   = 16
-	// recheckRounds is how many rounds come to each that asks agents again which have
-	// answered that they do not know: their endpoint may have shown them the flow since.
+	// recheckRounds is the interval, in rounds, at which agents are asked again that replied that
+	// they do not know. Their endpoint may have written in the flow since.
 	recheckRounds = 4
-	// inconclusivePause is the time before agents are asked again which have all answered,
-	// without a proof; it doubles each time. Without it 900 flows whose endpoints had lost
-	// power were sought 58,000 times in 10 s: 0.52 GB between zones and 142 s of processor
-	// time instead of 0.06 and 37 (60 emulated machines).
+	// inconclusivePause is the first pause before agents are asked again that have all replied
+	// without a proof. It doubles each time. Without it 900 flows whose endpoints had lost power
+	// were searched for 58,000 times in 10 s, with 0.52 GB between zones and 142 s of processor
+	// time instead of 0.06 GB and 37 s (60 emulated machines).
 	inconclusivePause = time.Second
-	// restartSpread is how much older than the directory of a balancer agents may be
-	// that were started together with it.
+	// restartSpread is the tolerance for agents that were started together with the balancer's
+	// directory: they may have started that much earlier.
 	restartSpread = 3 * time.Second
 )
 
-// surveyReply is what an agent has answered to a search.
-type surveyReply struct {
-	// denied is set if its endpoint does not hold the flow; otherwise the agent does
-	// not know, and probed is set once it was made to ask its endpoint.
+// searchReply is the reply of an agent to a search.
+type searchReply struct {
+	// denied is set if the agent's endpoint does not hold the flow. Otherwise the agent does not
+	// know, and probed is set once it was made to ask its endpoint.
 	denied bool
 	probed bool
 	// agentStartedAt is when the agent was started.
 	agentStartedAt time.Duration
 }
 
-// scheduleVerification makes the search be verified if the owner has not answered by a time.
+// scheduleVerification schedules the verification of a search in case the owner has not replied by
+// then.
 func (b *Balancer) scheduleVerification(due time.Duration, search *ownerSearch) {
 	search.verifyAt = due
 	b.pendingVerifications = append(b.pendingVerifications, search)
 }
 
-// verifyDue asks agents about the flows whose owners have not answered.
+// verifyDue runs the verifications that are due.
 func (b *Balancer) verifyDue(now time.Duration) {
 	b.pendingVerifications = slices.DeleteFunc(b.pendingVerifications, func(search *ownerSearch) bool {
 		_, active := b.activeSearch(search)
@@ -58,20 +59,21 @@
 	}
 }
 
-// activeSearch returns the flow whose owner is sought, false if the search has ended.
+// activeSearch returns the flow of a search, and false if the search has ended.
 func (b *Balancer) activeSearch(search *ownerSearch) (*balancerFlow, bool) {
 	flow, exists := b.flows[search.key]
 	return flow, exists && flow.search == search
 }
 
-// searchedFlow returns the flow of a message whose owner is sought, false if none is.
+// searchedFlow returns the flow that a message is about, and false if no search for its owner is
+// active.
 func (b *Balancer) searchedFlow(message Message) (*balancerFlow, bool) {
 	flow, exists := b.flows[message.Flow.Key()]
 	return flow, exists && flow.search != nil
 }
 
-// verify asks those agents that have not denied a flow whether its owner is among
-// them. They are probed as soon as that is known to break nothing.
+// verify asks the agents that have not denied a flow whether they own it. The queries are probes if
+// all of these agents have been probed before: only then are probes known to break nothing.
 func (b *Balancer) verify(now time.Duration, search *ownerSearch) {
 	search.verifyAt = now + verifyInterval
 	search.verifications++
@@ -81,7 +83,7 @@
 		return reply.denied || exists && !reply.probed && !recheckAll
 	})
 	if len(agents) == 0 {
-		// All have denied it; a confirmation of the directory may have failed.
+		// All agents have denied the flow. The confirmation of the directory may have failed.
 		if flow, active := b.activeSearch(search); active {
 			b.conclude(now, flow)
 		}
@@ -104,16 +106,16 @@
 	}
 }
 
-// allProbed reports whether all agents were made to ask their endpoints.
+// allProbed reports whether all of the agents were made to ask their endpoints.
 func (b *Balancer) allProbed(search *ownerSearch, agents []directory.Candidate) bool {
 	return !slices.ContainsFunc(agents, func(candidate directory.Candidate) bool {
 		return !search.replies[b.agentAddress(candidate)].probed
 	})
 }
 
-// MarkCurrentThrough tells that the directory has everything which the store had accepted before
-// a time: flows that were open by then are held by endpoints that are known. The
-// returned effects are valid until the next call.
+// MarkCurrentThrough records that the directory contains everything that the store had accepted up
+// to a time. Flows open at that time are held by endpoints in the directory. The returned effects
+// are valid until the next call.
 func (b *Balancer) MarkCurrentThrough(now, through time.Duration) []Effect {
 	b.effects = b.effects[:0]
 	b.currentThrough = max(b.currentThrough, through)
@@ -125,8 +127,8 @@
 	return b.effects
 }
 
-// verificationMessage is the question to one agent. One that has been made to ask its
-// endpoint, which has not answered, asks again.
+// verificationMessage returns the query for one agent. An agent that was made to probe and has no
+// result yet is made to probe again.
 func (b *Balancer) verificationMessage(search *ownerSearch, candidate directory.Candidate) Message {
 	service := candidate.Endpoint.Service
 	if search.replies[b.agentAddress(candidate)].probed {
@@ -138,28 +140,28 @@
 	}
 }
 
-// allPossibleOwners returns the endpoints that may hold a flow.
+// allPossibleOwners returns all endpoints that may hold a flow.
 func (b *Balancer) allPossibleOwners(search *ownerSearch) []directory.Candidate {
 	owners, _ := b.possibleOwners(search.key, true)
 	return owners
 }
 
-// receiveDenied handles that an agent's endpoint does not hold a flow.
+// receiveDenied handles a reply that an agent's endpoint does not hold a flow.
 func (b *Balancer) receiveDenied(now time.Duration, from segment.Address, message Message) {
 	if flow, exists := b.searchedFlow(message); exists {
-		b.noteReply(now, flow, from, surveyReply{denied: true, agentStartedAt: now - message.Uptime})
+		b.noteReply(now, flow, from, searchReply{denied: true, agentStartedAt: now - message.Uptime})
 	}
 }
 
-// noteReply notes the answer of an agent to a search.
-func (b *Balancer) noteReply(now time.Duration, flow *balancerFlow, from segment.Address, reply surveyReply) {
+// noteReply records the reply of an agent to a search.
+func (b *Balancer) noteReply(now time.Duration, flow *balancerFlow, from segment.Address, reply searchReply) {
 	reply.probed = flow.search.replies[from].probed
 	flow.search.replies[from] = reply
 	b.conclude(now, flow)
 }
 
-// conclude resets a flow that no endpoint holds. Once all agents have answered that may
-// own it, it makes those ask their endpoints that do not know.
+// conclude resets a flow that no endpoint holds. Once all possible owners have replied, it makes
+// those that do not know ask their endpoints.
 func (b *Balancer) conclude(now time.Duration, flow *balancerFlow) {
 	search := flow.search
 	if search.verifications == 0 {
@@ -193,8 +195,8 @@
 	}
 }
 
-// awaitConfirmation asks for a confirmation of the directory as of the time at which a search
-// began, unless that is under way. It reports whether there is none yet.
+// awaitConfirmation requests a confirmation of the directory as of the start of a search, unless
+// one was requested recently. It reports whether the confirmation is still missing.
 func (b *Balancer) awaitConfirmation(now time.Duration, search *ownerSearch) bool {
 	if b.currentThrough >= search.beganAt {
 		return false
@@ -206,9 +208,9 @@
 	return true
 }
 
-// markInconclusive ends the rounds of a search in which all agents have answered and which proves
-// nothing: an endpoint may have left before the directory begins. The owner may still
-// answer when the client repeats its packet.
+// markInconclusive ends the rounds of a search in which all agents have replied but nothing is
+// proved, because an endpoint may have left before the directory's history begins. The owner may
+// still reply when the client repeats its packet.
 func (s *ownerSearch) markInconclusive(now time.Duration) {
 	if s.inconclusive {
 		return
@@ -218,17 +220,17 @@
 	s.resumeAt = now + s.pause
 }
 
-// directoryCovers reports whether the directory reaches back far enough to know every
-// endpoint that may hold a flow, one that has left and serves on included: for as
-// long as flows last or, since there was nothing before it, to when the agents were
-// started. If all agents are as young as the directory, everything was started anew.
+// directoryCovers reports whether the directory's history is long enough to contain every endpoint
+// that may hold a flow, including one that has left and still serves. It is if it spans the
+// lifetime of a flow, or if it goes back to the start of the agents, before which there was
+// nothing. If all agents are as young as the directory, everything was started anew.
 func (b *Balancer) directoryCovers(now, agentStartedAt time.Duration) bool {
 	since := b.snapshot.Since()
 	return now-since >= b.config.FlowLifetime || agentStartedAt+restartSpread >= since
 }
 
-// declareOwnerless resets a flow that no endpoint holds, so that its client need not
-// wait for its time-out.
+// declareOwnerless resets a flow that no endpoint holds, so that its client need not wait for a
+// timeout.
 func (b *Balancer) declareOwnerless(flow *balancerFlow) {
 	search := flow.search
 	flow.search = nil
