--- a/internal/relay/agent_test.go
+++ b/internal/relay/agent_test.go
@@ -15,7 +15,7 @@
 
 	BeforeEach(func() { agent = newTestAgent(newAgent(true)) })
 
-	It("gives an offered packet to its endpoint unchanged and tells of the answer", func() {
+	It("gives an offered packet to its endpoint unchanged and reports the answer to the balancer", func() {
 		effects := agent.offer(0, 1, 100)
 		Expect(deliveredPackets(effects)[0].Packet).To(Equal(openingPacket(1, 100)))
 		effects = agent.answer(millisecond, 1, 500)
@@ -26,13 +26,13 @@
 		Expect(effectsOfKind(effects, relay.EffectSendToClient)[0].To).To(Equal(clientAddress(1)))
 	})
 
-	It("does not take packets for another service", func() {
+	It("returns an opening packet for another service", func() {
 		effects := agent.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: otherService, Packet: openingPacket(1, 100)})
 		Expect(deliveredPackets(effects)).To(BeEmpty())
 		Expect(onlyMessage(effects).Message.Kind).To(Equal(relay.KindReturned))
 	})
 
-	It("does not answer a search for another service, which would begin the search again", func() {
+	It("does not reply to a search for another service, since a reply would restart the search", func() {
 		stray := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 		agent.open(0, 1)
 		foreign := locateQuery(stray)
@@ -41,7 +41,7 @@
 		Expect(agent.Receive(0, balancerA, relay.Message{Kind: relay.KindProbe, Service: otherService, Packet: stray})).To(BeEmpty())
 	})
 
-	It("brings back an opening packet that its endpoint did not take, as the client wrote it", func() {
+	It("returns an opening packet that its endpoint returned, without the mark of the endpoint", func() {
 		agent.offer(0, 1, 100)
 		effects := agent.HandleEndpointPacket(millisecond, returnedCopy(openingPacket(1, 100)))
 		Expect(onlyMessage(effects).Message.Kind).To(Equal(relay.KindReturned))
@@ -49,12 +49,12 @@
 		Expect(agent.FlowCount()).To(BeZero())
 	})
 
-	It("knows by the acknowledgment that the client chose another endpoint", func() {
+	It("sends back packets whose acknowledgment shows that the client chose another endpoint", func() {
 		agent.offer(0, 1, 100)
 		agent.answer(0, 1, 500)
-		for _, elsewhere := range []uint32{90501, 0x0100_0000, 0x9000_0000, 400} {
-			effects := agent.forward(millisecond, relay.KindForward, clientPacket(1, segment.Acknowledge, 101, elsewhere, "request"))
-			Expect(deliveredPackets(effects)).To(BeEmpty(), "%x", elsewhere)
+		for _, acknowledgment := range []uint32{90501, 0x0100_0000, 0x9000_0000, 400} {
+			effects := agent.forward(millisecond, relay.KindForward, clientPacket(1, segment.Acknowledge, 101, acknowledgment, "request"))
+			Expect(deliveredPackets(effects)).To(BeEmpty(), "%x", acknowledgment)
 			Expect(onlyMessage(effects).Message.Kind).To(Equal(relay.KindNotOwned))
 		}
 		Expect(deliveredPackets(agent.forward(millisecond, relay.KindForward, clientPacket(1, segment.Acknowledge, 101, 501, "request")))).To(HaveLen(1))
@@ -62,7 +62,7 @@
 		Expect(deliveredPackets(effects)).To(HaveLen(1), "the client has received 90,000 bytes")
 	})
 
-	It("never gives its endpoint a packet of a flow that it does not own", func() {
+	It("gives its endpoint no packet of a flow that it does not own", func() {
 		stray := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 		Expect(deliveredPackets(agent.forward(0, relay.KindForward, stray))).To(BeEmpty())
 		for step := range 20 {
@@ -72,7 +72,7 @@
 		}
 	})
 
-	It("answers a search for a flow that it owns, and delivers the packets that follow", func() {
+	It("replies to a search for a flow that it owns and delivers later packets", func() {
 		agent.open(0, 1)
 		more := clientPacket(1, segment.Acknowledge, 108, 501, "more")
 		effects := agent.locate(millisecond, more)
@@ -82,7 +82,7 @@
 		Expect(deliveredPackets(agent.forward(2*millisecond, relay.KindForward, more))).To(HaveLen(1))
 	})
 
-	It("owns a flow however much its endpoint has sent", func() {
+	It("owns a flow after its endpoint has sent more data than the acknowledgment window", func() {
 		agent.open(0, 1)
 		sequence := uint32(501)
 		for range 20 {
@@ -93,27 +93,27 @@
 		}
 	})
 
-	It("does not answer a search for a flow whose client chose another endpoint", func() {
+	It("does not reply to a search for a flow whose client chose another endpoint", func() {
 		agent.offer(0, 1, 100)
 		agent.answer(0, 1, 500)
 		Expect(agent.locate(millisecond, clientPacket(1, segment.Acknowledge, 101, 0x0100_0000, "request"))).To(BeEmpty())
 		Expect(sentMessages(agent.locate(millisecond, clientPacket(1, segment.Acknowledge, 101, 501, "request")))).To(HaveLen(1))
 	})
 
-	It("takes no new flow once its endpoint drains, and goes on with those it has", func() {
+	It("returns new flows and serves open ones while its endpoint drains", func() {
 		agent.open(0, 1)
 		agent.Receive(0, balancerA, relay.Message{Kind: relay.KindDrain, Service: service})
 		Expect(onlyMessage(agent.offer(millisecond, 2, 100)).Message.Kind).To(Equal(relay.KindReturned))
 		Expect(deliveredPackets(agent.forward(millisecond, relay.KindForward, clientPacket(1, segment.Acknowledge, 108, 501, "x")))).To(HaveLen(1))
 	})
 
-	It("takes new flows again long after a drain, since another endpoint may have come", func() {
+	It("accepts new flows again after the drain has expired, since the address may have a new endpoint", func() {
 		agent.Receive(0, balancerA, relay.Message{Kind: relay.KindDrain, Service: service})
 		Expect(deliveredPackets(agent.offer(20*time.Second, 1, 100))).To(BeEmpty())
 		Expect(deliveredPackets(agent.offer(time.Minute, 2, 100))).To(HaveLen(1))
 	})
 
-	It("tells balancers that it stops, and goes on with the flows it has", func() {
+	It("notifies all balancers when it stops, returns new flows and serves open ones", func() {
 		agent.open(0, 1)
 		notices := sentMessages(agent.Stop(millisecond))
 		Expect(notices).To(HaveLen(2))
@@ -122,7 +122,7 @@
 		Expect(deliveredPackets(agent.forward(millisecond, relay.KindForward, clientPacket(1, segment.Acknowledge, 108, 501, "x")))).To(HaveLen(1))
 	})
 
-	It("resets a flow that its endpoint has lost, and only such a one", func() {
+	It("resets a flow that its endpoint has lost, but not a flow that it does not know", func() {
 		agent.open(0, 1)
 		stray := clientPacket(2, segment.Acknowledge, 101, 501, "x")
 		Expect(resetHeaders(agent.HandleEndpointPacket(0, returnedCopy(stray)))).To(BeEmpty())
@@ -132,30 +132,30 @@
 		Expect(lost[0].Sequence).To(Equal(uint32(501)))
 	})
 
-	It("does not take a bounced copy of an opening packet for the loss of an open flow", func() {
+	It("keeps an open flow when its endpoint returns a copy of the opening packet", func() {
 		agent.open(0, 1)
 		effects := agent.HandleEndpointPacket(millisecond, returnedCopy(openingPacket(1, 100)))
 		Expect(effects).To(BeEmpty())
 		Expect(deliveredPackets(agent.forward(millisecond, relay.KindForward, clientPacket(1, segment.Acknowledge, 108, 501, "x")))).To(HaveLen(1))
 	})
 
-	Describe("restarted beside a running endpoint", func() {
+	Describe("after a restart beside a running endpoint", func() {
 		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 
 		BeforeEach(func() { agent = newTestAgent(newAgent(false)) })
 
-		It("learns of flows from what its endpoint writes", func() {
+		It("owns a flow in which its endpoint has written", func() {
 			agent.HandleEndpointPacket(0, endpointPacket(1, segment.Acknowledge, 501, 108, "answer"))
 			Expect(deliveredPackets(agent.forward(millisecond, relay.KindForward, request))).To(HaveLen(1))
 		})
 
-		It("answers a search that it does not know, and gives its endpoint nothing", func() {
+		It("replies that it is uncertain to a search, and gives its endpoint no packet", func() {
 			effects := agent.locate(0, request)
 			Expect(deliveredPackets(effects)).To(BeEmpty())
 			Expect(onlyMessage(effects).Message.Kind).To(Equal(relay.KindUncertain))
 		})
 
-		It("lets its endpoint tell, once, when it is asked to or taken for the owner", func() {
+		It("gives its endpoint one packet of an unknown flow when it is probed or taken for the owner", func() {
 			for _, kind := range []relay.MessageKind{relay.KindProbe, relay.KindForward} {
 				agent = newTestAgent(newAgent(false))
 				Expect(deliveredPackets(agent.forward(0, kind, request))).To(HaveLen(1))
@@ -167,7 +167,7 @@
 			}
 		})
 
-		It("owns the flow once its endpoint has answered, and tells the balancer", func() {
+		It("owns a probed flow once its endpoint writes in it, and reports that to the balancer", func() {
 			agent.forward(200*millisecond, relay.KindProbe, request)
 			effects := agent.HandleEndpointPacket(201*millisecond, endpointPacket(1, segment.Acknowledge, 501, 108, ""))
 			Expect(onlyMessage(effects).Message.Kind).To(Equal(relay.KindOwned))
@@ -175,7 +175,7 @@
 		})
 	})
 
-	Describe("asked to verify that nobody holds a flow", func() {
+	Describe("asked to verify that no endpoint holds a flow", func() {
 		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 
 		verify := func(now time.Duration, ofService string) relay.Message {
@@ -185,12 +185,12 @@
 			return onlyMessage(agent.Receive(now, balancerB, query)).Message
 		}
 
-		It("says that it owns the flow", func() {
+		It("replies that it owns the flow", func() {
 			agent.open(0, 1)
 			Expect(verify(millisecond, service).Kind).To(Equal(relay.KindOwned))
 		})
 
-		It("denies it if it has known all flows of its endpoint, and tells how long it has been there", func() {
+		It("denies an unknown flow if it was started with its endpoint, and reports its uptime", func() {
 			agent.Tick(0)
 			denied := verify(3*time.Second, service)
 			Expect(denied.Kind).To(Equal(relay.KindDenied))
@@ -198,44 +198,44 @@
 			Expect(denied.Uptime).To(Equal(3 * time.Second))
 		})
 
-		It("denies it if its client chose another endpoint, also after a restart", func() {
+		It("denies a flow whose client chose another endpoint, also after a restart", func() {
 			agent = newTestAgent(newAgent(false))
 			agent.offer(0, 1, 100)
 			agent.answer(0, 1, 900)
 			Expect(verify(millisecond, service).Kind).To(Equal(relay.KindDenied))
 		})
 
-		It("denies it for an endpoint of another service, which had its address before", func() {
+		It("denies a flow of another service whose endpoint had its address before", func() {
 			agent = newTestAgent(newAgent(false))
 			Expect(verify(0, otherService).Kind).To(Equal(relay.KindDenied))
 		})
 
-		It("does not know after a restart, until its endpoint has told", func() {
+		It("is uncertain after a restart until its endpoint has returned the packet of a probe", func() {
 			agent = newTestAgent(newAgent(false))
 			agent.Tick(0)
 			Expect(verify(time.Second, service)).To(And(HaveField("Kind", relay.KindUncertain), HaveField("Uptime", time.Second)))
 			Expect(deliveredPackets(agent.forward(time.Second, relay.KindProbe, request))).To(HaveLen(1))
 			Expect(verify(time.Second, service).Kind).To(Equal(relay.KindUncertain))
-			Expect(deliveredPackets(agent.forward(time.Second, relay.KindProbe, request))).To(HaveLen(1), "the endpoint may not have been there")
+			Expect(deliveredPackets(agent.forward(time.Second, relay.KindProbe, request))).To(HaveLen(1), "the endpoint may not have been running")
 			reply := onlyMessage(agent.HandleEndpointPacket(time.Second, returnedCopy(request)))
 			Expect(reply.To).To(Equal(balancerB))
 			Expect(reply.Message.Kind).To(Equal(relay.KindDenied))
 			Expect(verify(time.Second, service).Kind).To(Equal(relay.KindDenied))
 		})
 
-		It("goes on giving its endpoint packets of a flow of which that has returned none, if it is taken for the owner", func() {
+		It("delivers forwarded packets of a probed flow until its endpoint returns one", func() {
 			agent = newTestAgent(newAgent(false))
 			bare := clientPacket(1, segment.Acknowledge, 101, 501, "")
-			Expect(deliveredPackets(agent.forward(0, relay.KindForward, bare))).To(HaveLen(1), "an endpoint that holds the flow need not answer this")
+			Expect(deliveredPackets(agent.forward(0, relay.KindForward, bare))).To(HaveLen(1), "an endpoint that holds the flow need not answer a packet without data")
 			effects := agent.forward(400*millisecond, relay.KindForward, request)
 			Expect(deliveredPackets(effects)).To(HaveLen(1))
 			Expect(sentMessages(effects)).To(BeEmpty())
 			reply := onlyMessage(agent.HandleEndpointPacket(401*millisecond, returnedCopy(request)))
-			Expect(reply.Message.Kind).To(Equal(relay.KindNotOwned), "now it is certain that it does not")
+			Expect(reply.Message.Kind).To(Equal(relay.KindNotOwned), "the endpoint certainly does not hold the flow")
 			Expect(deliveredPackets(agent.forward(500*millisecond, relay.KindForward, request))).To(BeEmpty())
 		})
 
-		It("answers who asked last if its endpoint does not take the packet, as that was asked", func() {
+		It("replies to the last prober, in the form that fits its query, when its endpoint returns a packet", func() {
 			agent = newTestAgent(newAgent(false))
 			agent.forward(0, relay.KindForward, clientPacket(1, segment.Acknowledge, 101, 501, ""))
 			agent.Receive(10*millisecond, balancerA, relay.Message{Kind: relay.KindProbe, Service: service, Packet: request})
@@ -244,7 +244,7 @@
 			Expect(reply.Message.Kind).To(Equal(relay.KindDenied))
 		})
 
-		It("brings a packet back that its endpoint does not take, if it was taken for the owner", func() {
+		It("sends back a forwarded packet that its endpoint returns", func() {
 			agent = newTestAgent(newAgent(false))
 			agent.forward(0, relay.KindForward, request)
 			reply := onlyMessage(agent.HandleEndpointPacket(0, returnedCopy(request)))
@@ -252,7 +252,7 @@
 			Expect(reply.Message.Packet).To(Equal(request))
 		})
 
-		It("counts what it gave its endpoint as a probe as given once, for a flow that turns out to be its own", func() {
+		It("counts the packet of a successful probe as a request given to its endpoint", func() {
 			agent = newTestAgent(newAgent(false))
 			agent.forward(0, relay.KindProbe, request)
 			agent.HandleEndpointPacket(millisecond, endpointPacket(1, segment.Acknowledge, 501, 108, ""))
@@ -263,19 +263,19 @@
 			Expect(eventKinds(agent.forward(50*millisecond, relay.KindForward, next))).To(ContainElement(relay.EventGiven))
 		})
 
-		It("does not take a copy of a request that its endpoint has acknowledged for a new one", func() {
+		It("does not count a copy of an acknowledged request as a new request", func() {
 			agent = newTestAgent(newAgent(false))
 			agent.HandleEndpointPacket(0, endpointPacket(1, segment.Acknowledge, 501, 108, "answer"))
 			Expect(eventKinds(agent.forward(millisecond, relay.KindForward, request))).NotTo(ContainElement(relay.EventGiven))
 		})
 	})
 
-	It("is never made to probe if it was there before its endpoint", func() {
+	It("does not probe if it was started with its endpoint", func() {
 		stray := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 		Expect(deliveredPackets(agent.forward(0, relay.KindProbe, stray))).To(BeEmpty())
 	})
 
-	It("forgets flows that have ended", func() {
+	It("removes flows that have ended", func() {
 		agent.open(0, 1)
 		agent.forward(0, relay.KindForward, clientPacket(1, segment.Acknowledge|segment.Finish, 108, 501, ""))
 		agent.Tick(20 * time.Second)
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -23,14 +23,14 @@
 
 	BeforeEach(func() { balancer, builder = newBalancerWithThreeEndpoints() })
 
-	It("sends nobody anything before it has a directory", func() {
+	It("sends no messages before it has a directory", func() {
 		starting := newBalancer()
 		Expect(starting.HandleClientPacket(0, openingPacket(1, 100))).To(BeEmpty())
 		Expect(starting.HandleClientPacket(0, clientPacket(1, segment.Acknowledge, 101, 7, ""))).To(BeEmpty())
 		Expect(starting.Tick(time.Second)).To(BeEmpty())
 	})
 
-	It("offers a flow that busy agents return to others, and after three to the least busy of them", func() {
+	It("offers a flow returned by busy agents to others, and after three returns to the least busy as the last resort", func() {
 		offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		loads := []uint32{7, 4, 9}
 		tried := make(map[segment.Address]uint32)
@@ -46,7 +46,7 @@
 		Expect(offer.Message.LastResort).To(BeTrue())
 	})
 
-	It("gives a slow endpoint flows again, after a while in which its pace has not changed", func() {
+	It("gives a slow endpoint flows again once its service time has not changed for a while", func() {
 		reportServiceTime := func(now time.Duration, number int, pace uint32) {
 			balancer.Receive(now, agentAddress(number), relay.Message{
 				Kind: relay.KindPong, Service: service, Load: relay.Load{ServiceTime: pace},
@@ -71,7 +71,7 @@
 		Expect(offeredToSlow(2500*millisecond, 100)).To(BeNumerically(">", 0))
 	})
 
-	It("goes elsewhere while an endpoint is told to be full, and comes back as the news ages", func() {
+	It("avoids an endpoint that was reported full until the report is old", func() {
 		reportPending := func(now time.Duration, number int, used uint32) {
 			load := relay.Load{Pending: used, ServiceTime: 50_000}
 			balancer.Receive(now, agentAddress(number), relay.Message{Kind: relay.KindPong, Service: service, Load: load})
@@ -95,13 +95,13 @@
 		Expect(offeredTo(time.Second)).To(HaveKey(agentAddress(0)))
 	})
 
-	It("tells agents for how long the client has tried, by the copy of its packet and by earlier offers", func() {
+	It("tells agents how long the client has tried, counting earlier copies of its packet and earlier offers", func() {
 		offer := onlyMessage(balancer.HandleClientPacket(0, clientPacket(1, segment.Synchronize, 100, 600, "")))
 		Expect(offer.Message.Parameters.Waited).To(Equal(uint32(600)))
 		Expect(onlyMessage(balancer.Tick(50 * millisecond)).Message.Parameters.Waited).To(Equal(uint32(650)))
 	})
 
-	It("offers a new flow to one endpoint and its later packets to the same", func() {
+	It("forwards later packets of a flow to the endpoint that accepted it", func() {
 		offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		Expect(offer.Message.Kind).To(Equal(relay.KindOffer))
 		Expect(offer.Message.Service).To(Equal(service))
@@ -112,7 +112,7 @@
 		Expect(forward.Message.Kind).To(Equal(relay.KindForward))
 	})
 
-	It("spreads flows evenly by what is outstanding", func() {
+	It("spreads flows evenly by the number outstanding at each endpoint", func() {
 		counts := map[segment.Address]int{}
 		for number := range 30 {
 			offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(number, 100)))
@@ -125,7 +125,7 @@
 		}
 	})
 
-	It("gives an endpoint that is slow after its start fewer flows", func() {
+	It("gives fewer flows to an endpoint that is warming up", func() {
 		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Warming = time.Second })
 		install(0)
 		counts := map[segment.Address]int{}
@@ -137,12 +137,12 @@
 		Expect(counts[agentAddress(0)]).To(BeNumerically("~", 9, 1))
 	})
 
-	// reportServiceTime lets an agent reportServiceTime how long its endpoint takes for answers.
+	// reportServiceTime makes an agent report the service time of its endpoint.
 	reportServiceTime := func(now time.Duration, number int, pace time.Duration) {
 		load := relay.Load{ServiceTime: uint32(pace.Microseconds())}
 		balancer.Receive(now, agentAddress(number), relay.Message{Kind: relay.KindPong, Service: service, Load: load})
 	}
-	// countOffers counts the flows countOffers by endpoint, among count that stay open.
+	// countOffers opens a number of flows, which stay open, and counts their offers by endpoint.
 	countOffers := func(now time.Duration, count int) map[byte]int {
 		counted := make(map[byte]int)
 		for number := range count {
@@ -155,7 +155,7 @@
 		return counted
 	}
 
-	It("gives an endpoint that takes longer for answers than others fewer flows in proportion", func() {
+	It("gives a slow endpoint fewer flows in proportion to its service time", func() {
 		for number, pace := range []time.Duration{40, 45, 200} {
 			reportServiceTime(0, number, pace*millisecond)
 		}
@@ -164,14 +164,14 @@
 		Expect(counted[0]).To(BeNumerically("~", 50, 3))
 	})
 
-	It("takes small differences between endpoints for chance", func() {
+	It("spreads flows evenly at small differences in service time", func() {
 		for number, pace := range []time.Duration{40, 50, 55} {
 			reportServiceTime(0, number, pace*millisecond)
 		}
 		Expect(countOffers(millisecond, 90)).To(Equal(map[byte]int{0: 30, 1: 30, 2: 30}))
 	})
 
-	It("asks the agent of a slow endpoint now and then whether it still is, and believes it", func() {
+	It("pings the agent of a slow endpoint and gives it flows again when its service time is normal", func() {
 		for number, pace := range []time.Duration{40, 40, 400} {
 			reportServiceTime(0, number, pace*millisecond)
 		}
@@ -189,7 +189,7 @@
 		Expect(countOffers(time.Second, 130)[2]).To(BeNumerically(">", 30))
 	})
 
-	It("keeps the weights of a route within one flow", func() {
+	It("keeps to the weights of a route within one flow", func() {
 		builder.putEndpoint(0, 7, func(e *directory.Endpoint) { e.Service = otherService })
 		builder.configure(directory.Share{Service: service, Weight: 90}, directory.Share{Service: otherService, Weight: 10})
 		install(0)
@@ -203,7 +203,7 @@
 		Expect(other).To(Equal(10))
 	})
 
-	It("takes another service of the route if the one whose turn it is has no endpoint", func() {
+	It("uses another service of the route if the one whose turn it is has no endpoint", func() {
 		builder.configure(directory.Share{Service: otherService, Weight: 90}, directory.Share{Service: service, Weight: 10})
 		install(0)
 		for number := range 10 {
@@ -211,14 +211,14 @@
 		}
 	})
 
-	It("repeats an opening packet to the same endpoint", func() {
+	It("sends a copy of an opening packet to the same endpoint", func() {
 		first := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		reportPlaced(balancer, millisecond, first.To, 1, 100)
 		again := onlyMessage(balancer.HandleClientPacket(200*millisecond, openingPacket(1, 100)))
 		Expect(again.To).To(Equal(first.To))
 	})
 
-	It("offers a silent opening packet to another endpoint before the client repeats it", func() {
+	It("offers an unanswered opening packet to another endpoint before the client repeats it", func() {
 		first := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		balancer.Tick(millisecond)
 		next := balancer.NextTick(millisecond)
@@ -229,7 +229,7 @@
 		Expect(second.Message.Packet).To(Equal(openingPacket(1, 100)))
 	})
 
-	It("bounds what it offers again for silence", func() {
+	It("limits the repeated offers after unanswered ones", func() {
 		offers := 0
 		for number := range 200 {
 			balancer.HandleClientPacket(0, openingPacket(number, 100))
@@ -244,7 +244,7 @@
 		Expect(offers).To(BeNumerically("<=", 50))
 	})
 
-	It("offers a returned packet to all others, then refuses the client at once", func() {
+	It("offers a returned packet to all other endpoints, then resets the flow at once", func() {
 		tried := map[segment.Address]bool{}
 		effects := balancer.HandleClientPacket(0, openingPacket(1, 100))
 		for range 3 {
@@ -257,7 +257,7 @@
 		Expect(balancer.FlowCount()).To(BeZero())
 	})
 
-	It("gives no new flow to an endpoint that is draining or gone", func() {
+	It("gives no new flows to an endpoint that is draining or gone", func() {
 		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 		builder.remove(0, 1)
 		effects := install(0)
@@ -268,7 +268,7 @@
 		}
 	})
 
-	It("does not tell the agent of an endpoint that took over the address of one that drained", func() {
+	It("sends no drain notice to the agent of an endpoint that took over the address of a drained one", func() {
 		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 		builder.remove(0, 0)
 		builder.putEndpoint(0, 8, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP })
@@ -276,7 +276,7 @@
 		Expect(sentMessages(starting.Install(0, builder.machine.Snapshot()))).To(BeEmpty())
 	})
 
-	It("uses endpoints whose entries have just lapsed if there are no others, but not for long", func() {
+	It("uses endpoints with lapsed entries for a short time if there are no others", func() {
 		for number := range 3 {
 			builder.remove(time.Second, number)
 		}
@@ -285,7 +285,7 @@
 		Expect(resetHeaders(balancer.HandleClientPacket(3*time.Second, openingPacket(2, 100)))).To(HaveLen(1))
 	})
 
-	It("spreads flows over all endpoints while their entries return one by one after an outage of the store", func() {
+	It("spreads flows over all endpoints while their entries return one by one after a store outage", func() {
 		for number := range 3 {
 			builder.remove(time.Second, number)
 		}
@@ -298,11 +298,11 @@
 		Expect(offersByAgent).To(Equal(map[segment.Address]int{agentAddress(0): 10, agentAddress(1): 10, agentAddress(2): 10}))
 		now := 2600 * time.Millisecond
 		for number := range 20 {
-			Expect(onlyMessage(balancer.HandleClientPacket(now, openingPacket(100+number, 100))).To).To(Equal(agentAddress(1)), "but not for long")
+			Expect(onlyMessage(balancer.HandleClientPacket(now, openingPacket(100+number, 100))).To).To(Equal(agentAddress(1)), "the lapse is no longer tolerated")
 		}
 	})
 
-	It("takes one entry that lapses alone for an endpoint that has left", func() {
+	It("gives no new flow to an endpoint whose entry alone has lapsed", func() {
 		builder.remove(time.Second, 0)
 		install(time.Second)
 		for number := range 20 {
@@ -310,7 +310,7 @@
 		}
 	})
 
-	It("does not take a lapsed entry for one that may return if another endpoint has come to its address", func() {
+	It("gives no new flow to a lapsed endpoint whose address another endpoint has taken over", func() {
 		for number := range 3 {
 			builder.remove(time.Second, number)
 		}
@@ -321,7 +321,7 @@
 		}
 	})
 
-	It("never gives an endpoint that drained a new flow, even if there are no others", func() {
+	It("gives no new flow to a drained endpoint, even if there are no others", func() {
 		for number := range 3 {
 			builder.putEndpoint(0, number, func(e *directory.Endpoint) { e.Draining = true })
 			builder.remove(0, number)
@@ -330,13 +330,13 @@
 		Expect(sentMessages(balancer.HandleClientPacket(0, openingPacket(1, 100)))).To(BeEmpty())
 	})
 
-	It("leaves out an endpoint that does not answer, and tries it again later with one flow", func() {
-		victim := agentAddress(0)
+	It("excludes an endpoint that does not answer, and tests it later with single flows", func() {
+		silentAgent := agentAddress(0)
 		now := time.Duration(0)
 		answer := func(effects []relay.Effect, number int) int {
 			offered := 0
 			for _, offer := range sentMessages(effects) {
-				if offer.To == victim {
+				if offer.To == silentAgent {
 					offered++
 					continue
 				}
@@ -344,20 +344,20 @@
 			}
 			return offered
 		}
-		toVictim := 0
+		toSilentAgent := 0
 		for number := range 200 {
 			now += 10 * millisecond
-			toVictim += answer(balancer.HandleClientPacket(now, openingPacket(number, 100)), number)
+			toSilentAgent += answer(balancer.HandleClientPacket(now, openingPacket(number, 100)), number)
 			for _, offer := range sentMessages(balancer.Tick(now)) {
 				header, _ := codec.Decode(offer.Message.Packet)
 				reportPlaced(balancer, now, offer.To, int(header.Source.Port)-40000, 100)
 			}
 		}
-		Expect(toVictim).To(BeNumerically(">=", 3))
-		Expect(toVictim).To(BeNumerically("<=", 25))
+		Expect(toSilentAgent).To(BeNumerically(">=", 3))
+		Expect(toSilentAgent).To(BeNumerically("<=", 25))
 	})
 
-	It("offers a flow last to endpoints that take it only if no other does", func() {
+	It("makes a last resort offer to the endpoint that takes the flow if no other does", func() {
 		returnPacket := func(from segment.Address, last bool) []relay.Effect {
 			return balancer.Receive(millisecond, from, relay.Message{
 				Kind: relay.KindReturned, Service: service, Sequence: 100, LastResort: last, Packet: openingPacket(1, 100),
@@ -371,22 +371,22 @@
 		Expect(last.To).To(Equal(first.To))
 		Expect(last.Message.LastResort).To(BeTrue())
 		Expect(last.Message.Packet).To(Equal(openingPacket(1, 100)))
-		Expect(resetHeaders(returnPacket(first.To, true))).To(HaveLen(1), "it is asked once")
+		Expect(resetHeaders(returnPacket(first.To, true))).To(HaveLen(1), "the last resort is asked only once")
 	})
 
-	Describe("an address without a route", func() {
+	Describe("with a packet to an address without a route", func() {
 		unrouted := codec.Encode(segment.Header{Source: clientAddress(1), Destination: noRoute, Flags: segment.Synchronize}, nil)
 
-		It("is reset while the directory is current", func() {
+		It("resets the flow while the directory is confirmed", func() {
 			Expect(resetHeaders(balancer.HandleClientPacket(time.Second, unrouted))).To(HaveLen(1))
 		})
 
-		It("is not reset if the directory may be out of date", func() {
+		It("does not reset the flow if the directory may be out of date", func() {
 			Expect(resetHeaders(balancer.HandleClientPacket(time.Minute, unrouted))).To(BeEmpty())
 		})
 	})
 
-	It("keeps open flows of a route that a configuration drops where they are", func() {
+	It("keeps open flows at their endpoints when the configuration drops their route", func() {
 		offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		reportPlaced(balancer, 0, offer.To, 1, 100)
 		builder.configure()
@@ -394,7 +394,7 @@
 		Expect(onlyMessage(balancer.HandleClientPacket(0, clientPacket(1, segment.Acknowledge, 101, 501, "x"))).To).To(Equal(offer.To))
 	})
 
-	DescribeTable("drops what no client can have written", func(packet []byte, expected relay.EventKind) {
+	DescribeTable("drops packets that no client can have sent", func(packet []byte, expected relay.EventKind) {
 		effects := balancer.HandleClientPacket(0, packet)
 		Expect(eventKinds(effects)).To(ConsistOf(expected))
 		Expect(sentMessages(effects)).To(BeEmpty())
@@ -404,8 +404,9 @@
 		Entry("a truncated packet", []byte{1, 2, 3}, relay.EventMalformed),
 	)
 
-	Describe("cut off from all agents", func() {
-		// advanceWithoutReplies lets time pass while flows arrive and nobody answers.
+	Describe("when no agent responds", func() {
+		// advanceWithoutReplies opens flows while no agent responds, and returns the number of
+		// pings.
 		advanceWithoutReplies := func(from, to time.Duration) int {
 			pings := 0
 			for now := from; now < to; now += 10 * millisecond {
@@ -419,7 +420,7 @@
 			return pings
 		}
 
-		It("says so after it has pinged agents in vain, and takes it back at the first answer", func() {
+		It("reports itself isolated after unanswered pings, until the first reply of an agent", func() {
 			advanceWithoutReplies(0, 500*millisecond)
 			Expect(balancer.Isolated()).To(BeFalse())
 			Expect(advanceWithoutReplies(500*millisecond, time.Second)).To(BeNumerically(">", 3))
@@ -428,13 +429,13 @@
 			Expect(balancer.Isolated()).To(BeFalse())
 		})
 
-		It("does not believe others than agents", func() {
+		It("stays isolated when a sender that is no agent replies", func() {
 			advanceWithoutReplies(0, time.Second)
 			balancer.Receive(time.Second, balancerB, relay.Message{Kind: relay.KindPong})
 			Expect(balancer.Isolated()).To(BeTrue())
 		})
 
-		It("does not take calm for being cut off", func() {
+		It("does not report itself isolated when there is no traffic", func() {
 			offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 			reportPlaced(balancer, millisecond, offer.To, 1, 100)
 			balancer.Tick(time.Minute)
@@ -443,7 +444,7 @@
 		})
 	})
 
-	It("forgets flows whose clients have closed them", func() {
+	It("removes flows whose clients have closed them", func() {
 		offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		reportPlaced(balancer, 0, offer.To, 1, 100)
 		balancer.HandleClientPacket(millisecond, clientPacket(1, segment.Acknowledge|segment.Finish, 101, 501, ""))
--- a/internal/relay/capacity_test.go
+++ b/internal/relay/capacity_test.go
@@ -10,7 +10,7 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-var _ = Describe("Agent, telling what its endpoint works on", func() {
+var _ = Describe("Agent, reporting the requests of its endpoint", func() {
 	const work = 50 * millisecond
 	var agent *testAgent
 
@@ -20,10 +20,10 @@
 		agent.HandleEndpointPacket(now, endpointPacket(number, segment.Acknowledge, 501, 108, "answer"))
 	}
 
-	It("counts requests at the endpoint, those that wait and those that are about to come", func() {
+	It("counts requests at the endpoint, waiting requests and expected requests as pending", func() {
 		agent.open(0, 0)
 		agent.offer(0, 1, 100)
-		Expect(agent.Load().Pending).To(Equal(uint32(2)), "one at the endpoint and one to come")
+		Expect(agent.Load().Pending).To(Equal(uint32(2)), "one at the endpoint and one expected")
 		agent.lastResort = true
 		for number := 2; number < 5; number++ {
 			agent.open(0, number)
@@ -32,18 +32,18 @@
 		Expect(agent.Load().Pending).To(Equal(uint32(5)))
 	})
 
-	It("counts no request that waits and is late already, since a new one goes before it", func() {
+	It("does not count a late waiting request, since a new one goes before it", func() {
 		agent.lastResort = true
 		for number := range 5 {
 			agent.open(0, number)
 		}
-		Expect(agent.Load().Pending).To(Equal(uint32(5)), "three at the endpoint and two that wait")
+		Expect(agent.Load().Pending).To(Equal(uint32(5)), "three at the endpoint and two waiting")
 		agent.Tick(300 * millisecond)
 		Expect(agent.Load().Waiting).To(Equal(uint32(2)))
 		Expect(agent.Load().Pending).To(Equal(uint32(3)))
 	})
 
-	It("counts no flow that was opened ahead of need", func() {
+	It("does not count a flow that was opened in advance", func() {
 		agent.offer(0, 0, 100)
 		agent.answer(millisecond, 0, 500)
 		Expect(agent.Load().Pending).To(Equal(uint32(1)))
@@ -51,7 +51,7 @@
 		Expect(agent.Load().Pending).To(BeZero())
 	})
 
-	It("counts neither what is answered nor what has ended", func() {
+	It("counts neither answered requests nor ended flows", func() {
 		agent.open(0, 0)
 		answerRequest(work, 0)
 		Expect(agent.Load().Pending).To(BeZero())
@@ -62,7 +62,7 @@
 		Expect(agent.Load().Pending).To(BeZero())
 	})
 
-	It("takes the wait at the endpoint out of its pace", func() {
+	It("excludes the wait at the endpoint from the service time", func() {
 		for number := range 3 {
 			agent.open(0, number)
 		}
@@ -72,7 +72,7 @@
 		Expect(agent.Load().ServiceTime).To(Equal(uint32(work.Microseconds())))
 	})
 
-	It("counts a request that takes long as a slot less, not as slowness", func() {
+	It("counts a long request as an occupied slot without raising the service time", func() {
 		agent.open(0, 0)
 		now := time.Duration(0)
 		for number := 1; number < 20; number++ {
--- a/internal/relay/closed_zone_test.go
+++ b/internal/relay/closed_zone_test.go
@@ -16,10 +16,10 @@
 	return func(e *directory.Endpoint) { e.Zone = zone }
 }
 
-// setZone closes a setZone or opens it again.
-func (f *directoryBuilder) setZone(now time.Duration, name string, closed bool) {
-	f.revision++
-	f.machine.Changes(now, []directory.Item{{Key: name, Zone: name, Closed: closed, Revision: f.revision}}, f.revision)
+// setZone closes or opens a zone.
+func (b *directoryBuilder) setZone(now time.Duration, name string, closed bool) {
+	b.revision++
+	b.machine.Changes(now, []directory.Item{{Key: name, Zone: name, Closed: closed, Revision: b.revision}}, b.revision)
 }
 
 var _ = Describe("Balancer, with a closed zone", func() {
@@ -57,7 +57,7 @@
 		builder.putEndpoint(0, 1, inZone(otherZone))
 	})
 
-	It("offers new flows to the endpoints of other zones only, and again once it is open", func() {
+	It("offers new flows only to endpoints of other zones until the zone is opened", func() {
 		closeZone(0, otherZone)
 		for number := range 20 {
 			Expect(offeredTo(balancer.HandleClientPacket(0, openingPacket(number, 100)))).To(Equal([]segment.Address{openAgent}))
@@ -67,7 +67,7 @@
 		Expect(offeredTo(balancer.HandleClientPacket(time.Second, openingPacket(21, 100)))).To(Equal([]segment.Address{closedAgent}))
 	})
 
-	It("makes no further offer to it when others return a flow or are silent", func() {
+	It("makes no further offer to the zone when other endpoints return a flow or do not answer", func() {
 		closeZone(0, otherZone)
 		balancer.HandleClientPacket(0, openingPacket(1, 100))
 		Expect(offeredTo(balancer.Tick(50 * millisecond))).To(BeEmpty())
@@ -76,7 +76,7 @@
 		Expect(resetHeaders(effects)).To(HaveLen(1))
 	})
 
-	It("does not ask an endpoint there as the last resort that has returned the flow before", func() {
+	It("makes no last resort offer to an endpoint of the zone that returned the flow before", func() {
 		builder.putEndpoint(0, 2, inZone(ownZone))
 		install(0)
 		tried := offeredTo(balancer.HandleClientPacket(0, openingPacket(1, 100)))
@@ -90,7 +90,7 @@
 		Expect(resetHeaders(effects)).To(HaveLen(1))
 	})
 
-	It("offers a copy of an opening packet elsewhere if the zone was closed since the first", func() {
+	It("offers a copy of an opening packet to another zone if the zone was closed after the first offer", func() {
 		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 		install(0)
 		Expect(offeredTo(balancer.HandleClientPacket(0, openingPacket(1, 100)))).To(Equal([]segment.Address{closedAgent}))
@@ -100,13 +100,13 @@
 		Expect(offeredTo(copied)).To(Equal([]segment.Address{agentAddress(2)}))
 	})
 
-	It("offers a packet that came before the directory was known to another zone", func() {
+	It("offers a buffered packet to another zone", func() {
 		balancer.HandleClientPacket(0, openingPacket(1, 100))
 		builder.setZone(0, otherZone, true)
 		Expect(offeredTo(install(10 * millisecond))).To(Equal([]segment.Address{openAgent}))
 	})
 
-	It("doubts the store about lapsed entries of other zones only", func() {
+	It("tolerates lapsed entries only in open zones", func() {
 		install(0)
 		closeZone(0, otherZone)
 		builder.remove(0, 0)
@@ -117,7 +117,7 @@
 		}
 	})
 
-	It("refuses a flow at once if all endpoints of its service are in it", func() {
+	It("resets a flow at once if all endpoints of its service are in the zone", func() {
 		builder.remove(0, 0)
 		closeZone(0, otherZone)
 		effects := balancer.HandleClientPacket(10*time.Second, openingPacket(1, 100))
@@ -126,7 +126,7 @@
 		Expect(effects[0].Event.Reason).To(Equal("zone_closed"))
 	})
 
-	It("gives new flows to another service of the route if all endpoints of one are in it", func() {
+	It("gives new flows to another service of the route if all endpoints of one service are in the zone", func() {
 		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Service = otherService })
 		builder.configure(directory.Share{Service: service, Weight: 9}, directory.Share{Service: otherService, Weight: 1})
 		closeZone(0, otherZone)
@@ -135,7 +135,7 @@
 		}
 	})
 
-	It("carries on the open flows of its endpoints", func() {
+	It("continues open flows of endpoints in the zone", func() {
 		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 		install(0)
 		balancer.HandleClientPacket(0, openingPacket(1, 100))
--- a/internal/relay/coldstart_test.go
+++ b/internal/relay/coldstart_test.go
@@ -17,7 +17,7 @@
 	warmupTime = 2 * time.Second
 )
 
-// coldStartLimit is what the agents of the specs may exceed the rate by.
+// coldStartLimit is the limit of the agents in these specs.
 var coldStartLimit = relay.ColdStartLimit{Overrun: 1.5, Slack: 5}
 
 func newColdAgent(complete bool, bound relay.ColdStartLimit) *relay.Agent {
@@ -27,16 +27,17 @@
 	})
 }
 
-// coldEndpoint is an agent under more flows than its endpoint carries, and what the
-// endpoint got.
+// coldEndpoint is an agent that gets more flows than its endpoint can serve, with the times at
+// which the endpoint was given flows.
 type coldEndpoint struct {
 	agent      *relay.Agent
 	lastNumber int
-	// coldStart is what balancers tell of the endpoint.
+	// coldStart is what balancers report about the endpoint.
 	coldStart   relay.ColdStart
 	priority    uint8
 	deliveredAt []time.Duration
-	// down is set while the endpoint answers nothing or, with bounces, takes nothing.
+	// down is set while the endpoint answers nothing. With returnsPackets it returns all packets in
+	// that time.
 	down           bool
 	returnsPackets bool
 }
@@ -46,15 +47,15 @@
 	return c.offerCopy(now, c.lastNumber, 0)
 }
 
-// offerCopy offers a copy of the opening packet with a number.
-func (c *coldEndpoint) offerCopy(now time.Duration, number int, copied uint32) []relay.Effect {
+// offerCopy offers a copy of the opening packet of a client.
+func (c *coldEndpoint) offerCopy(now time.Duration, number int, copyNumber uint32) []relay.Effect {
 	effects := c.agent.Receive(now, balancerA, relay.Message{
 		Kind: relay.KindOffer, Service: service, Parameters: relay.FlowParameters{ColdStart: c.coldStart, Priority: c.priority},
-		Packet: clientPacket(number, segment.Synchronize, 100, copied, ""),
+		Packet: clientPacket(number, segment.Synchronize, 100, copyNumber, ""),
 	})
 	if len(effectsOfKind(effects, relay.EffectSendToEndpoint)) > 0 {
 		if c.down && c.returnsPackets {
-			packet := clientPacket(number, segment.Synchronize, 100, copied, "")
+			packet := clientPacket(number, segment.Synchronize, 100, copyNumber, "")
 			codec.MarkReturned(packet)
 			return append(effects, c.agent.HandleEndpointPacket(now, packet)...)
 		}
@@ -66,14 +67,14 @@
 	return effects
 }
 
-// offerContinuously offers a flow in each millisecond of a time.
+// offerContinuously offers a flow in each millisecond of a period.
 func (c *coldEndpoint) offerContinuously(from, to time.Duration) {
 	for now := from; now < to; now += millisecond {
 		c.offer(now)
 	}
 }
 
-// maxPerSecond returns the largest number of flows that the endpoint got in any second of a time.
+// maxPerSecond returns the largest number of flows given to the endpoint in any second of a period.
 func (c *coldEndpoint) maxPerSecond(from, to time.Duration) int {
 	most := 0
 	for index, first := range c.deliveredAt {
@@ -88,28 +89,28 @@
 	return most
 }
 
-var _ = Describe("Agent, beside a cold endpoint", func() {
+var _ = Describe("Agent, with a cold endpoint", func() {
 	rate := uint32(coldRate * 1000)
 	coldStart := func(remains time.Duration, revision uint64) relay.ColdStart {
 		return relay.ColdStart{
 			Rate: rate, WarmupTime: uint32(warmupTime.Milliseconds()), Remaining: uint32(remains.Milliseconds()), Revision: revision,
 		}
 	}
-	allowed := int(coldStartLimit.Overrun*coldRate + coldStartLimit.Slack)
+	maxAdmitted := int(coldStartLimit.Overrun*coldRate + coldStartLimit.Slack)
 
-	It("gives it its rate in the long run and never more than the bound, then all", func() {
+	It("admits requests at the rate and never above the limit while the endpoint is cold, and all afterwards", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(warmupTime, 7)}
 		endpoint.offerContinuously(0, time.Second)
 		endpoint.coldStart = coldStart(time.Second, 7)
 		endpoint.offerContinuously(time.Second, warmupTime)
-		Expect(endpoint.maxPerSecond(0, warmupTime)).To(BeNumerically("<=", allowed))
+		Expect(endpoint.maxPerSecond(0, warmupTime)).To(BeNumerically("<=", maxAdmitted))
 		Expect(len(endpoint.deliveredAt)).To(BeNumerically("~", 2*coldRate, 3))
 		endpoint.coldStart = coldStart(0, 7)
 		endpoint.offerContinuously(warmupTime, warmupTime+100*millisecond)
 		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">", 100))
 	})
 
-	DescribeTable("keeps to other bounds", func(bound relay.ColdStartLimit, perSecond float64) {
+	DescribeTable("keeps to the configured limit", func(bound relay.ColdStartLimit, perSecond float64) {
 		cold := coldStart(warmupTime, 7)
 		cold.Rate = uint32(perSecond * 1000)
 		endpoint := &coldEndpoint{agent: newColdAgent(true, bound), coldStart: cold}
@@ -118,61 +119,61 @@
 		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">=", perSecond*warmupTime.Seconds()/2))
 	},
 		Entry("no slack", relay.ColdStartLimit{Overrun: 1}, 8.0),
-		Entry("a factor only", relay.ColdStartLimit{Overrun: 1.5}, 20.0),
+		Entry("overrun only", relay.ColdStartLimit{Overrun: 1.5}, 20.0),
 		Entry("slack only", relay.ColdStartLimit{Overrun: 1, Slack: 3}, 30.0),
 	)
 
-	It("keeps to the bound though it is restarted itself and does not know what it let through", func() {
+	It("keeps to the limit when it is restarted and does not know what it has admitted", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(warmupTime, 7)}
 		endpoint.offerContinuously(0, 500*millisecond)
 		endpoint.agent = newColdAgent(false, coldStartLimit)
 		endpoint.coldStart = coldStart(1500*millisecond, 7)
 		endpoint.offerContinuously(500*millisecond, warmupTime)
-		Expect(endpoint.maxPerSecond(0, warmupTime)).To(BeNumerically("<=", allowed))
+		Expect(endpoint.maxPerSecond(0, warmupTime)).To(BeNumerically("<=", maxAdmitted))
 	})
 
-	It("takes its endpoint for cold after its own start, until it is told of a start that was", func() {
+	It("treats its endpoint as cold after its own start until the store entry gives the end of the cold phase", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(false, coldStartLimit), coldStart: coldStart(0, 3)}
 		endpoint.offerContinuously(0, time.Second)
-		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", allowed))
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", maxAdmitted))
 		endpoint.coldStart = coldStart(500*millisecond, 9)
 		endpoint.offerContinuously(time.Second, 1500*millisecond)
-		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", allowed+int(coldRate)))
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", maxAdmitted+int(coldRate)))
 		endpoint.offerContinuously(1501*millisecond, 1600*millisecond)
-		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">", 100), "the entry tells when it is warm")
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">", 100), "the entry gives the end of the cold phase")
 	})
 
-	It("limits it again when it becomes cold again, as its entry tells", func() {
+	It("limits the endpoint again when its entry shows a new start", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(0, 3)}
 		endpoint.offerContinuously(0, 100*millisecond)
 		Expect(len(endpoint.deliveredAt)).To(Equal(100))
 		endpoint.coldStart = coldStart(warmupTime, 8)
 		endpoint.offerContinuously(10*time.Second, 11*time.Second)
-		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", 100+allowed))
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", 100+maxAdmitted))
 	})
 
-	It("does not believe an older entry that says it is warm, nor a later word of the same for longer", func() {
+	It("ignores an older entry that says it is warm, and a later message that extends the same cold phase", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(warmupTime, 8)}
 		endpoint.offer(0)
 		endpoint.coldStart = coldStart(0, 3)
 		endpoint.offerContinuously(0, time.Second)
-		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", allowed))
+		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", maxAdmitted))
 		endpoint.coldStart = coldStart(warmupTime, 8)
 		endpoint.offerContinuously(warmupTime, warmupTime+100*millisecond)
 		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">", 100))
 	})
 
-	It("limits an endpoint that answers again after a silence, before its entry tells of the start", func() {
+	It("limits an endpoint that answers again after a silence, before its entry shows the start", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(0, 3)}
 		endpoint.offerContinuously(0, 10*millisecond)
 		endpoint.down = true
 		endpoint.offer(time.Second)
 		endpoint.down = false
 		endpoint.offerContinuously(2*time.Second, 3*time.Second)
-		Expect(endpoint.maxPerSecond(2*time.Second, 3*time.Second)).To(BeNumerically("<=", allowed))
+		Expect(endpoint.maxPerSecond(2*time.Second, 3*time.Second)).To(BeNumerically("<=", maxAdmitted))
 	})
 
-	It("limits an endpoint that no longer knows a flow that it held", func() {
+	It("limits an endpoint that has lost a flow", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(0, 3)}
 		endpoint.offer(0)
 		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
@@ -180,10 +181,10 @@
 		codec.MarkReturned(request)
 		endpoint.agent.HandleEndpointPacket(time.Second, request)
 		endpoint.offerContinuously(time.Second, 2*time.Second)
-		Expect(endpoint.maxPerSecond(time.Second, 2*time.Second)).To(BeNumerically("<=", allowed))
+		Expect(endpoint.maxPerSecond(time.Second, 2*time.Second)).To(BeNumerically("<=", maxAdmitted))
 	})
 
-	It("counts the copies of opening packets that a restarted endpoint has not seen", func() {
+	It("counts copies of opening packets that a restarted endpoint has not seen", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(0, 3), down: true}
 		endpoint.offerContinuously(0, 100*millisecond)
 		endpoint.down = false
@@ -192,10 +193,10 @@
 		for number := 2; number <= 100; number++ {
 			endpoint.offerCopy(401*millisecond, number, 1)
 		}
-		Expect(len(endpoint.deliveredAt) - before).To(BeNumerically("<=", allowed))
+		Expect(len(endpoint.deliveredAt) - before).To(BeNumerically("<=", maxAdmitted))
 	})
 
-	It("gives the most urgent first, and the others something", func() {
+	It("prefers the most urgent requests and still admits some others", func() {
 		const lasts = 5 * time.Second
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(lasts, 7)}
 		urgent, others := 0, 0
@@ -214,8 +215,8 @@
 		Expect(others).To(BeNumerically(">=", 4))
 	})
 
-	// crashingEndpoint is an endpoint that fails half a second after each start, for as long as it
-	// gets more than it carries a second, and is away for a second.
+	// crashingEndpoint fails within warmupTime of a start if it was given more than its
+	// capacity within a second, and restarts after a second.
 	type crashingEndpoint struct {
 		coldEndpoint
 		capacity int
@@ -248,7 +249,7 @@
 		endpoint.offer(now)
 	}
 
-	DescribeTable("lets an endpoint recover whose rate nobody has told", func(capacity int, returnsPackets bool) {
+	DescribeTable("lets an endpoint with no configured rate recover", func(capacity int, returnsPackets bool) {
 		endpoint := &crashingEndpoint{capacity: capacity}
 		endpoint.returnsPackets = returnsPackets
 		endpoint.agent = newColdAgent(false, relay.ColdStartLimit{Overrun: 1})
@@ -257,17 +258,17 @@
 		}
 		Expect(endpoint.down).To(BeFalse())
 		Expect(endpoint.crashes).To(BeNumerically("<=", 2))
-		Expect(endpoint.maxPerSecond(11*time.Second, 12*time.Second)).To(BeNumerically(">", 100), "it gets all once it holds")
+		Expect(endpoint.maxPerSecond(11*time.Second, 12*time.Second)).To(BeNumerically(">", 100), "all requests are admitted once it stays up")
 	},
 		Entry("8 a second", 8, false),
 		Entry("12 a second", 12, false),
 		Entry("30 a second", 30, false),
-		Entry("8 a second, which returns what comes while it is down", 8, true),
-		Entry("12 a second, which returns what comes while it is down", 12, true),
-		Entry("30 a second, which returns what comes while it is down", 30, true),
+		Entry("8 a second, returning packets while it is down", 8, true),
+		Entry("12 a second, returning packets while it is down", 12, true),
+		Entry("30 a second, returning packets while it is down", 30, true),
 	)
 
-	It("does not bound an endpoint that fails long after its start", func() {
+	It("does not limit an endpoint that fails long after its start", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(false, relay.ColdStartLimit{Overrun: 1})}
 		endpoint.offerContinuously(0, 10*millisecond)
 		endpoint.offerContinuously(20*time.Second, 20*time.Second+10*millisecond)
@@ -278,7 +279,7 @@
 		Expect(endpoint.maxPerSecond(22*time.Second, 23*time.Second)).To(Equal(100))
 	})
 
-	It("takes the flows that one restart has lost for one", func() {
+	It("counts the flows lost in one restart as one failure", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, relay.ColdStartLimit{Overrun: 1})}
 		endpoint.offerContinuously(0, 10*millisecond)
 		for number := 1; number <= 10; number++ {
@@ -291,7 +292,7 @@
 		Expect(endpoint.deliveredAt).To(HaveLen(110))
 	})
 
-	It("returns what is too much at once and tells for how long", func() {
+	It("returns excess flows at once and reports how long to wait", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(warmupTime, 7)}
 		endpoint.offerContinuously(0, 100*millisecond)
 		answer := onlyMessage(endpoint.offer(100 * millisecond))
@@ -301,7 +302,7 @@
 		Expect(answer.Message.Load.ColdWait).To(BeNumerically("<=", 1000/coldRate+1))
 	})
 
-	It("limits nothing where there is no rate", func() {
+	It("does not limit an endpoint without a rate", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(false, coldStartLimit)}
 		endpoint.offerContinuously(0, 100*millisecond)
 		Expect(endpoint.deliveredAt).To(HaveLen(100))
@@ -314,9 +315,9 @@
 		builder  *directoryBuilder
 	)
 
-	returned := func(now time.Duration, from segment.Address, number int, hold uint32) []relay.Effect {
+	returned := func(now time.Duration, from segment.Address, number int, coldWait uint32) []relay.Effect {
 		return balancer.Receive(now, from, relay.Message{
-			Kind: relay.KindReturned, Service: service, Load: relay.Load{ColdWait: hold}, Packet: openingPacket(number, 100),
+			Kind: relay.KindReturned, Service: service, Load: relay.Load{ColdWait: coldWait}, Packet: openingPacket(number, 100),
 		})
 	}
 
@@ -339,7 +340,7 @@
 		balancer.Install(0, builder.machine.Snapshot())
 	})
 
-	It("tells agents what their endpoints carry, for how long, and when that was announced", func() {
+	It("tells agents the rate of a cold endpoint, the remaining time and the revision of its entry", func() {
 		offer := onlyMessage(balancer.HandleClientPacket(500*millisecond, openingPacket(1, 100)))
 		Expect(offer.Message.Parameters.ColdStart.Rate).To(Equal(uint32(12000)))
 		Expect(offer.Message.Parameters.ColdStart.WarmupTime).To(Equal(uint32(2000)))
@@ -347,7 +348,7 @@
 		Expect(offer.Message.Parameters.ColdStart.Revision).To(BeNumerically(">", 0))
 	})
 
-	It("offers a returned flow to another, and refuses at once what none takes for now", func() {
+	It("offers a returned flow to another endpoint, and resets it at once if all are waiting", func() {
 		first := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		second := onlyMessage(returned(millisecond, first.To, 1, 80))
 		Expect(second.To).NotTo(Equal(first.To))
@@ -358,14 +359,14 @@
 		Expect(resetHeaders(balancer.HandleClientPacket(3*millisecond, openingPacket(2, 100)))).To(HaveLen(1))
 	})
 
-	It("offers flows again once an endpoint takes another", func() {
+	It("offers flows again once the wait of an endpoint is over", func() {
 		first := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 		second := onlyMessage(returned(millisecond, first.To, 1, 80))
 		returned(2*millisecond, second.To, 1, 50)
 		Expect(onlyMessage(balancer.HandleClientPacket(60*millisecond, openingPacket(3, 100))).To).To(Equal(second.To))
 	})
 
-	It("takes the endpoints of a zone that was opened again for cold before they say so", func() {
+	It("treats the endpoints of a reopened zone as cold before their entries say so", func() {
 		for number := range 2 {
 			builder.putEndpoint(0, number, inZone(otherZone))
 		}
--- a/internal/relay/ejection_test.go
+++ b/internal/relay/ejection_test.go
@@ -13,7 +13,7 @@
 	"github.com/vanetiller/vanetiller/internal/segment/segmenttest"
 )
 
-var _ = Describe("Agent, beside an endpoint whose answers are bad", func() {
+var _ = Describe("Agent, with an endpoint whose answers fail", func() {
 	var agent *testAgent
 	number := 0
 
@@ -22,10 +22,11 @@
 	offerIn := func(zone string, now time.Duration, from segment.Address, insist bool) []relay.Effect {
 		number++
 		return agent.Receive(now, from, relay.Message{
-			Kind: relay.KindOffer, Service: service, Zone: zone, Parameters: agent.terms, IgnoreEjection: insist, Packet: openingPacket(number, 100),
+			Kind: relay.KindOffer, Service: service, Zone: zone, Parameters: agent.parameters, IgnoreEjection: insist, Packet: openingPacket(number, 100),
 		})
 	}
-	// answerNewFlow lets the endpoint answer a new flow of a zone's balancer.
+	// answerNewFlow opens a flow from a balancer in a zone and lets the endpoint answer its
+	// request.
 	answerNewFlow := func(now time.Duration, zone string, from segment.Address, data string) []relay.Effect {
 		offerIn(zone, now, from, true)
 		agent.answer(now, number, 500)
@@ -36,7 +37,7 @@
 		return len(deliveredPackets(offerIn(zone, now, balancerA, false))) == 0
 	}
 
-	It("gives it no new flows and tells balancers of that at once", func() {
+	It("ejects the endpoint and reports that to all balancers at once", func() {
 		answerNewFlow(0, ownZone, balancerA, segmenttest.FailureMark)
 		answerNewFlow(0, otherZone, balancerB, segmenttest.FailureMark)
 		effects := answerNewFlow(millisecond, ownZone, balancerA, segmenttest.FailureMark)
@@ -50,10 +51,10 @@
 			}))
 		}
 		Expect(returnsNewFlow(ownZone, 2*millisecond)).To(BeTrue())
-		Expect(deliveredPackets(offerIn(ownZone, 2*millisecond, balancerA, true))).To(HaveLen(1), "a balancer insists")
+		Expect(deliveredPackets(offerIn(ownZone, 2*millisecond, balancerA, true))).To(HaveLen(1), "the balancer overrides the ejection")
 	})
 
-	It("tells only the balancers of a zone whose clients alone get bad answers", func() {
+	It("ejects the endpoint for one zone, and reports that to its balancers, if only clients of that zone get failures", func() {
 		answerNewFlow(0, otherZone, balancerB, "answer")
 		var effects []relay.Effect
 		for range 3 {
@@ -65,13 +66,13 @@
 		Expect(returnsNewFlow(otherZone, millisecond)).To(BeFalse())
 	})
 
-	It("spares it after a refusal for as long as it asks", func() {
+	It("gives the endpoint no new flows after a refusal until its retry time is over", func() {
 		answerNewFlow(0, ownZone, balancerA, segmenttest.RefusalMark+"700")
 		Expect(returnsNewFlow(ownZone, 699*millisecond)).To(BeTrue())
 		Expect(returnsNewFlow(ownZone, 700*millisecond)).To(BeFalse())
 	})
 
-	It("takes a reset before an answer for a bad one", func() {
+	It("counts a reset before an answer as a failure", func() {
 		for range 3 {
 			offerIn(ownZone, 0, balancerA, true)
 			agent.answer(0, number, 500)
@@ -81,7 +82,7 @@
 		Expect(returnsNewFlow(ownZone, 0)).To(BeTrue())
 	})
 
-	It("reads an answer once, where it begins, whatever comes before or again", func() {
+	It("reads the outcome of an answer once, from its first packet, regardless of other packets and copies", func() {
 		for range 6 {
 			offerIn(ownZone, 0, balancerA, true)
 			agent.answer(0, number, 500)
@@ -94,7 +95,7 @@
 		Expect(agent.Load().Report).To(Equal(outlier.Report{Outcomes: 6}))
 	})
 
-	It("reads the later answers of a flow that is kept", func() {
+	It("reads the outcome of each answer in a persistent flow", func() {
 		answerNewFlow(0, ownZone, balancerA, "answer")
 		next, written := uint32(108), uint32(507)
 		for range 3 {
@@ -107,7 +108,7 @@
 		Expect(returnsNewFlow(ownZone, 0)).To(BeTrue())
 	})
 
-	It("tells balancers of an endpoint that returns a flow, once each", func() {
+	It("notifies each balancer once when the endpoint returns a flow", func() {
 		offerIn(otherZone, 0, balancerB, false)
 		agent.answer(0, number, 500)
 		offerIn(ownZone, 0, balancerA, false)
@@ -118,7 +119,7 @@
 		Expect(messagesTo(balancerB, effects)[0].Message.Load.Report.Held()).To(Equal(300 * millisecond))
 	})
 
-	It("notices without another packet that opening packets get no answer", func() {
+	It("reports an endpoint that leaves opening packets unanswered at the time that NextTick returned", func() {
 		offerIn(ownZone, 0, balancerA, false)
 		offerIn(ownZone, millisecond, balancerA, false)
 		due := agent.NextTick(millisecond)
@@ -127,7 +128,7 @@
 	})
 })
 
-var _ = Describe("Balancer, with endpoints that are not well", func() {
+var _ = Describe("Balancer, with unhealthy endpoints", func() {
 	const endpoints = 12
 	var (
 		balancer *relay.Balancer
@@ -155,7 +156,7 @@
 		number++
 		return balancer.HandleClientPacket(now, openingPacket(number, 100))
 	}
-	// countOffers counts the countOffers among effects by the number of the endpoint.
+	// countOffers adds the offers among effects to counts, by the number of the endpoint.
 	countOffers := func(effects []relay.Effect, counts map[int]int) {
 		for _, effect := range sentMessages(effects) {
 			if effect.Message.Kind == relay.KindOffer {
@@ -164,7 +165,7 @@
 		}
 	}
 
-	// shareOf returns how much of its even share of 240 flows an endpoint gets.
+	// shareOf returns the flows that an endpoint gets of 240, relative to an even share.
 	shareOf := func(endpoint int) float64 {
 		counts := make(map[int]int)
 		for range 240 {
@@ -173,7 +174,7 @@
 		return float64(counts[endpoint]) / (240 / endpoints)
 	}
 
-	DescribeTable("opens every flow while some endpoint takes it, whichever return everything",
+	DescribeTable("opens every flow while some endpoint accepts flows, whichever others return them",
 		func(returns func(endpoint int) bool, wasted int) {
 			refused, attempts := 0, 0
 			for range 300 {
@@ -197,14 +198,14 @@
 				}
 			}
 			Expect(refused).To(BeZero())
-			Expect(attempts-300).To(BeNumerically("<=", wasted), "an endpoint that returns a flow is not chosen at once again")
+			Expect(attempts-300).To(BeNumerically("<=", wasted), "an endpoint that returns a flow is not chosen again at once")
 		},
-		Entry("the first third", func(endpoint int) bool { return endpoint < 4 }, 8),
-		Entry("every third", func(endpoint int) bool { return endpoint%3 == 1 }, 8),
-		Entry("all but one", func(endpoint int) bool { return endpoint != 7 }, 22),
+		Entry("the first third return flows", func(endpoint int) bool { return endpoint < 4 }, 8),
+		Entry("every third returns flows", func(endpoint int) bool { return endpoint%3 == 1 }, 8),
+		Entry("all but one return flows", func(endpoint int) bool { return endpoint != 7 }, 22),
 	)
 
-	It("refuses a flow at once that every endpoint returns", func() {
+	It("resets a flow at once if every endpoint returns it", func() {
 		effects := arrive(0)
 		for range endpoints - 1 {
 			to := sentMessages(effects)[0].To
@@ -214,10 +215,10 @@
 		to := sentMessages(effects)[0].To
 		effects = balancer.Receive(0, to, relay.Message{Kind: relay.KindReturned, Service: service, Packet: openingPacket(number, 100)})
 		Expect(resetHeaders(effects)).To(HaveLen(1))
-		Expect(sentMessages(arrive(millisecond))).To(HaveLen(1), "the next flow is a trial")
+		Expect(sentMessages(arrive(millisecond))).To(HaveLen(1), "the next flow tests an endpoint")
 	})
 
-	It("gives no new flow to an endpoint that its agent holds back, until that ends", func() {
+	It("gives no new flow to an ejected endpoint until the ejection ends", func() {
 		report(0, 3, failing)
 		counts := make(map[int]int)
 		for range 120 {
@@ -229,7 +230,7 @@
 		Expect(counts).To(HaveKeyWithValue(3, 1))
 	})
 
-	It("overrules the agents if most endpoints of a service look bad, and says so", func() {
+	It("ignores ejections if most endpoints of a service are ejected, and says so in its offers", func() {
 		for endpoint := range 7 {
 			report(0, endpoint, failing)
 		}
@@ -246,7 +247,7 @@
 		Expect(insisted).To(Equal(70))
 	})
 
-	It("overrules the agents if requests fail by their nature", func() {
+	It("ignores an ejection if the other endpoints fail nearly as often", func() {
 		for endpoint := range endpoints {
 			report(0, endpoint, outlier.Report{Outcomes: 10, Failures: 2})
 		}
@@ -254,7 +255,7 @@
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
 
-	It("asks no more than three endpoints that are held back if there are no others", func() {
+	It("asks at most three ejected endpoints if there are no others", func() {
 		for endpoint := range endpoints {
 			report(0, endpoint, outlier.Report{Reason: outlier.Return, Hold: 300})
 		}
@@ -275,13 +276,13 @@
 		Expect(resetHeaders(effects)).To(HaveLen(1))
 	})
 
-	It("does not believe an agent that counts more failures than outcomes", func() {
+	It("rejects a report with more failures than outcomes", func() {
 		effects := report(0, 3, outlier.Report{Outcomes: 3, Failures: 9, Reason: outlier.Failure, Hold: 1000})
 		Expect(eventKinds(effects)).To(Equal([]relay.EventKind{relay.EventForged}))
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
 
-	It("holds nothing against another endpoint at the address of one that was ejected", func() {
+	It("gives an even share to an endpoint that took over the address of an ejected one", func() {
 		report(0, 3, failing)
 		builder.remove(0, 3)
 		builder.putEndpoint(0, endpoints, func(endpoint *directory.Endpoint) {
@@ -291,7 +292,7 @@
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
 
-	It("does not take the word of an agent of another service for its endpoint", func() {
+	It("ignores a report for another service", func() {
 		balancer.Receive(0, agentAddress(3), relay.Message{
 			Kind: relay.KindPong, Service: otherService, Load: relay.Load{Report: failing},
 		})
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -47,7 +47,7 @@
 	return segment.FlowKey{Client: clientAddress(number), Service: routeAddress}
 }
 
-// clientPacket returns a packet of the client with a number.
+// clientPacket returns a packet from a client.
 func clientPacket(number int, flags segment.Flags, sequence, acknowledgment uint32, data string) []byte {
 	return codec.Encode(segment.Header{
 		Source: clientAddress(number), Destination: routeAddress,
@@ -59,7 +59,7 @@
 	return clientPacket(number, segment.Synchronize, sequence, 0, "")
 }
 
-// endpointPacket returns a packet of an endpoint to the client with a number.
+// endpointPacket returns a packet from an endpoint to a client.
 func endpointPacket(number int, flags segment.Flags, sequence, acknowledgment uint32, data string) []byte {
 	return codec.Encode(segment.Header{
 		Source: routeAddress, Destination: clientAddress(number),
@@ -82,8 +82,8 @@
 
 func newDirectoryBuilder() *directoryBuilder { return &directoryBuilder{machine: directory.New()} }
 
-func (f *directoryBuilder) putEndpoint(now time.Duration, number int, change func(*directory.Endpoint)) {
-	f.revision++
+func (b *directoryBuilder) putEndpoint(now time.Duration, number int, change func(*directory.Endpoint)) {
+	b.revision++
 	value := &directory.Endpoint{
 		Service: service, IP: endpointAddress(number).IP, Port: endpointAddress(number).Port, Zone: ownZone, Slots: 4,
 	}
@@ -91,29 +91,29 @@
 		change(value)
 	}
 	id := directory.Named(string(rune('a' + number)))
-	f.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: f.revision, Endpoint: value}}, f.revision)
+	b.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: b.revision, Endpoint: value}}, b.revision)
 }
 
-func (f *directoryBuilder) remove(now time.Duration, number int) {
-	f.revision++
+func (b *directoryBuilder) remove(now time.Duration, number int) {
+	b.revision++
 	id := directory.Named(string(rune('a' + number)))
-	f.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: f.revision}}, f.revision)
+	b.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: b.revision}}, b.revision)
 }
 
-// setSince makes the directory reach back to a time.
-func (f *directoryBuilder) setSince(since time.Duration) { f.machine.Listing(since, nil, 0) }
+// setSince sets the time at which the history of the directory begins.
+func (b *directoryBuilder) setSince(since time.Duration) { b.machine.Listing(since, nil, 0) }
 
-func (f *directoryBuilder) configure(shares ...directory.Share) {
-	f.revision++
-	f.version++
-	configuration := &directory.Configuration{Version: f.version}
+func (b *directoryBuilder) configure(shares ...directory.Share) {
+	b.revision++
+	b.version++
+	configuration := &directory.Configuration{Version: b.version}
 	if len(shares) > 0 {
 		configuration.Routes = []directory.Route{{
 			IP: routeAddress.IP, Port: routeAddress.Port, Shares: shares,
 			Target: 250 * time.Millisecond, Timeout: 2 * time.Second,
 		}}
 	}
-	f.machine.Changes(0, []directory.Item{{Revision: f.revision, Configuration: configuration}}, f.revision)
+	b.machine.Changes(0, []directory.Item{{Revision: b.revision, Configuration: configuration}}, b.revision)
 }
 
 func newBalancer() *relay.Balancer {
@@ -124,7 +124,8 @@
 	})
 }
 
-// newBalancerWithThreeEndpoints returns a balancer with a directory of three endpoints of a route.
+// newBalancerWithThreeEndpoints returns a balancer whose directory has one route with three
+// endpoints.
 func newBalancerWithThreeEndpoints() (*relay.Balancer, *directoryBuilder) {
 	balancer, builder := newBalancer(), newDirectoryBuilder()
 	builder.configure(directory.Share{Service: service, Weight: 1})
@@ -136,7 +137,7 @@
 	return balancer, builder
 }
 
-// reportPlaced lets an agent tell a balancer that its endpoint has answered a flow.
+// reportPlaced delivers the report of an agent that its endpoint has answered an opening packet.
 func reportPlaced(balancer *relay.Balancer, now time.Duration, agent segment.Address, number int, sequence uint32) []relay.Effect {
 	return balancer.Receive(now, agent, relay.Message{
 		Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(flowKey(number)), Sequence: sequence,
@@ -154,12 +155,12 @@
 	})
 }
 
-// sentMessages returns the messages among effects, with their receivers.
+// sentMessages returns the effects that send a message.
 func sentMessages(effects []relay.Effect) []relay.Effect {
 	return effectsOfKind(effects, relay.EffectSendMessage)
 }
 
-// messagesTo returns the messages to one receiver.
+// messagesTo returns the effects that send a message to one receiver.
 func messagesTo(to segment.Address, effects []relay.Effect) []relay.Effect {
 	return slices.DeleteFunc(sentMessages(effects), func(effect relay.Effect) bool { return effect.To != to })
 }
@@ -174,7 +175,7 @@
 	return found
 }
 
-// onlyMessage expects exactly one message among the effects.
+// onlyMessage expects exactly one message among effects and returns it.
 func onlyMessage(effects []relay.Effect) relay.Effect {
 	GinkgoHelper()
 	messages := sentMessages(effects)
@@ -190,7 +191,7 @@
 	return kinds
 }
 
-// resetHeaders returns the resetHeaders to clients among effects.
+// resetHeaders returns the headers of the resets to clients among effects.
 func resetHeaders(effects []relay.Effect) []segment.Header {
 	var found []segment.Header
 	for _, effect := range effectsOfKind(effects, relay.EffectSendToClient) {
@@ -202,21 +203,21 @@
 	return found
 }
 
-// testAgent is an agent with the inputs that specs give it.
+// testAgent is an agent with helpers for its inputs.
 type testAgent struct {
 	*relay.Agent
-	// terms are those of what is offered, and lastResort is set if others have returned it.
-	terms      relay.FlowParameters
+	// parameters and lastResort are set in offers.
+	parameters relay.FlowParameters
 	lastResort bool
 }
 
 func newTestAgent(agent *relay.Agent) *testAgent {
-	return &testAgent{Agent: agent, terms: relay.FlowParameters{Slots: 2, LatencyTarget: 250, Timeout: 2000}}
+	return &testAgent{Agent: agent, parameters: relay.FlowParameters{Slots: 2, LatencyTarget: 250, Timeout: 2000}}
 }
 
 func (a *testAgent) offer(now time.Duration, number int, sequence uint32) []relay.Effect {
 	return a.Receive(now, balancerA, relay.Message{
-		Kind: relay.KindOffer, Service: service, Parameters: a.terms, LastResort: a.lastResort, Packet: openingPacket(number, sequence),
+		Kind: relay.KindOffer, Service: service, Parameters: a.parameters, LastResort: a.lastResort, Packet: openingPacket(number, sequence),
 	})
 }
 
@@ -232,14 +233,14 @@
 	return a.HandleEndpointPacket(now, endpointPacket(number, segment.Synchronize|segment.Acknowledge, sequence, 101, ""))
 }
 
-// open opens a flow whose endpoint's initial sequence number is 500.
+// open opens a flow with a request. The endpoint's initial sequence number is 500.
 func (a *testAgent) open(now time.Duration, number int) {
 	a.offer(now, number, 100)
 	a.answer(now, number, 500)
 	a.forward(now, relay.KindForward, clientPacket(number, segment.Acknowledge, 101, 501, "request"))
 }
 
-// locateQuery is a search for the owner of a packet's flow.
+// locateQuery returns a query for the owner of a packet's flow.
 func locateQuery(packet []byte) relay.Message {
 	header, _ := codec.Decode(packet)
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
@@ -249,12 +250,12 @@
 	}
 }
 
-// deliveredPackets returns what an agent gave its endpoint.
+// deliveredPackets returns the effects that give a packet to the endpoint.
 func deliveredPackets(effects []relay.Effect) []relay.Effect {
 	return effectsOfKind(effects, relay.EffectSendToEndpoint)
 }
 
-// returnedCopy is a packet as an endpoint returns it that does not take it.
+// returnedCopy returns a copy of a packet as its endpoint returns it.
 func returnedCopy(packet []byte) []byte {
 	copied := append([]byte(nil), packet...)
 	codec.MarkReturned(copied)
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// FuzzReceive gives both parts any datagram as a message of another daemon.
+// FuzzReceive passes arbitrary datagrams as messages to an agent and a balancer.
 func FuzzReceive(f *testing.F) {
 	for kind := relay.KindOffer; kind <= relay.KindDrain; kind++ {
 		message := relay.Message{Kind: kind, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Packet: openingPacket(1, 100)}
@@ -40,7 +40,8 @@
 	})
 }
 
-// FuzzPacket gives both parts any datagram as a packet of a client or endpoint.
+// FuzzPacket passes arbitrary datagrams as packets of clients and endpoints to an agent and a
+// balancer.
 func FuzzPacket(f *testing.F) {
 	f.Add(openingPacket(1, 100))
 	f.Add(clientPacket(1, 0xff, 1, 2, "data"))
--- a/internal/relay/loadstats_test.go
+++ b/internal/relay/loadstats_test.go
@@ -11,7 +11,7 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// classesOf returns the classes of the events of a kind.
+// classesOf returns the traffic classes of the events of a kind.
 func classesOf(effects []relay.Effect, kind relay.EventKind) []relay.TrafficClass {
 	var classes []relay.TrafficClass
 	for _, effect := range effectsOfKind(effects, relay.EffectEvent) {
@@ -26,10 +26,10 @@
 	return relay.TrafficClass{Service: service, Priority: priority, PriorityKnown: true}
 }
 
-var _ = Describe("Load of an endpoint", func() {
+var _ = Describe("Agent, reporting the load of its endpoint", func() {
 	var agent *testAgent
 
-	// Two slots and one to spare are taken, and the first answer took 20 ms.
+	// The two slots and the spare one are occupied. The first answer took 20 ms.
 	BeforeEach(func() {
 		agent = newTestAgent(newAgent(true))
 		agent.lastResort = true
@@ -40,11 +40,11 @@
 		}
 	})
 
-	It("is what it can do, what it works on, and what waits by priority and for how long", func() {
-		agent.terms.Priority = 1
+	It("reports slots, occupied slots, response time and the waiting requests by priority", func() {
+		agent.parameters.Priority = 1
 		agent.open(30*millisecond, 10)
 		agent.open(40*millisecond, 11)
-		agent.terms.Priority = 2
+		agent.parameters.Priority = 2
 		agent.open(45*millisecond, 12)
 		observed := agent.EndpointLoad(50 * millisecond)
 		Expect(observed.Service).To(Equal(service))
@@ -58,20 +58,20 @@
 		}))
 	})
 
-	It("has no capacity before the first answer", func() {
+	It("reports no capacity before the first answer", func() {
 		Expect(newAgent(true).EndpointLoad(0).Capacity()).To(BeZero())
 	})
 
-	It("is told apart by the priority of a flow, of the offer if that was returned", func() {
-		agent.terms.Priority = 3
+	It("classifies events by the priority of the flow, or of the offer if that was returned", func() {
+		agent.parameters.Priority = 3
 		agent.lastResort = false
 		Expect(classesOf(agent.offer(30*millisecond, 20, 100), relay.EventReturned)).To(Equal([]relay.TrafficClass{classOf(3)}))
-		agent.terms.Priority = 0
+		agent.parameters.Priority = 0
 		answered := agent.HandleEndpointPacket(60*millisecond, endpointPacket(1, segment.Acknowledge, 501, 108, "answer"))
 		Expect(classesOf(answered, relay.EventAnswered)).To(Equal([]relay.TrafficClass{classOf(0)}))
 	})
 
-	It("leaves the priority open of a flow that was opened before the agent was started", func() {
+	It("reports no priority for a flow that was opened before the agent was started", func() {
 		agent := newTestAgent(newAgent(false))
 		agent.forward(0, relay.KindForward, clientPacket(1, segment.Acknowledge, 101, 501, "request"))
 		effects := agent.HandleEndpointPacket(millisecond, returnedCopy(clientPacket(1, segment.Acknowledge, 101, 501, "request")))
@@ -82,14 +82,14 @@
 	})
 })
 
-var _ = Describe("Load of services", func() {
+var _ = Describe("Balancer, reporting the load of services", func() {
 	reportServiceTime := func(balancer *relay.Balancer, number int, took time.Duration) {
 		balancer.Receive(0, agentAddress(number), relay.Message{
 			Kind: relay.KindPong, Service: service, Load: relay.Load{ServiceTime: uint32(took.Microseconds())},
 		})
 	}
 
-	It("takes endpoints of which nothing is known to be as fast as the others", func() {
+	It("counts endpoints without measurements as fast as the others", func() {
 		balancer, builder := newBalancerWithThreeEndpoints()
 		builder.putEndpoint(0, 3, func(each *directory.Endpoint) { each.Service = otherService })
 		builder.putEndpoint(0, 4, func(each *directory.Endpoint) { each.Draining = true })
@@ -104,7 +104,7 @@
 		Expect(balancer.ServiceLoads()[1].Capacity).To(BeNumerically("~", (200+100)*1.5))
 	})
 
-	It("is told apart by the service and priority of the route of a refused flow", func() {
+	It("classifies a refused flow by the service and priority of its route", func() {
 		balancer, builder := newBalancer(), newDirectoryBuilder()
 		builder.configure(directory.Share{Service: service, Weight: 1})
 		balancer.Install(0, builder.machine.Snapshot())
@@ -114,7 +114,7 @@
 		Expect(classesOf(balancer.HandleClientPacket(0, openingPacket(2, 100)), relay.EventNoEndpoint)[0].Service).To(Equal("several"))
 	})
 
-	It("shows how long it took to find out that no endpoint holds a flow", func() {
+	It("reports the time from the first query to the reset of an ownerless flow", func() {
 		const start = 20 * time.Second
 		balancer, builder := newBalancer(), newDirectoryBuilder()
 		builder.configure(directory.Share{Service: service, Weight: 1})
--- a/internal/relay/locate_test.go
+++ b/internal/relay/locate_test.go
@@ -12,7 +12,7 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-var _ = Describe("Balancer, in a search for the owner of a flow", func() {
+var _ = Describe("Balancer, searching for the owner of a flow", func() {
 	var (
 		balancer *relay.Balancer
 		builder  *directoryBuilder
@@ -22,17 +22,17 @@
 
 	BeforeEach(func() { balancer, builder = newBalancerWithThreeEndpoints() })
 
-	Describe("a flow that it does not know", func() {
+	Describe("with a flow that it does not know", func() {
 		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 
-		// reportOwned lets an agent answer that it owns the flow.
+		// reportOwned delivers the reply of an agent that it owns the flow.
 		reportOwned := func(now time.Duration, number int) []relay.Effect {
 			return balancer.Receive(now, agentAddress(number), relay.Message{
 				Kind: relay.KindOwned, Service: service, Flow: relay.EncodeFlow(flowKey(1)),
 			})
 		}
 
-		It("asks all endpoints of the route, leaving and gone ones included", func() {
+		It("asks the agents of all endpoints of the route, including leaving and gone ones", func() {
 			builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 			builder.remove(0, 1)
 			install(0)
@@ -43,22 +43,22 @@
 			}
 		})
 
-		It("is never reset", func() {
+		It("does not reset the flow while no agent has replied", func() {
 			for step := range 20 {
 				Expect(resetHeaders(balancer.HandleClientPacket(time.Duration(step)*200*millisecond, request))).To(BeEmpty())
 			}
 		})
 
-		It("goes to its owner once that has answered", func() {
+		It("forwards packets to the owner once it has replied", func() {
 			balancer.HandleClientPacket(0, request)
 			forwarded := onlyMessage(reportOwned(millisecond, 2))
 			Expect(forwarded.To).To(Equal(agentAddress(2)))
 			Expect(forwarded.Message.Kind).To(Equal(relay.KindForward))
-			Expect(forwarded.Message.Packet).To(Equal(request), "the packet that waited")
+			Expect(forwarded.Message.Packet).To(Equal(request), "the held packet")
 			Expect(onlyMessage(balancer.HandleClientPacket(2*millisecond, request)).To).To(Equal(agentAddress(2)))
 		})
 
-		It("has its packets held in their order, each once, and no search for each", func() {
+		It("holds each packet once, in order, without a search for each", func() {
 			second := clientPacket(1, segment.Acknowledge, 108, 501, "second")
 			Expect(sentMessages(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
 			for _, packet := range [][]byte{second, request, second} {
@@ -70,7 +70,7 @@
 			Expect(forwarded[1].Message.Packet).To(Equal(second))
 		})
 
-		It("is sought without its data, which may be long", func() {
+		It("sends no data in the search, since it may be long", func() {
 			long := clientPacket(1, segment.Acknowledge, 101, 501, strings.Repeat("x", 1200))
 			for _, each := range sentMessages(balancer.HandleClientPacket(0, long)) {
 				Expect(each.Message.Packet).To(BeEmpty())
@@ -79,7 +79,7 @@
 			}
 		})
 
-		It("is sought once at an address that several endpoints have had", func() {
+		It("asks only once at an address that several endpoints have had", func() {
 			builder.remove(0, 0)
 			builder.putEndpoint(0, 9, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP })
 			install(0)
@@ -87,7 +87,7 @@
 			Expect(sentMessages(balancer.HandleClientPacket(200*millisecond, request))).To(HaveLen(3))
 		})
 
-		It("takes no more than a part of the network if there are many such flows", func() {
+		It("limits the messages for searches if there are many such flows", func() {
 			queryCount := 0
 			for number := range 10_000 {
 				now := time.Duration(number) * millisecond / 2
@@ -97,14 +97,14 @@
 			Expect(queryCount).To(BeNumerically(">", 5*1900))
 		})
 
-		It("is sought among all endpoints after a search in vain, since routes may have changed", func() {
+		It("asks all endpoints after an unsuccessful search, since routes may have changed", func() {
 			builder.putEndpoint(0, 9, func(e *directory.Endpoint) { e.Service = otherService })
 			install(0)
 			Expect(sentMessages(balancer.HandleClientPacket(0, request))).To(HaveLen(3))
 			Expect(sentMessages(balancer.HandleClientPacket(200*millisecond, request))).To(HaveLen(4))
 		})
 
-		It("is sought again if the believed owner does not know it", func() {
+		It("searches again if the presumed owner does not know the flow", func() {
 			offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 			reportPlaced(balancer, 0, offer.To, 1, 100)
 			balancer.HandleClientPacket(millisecond, request)
@@ -117,7 +117,7 @@
 		})
 	})
 
-	It("ends a search that agents answer with its packet again and again", func() {
+	It("limits a search in which an agent sends the packet back again and again", func() {
 		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 		queryCount := len(sentMessages(balancer.HandleClientPacket(0, request)))
 		for range 1000 {
@@ -126,7 +126,7 @@
 		Expect(queryCount).To(BeNumerically("<", 200))
 	})
 
-	Describe("a flow of which restarted agents may be the owners", func() {
+	Describe("with a flow that restarted agents may own", func() {
 		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 
 		probes := func(now time.Duration) []segment.Address {
@@ -148,7 +148,7 @@
 			}
 		})
 
-		It("is probed at no more than two endpoints in two seconds, each once", func() {
+		It("probes at most two endpoints within a probe period, each once", func() {
 			first := probes(200 * millisecond)
 			Expect(first).To(HaveLen(2))
 			Expect(probes(600 * millisecond)).To(BeEmpty())
@@ -159,7 +159,7 @@
 			Expect(probes(9 * time.Second)).To(BeEmpty())
 		})
 
-		It("is not probed before the client has repeated its packet", func() {
+		It("does not probe before the client has repeated its packet", func() {
 			Expect(probes(50 * millisecond)).To(BeEmpty())
 		})
 	})
--- a/internal/relay/persistentflow_test.go
+++ b/internal/relay/persistentflow_test.go
@@ -10,7 +10,7 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-var _ = Describe("Balancer, with flows that are kept", func() {
+var _ = Describe("Balancer, with persistent flows", func() {
 	const (
 		persistentFlows = 90
 		serviceTime     = 50 * millisecond
@@ -34,7 +34,7 @@
 	closeFlow := func(now time.Duration, flow int) {
 		balancer.HandleClientPacket(now, clientPacket(flow, segment.Acknowledge|segment.Finish, 101, 501, ""))
 	}
-	// sendRequests lets the kept flows make a request in each interval of some seconds.
+	// sendRequests sends a request in each persistent flow at regular intervals.
 	sendRequests := func(from, until, interval time.Duration) {
 		sequence := uint32(101)
 		for now := from; now < until; now += interval {
@@ -53,11 +53,11 @@
 		for range persistentFlows {
 			counts[open(0)]++
 		}
-		Expect(counts).To(Equal(map[int]int{0: 30, 1: 30, 2: 30}), "an even share to begin with")
+		Expect(counts).To(Equal(map[int]int{0: 30, 1: 30, 2: 30}), "flows start evenly spread")
 	})
 
-	// flowsToNewEndpoint returns how many of 40 flows under way at a time a fourth endpoint gets that has
-	// no kept flow.
+	// flowsToNewEndpoint adds a fourth endpoint without persistent flows and returns how many of 40
+	// concurrent new flows it gets.
 	flowsToNewEndpoint := func(now time.Duration) int {
 		builder.putEndpoint(now, 3, nil)
 		balancer.Install(now, builder.machine.Snapshot())
@@ -70,22 +70,22 @@
 		return got
 	}
 
-	It("gives a new endpoint about its share of the others, as the kept ones mostly rest", func() {
+	It("gives a new endpoint about an even share of new flows while persistent flows are mostly idle", func() {
 		sendRequests(0, 12*time.Second, time.Second)
-		// 30 flows with a request of 50 ms each second take 1.5 slots of an endpoint.
+		// In 30 flows, one request of 50 ms each second occupies 1.5 slots of an endpoint.
 		Expect(flowsToNewEndpoint(12 * time.Second)).To(BeNumerically("~", 11, 1))
 	})
 
-	It("gives it more if they are at work", func() {
+	It("gives a new endpoint more new flows while persistent flows are busy", func() {
 		sendRequests(0, 12*time.Second, 200*millisecond)
 		Expect(flowsToNewEndpoint(12 * time.Second)).To(BeNumerically("~", 15, 2))
 	})
 
-	It("counts a flow as one with a request until it knows more", func() {
-		Expect(flowsToNewEndpoint(500*millisecond)).To(Equal(32), "a quarter of all")
+	It("counts each flow as one slot until the demand is known", func() {
+		Expect(flowsToNewEndpoint(500*millisecond)).To(Equal(32), "a quarter of all flows")
 	})
 
-	It("forgets those that have ended", func() {
+	It("does not count persistent flows that have ended", func() {
 		sendRequests(0, 12*time.Second, time.Second)
 		for flow := 1; flow <= persistentFlows; flow++ {
 			closeFlow(12*time.Second, flow)
--- a/internal/relay/queue_test.go
+++ b/internal/relay/queue_test.go
@@ -38,18 +38,17 @@
 		return numbers
 	}
 
-	// refill lets the endpoint answer all it works on and begin three others,
-	// of the numbers 3 to 5.
-	refill := func(answered, begun time.Duration) {
+	// refill lets the endpoint answer all of its requests and gives it those of flows 3 to 5.
+	refill := func(answeredAt, startedAt time.Duration) {
 		for number := range 3 {
-			respond(answered, number)
+			respond(answeredAt, number)
 		}
 		for number := 3; number < 6; number++ {
-			agent.open(begun, number)
+			agent.open(startedAt, number)
 		}
 	}
 
-	// Two slots and one to spare are taken.
+	// The two slots and the spare one are occupied.
 	BeforeEach(func() {
 		for number := range 3 {
 			agent.open(0, number)
@@ -57,17 +56,17 @@
 		agent.lastResort = true
 	})
 
-	It("returns new flows, since another endpoint may be less busy", func() {
+	It("returns new flows, since other endpoints may be less busy", func() {
 		agent.lastResort = false
 		returned := onlyMessage(agent.offer(millisecond, 10, 100)).Message
 		Expect(returned.Kind).To(Equal(relay.KindReturned))
-		Expect(returned.LastResort).To(BeTrue(), "it would take the flow if all others are as busy")
+		Expect(returned.LastResort).To(BeTrue(), "it takes the flow if all others are as busy")
 		Expect(returned.Load.Refusing).To(BeFalse())
 		respond(millisecond, 0)
 		Expect(deliveredNumbers(agent.offer(2*millisecond, 10, 100))).To(Equal([]int{10}))
 	})
 
-	It("counts flows that are just being opened, and none that has been answered", func() {
+	It("counts flows being opened as pending, but not answered requests", func() {
 		agent.lastResort = false
 		for number := range 3 {
 			respond(millisecond, number)
@@ -78,7 +77,7 @@
 		Expect(onlyMessage(agent.offer(2*millisecond, 13, 100)).Message.Kind).To(Equal(relay.KindReturned))
 	})
 
-	It("opens new flows that all others have returned, and holds their requests back", func() {
+	It("accepts last resort offers and holds their requests", func() {
 		Expect(deliveredNumbers(agent.offer(millisecond, 10, 100))).To(Equal([]int{10}))
 		agent.answer(millisecond, 10, 500)
 		effects := request(millisecond, 10)
@@ -87,7 +86,7 @@
 		Expect(agent.Load().Waiting).To(Equal(uint32(1)))
 	})
 
-	It("admits the newest flow first when a slot is free", func() {
+	It("admits the request of the newest flow first when a slot is free", func() {
 		handshake(1*millisecond, 10)
 		handshake(2*millisecond, 11)
 		request(3*millisecond, 11)
@@ -96,22 +95,22 @@
 		Expect(deliveredNumbers(respond(6*millisecond, 1))).To(Equal([]int{10}))
 	})
 
-	It("counts the time for which a client has tried before, and serves the late after those in time", func() {
-		agent.terms.Waited = 300
+	It("counts the time that a client has tried, and serves late requests after those in time", func() {
+		agent.parameters.Waited = 300
 		handshake(2*millisecond, 10)
-		agent.terms.Waited = 5
+		agent.parameters.Waited = 5
 		handshake(3*millisecond, 11)
-		agent.terms.Waited = 0
+		agent.parameters.Waited = 0
 		handshake(1*millisecond, 12)
 		for _, number := range []int{10, 11, 12} {
 			request(4*millisecond, number)
 		}
 		Expect(deliveredNumbers(respond(5*millisecond, 0))).To(Equal([]int{12}))
 		Expect(deliveredNumbers(respond(6*millisecond, 1))).To(Equal([]int{11}))
-		Expect(deliveredNumbers(respond(7*millisecond, 2))).To(Equal([]int{10}), "it can only be late")
+		Expect(deliveredNumbers(respond(7*millisecond, 2))).To(Equal([]int{10}), "it can no longer be in time")
 	})
 
-	// fill begins the requests that an agent with a policy gives to its endpoint at once.
+	// fill creates an agent with a queue policy and occupies all slots of its endpoint.
 	fill := func(policy requestqueue.Policy) {
 		agent = newTestAgent(newAgentWith(true, policy))
 		for number := range 3 {
@@ -120,7 +119,7 @@
 		agent.lastResort = true
 	}
 
-	It("admits the flow whose objective ends first, if that is set and all can be in time", func() {
+	It("admits the earliest due request under that discipline if all can be in time", func() {
 		fill(requestqueue.Policy{Discipline: requestqueue.DisciplineEarliestDue})
 		handshake(1*millisecond, 10)
 		handshake(2*millisecond, 11)
@@ -130,10 +129,10 @@
 		Expect(deliveredNumbers(respond(6*millisecond, 1))).To(Equal([]int{11}))
 	})
 
-	It("admits a less urgent flow for its fair share, if that is set", func() {
+	It("admits a less urgent request when its fair share is due", func() {
 		fill(requestqueue.Policy{FairShare: 0.5})
 		for number := 10; number < 14; number++ {
-			agent.terms.Priority = uint8(1 + number%2)
+			agent.parameters.Priority = uint8(1 + number%2)
 			handshake(1*millisecond, number)
 			request(2*millisecond, number)
 		}
@@ -145,18 +144,18 @@
 		Expect(deliveredNumbers(respond(5*millisecond, 2))).To(Equal([]int{12}))
 	})
 
-	It("admits the more urgent before the newer", func() {
-		agent.terms.Priority = 1
+	It("admits a more urgent request before a newer one", func() {
+		agent.parameters.Priority = 1
 		handshake(1*millisecond, 10)
-		agent.terms.Priority = 2
+		agent.parameters.Priority = 2
 		handshake(2*millisecond, 11)
-		agent.terms.Priority = 0
+		agent.parameters.Priority = 0
 		request(3*millisecond, 10)
 		request(3*millisecond, 11)
 		Expect(deliveredNumbers(respond(4*millisecond, 0))).To(Equal([]int{10}))
 	})
 
-	It("gives all packets of a held request in their order, and a copy only once", func() {
+	It("delivers all packets of a held request in order, and a copy only once", func() {
 		handshake(millisecond, 10)
 		first := clientPacket(10, segment.Acknowledge, 101, 501, "one")
 		second := clientPacket(10, segment.Acknowledge, 104, 501, "two")
@@ -169,14 +168,14 @@
 		Expect(effects[1].Packet).To(Equal(second))
 	})
 
-	It("gives a repeated packet of an admitted request at once, without counting it again", func() {
+	It("delivers a repeated packet of an admitted request at once, without counting it again", func() {
 		Expect(deliveredNumbers(request(millisecond, 0))).To(Equal([]int{0}))
 		handshake(millisecond, 10)
 		request(millisecond, 10)
 		Expect(deliveredNumbers(respond(2*millisecond, 0))).To(Equal([]int{10}))
 	})
 
-	It("holds further requests of a flow that is kept open too", func() {
+	It("holds further requests of a persistent flow", func() {
 		respond(millisecond, 0)
 		agent.open(2*millisecond, 5)
 		next := clientPacket(0, segment.Acknowledge, 108, 507, "another")
@@ -184,7 +183,7 @@
 		Expect(deliveredNumbers(respond(4*millisecond, 1))).To(Equal([]int{0}))
 	})
 
-	It("never resets an open flow, however long its request waits", func() {
+	It("does not reset an open flow whose request waits for long", func() {
 		handshake(millisecond, 10)
 		request(millisecond, 10)
 		for now := time.Duration(0); now < 3*time.Second; now += 100 * millisecond {
@@ -192,7 +191,7 @@
 		}
 	})
 
-	It("forgets the request of a client that has left", func() {
+	It("drops the request of a client that has reset its flow", func() {
 		handshake(millisecond, 10)
 		request(millisecond, 10)
 		agent.forward(2*millisecond, relay.KindForward, clientPacket(10, segment.Acknowledge|segment.Reset, 108, 501, ""))
@@ -200,10 +199,10 @@
 		Expect(deliveredNumbers(respond(3*millisecond, 0))).To(BeEmpty())
 	})
 
-	It("returns new flows at once when those that wait would take longer than a client does", func() {
+	It("returns new flows once the waiting requests take longer than the client timeout", func() {
 		respond(100*millisecond, 0)
 		agent.open(100*millisecond, 3)
-		waited := 0
+		accepted := 0
 		for number := 10; number < 200; number++ {
 			effects := agent.offer(millisecond, number, 100)
 			if len(deliveredPackets(effects)) == 0 {
@@ -212,20 +211,20 @@
 			}
 			agent.answer(millisecond, number, 500)
 			request(millisecond, number)
-			waited++
+			accepted++
 		}
-		// 0.1 s a request at two slots: forty take the two seconds.
-		Expect(waited).To(BeNumerically("~", 41, 1))
+		// At 0.1 s a request and two slots, forty requests take the timeout of two seconds.
+		Expect(accepted).To(BeNumerically("~", 41, 1))
 	})
 
-	It("frees the slots of requests that the endpoint never answers", func() {
+	It("frees the slots of requests that the endpoint does not answer", func() {
 		handshake(3500*millisecond, 10)
 		request(3500*millisecond, 10)
 		Expect(deliveredNumbers(agent.Tick(3900 * millisecond))).To(BeEmpty())
 		Expect(deliveredNumbers(agent.Tick(4100 * millisecond))).To(Equal([]int{10}))
 	})
 
-	It("serves those that are late already after the others, in the order in which their clients give up", func() {
+	It("serves late requests after the others, in the order in which their clients give up", func() {
 		refill(20*millisecond, 30*millisecond)
 		for number := 10; number < 13; number++ {
 			handshake(time.Duration(30+number)*millisecond, number)
@@ -238,7 +237,7 @@
 		Expect(deliveredNumbers(respond(403*millisecond, 5))).To(Equal([]int{11}))
 	})
 
-	It("names the request in its decisions, if a packet shows its identifier", func() {
+	It("records the request identifier in events if a packet contains one", func() {
 		named := func(effects []relay.Effect, kind relay.EventKind) string {
 			for _, effect := range effectsOfKind(effects, relay.EffectEvent) {
 				if effect.Event.Kind == kind {
@@ -248,7 +247,7 @@
 			return "no such event"
 		}
 		fresh := newAgent(true)
-		fresh.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Parameters: agent.terms, Packet: openingPacket(9, 100)})
+		fresh.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Parameters: agent.parameters, Packet: openingPacket(9, 100)})
 		fresh.HandleEndpointPacket(0, endpointPacket(9, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
 		given := fresh.Receive(0, balancerA, relay.Message{
 			Kind: relay.KindForward, Service: service, Packet: clientPacket(9, segment.Acknowledge, 101, 501, "id=q9 GET"),
@@ -266,7 +265,7 @@
 		Expect(named(respond(3*time.Second, 1), relay.EventExpired)).To(Equal("q11"))
 	})
 
-	It("takes an answer for one that comes with the end of its flow, or after it", func() {
+	It("counts an answer that arrives with the end of its flow or after it, once", func() {
 		effects := agent.HandleEndpointPacket(50*millisecond, endpointPacket(0, segment.Acknowledge|segment.Finish, 501, 108, "answer"))
 		Expect(eventKinds(effects)).To(ContainElement(relay.EventAnswered))
 		Expect(agent.Load().Running).To(Equal(uint32(2)))
@@ -276,7 +275,7 @@
 		Expect(eventKinds(effects)).NotTo(ContainElement(relay.EventAnswered), "once")
 	})
 
-	It("does not serve requests whose clients have given up", func() {
+	It("drops requests whose clients have given up", func() {
 		refill(20*millisecond, 30*millisecond)
 		handshake(40*millisecond, 10)
 		request(40*millisecond, 10)
--- a/internal/relay/relay_bench_test.go
+++ b/internal/relay/relay_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// benchmarkFleet has the given number of services with eight endpoints each;
-// the fixture's route leads to the first.
+// benchmarkFleet returns a directory of services with eight endpoints each. The route of the
+// fixture leads to the first service.
 func benchmarkFleet(services int) *directory.Machine {
 	machine := directory.New()
 	configuration := &directory.Configuration{Version: 1}
@@ -53,7 +53,7 @@
 	return balancer
 }
 
-// BenchmarkBalancerOpening measures a new flow with the notice of its owner.
+// BenchmarkBalancerOpening measures the opening of a flow, including the report of its owner.
 func BenchmarkBalancerOpening(b *testing.B) {
 	for _, services := range []int{15, 150, 1500} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// BenchmarkBalancerMemory measures what a flow takes.
+// BenchmarkBalancerMemory measures the memory used for a flow.
 func BenchmarkBalancerMemory(b *testing.B) {
 	const flows = 15_500
 	machine := benchmarkFleet(15)
@@ -120,7 +120,7 @@
 	}
 }
 
-// BenchmarkDirectoryChange measures one changed entry, with the new snapshot.
+// BenchmarkDirectoryChange measures the change of one entry, including the new snapshot.
 func BenchmarkDirectoryChange(b *testing.B) {
 	for _, services := range []int{15, 150, 1500} {
 		b.Run(fmt.Sprintf("endpoints=%d", services*8), func(b *testing.B) {
@@ -136,8 +136,8 @@
 	}
 }
 
-// BenchmarkDirectoryMemory measures a directory with its snapshot, and its
-// encoded state.
+// BenchmarkDirectoryMemory measures the memory of a directory with its snapshot, and the size of
+// its encoded state.
 func BenchmarkDirectoryMemory(b *testing.B) {
 	for _, services := range []int{15, 150, 1500} {
 		b.Run(fmt.Sprintf("endpoints=%d", services*8), func(b *testing.B) {
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -11,11 +11,11 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-var _ = Describe("Agent, whose endpoint starts again under its name", func() {
+var _ = Describe("Agent, whose endpoint restarts under the same name", func() {
 	var agent *testAgent
 	request := func(number int) []byte { return clientPacket(number, segment.Acknowledge, 101, 501, "request") }
 
-	// Two slots and one to spare are taken when the endpoint crashes.
+	// The two slots and the spare one are occupied when the endpoint crashes.
 	BeforeEach(func() {
 		agent = newTestAgent(newAgent(true))
 		for number := range 3 {
@@ -23,17 +23,17 @@
 		}
 	})
 
-	It("gives it new flows, though the requests of the life before were never answered", func() {
+	It("gives new flows to a restarted endpoint although earlier requests were never answered", func() {
 		for _, now := range []time.Duration{5 * time.Second, 6 * time.Second} {
 			agent.Tick(now)
 		}
 		Expect(deliveredPackets(agent.offer(6*time.Second, 10, 100))).To(HaveLen(1))
 		agent.answer(6*time.Second, 10, 900)
 		effects := agent.forward(6*time.Second, relay.KindForward, clientPacket(10, segment.Acknowledge, 101, 901, "request"))
-		Expect(deliveredPackets(effects)).To(HaveLen(1), "the request need not wait")
+		Expect(deliveredPackets(effects)).To(HaveLen(1), "the request does not wait")
 	})
 
-	It("lets it tell at once which flows it does not hold any more, when one of them shows that it has restarted", func() {
+	It("probes all earlier flows at once when one of them shows a restart, and resets those that are lost", func() {
 		effects := agent.HandleEndpointPacket(time.Second, returnedCopy(request(0)))
 		Expect(resetHeaders(effects)).To(HaveLen(1))
 		var probed []segment.Address
@@ -43,12 +43,12 @@
 		}
 		Expect(probed).To(ConsistOf(clientAddress(1), clientAddress(2)))
 		for number := 1; number < 3; number++ {
-			Expect(resetHeaders(agent.HandleEndpointPacket(time.Second, returnedCopy(request(number))))).To(HaveLen(1), "its client need not wait for its time-out")
+			Expect(resetHeaders(agent.HandleEndpointPacket(time.Second, returnedCopy(request(number))))).To(HaveLen(1), "its client need not wait for a timeout")
 		}
 		Expect(agent.Load().Running).To(BeZero())
 	})
 
-	It("lets it tell after a silence that looks like a restart, and breaks nothing if it was none", func() {
+	It("probes earlier flows after a long silence, and keeps them if there was no restart", func() {
 		agent.lastResort = true
 		agent.offer(time.Second, 10, 100)
 		effects := agent.answer(2*time.Second, 10, 900)
@@ -61,7 +61,7 @@
 		Expect(agent.Load().Running).To(Equal(uint32(4)))
 	})
 
-	It("does not ask it about flows that it has opened since", func() {
+	It("does not probe flows that were opened after the restart", func() {
 		agent.HandleEndpointPacket(time.Second, returnedCopy(request(0)))
 		agent.lastResort = true
 		agent.open(1100*millisecond, 10)
@@ -69,7 +69,7 @@
 		Expect(deliveredPackets(effects)).To(BeEmpty())
 	})
 
-	It("resets at a place where the client takes it for one of its flow, however much was answered", func() {
+	It("resets a lost flow at a sequence number that the client accepts, however much was answered", func() {
 		agent.HandleEndpointPacket(100*millisecond, endpointPacket(0, segment.Acknowledge, 501, 108, "answer"))
 		agent.HandleEndpointPacket(100*millisecond, endpointPacket(0, segment.Acknowledge, 100_501, 108, "more"))
 		effects := agent.HandleEndpointPacket(time.Second, returnedCopy(request(0)))
@@ -77,7 +77,7 @@
 		Expect(resetHeaders(effects)[0].Sequence).To(BeNumerically("~", 100_505, 19_200))
 	})
 
-	It("denies a flow of the life before, and owns the one that its client opens anew at the same address", func() {
+	It("denies a flow from before the restart, and owns a new one from the same client address", func() {
 		agent.HandleEndpointPacket(time.Second, returnedCopy(request(0)))
 		query := locateQuery(request(0))
 		query.Kind = relay.KindVerify
@@ -93,13 +93,13 @@
 	})
 })
 
-var _ = Describe("Balancer, with an endpoint that has started again under its name", func() {
+var _ = Describe("Balancer, with an endpoint that has restarted under the same name", func() {
 	var (
 		balancer *relay.Balancer
 		builder  *directoryBuilder
 	)
 
-	// startEndpoint writes the entry of a startEndpoint of the endpoint with a number.
+	// startEndpoint writes the store entry of a started endpoint.
 	startEndpoint := func(now time.Duration, number int, started int64) {
 		builder.revision++
 		id := directory.EndpointID{Name: string(rune('a' + number)), Started: started}
@@ -119,7 +119,7 @@
 		balancer.MarkConfirmed(0)
 	})
 
-	// openFlows gives flows to both endpoints and returns how many each got.
+	// openFlows opens flows and returns how many each endpoint got.
 	openFlows := func(now time.Duration, first, count int) map[segment.Address]int {
 		given := make(map[segment.Address]int)
 		for number := first; number < first+count; number++ {
@@ -130,14 +130,14 @@
 		return given
 	}
 
-	It("counts no flow of the life before against it", func() {
+	It("does not count flows from before the restart", func() {
 		openFlows(0, 0, 20)
 		startEndpoint(time.Second, 0, 2_000)
 		balancer.Install(time.Second, builder.machine.Snapshot())
 		Expect(openFlows(time.Second, 100, 8)).To(Equal(map[segment.Address]int{agentAddress(0): 8}))
 	})
 
-	It("holds nothing against it that the life before has done", func() {
+	It("does not suspect the endpoint for unanswered offers from before the restart", func() {
 		for number := range 4 {
 			balancer.HandleClientPacket(0, openingPacket(number, 100))
 		}
@@ -149,7 +149,7 @@
 		Expect(onlyMessage(balancer.HandleClientPacket(600*millisecond, openingPacket(50, 100))).To).To(Equal(agentAddress(0)))
 	})
 
-	It("lets packets of a flow of the life before reach its agent, whose endpoint proves that it is dead", func() {
+	It("forwards packets of a flow from before the restart to the agent, whose endpoint can show that it is lost", func() {
 		given := openFlows(0, 0, 2)
 		Expect(given).To(HaveLen(2))
 		startEndpoint(time.Second, 0, 2_000)
@@ -159,7 +159,7 @@
 		Expect(forwarded.Message.Kind).To(Equal(relay.KindForward))
 	})
 
-	It("does not hold an offer against it that the life before left without an answer", func() {
+	It("does not suspect a restarted endpoint when an offer from before the restart expires", func() {
 		for number := range 8 {
 			balancer.HandleClientPacket(0, openingPacket(number, 100))
 		}
@@ -174,7 +174,7 @@
 		Expect(eventKinds(effects)).To(ContainElement(relay.EventSuspected))
 	})
 
-	It("keeps what it counts if the entry tells the same start again", func() {
+	It("keeps its counts if the entry is written again with the same start", func() {
 		openFlows(0, 0, 20)
 		openFlows(0, 20, 1)
 		startEndpoint(time.Second, 0, 1_000)
--- a/internal/relay/startupbuffer_test.go
+++ b/internal/relay/startupbuffer_test.go
@@ -11,7 +11,7 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-var _ = Describe("Balancer, before it knows the directory", func() {
+var _ = Describe("Balancer, before the directory is known", func() {
 	var (
 		balancer *relay.Balancer
 		builder  *directoryBuilder
@@ -25,7 +25,7 @@
 	})
 
 	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.machine.Snapshot()) }
-	// offeredPackets returns the opening packets among messages.
+	// offeredPackets returns the opening packets of the offers among effects.
 	offeredPackets := func(effects []relay.Effect) [][]byte {
 		var packets [][]byte
 		for _, each := range sentMessages(effects) {
@@ -36,13 +36,13 @@
 		return packets
 	}
 
-	It("answers nothing and drops nothing", func() {
+	It("buffers packets without any effect", func() {
 		for number := range 5 {
 			Expect(balancer.HandleClientPacket(0, openingPacket(number, 100))).To(BeEmpty())
 		}
 	})
 
-	It("offers what came meanwhile as soon as it knows, the newest first, then seeks the owners of other flows", func() {
+	It("offers buffered opening packets, newest first, and then searches for the owners of other flows", func() {
 		balancer.HandleClientPacket(0, clientPacket(9, segment.Acknowledge, 101, 501, "request"))
 		balancer.HandleClientPacket(millisecond, openingPacket(1, 100))
 		balancer.HandleClientPacket(2*millisecond, openingPacket(2, 100))
@@ -52,28 +52,28 @@
 		Expect(eventKinds(effects)).To(Equal([]relay.EventKind{
 			relay.EventReleased, relay.EventReleased, relay.EventReleased, relay.EventLocating,
 		}))
-		Expect(offeredPackets(install(200*millisecond))).To(BeEmpty(), "once")
+		Expect(offeredPackets(install(200*millisecond))).To(BeEmpty(), "packets are released once")
 	})
 
-	It("offers the latest copy of an opening packet only", func() {
+	It("offers only the latest copy of an opening packet", func() {
 		balancer.HandleClientPacket(0, openingPacket(1, 100))
 		balancer.HandleClientPacket(200*millisecond, openingPacket(1, 100))
 		Expect(offeredPackets(install(300 * millisecond))).To(HaveLen(1))
 	})
 
-	It("tells agents for how long clients have waited", func() {
+	It("tells agents how long clients have waited", func() {
 		balancer.HandleClientPacket(0, clientPacket(1, segment.Synchronize, 100, 200, ""))
 		offer := sentMessages(install(100 * millisecond))[0]
 		Expect(offer.Message.Parameters.Waited).To(Equal(uint32(300)))
 	})
 
-	It("forgets what has waited for too long", func() {
+	It("drops packets that have waited too long", func() {
 		balancer.HandleClientPacket(0, openingPacket(1, 100))
 		balancer.HandleClientPacket(900*millisecond, openingPacket(2, 100))
 		Expect(offeredPackets(install(1100 * millisecond))).To(Equal([][]byte{openingPacket(2, 100)}))
 	})
 
-	It("drops, and tells so, what there is no room for", func() {
+	It("drops packets with an event when the buffer is full", func() {
 		for number := range 512 {
 			Expect(balancer.HandleClientPacket(0, openingPacket(number, 100))).To(BeEmpty())
 		}
@@ -81,7 +81,7 @@
 		Expect(offeredPackets(install(millisecond))).To(HaveLen(512))
 	})
 
-	It("resets an early flow whose address has no route", func() {
+	It("resets a buffered flow whose address has no route", func() {
 		header := segment.Header{
 			Source: clientAddress(1), Destination: noRoute, Flags: segment.Synchronize, Sequence: 100,
 		}
--- a/internal/relay/stuck_test.go
+++ b/internal/relay/stuck_test.go
@@ -11,7 +11,7 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-var _ = Describe("Agent, with an endpoint that leaves requests without an answer", func() {
+var _ = Describe("Agent, with an endpoint that does not answer requests", func() {
 	var agent *testAgent
 
 	BeforeEach(func() { agent = newTestAgent(newAgent(true)) })
@@ -24,7 +24,7 @@
 		agent.open(at, number)
 		agent.HandleEndpointPacket(at+quick, endpointPacket(number, segment.Acknowledge, 501, 108, "answer"))
 	}
-	// returnedAsLastResort reports whether an opening packet is returned for want of trust.
+	// returnedAsLastResort reports whether an offer is returned with LastResort set.
 	returnedAsLastResort := func(at time.Duration, number int) bool {
 		messages := messagesTo(balancerA, agent.offer(at, number, 100))
 		return len(messages) == 1 && messages[0].Message.Kind == relay.KindReturned && messages[0].Message.LastResort
@@ -38,18 +38,18 @@
 		agent.open(30*millisecond, 2)
 	})
 
-	It("returns new flows, which it takes only if nobody else does", func() {
-		Expect(returnedAsLastResort(100*millisecond, 3)).To(BeFalse(), "not before it is sure")
+	It("returns new flows, and accepts them only as the last resort", func() {
+		Expect(returnedAsLastResort(100*millisecond, 3)).To(BeFalse(), "the endpoint does not count as stuck yet")
 		Expect(returnedAsLastResort(stuckAt, 4)).To(BeTrue())
 		Expect(agent.Load().Report.Held()).To(Equal(time.Second))
 		Expect(agent.Load().Report.Reason).To(Equal(outlier.Hang))
 		effects := agent.Receive(stuckAt, balancerA, relay.Message{
-			Kind: relay.KindOffer, Service: service, Parameters: agent.terms, LastResort: true, Packet: openingPacket(4, 100),
+			Kind: relay.KindOffer, Service: service, Parameters: agent.parameters, LastResort: true, Packet: openingPacket(4, 100),
 		})
 		Expect(deliveredPackets(effects)).To(HaveLen(1))
 	})
 
-	It("lets the endpoint prove itself with a few flows after a second, and trusts it then", func() {
+	It("gives the endpoint single trial flows after a second, and all flows once these succeed", func() {
 		Expect(returnedAsLastResort(stuckAt, 3)).To(BeTrue())
 		closeFlow(stuckAt, 2)
 		Expect(returnedAsLastResort(stuckAt+900*millisecond, 4)).To(BeTrue())
@@ -63,7 +63,7 @@
 		Expect(returnedAsLastResort(now, 51)).To(BeFalse())
 	})
 
-	It("leaves the endpoint out for longer if a trial fails", func() {
+	It("ejects the endpoint for longer if a trial fails", func() {
 		Expect(returnedAsLastResort(stuckAt, 3)).To(BeTrue())
 		closeFlow(stuckAt, 2)
 		trial := stuckAt + 1100*millisecond
@@ -74,7 +74,7 @@
 		Expect(returnedAsLastResort(trial+stuckAt+2100*millisecond, 7)).To(BeFalse())
 	})
 
-	It("does not take a long upload for a request without an answer", func() {
+	It("does not count a long upload as an unanswered request", func() {
 		agent = newTestAgent(newAgent(true))
 		openAnswered(0, 1)
 		agent.open(30*millisecond, 2)
--- a/internal/relay/survey_test.go
+++ b/internal/relay/survey_test.go
@@ -14,7 +14,7 @@
 
 var surveyRequest = clientPacket(1, segment.Acknowledge, 101, 501, "request")
 
-// agentGroup returns the agents with some numbers as a survey names them.
+// agentGroup returns the agents of the given numbers as a survey lists them.
 func agentGroup(numbers ...int) []relay.AgentGroup {
 	group := relay.AgentGroup{Service: service, Port: agentPort}
 	for _, number := range numbers {
@@ -24,7 +24,7 @@
 	return []relay.AgentGroup{group}
 }
 
-// addressesIn returns the addresses of all agents that a message names.
+// addressesIn returns the addresses of the agents in all groups.
 func addressesIn(groups []relay.AgentGroup) []segment.Address {
 	var addresses []segment.Address
 	for _, group := range groups {
@@ -33,10 +33,10 @@
 	return addresses
 }
 
-var _ = Describe("Agent, asked for a survey", func() {
+var _ = Describe("Agent, carrying out a survey", func() {
 	var agent *relay.Agent
 
-	// startSurvey makes the agent ask agents 1 and 2.
+	// startSurvey sends the agent a survey of agents 1 and 2.
 	startSurvey := func(now time.Duration, probing bool) []relay.Effect {
 		message := relay.Message{
 			Kind: relay.KindSurvey, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 5,
@@ -58,7 +58,7 @@
 		agent.Tick(0)
 	})
 
-	It("asks the others for the balancer, and answers for itself", func() {
+	It("asks the other agents on behalf of the balancer, and replies for itself", func() {
 		queried := sentMessages(startSurvey(0, false))
 		Expect(queried).To(HaveLen(3))
 		Expect(queried[0].To).To(Equal(balancerA))
@@ -72,14 +72,14 @@
 		}
 	})
 
-	It("makes the others ask their endpoints if the balancer wants that", func() {
+	It("makes the other agents probe if the survey carries a packet", func() {
 		for _, each := range sentMessages(startSurvey(0, true))[1:] {
 			Expect(each.Message.Kind).To(Equal(relay.KindProbe))
 			Expect(each.Message.Packet).To(Equal(surveyRequest))
 		}
 	})
 
-	It("tells the balancer once all have answered, with the age of the oldest", func() {
+	It("reports to the balancer once all agents have replied, with the longest uptime", func() {
 		startSurvey(0, false)
 		Expect(answer(millisecond, 1, relay.KindDenied, 7*time.Second)).To(BeEmpty())
 		Expect(answer(millisecond, 1, relay.KindDenied, 7*time.Second)).To(BeEmpty(), "a copy")
@@ -92,13 +92,13 @@
 		Expect(result.Message.Sequence).To(Equal(uint32(5)), "the number of the survey")
 	})
 
-	It("tells the balancer who do not know", func() {
+	It("reports the agents that are uncertain", func() {
 		startSurvey(0, false)
 		answer(millisecond, 1, relay.KindUncertain, time.Second)
 		Expect(onlyMessage(answer(millisecond, 2, relay.KindDenied, time.Second)).Message.Uncertain).To(Equal(agentGroup(1)))
 	})
 
-	It("tells the balancer in time who have not answered, and again once all have", func() {
+	It("reports unresponsive agents after the report delay, and again once all have replied", func() {
 		startSurvey(0, false)
 		answer(millisecond, 1, relay.KindDenied, time.Second)
 		Expect(sentMessages(agent.Tick(59 * millisecond))).To(BeEmpty())
@@ -110,15 +110,15 @@
 		Expect(onlyMessage(answer(80*millisecond, 2, relay.KindDenied, time.Second)).Message.Unresponsive).To(BeEmpty())
 	})
 
-	It("believes nobody that was not asked, and nobody who answers late", func() {
+	It("ignores replies of agents that were not asked and late replies", func() {
 		startSurvey(0, false)
 		answer(millisecond, 1, relay.KindDenied, time.Second)
 		Expect(answer(millisecond, 3, relay.KindDenied, time.Second)).To(BeEmpty())
 		agent.Tick(time.Second)
-		Expect(answer(time.Second, 2, relay.KindDenied, time.Second)).To(BeEmpty(), "that is too late")
+		Expect(answer(time.Second, 2, relay.KindDenied, time.Second)).To(BeEmpty(), "the survey has expired")
 	})
 
-	It("answers another agent that it does not own the flow, and the balancer that it does", func() {
+	It("replies to the asking agent if it does not own the flow, and to the balancer if it does", func() {
 		query := relay.Message{
 			Kind: relay.KindVerify, Service: service, Flow: relay.EncodeFlow(flowKey(1)),
 			Flags: segment.Acknowledge, Acknowledgment: 501, ReplyTo: relay.EncodeAddress(balancerA),
@@ -168,17 +168,17 @@
 		})
 	}
 
-	It("leaves a search to one of them", func() {
+	It("delegates a search to one of them", func() {
 		surveyor := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
 		Expect(surveyor.Message.Kind).To(Equal(relay.KindSurvey))
 		Expect(addressesIn(surveyor.Message.Targets)).To(HaveLen(agents - 1))
 		Expect(addressesIn(surveyor.Message.Targets)).NotTo(ContainElement(surveyor.To))
-		Expect(surveyor.Message.Packet).To(BeEmpty(), "no endpoint gets a packet that may be another's")
+		Expect(surveyor.Message.Packet).To(BeEmpty(), "no endpoint gets a packet that may belong to another")
 		Expect(surveyor.Message.Acknowledgment).To(Equal(uint32(501)))
 		Expect(surveyor.Message.Flags).To(Equal(segment.Acknowledge))
 	})
 
-	It("leaves the agents of each zone to one of them", func() {
+	It("delegates the agents of each zone to one agent of the zone", func() {
 		for number := range agents {
 			builder.putEndpoint(0, number, func(e *directory.Endpoint) { e.Zone = []string{ownZone, otherZone}[number%2] })
 		}
@@ -189,28 +189,28 @@
 			agentsAsked := append(addressesIn(part.Message.Targets), part.To)
 			Expect(agentsAsked).To(HaveLen(agents / 2))
 			for _, agent := range agentsAsked {
-				Expect(agent.IP[3]%2).To(Equal(part.To.IP[3]%2), "it asks those of its own zone")
+				Expect(agent.IP[3]%2).To(Equal(part.To.IP[3]%2), "it asks agents of its own zone")
 			}
 		}
 	})
 
-	It("resets the flow once that one and all others have denied it, and the directory is confirmed", func() {
+	It("resets the flow once the surveyor and all others have denied it and the directory is confirmed", func() {
 		surveyor := onlyMessage(balancer.HandleClientPacket(start, surveyRequest)).To
 		Expect(resetHeaders(reportSurvey(surveyor, nil, nil))).To(BeEmpty())
 		Expect(effectsOfKind(deny(surveyor), relay.EffectConfirmDirectory)).To(HaveLen(1))
 		Expect(resetHeaders(balancer.MarkCurrentThrough(start+9*millisecond, start+4*millisecond))).To(HaveLen(1))
 	})
 
-	It("makes them ask their endpoints if some do not know, again through one of them", func() {
+	It("probes by another survey if agents are uncertain", func() {
 		first := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
-		Expect(sentMessages(reportSurvey(first.To, first.Message.Targets, nil))).To(BeEmpty(), "that one has not answered for itself")
+		Expect(sentMessages(reportSurvey(first.To, first.Message.Targets, nil))).To(BeEmpty(), "the surveyor has not replied for itself")
 		second := onlyMessage(deny(first.To))
 		Expect(second.Message.Kind).To(Equal(relay.KindSurvey))
 		Expect(second.Message.Packet).To(Equal(surveyRequest))
 		Expect(addressesIn(second.Message.Targets)).To(HaveLen(agents - 2))
 	})
 
-	It("makes only those ask their endpoints that do not know", func() {
+	It("probes only the agents that are uncertain", func() {
 		first := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
 		unsure := first.Message.Targets[0].Addresses()[3]
 		deny(first.To)
@@ -219,7 +219,7 @@
 		Expect(probed.To).To(Equal(unsure))
 	})
 
-	It("asks only those again that have not answered", func() {
+	It("asks again only the agents that have not replied", func() {
 		first := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
 		silent := first.Message.Targets[0].Addresses()[5]
 		deny(first.To)
@@ -229,13 +229,13 @@
 		Expect(again.Message.Kind).To(Equal(relay.KindVerify))
 	})
 
-	It("believes no other agent that says so", func() {
+	It("ignores a survey result from an agent that is not the surveyor", func() {
 		surveyor := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
 		reportSurvey(surveyor.Message.Targets[0].Addresses()[0], nil, nil)
 		Expect(effectsOfKind(deny(surveyor.To), relay.EffectConfirmDirectory)).To(BeEmpty())
 	})
 
-	It("does not take the answer to an earlier survey for one about those that it asks now", func() {
+	It("ignores the result of a survey with another number", func() {
 		surveyor := onlyMessage(balancer.HandleClientPacket(start, surveyRequest)).To
 		balancer.Receive(start+3*millisecond, surveyor, relay.Message{
 			Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 7, Uptime: start,
@@ -243,7 +243,7 @@
 		Expect(effectsOfKind(deny(surveyor), relay.EffectConfirmDirectory)).To(BeEmpty())
 	})
 
-	It("asks another each time that one does not answer", func() {
+	It("chooses another surveyor when one does not reply", func() {
 		asking := map[segment.Address]bool{onlyMessage(balancer.HandleClientPacket(start, surveyRequest)).To: true}
 		for round := range 8 {
 			again := onlyMessage(balancer.Tick(start + time.Duration(round+1)*100*millisecond))
@@ -254,7 +254,7 @@
 		Expect(len(asking)).To(BeNumerically(">", 5))
 	})
 
-	It("leaves nothing more to them while the client repeats its packet, and begins again when all rounds were in vain", func() {
+	It("sends no further survey when the client repeats its packet, until all rounds have failed", func() {
 		balancer.HandleClientPacket(start, surveyRequest)
 		Expect(sentMessages(balancer.HandleClientPacket(start+50*millisecond, surveyRequest))).To(BeEmpty())
 		Expect(sentMessages(balancer.HandleClientPacket(start+150*millisecond, surveyRequest))).To(BeEmpty())
@@ -267,7 +267,7 @@
 		Expect(onlyMessage(balancer.HandleClientPacket(ended+200*millisecond, surveyRequest)).Message.Kind).To(Equal(relay.KindSurvey))
 	})
 
-	It("does not ask all agents again and again if their answers prove nothing, since they are older than the directory", func() {
+	It("limits surveys when the replies prove nothing because the agents are older than the directory", func() {
 		balancer = newBalancer()
 		builder.machine = directory.New()
 		builder.configure(directory.Share{Service: service, Weight: 1})
@@ -300,7 +300,7 @@
 		Expect(surveys).To(BeNumerically("<=", 3))
 	})
 
-	It("fits a search into one message, whatever the packet carries", func() {
+	It("fits a search into one message, whatever the size of the packet", func() {
 		for length := range 1200 {
 			balancer = newBalancer()
 			install()
@@ -310,7 +310,7 @@
 	})
 })
 
-// encodedSize returns the encoded size of a message.
+// encodedSize returns the size of the encoded message of an effect.
 func encodedSize(effect relay.Effect) int {
 	GinkgoHelper()
 	encoded, err := effect.Message.MarshalMsg(nil)
@@ -344,7 +344,7 @@
 		balancer.Install(start, builder.machine.Snapshot())
 	})
 
-	It("finds an owner by a handful of messages, each of which fits", func() {
+	It("sends one survey that fits into a message for each search", func() {
 		searches := 0
 		for number := range 100 {
 			packet := clientPacket(number, segment.Acknowledge, 101, 501, string(make([]byte, 900)))
@@ -357,7 +357,7 @@
 		Expect(searches).To(Equal(100))
 	})
 
-	It("hears of each agent once from several of them if the packet leaves little room", func() {
+	It("splits a survey into parts that cover each agent once if the packet leaves little room", func() {
 		long := clientPacket(1, segment.Acknowledge, 101, 501, string(make([]byte, 1200)))
 		first := onlyMessage(balancer.HandleClientPacket(start, long))
 		balancer.Receive(start, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.EncodeFlow(flowKey(1)), Uptime: start})
@@ -380,14 +380,14 @@
 		}
 	})
 
-	It("resets the flow once every part has denied it", func() {
+	It("resets the flow once every part has denied it and the directory is confirmed", func() {
 		long := clientPacket(1, segment.Acknowledge, 101, 501, string(make([]byte, 1200)))
 		first := onlyMessage(balancer.HandleClientPacket(start, long))
 		balancer.Receive(start, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.EncodeFlow(flowKey(1)), Uptime: start})
 		probing := slices.Clone(balancer.Receive(start, first.To, relay.Message{
 			Kind: relay.KindSurveyResult, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 1, Uptime: start, Uncertain: first.Message.Targets,
 		}))
-		Expect(effectsOfKind(probing, relay.EffectConfirmDirectory)).To(HaveLen(1), "the directory is confirmed while endpoints are asked")
+		Expect(effectsOfKind(probing, relay.EffectConfirmDirectory)).To(HaveLen(1), "a confirmation is requested while endpoints are probed")
 		for _, part := range sentMessages(probing) {
 			answered := func(kind relay.MessageKind) []relay.Effect {
 				return balancer.Receive(start+millisecond, part.To, relay.Message{
@@ -396,8 +396,8 @@
 			}
 			for _, kind := range []relay.MessageKind{relay.KindDenied, relay.KindSurveyResult} {
 				effects := answered(kind)
-				Expect(effectsOfKind(effects, relay.EffectConfirmDirectory)).To(BeEmpty(), "one confirmation is under way")
-				Expect(resetHeaders(effects)).To(BeEmpty(), "it has not come")
+				Expect(effectsOfKind(effects, relay.EffectConfirmDirectory)).To(BeEmpty(), "a confirmation was requested already")
+				Expect(resetHeaders(effects)).To(BeEmpty(), "the confirmation has not arrived")
 			}
 		}
 		Expect(resetHeaders(balancer.MarkCurrentThrough(start+9*millisecond, start+4*millisecond))).To(HaveLen(1))
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -11,9 +11,8 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-var _ = Describe("Balancer, with a flow whose owner does not answer", func() {
-	// start is when the client's packet comes, and agentAge how long agents have been
-	// there then.
+var _ = Describe("Balancer, with a flow whose owner does not reply", func() {
+	// start is when the client's packet arrives. agentUptime is the uptime that agents report.
 	const start = 20 * time.Second
 	request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 
@@ -42,7 +41,7 @@
 			Kind: kind, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Uptime: agentUptime,
 		})
 	}
-	// startVerification lets the client's packet come and the search be verified.
+	// startVerification handles the client's packet and runs the first verification of the search.
 	startVerification := func() []relay.Effect {
 		balancer.HandleClientPacket(start, request)
 		return balancer.Tick(start + 10*millisecond)
@@ -58,24 +57,24 @@
 		return kinds
 	}
 
-	It("asks all agents for an answer in any case", func() {
+	It("asks all agents to own or deny the flow", func() {
 		Expect(kindsByEndpoint(startVerification())).To(Equal(map[byte]relay.MessageKind{0: relay.KindVerify, 1: relay.KindVerify, 2: relay.KindVerify}))
 	})
 
-	It("asks for a confirmation of the directory once all agents have denied the flow, which costs a call", func() {
+	It("requests a confirmation of the directory only once all agents have denied the flow", func() {
 		startVerification()
 		Expect(effectsOfKind(answer(relay.KindDenied, start+11*millisecond, 0), relay.EffectConfirmDirectory)).To(BeEmpty())
 		Expect(effectsOfKind(answer(relay.KindDenied, start+11*millisecond, 1), relay.EffectConfirmDirectory)).To(BeEmpty())
 		Expect(effectsOfKind(answer(relay.KindDenied, start+11*millisecond, 2), relay.EffectConfirmDirectory)).To(HaveLen(1))
 	})
 
-	It("asks nobody again if the owner has answered", func() {
+	It("asks no agent again if the owner has replied", func() {
 		balancer.HandleClientPacket(start, request)
 		answer(relay.KindOwned, start+millisecond, 1)
 		Expect(sentMessages(balancer.Tick(start + 10*millisecond))).To(BeEmpty())
 	})
 
-	It("resets the flow as soon as all have denied it and the directory is confirmed, whichever comes last", func() {
+	It("resets the flow once all agents have denied it and the directory is confirmed, in either order", func() {
 		startVerification()
 		confirmThrough(start)
 		answer(relay.KindDenied, start+13*millisecond, 0)
@@ -93,7 +92,7 @@
 		Expect(resetHeaders(confirmThrough(start))).To(HaveLen(1))
 	})
 
-	It("resets a further packet of the flow at once, and asks nobody", func() {
+	It("resets the flow again for a further packet without asking any agent", func() {
 		startVerification()
 		confirmThrough(start)
 		for number := range 3 {
@@ -104,7 +103,7 @@
 		Expect(sentMessages(effects)).To(BeEmpty())
 	})
 
-	It("resets nothing while the directory is confirmed only for a time before the packet", func() {
+	It("does not reset the flow if the directory is confirmed only for a time before the packet", func() {
 		startVerification()
 		for number := range 3 {
 			answer(relay.KindDenied, start+11*millisecond, number)
@@ -112,7 +111,7 @@
 		Expect(resetHeaders(confirmThrough(start - millisecond))).To(BeEmpty())
 	})
 
-	It("resets nothing if an endpoint that it has just learned of has not denied the flow", func() {
+	It("does not reset the flow until an endpoint that was just added has denied it", func() {
 		startVerification()
 		for number := range 3 {
 			answer(relay.KindDenied, start+11*millisecond, number)
@@ -121,11 +120,11 @@
 		install()
 		Expect(resetHeaders(confirmThrough(start))).To(BeEmpty())
 		again := balancer.Tick(start + 110*millisecond)
-		Expect(kindsByEndpoint(again)).To(Equal(map[byte]relay.MessageKind{3: relay.KindVerify}), "only that one")
+		Expect(kindsByEndpoint(again)).To(Equal(map[byte]relay.MessageKind{3: relay.KindVerify}), "only the added endpoint")
 		Expect(resetHeaders(answer(relay.KindDenied, start+111*millisecond, 3))).To(HaveLen(1))
 	})
 
-	It("needs the denial of endpoints that are leaving or gone, and of other services", func() {
+	It("requires denials from endpoints that are leaving or gone, and from those of other services", func() {
 		builder.putEndpoint(0, 1, func(e *directory.Endpoint) { e.Draining = true })
 		builder.remove(0, 2)
 		builder.putEndpoint(0, 4, func(e *directory.Endpoint) { e.Service = otherService })
@@ -138,7 +137,7 @@
 		Expect(resetHeaders(answer(relay.KindDenied, start+13*millisecond, 4))).To(HaveLen(1))
 	})
 
-	It("resets nothing if agents are older than what it knows of endpoints that have left, however long it waits", func() {
+	It("does not reset the flow if agents are older than the history of the directory", func() {
 		balancer = newBalancer()
 		builder.machine = directory.New()
 		builder.configure(directory.Share{Service: service, Weight: 1})
@@ -158,7 +157,7 @@
 		}
 	})
 
-	It("resets the flow if agents are as young as what it knows, since all were started together", func() {
+	It("resets the flow if agents are as young as the directory, since all were started together", func() {
 		builder.machine = directory.New()
 		builder.configure(directory.Share{Service: service, Weight: 1})
 		for number := range 3 {
@@ -175,18 +174,18 @@
 		Expect(resetHeaders(answer(relay.KindDenied, start+13*millisecond, 2))).To(HaveLen(1))
 	})
 
-	It("asks for a confirmation again if the first has failed", func() {
+	It("requests another confirmation if the first has failed", func() {
 		startVerification()
 		for number := range 3 {
 			answer(relay.KindDenied, start+13*millisecond, number)
 		}
 		effects := balancer.Tick(start + 200*millisecond)
 		Expect(effectsOfKind(effects, relay.EffectConfirmDirectory)).To(HaveLen(1))
-		Expect(sentMessages(effects)).To(BeEmpty(), "all have answered")
+		Expect(sentMessages(effects)).To(BeEmpty(), "all agents have replied")
 		Expect(resetHeaders(balancer.MarkCurrentThrough(start+210*millisecond, start+200*millisecond))).To(HaveLen(1))
 	})
 
-	It("resets nothing if it knows no endpoint, or more than it can ask", func() {
+	It("does not reset the flow if it knows no endpoint, or more endpoints than it can ask", func() {
 		for _, count := range []int{0, 2100} {
 			builder = newDirectoryBuilder()
 			builder.configure(directory.Share{Service: service, Weight: 1})
@@ -209,7 +208,7 @@
 		}
 	})
 
-	It("lets all agents that do not know ask their endpoints, once all have answered", func() {
+	It("probes all uncertain agents once all agents have replied", func() {
 		startVerification()
 		confirmThrough(start)
 		Expect(sentMessages(answer(relay.KindUncertain, start+13*millisecond, 0))).To(BeEmpty())
@@ -218,13 +217,13 @@
 		Expect(kindsByEndpoint(effects)).To(Equal(map[byte]relay.MessageKind{0: relay.KindProbe, 2: relay.KindProbe}))
 		for _, each := range sentMessages(effects) {
 			Expect(each.Message.Packet).To(Equal(request))
-			Expect(each.Message.Parameters.Timeout).To(Equal(uint32(2000)), "the agent may know no terms")
+			Expect(each.Message.Parameters.Timeout).To(Equal(uint32(2000)), "the agent may not know the parameters")
 		}
 		Expect(resetHeaders(answer(relay.KindDenied, start+16*millisecond, 0))).To(BeEmpty())
 		Expect(resetHeaders(answer(relay.KindDenied, start+16*millisecond, 2))).To(HaveLen(1))
 	})
 
-	It("asks again those that do not answer, for some time, and never resets the flow then", func() {
+	It("asks unresponsive agents again for some time, and does not reset the flow", func() {
 		startVerification()
 		confirmThrough(start)
 		answer(relay.KindDenied, start+13*millisecond, 0)
