--- a/bench/flownet/side.go
+++ b/bench/flownet/side.go
@@ -46,7 +46,7 @@
 
 func (w *world) addSide(service Service, zone int, first bool) *side {
 	created := &side{world: w, ip: w.machine(), zone: zone, zoneName: w.zoneName(zone), service: service}
-	created.id = directory.Named(fmt.Sprintf("%s-%d", service.Name, created.ip[3]))
+	created.id = directory.NameOnlyID(fmt.Sprintf("%s-%d", service.Name, created.ip[3]))
 	created.agent = &agentNode{side: created}
 	created.agent.id = w.net.AddNode(simnet.ZoneID(zone), created.agent)
 	created.endpoint = newEndpoint(created)
@@ -61,7 +61,7 @@
 	w := n.side.world
 	n.part = w.options.newAgent(relay.AgentConfig{
 		Service: n.side.service.Name, Codec: w.codec, StartedWithEndpoint: first, FlowLifetime: time.Minute, FlowLimit: 10_000,
-		ColdStartLimit: relay.ColdStartLimit{Overrun: coldOverrun, Slack: coldSlack}, OutlierLimits: outlier.DefaultLimits(),
+		ColdStartLimit: relay.ColdStartLimit{Overrun: coldOverrun, Slack: coldSlack}, OutlierLimits: outlier.DefaultConfig(),
 		QueuePolicy: requestqueue.Policy{Discipline: queueDiscipline},
 	})
 	w.net.Schedule(n.id, tickInterval, tickTimer)
--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -25,7 +25,7 @@
 	// ColdStartLimit is how far the requests for a cold endpoint may exceed its rate.
 	ColdStartLimit ColdStartLimit
 	// OutlierLimits are the limits of outlier detection for the endpoint.
-	OutlierLimits outlier.Limits
+	OutlierLimits outlier.Config
 	// QueuePolicy decides which waiting request is served first.
 	QueuePolicy requestqueue.Policy
 }
@@ -122,7 +122,7 @@
 	activeFlows       uint32
 	queue             requestQueue
 	usage             slotUsage
-	serviceTimeMeter  placement.Meter
+	serviceTimeMeter  placement.ProcessingTimeEstimator
 	// awaitingFirstRequest are accepted flows whose first request may still come.
 	awaitingFirstRequest []*agentFlow
 	// unanswered and detector judge the health of the endpoint.
@@ -161,7 +161,7 @@
 
 // loadFor returns the load and the health of the endpoint as reported to balancers of a zone.
 func (a *Agent) loadFor(zone string) Load {
-	serviceTime := uint32(min(a.serviceTimeMeter.Pace().Microseconds(), math.MaxUint32))
+	serviceTime := uint32(min(a.serviceTimeMeter.Estimate().Microseconds(), math.MaxUint32))
 	coldWait := uint32(math.Ceil(a.coldStart.waitTime(a.now).Seconds() * 1000))
 	return Load{
 		Running: a.activeFlows, Waiting: uint32(len(a.queue.waiting)), Refusing: a.refusing(), ServiceTime: serviceTime, ColdWait: coldWait,
@@ -250,7 +250,7 @@
 		a.refuseOtherService(from, key, header, message)
 		return
 	}
-	if header.Opening() {
+	if header.OpensFlow() {
 		a.receiveOpening(now, from, key, header, message)
 		return
 	}
@@ -271,7 +271,7 @@
 func (a *Agent) returnPacket(to segment.Address, key segment.FlowKey, header segment.Header, packet []byte, reason string) {
 	message := Message{Kind: KindNotOwned, Service: a.config.Service, Sequence: header.Sequence, Packet: packet}
 	event := EventNotOwned
-	if header.Opening() {
+	if header.OpensFlow() {
 		message.Kind = KindReturned
 		message.LastResort = reason == reasonEjected || reason == reasonBusy
 		event = EventReturned
@@ -330,7 +330,7 @@
 	a.flows[key] = newFlow
 	a.awaitingFirstRequest = append(a.awaitingFirstRequest, newFlow)
 	a.activeFlows++
-	a.detector.Gave(now)
+	a.detector.RecordOpening(now)
 	a.deliver(message.Packet)
 }
 
@@ -411,7 +411,7 @@
 	if len(a.queue.waiting) > 0 {
 		next = now + queueCheckInterval
 	}
-	if due, waits := a.detector.Patience(); waits {
+	if due, waits := a.detector.CheckDue(); waits {
 		next = min(next, due)
 	}
 	return min(next, a.nextSurveyReport())
@@ -422,7 +422,7 @@
 	a.beginCall(now)
 	a.releaseStuckSlots(now)
 	a.expireSurveys(now)
-	a.detector.Check(now)
+	a.detector.CheckOpenings(now)
 	a.markWorkStarted(now)
 	a.reportStateChanges()
 	if now >= a.nextSweep {
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -117,7 +117,7 @@
 	demand    map[string]*persistentDemand
 	lastSweep time.Duration
 	// utilization holds how busy each group of endpoints is.
-	utilization map[endpointGroup]*placement.Level
+	utilization map[endpointGroup]*placement.GroupUtilization
 	// medianServiceTimes caches the median service time of each service.
 	medianServiceTimes map[string]cachedMedian
 	// serviceTimeScratch is reused by computeMedian.
@@ -138,11 +138,11 @@
 func NewBalancer(config BalancerConfig) *Balancer {
 	return &Balancer{
 		config:             config,
-		snapshot:           directory.New().Snapshot(),
+		snapshot:           directory.NewReplica().Snapshot(),
 		flows:              make(map[segment.FlowKey]*balancerFlow),
 		health:             make(map[directory.EndpointID]*endpointHealth),
 		demand:             make(map[string]*persistentDemand),
-		utilization:        make(map[endpointGroup]*placement.Level),
+		utilization:        make(map[endpointGroup]*placement.GroupUtilization),
 		medianServiceTimes: make(map[string]cachedMedian),
 		roundRobins:        make(map[segment.Address]*weightedRoundRobin),
 		retryBudget:        newRetryBudget(),
@@ -177,7 +177,7 @@
 func (b *Balancer) notifyDraining(previous, current *directory.Snapshot) {
 	for _, candidate := range current.All() {
 		before, existedBefore := previous.Candidate(candidate.ID)
-		occupant, _ := current.At(candidate.Endpoint.IP)
+		occupant, _ := current.CandidateAt(candidate.Endpoint.IP)
 		notified := existedBefore && before.Draining()
 		if !candidate.Draining() || candidate.Gone || notified || occupant.ID != candidate.ID {
 			continue
@@ -213,7 +213,7 @@
 
 // routePacket handles a packet of a client once the directory is known.
 func (b *Balancer) routePacket(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
-	if header.Opening() {
+	if header.OpensFlow() {
 		b.routeOpening(now, key, header, packet)
 		return
 	}
@@ -292,7 +292,7 @@
 
 // receiveLeaving handles the notice of an agent that it is about to stop.
 func (b *Balancer) receiveLeaving(now time.Duration, from segment.Address) {
-	if candidate, exists := b.snapshot.At(from.IP); exists {
+	if candidate, exists := b.snapshot.CandidateAt(from.IP); exists {
 		b.healthOf(candidate.ID).suspect(now)
 	}
 }
@@ -334,7 +334,7 @@
 		demand.update(now - b.lastSweep)
 	}
 	b.lastSweep = now
-	maps.DeleteFunc(b.utilization, func(_ endpointGroup, level *placement.Level) bool { return level.Expired(now) })
+	maps.DeleteFunc(b.utilization, func(_ endpointGroup, level *placement.GroupUtilization) bool { return level.Expired(now) })
 	for key, flow := range b.flows {
 		retention := b.config.FlowLifetime
 		switch flow.state {
--- a/internal/relay/balancer_coldstart.go
+++ b/internal/relay/balancer_coldstart.go
@@ -15,10 +15,10 @@
 		return ColdStart{}
 	}
 	return ColdStart{
-		Rate:       uint32(min(start.Rate*1000, math.MaxUint32)),
-		WarmupTime: uint32(start.Lasts.Milliseconds()),
+		Rate:       uint32(min(start.RequestsPerSecond*1000, math.MaxUint32)),
+		WarmupTime: uint32(start.Duration.Milliseconds()),
 		Remaining:  uint32(max(candidate.WarmAt-now, 0).Milliseconds()),
-		Revision:   uint64(candidate.Told),
+		Revision:   uint64(candidate.WarmAtRevision),
 	}
 }
 
@@ -34,6 +34,6 @@
 // cold. A new flow that no endpoint takes is then refused with that reason.
 func (b *Balancer) anyInColdWait(now time.Duration, service string) bool {
 	return slices.ContainsFunc(b.snapshot.Candidates(service), func(candidate directory.Candidate) bool {
-		return b.healthOf(candidate.ID).inColdWait(now) && !candidate.Leaving && !candidate.Closed
+		return b.healthOf(candidate.ID).inColdWait(now) && !candidate.Leaving && !candidate.ZoneClosed
 	})
 }
--- a/internal/relay/balancer_survey.go
+++ b/internal/relay/balancer_survey.go
@@ -180,7 +180,7 @@
 // probeNext sends a probe to the next uncertain agents.
 func (b *Balancer) probeNext(now time.Duration, search *ownerSearch, packet []byte) {
 	for _, agent := range search.nextProbes(now) {
-		candidate, exists := b.snapshot.At(agent.IP)
+		candidate, exists := b.snapshot.CandidateAt(agent.IP)
 		if exists {
 			b.send(agent, Message{Kind: KindProbe, Service: candidate.Endpoint.Service, Packet: packet})
 		}
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -126,7 +126,7 @@
 	})
 
 	It("gives fewer flows to an endpoint that is warming up", func() {
-		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Warming = time.Second })
+		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.ColdRemaining = time.Second })
 		install(0)
 		counts := map[segment.Address]int{}
 		for number := range 39 {
@@ -191,7 +191,7 @@
 
 	It("keeps to the weights of a route within one flow", func() {
 		builder.putEndpoint(0, 7, func(e *directory.Endpoint) { e.Service = otherService })
-		builder.configure(directory.Share{Service: service, Weight: 90}, directory.Share{Service: otherService, Weight: 10})
+		builder.configure(directory.WeightedService{Service: service, Weight: 90}, directory.WeightedService{Service: otherService, Weight: 10})
 		install(0)
 		other := 0
 		for number := range 100 {
@@ -204,7 +204,7 @@
 	})
 
 	It("uses another service of the route if the one whose turn it is has no endpoint", func() {
-		builder.configure(directory.Share{Service: otherService, Weight: 90}, directory.Share{Service: service, Weight: 10})
+		builder.configure(directory.WeightedService{Service: otherService, Weight: 90}, directory.WeightedService{Service: service, Weight: 10})
 		install(0)
 		for number := range 10 {
 			Expect(onlyMessage(balancer.HandleClientPacket(0, openingPacket(number, 100))).Message.Service).To(Equal(service))
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -74,7 +74,7 @@
 		expired := a.now-flow.openedAt >= firstRequestWindow
 		return !flow.active() || flow.request.everAdmitted || len(flow.request.held) > 0 || expired
 	})
-	return a.usage.occupied + a.queue.countInTime(a.now, a.queueCapacity().Work) + uint32(len(a.awaitingFirstRequest))
+	return a.usage.occupied + a.queue.countInTime(a.now, a.queueCapacity().ProcessingTime) + uint32(len(a.awaitingFirstRequest))
 }
 
 // markWorkStarted records which requests the endpoint has begun to work on. It takes them in the
@@ -92,6 +92,6 @@
 // without the time that the request waited at the endpoint.
 func (a *Agent) measureServiceTime(now time.Duration, key segment.FlowKey, flow *agentFlow) {
 	if flow.request.occupiesSlot && flow.workStarted >= flow.request.admittedAt {
-		a.serviceTimeMeter.Answered(key.Service, now-flow.workStarted)
+		a.serviceTimeMeter.Observe(key.Service, now-flow.workStarted)
 	}
 }
--- a/internal/relay/closed_zone_test.go
+++ b/internal/relay/closed_zone_test.go
@@ -19,7 +19,7 @@
 // setZone closes or opens a zone.
 func (b *directoryBuilder) setZone(now time.Duration, name string, closed bool) {
 	b.revision++
-	b.machine.Changes(now, []directory.Item{{Key: name, Zone: name, Closed: closed, Revision: b.revision}}, b.revision)
+	b.machine.ApplyChanges(now, []directory.Item{{Key: name, Zone: name, ZoneClosed: closed, Revision: b.revision}}, b.revision)
 }
 
 var _ = Describe("Balancer, with a closed zone", func() {
@@ -52,7 +52,7 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		builder = newDirectoryBuilder()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		builder.putEndpoint(0, 0, inZone(ownZone))
 		builder.putEndpoint(0, 1, inZone(otherZone))
 	})
@@ -128,7 +128,7 @@
 
 	It("gives new flows to another service of the route if all endpoints of one service are in the zone", func() {
 		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Service = otherService })
-		builder.configure(directory.Share{Service: service, Weight: 9}, directory.Share{Service: otherService, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 9}, directory.WeightedService{Service: otherService, Weight: 1})
 		closeZone(0, otherZone)
 		for number := range 10 {
 			Expect(offeredTo(balancer.HandleClientPacket(0, openingPacket(number, 100)))).To(Equal([]segment.Address{openAgent}))
--- a/internal/relay/coldstart_test.go
+++ b/internal/relay/coldstart_test.go
@@ -23,7 +23,7 @@
 func newColdAgent(complete bool, bound relay.ColdStartLimit) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
 		Service: service, Codec: codec, StartedWithEndpoint: complete, FlowLifetime: flowLifetime, FlowLimit: 100000, ColdStartLimit: bound,
-		OutlierLimits: outlier.DefaultLimits(),
+		OutlierLimits: outlier.DefaultConfig(),
 	})
 }
 
@@ -324,18 +324,18 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		builder = newDirectoryBuilder()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		builder.version++
 		builder.revision++
-		builder.machine.Changes(0, []directory.Item{{Revision: builder.revision, Configuration: &directory.Configuration{
+		builder.machine.ApplyChanges(0, []directory.Item{{Revision: builder.revision, Configuration: &directory.Configuration{
 			Version: builder.version,
 			Routes: []directory.Route{{
-				IP: routeAddress.IP, Port: routeAddress.Port, Shares: []directory.Share{{Service: service, Weight: 1}},
+				IP: routeAddress.IP, Port: routeAddress.Port, WeightedServices: []directory.WeightedService{{Service: service, Weight: 1}},
 			}},
-			ColdStarts: []directory.ColdStart{{Service: service, Lasts: warmupTime, Rate: coldRate}},
+			ColdStarts: []directory.ColdStart{{Service: service, Duration: warmupTime, RequestsPerSecond: coldRate}},
 		}}}, builder.revision)
 		for number := range 2 {
-			builder.putEndpoint(0, number, func(e *directory.Endpoint) { e.Warming = warmupTime })
+			builder.putEndpoint(0, number, func(e *directory.Endpoint) { e.ColdRemaining = warmupTime })
 		}
 		balancer.Install(0, builder.machine.Snapshot())
 	})
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -12,9 +12,9 @@
 // flow is a trial, it is counted as one.
 func (a *Agent) admitsNewFlow(now time.Duration, zone string) bool {
 	if a.unanswered.stuck(now, a.usage.meanResponseTime) {
-		a.detector.Hung(now)
+		a.detector.RecordHang(now)
 	}
-	return a.detector.Admits(now, zone)
+	return a.detector.Admit(now, zone)
 }
 
 // noteWritten records how far the endpoint has written, and reads the outcome from the first packet
@@ -22,7 +22,7 @@
 // given the request, so copies and later packets that arrive first are not mistaken for it.
 func (a *Agent) noteWritten(now time.Duration, flow *agentFlow, header segment.Header, packet []byte) {
 	if header.Flags.Has(segment.Reset) && flow.request.occupiesSlot {
-		a.detector.Answered(now, flow.zone, outlier.Break, 0)
+		a.detector.RecordOutcome(now, flow.zone, outlier.ConnectionReset, 0)
 	}
 	answerBegins := !flow.request.answerSequenceKnown || header.Sequence == flow.request.answerSequence
 	if flow.request.answerUnread && header.Length > 0 && answerBegins {
@@ -42,11 +42,11 @@
 	answer := a.config.Codec.Answer(packet)
 	switch answer.Kind {
 	case segment.AnswerSuccess:
-		a.detector.Answered(now, flow.zone, outlier.Success, 0)
+		a.detector.RecordOutcome(now, flow.zone, outlier.Success, 0)
 	case segment.AnswerFailure:
-		a.detector.Answered(now, flow.zone, outlier.Failure, 0)
+		a.detector.RecordOutcome(now, flow.zone, outlier.Failure, 0)
 	case segment.AnswerRefusal:
-		a.detector.Answered(now, flow.zone, outlier.Refusal, answer.RetryAfter)
+		a.detector.RecordOutcome(now, flow.zone, outlier.Refusal, answer.RetryAfter)
 	}
 }
 
@@ -54,10 +54,10 @@
 // concerned. They would learn of a change too late by themselves: with 16 balancers each exchanges
 // messages with an endpoint only every other second.
 func (a *Agent) reportStateChanges() {
-	for _, change := range a.detector.Changes() {
+	for _, change := range a.detector.TakeChanges() {
 		a.recordEvent(Event{
 			Kind: stateEvent(change.State), Reason: change.Reason.String(), Zone: change.Zone,
-			Failures: change.Failures, Outcomes: change.Outcomes, Elapsed: change.Hold,
+			Failures: change.Failures, Outcomes: change.Outcomes, Elapsed: change.HoldTime,
 		})
 		if change.State == outlier.Probation {
 			continue
@@ -98,7 +98,7 @@
 // noteReport records the health that an agent reports for its endpoint. It ignores a report for
 // another service, since another endpoint may have taken over the address.
 func (b *Balancer) noteReport(now time.Duration, from segment.Address, message Message) {
-	candidate, exists := b.snapshot.At(from.IP)
+	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service {
 		return
 	}
@@ -109,19 +109,19 @@
 	}
 	health := b.healthOf(candidate.ID)
 	health.report = report
-	health.ejectedUntil = now + report.Held()
+	health.ejectedUntil = now + report.HoldTime()
 	b.lastEjectionEnd = max(b.lastEjectionEnd, health.ejectedUntil)
 }
 
 // panel compares the endpoints of a service. It returns nil while no endpoint of any service is
 // ejected.
-func (b *Balancer) panel(now time.Duration, service string) *outlier.Panel {
+func (b *Balancer) panel(now time.Duration, service string) *outlier.ServiceHealth {
 	if now >= b.lastEjectionEnd {
 		return nil
 	}
-	panel := &outlier.Panel{}
+	panel := &outlier.ServiceHealth{}
 	for _, candidate := range b.snapshot.Candidates(service) {
-		if !candidate.Leaving && !candidate.Closed {
+		if !candidate.Leaving && !candidate.ZoneClosed {
 			health := b.healthOf(candidate.ID)
 			panel.Add(health.report, health.ejected(now))
 		}
@@ -131,8 +131,8 @@
 
 // excluded reports whether an endpoint gets no new flow because its agent has ejected it and the
 // other endpoints of its service do better.
-func (h *endpointHealth) excluded(now time.Duration, panel *outlier.Panel) bool {
-	return panel != nil && h.ejected(now) && panel.Honors(h.report)
+func (h *endpointHealth) excluded(now time.Duration, panel *outlier.ServiceHealth) bool {
+	return panel != nil && h.ejected(now) && panel.ConfirmsEjection(h.report)
 }
 
 // ejected reports whether the agent of the endpoint has ejected it.
--- a/internal/relay/ejection_test.go
+++ b/internal/relay/ejection_test.go
@@ -38,16 +38,16 @@
 	}
 
 	It("ejects the endpoint and reports that to all balancers at once", func() {
-		answerNewFlow(0, ownZone, balancerA, segmenttest.FailureMark)
-		answerNewFlow(0, otherZone, balancerB, segmenttest.FailureMark)
-		effects := answerNewFlow(millisecond, ownZone, balancerA, segmenttest.FailureMark)
+		answerNewFlow(0, ownZone, balancerA, segmenttest.FailurePrefix)
+		answerNewFlow(0, otherZone, balancerB, segmenttest.FailurePrefix)
+		effects := answerNewFlow(millisecond, ownZone, balancerA, segmenttest.FailurePrefix)
 		Expect(eventKinds(effects)).To(ContainElement(relay.EventEjected))
 		for _, balancer := range []segment.Address{balancerA, balancerB} {
 			notices := messagesTo(balancer, effects)
 			Expect(notices).To(HaveLen(1))
 			Expect(notices[0].Message.Kind).To(Equal(relay.KindPong))
 			Expect(notices[0].Message.Load.Report).To(Equal(outlier.Report{
-				Outcomes: 3, Failures: 3, Reason: outlier.Failure, Hold: 1000,
+				Outcomes: 3, Failures: 3, Reason: outlier.Failure, HoldMilliseconds: 1000,
 			}))
 		}
 		Expect(returnsNewFlow(ownZone, 2*millisecond)).To(BeTrue())
@@ -58,7 +58,7 @@
 		answerNewFlow(0, otherZone, balancerB, "answer")
 		var effects []relay.Effect
 		for range 3 {
-			effects = answerNewFlow(0, ownZone, balancerA, segmenttest.FailureMark)
+			effects = answerNewFlow(0, ownZone, balancerA, segmenttest.FailurePrefix)
 		}
 		Expect(messagesTo(balancerA, effects)).To(HaveLen(1))
 		Expect(messagesTo(balancerB, effects)).To(BeEmpty())
@@ -67,7 +67,7 @@
 	})
 
 	It("gives the endpoint no new flows after a refusal until its retry time is over", func() {
-		answerNewFlow(0, ownZone, balancerA, segmenttest.RefusalMark+"700")
+		answerNewFlow(0, ownZone, balancerA, segmenttest.RefusalPrefix+"700")
 		Expect(returnsNewFlow(ownZone, 699*millisecond)).To(BeTrue())
 		Expect(returnsNewFlow(ownZone, 700*millisecond)).To(BeFalse())
 	})
@@ -87,9 +87,9 @@
 			offerIn(ownZone, 0, balancerA, true)
 			agent.answer(0, number, 500)
 			agent.forward(0, relay.KindForward, clientPacket(number, segment.Acknowledge, 101, 501, "request"))
-			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, 507, 108, segmenttest.FailureMark+" in a body that came first"))
+			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, 507, 108, segmenttest.FailurePrefix+" in a body that came first"))
 			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, 501, 108, "answer"))
-			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, 501, 108, segmenttest.FailureMark))
+			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, 501, 108, segmenttest.FailurePrefix))
 		}
 		Expect(returnsNewFlow(ownZone, 0)).To(BeFalse())
 		Expect(agent.Load().Report).To(Equal(outlier.Report{Outcomes: 6}))
@@ -101,8 +101,8 @@
 		for range 3 {
 			agent.forward(0, relay.KindForward, clientPacket(number, segment.Acknowledge, next, written, "request"))
 			next += 7
-			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, written, next, segmenttest.FailureMark))
-			written += uint32(len(segmenttest.FailureMark))
+			agent.HandleEndpointPacket(0, endpointPacket(number, segment.Acknowledge, written, next, segmenttest.FailurePrefix))
+			written += uint32(len(segmenttest.FailurePrefix))
 		}
 		Expect(agent.Load().Report.Failures).To(BeEquivalentTo(3))
 		Expect(returnsNewFlow(ownZone, 0)).To(BeTrue())
@@ -116,7 +116,7 @@
 		Expect(messagesTo(balancerA, effects)).To(HaveLen(1))
 		Expect(messagesTo(balancerA, effects)[0].Message.Kind).To(Equal(relay.KindReturned))
 		Expect(messagesTo(balancerB, effects)).To(HaveLen(1))
-		Expect(messagesTo(balancerB, effects)[0].Message.Load.Report.Held()).To(Equal(300 * millisecond))
+		Expect(messagesTo(balancerB, effects)[0].Message.Load.Report.HoldTime()).To(Equal(300 * millisecond))
 	})
 
 	It("reports an endpoint that leaves opening packets unanswered at the time that NextTick returned", func() {
@@ -138,7 +138,7 @@
 
 	BeforeEach(func() {
 		balancer, builder, number = newBalancer(), newDirectoryBuilder(), 0
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for each := range endpoints {
 			builder.putEndpoint(0, each, nil)
 		}
@@ -151,7 +151,7 @@
 			Kind: relay.KindPong, Service: service, Load: relay.Load{Report: report},
 		})
 	}
-	failing := outlier.Report{Outcomes: 10, Failures: 6, Reason: outlier.Failure, Hold: 1000}
+	failing := outlier.Report{Outcomes: 10, Failures: 6, Reason: outlier.Failure, HoldMilliseconds: 1000}
 	arrive := func(now time.Duration) []relay.Effect {
 		number++
 		return balancer.HandleClientPacket(now, openingPacket(number, 100))
@@ -251,13 +251,13 @@
 		for endpoint := range endpoints {
 			report(0, endpoint, outlier.Report{Outcomes: 10, Failures: 2})
 		}
-		report(0, 3, outlier.Report{Outcomes: 10, Failures: 3, Reason: outlier.Failure, Hold: 1000})
+		report(0, 3, outlier.Report{Outcomes: 10, Failures: 3, Reason: outlier.Failure, HoldMilliseconds: 1000})
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
 
 	It("asks at most three ejected endpoints if there are no others", func() {
 		for endpoint := range endpoints {
-			report(0, endpoint, outlier.Report{Reason: outlier.Return, Hold: 300})
+			report(0, endpoint, outlier.Report{Reason: outlier.PacketReturned, HoldMilliseconds: 300})
 		}
 		effects := arrive(millisecond)
 		for range 3 {
@@ -265,7 +265,7 @@
 			Expect(message.Message.IgnoreEjection).To(BeFalse())
 			effects = balancer.Receive(millisecond, message.To, relay.Message{
 				Kind: relay.KindReturned, Service: service, LastResort: true, Packet: openingPacket(number, 100),
-				Load: relay.Load{Report: outlier.Report{Reason: outlier.Return, Hold: 299}},
+				Load: relay.Load{Report: outlier.Report{Reason: outlier.PacketReturned, HoldMilliseconds: 299}},
 			})
 		}
 		lastResort := onlyMessage(effects)
@@ -277,7 +277,7 @@
 	})
 
 	It("rejects a report with more failures than outcomes", func() {
-		effects := report(0, 3, outlier.Report{Outcomes: 3, Failures: 9, Reason: outlier.Failure, Hold: 1000})
+		effects := report(0, 3, outlier.Report{Outcomes: 3, Failures: 9, Reason: outlier.Failure, HoldMilliseconds: 1000})
 		Expect(eventKinds(effects)).To(Equal([]relay.EventKind{relay.EventForged}))
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
--- a/internal/relay/endpointpacket.go
+++ b/internal/relay/endpointpacket.go
@@ -17,10 +17,10 @@
 	}
 	a.reportCrashLoop(a.coldStart.noteOutput(now))
 	if header.Flags.Has(segment.Returned) {
-		a.detector.Heard(now, false)
+		a.detector.RecordPacket(now, false)
 		a.handleReturned(now, header, packet)
 	} else {
-		a.detector.Heard(now, header.Flags.Has(segment.Synchronize))
+		a.detector.RecordPacket(now, header.Flags.Has(segment.Synchronize))
 		a.handleWritten(now, header, packet)
 	}
 	a.markWorkStarted(now)
@@ -40,7 +40,7 @@
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 	flow, exists := a.flows[key]
 	a.config.Codec.ClearReturned(packet)
-	if header.Opening() {
+	if header.OpensFlow() {
 		a.handleReturnedOpening(now, key, flow, header, packet)
 		return
 	}
@@ -74,7 +74,7 @@
 	}
 	balancer := flow.balancer
 	a.forgetFlow(now, key)
-	a.detector.Returned(now)
+	a.detector.RecordReturn(now)
 	a.returnPacket(balancer, key, header, packet, "endpoint")
 }
 
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -75,12 +75,14 @@
 
 // directoryBuilder builds snapshots of a directory.
 type directoryBuilder struct {
-	machine  *directory.Machine
+	machine  *directory.Replica
 	revision directory.Revision
 	version  uint64
 }
 
-func newDirectoryBuilder() *directoryBuilder { return &directoryBuilder{machine: directory.New()} }
+func newDirectoryBuilder() *directoryBuilder {
+	return &directoryBuilder{machine: directory.NewReplica()}
+}
 
 func (b *directoryBuilder) putEndpoint(now time.Duration, number int, change func(*directory.Endpoint)) {
 	b.revision++
@@ -90,30 +92,30 @@
 	if change != nil {
 		change(value)
 	}
-	id := directory.Named(string(rune('a' + number)))
-	b.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: b.revision, Endpoint: value}}, b.revision)
+	id := directory.NameOnlyID(string(rune('a' + number)))
+	b.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: b.revision, Endpoint: value}}, b.revision)
 }
 
 func (b *directoryBuilder) remove(now time.Duration, number int) {
 	b.revision++
-	id := directory.Named(string(rune('a' + number)))
-	b.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: b.revision}}, b.revision)
+	id := directory.NameOnlyID(string(rune('a' + number)))
+	b.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: b.revision}}, b.revision)
 }
 
 // setSince sets the time at which the history of the directory begins.
-func (b *directoryBuilder) setSince(since time.Duration) { b.machine.Listing(since, nil, 0) }
+func (b *directoryBuilder) setSince(since time.Duration) { b.machine.ApplyListing(since, nil, 0) }
 
-func (b *directoryBuilder) configure(shares ...directory.Share) {
+func (b *directoryBuilder) configure(shares ...directory.WeightedService) {
 	b.revision++
 	b.version++
 	configuration := &directory.Configuration{Version: b.version}
 	if len(shares) > 0 {
 		configuration.Routes = []directory.Route{{
-			IP: routeAddress.IP, Port: routeAddress.Port, Shares: shares,
-			Target: 250 * time.Millisecond, Timeout: 2 * time.Second,
+			IP: routeAddress.IP, Port: routeAddress.Port, WeightedServices: shares,
+			TargetLatency: 250 * time.Millisecond, Timeout: 2 * time.Second,
 		}}
 	}
-	b.machine.Changes(0, []directory.Item{{Revision: b.revision, Configuration: configuration}}, b.revision)
+	b.machine.ApplyChanges(0, []directory.Item{{Revision: b.revision, Configuration: configuration}}, b.revision)
 }
 
 func newBalancer() *relay.Balancer {
@@ -128,7 +130,7 @@
 // endpoints.
 func newBalancerWithThreeEndpoints() (*relay.Balancer, *directoryBuilder) {
 	balancer, builder := newBalancer(), newDirectoryBuilder()
-	builder.configure(directory.Share{Service: service, Weight: 1})
+	builder.configure(directory.WeightedService{Service: service, Weight: 1})
 	for number := range 3 {
 		builder.putEndpoint(0, number, nil)
 	}
@@ -151,7 +153,7 @@
 func newAgentWith(complete bool, policy requestqueue.Policy) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
 		Service: service, Codec: codec, StartedWithEndpoint: complete, FlowLifetime: flowLifetime, FlowLimit: 1000,
-		OutlierLimits: outlier.DefaultLimits(), QueuePolicy: policy,
+		OutlierLimits: outlier.DefaultConfig(), QueuePolicy: policy,
 	})
 }
 
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -19,7 +19,7 @@
 		f.Add(encoded)
 	}
 	builder := newDirectoryBuilder()
-	builder.configure(directory.Share{Service: service, Weight: 1})
+	builder.configure(directory.WeightedService{Service: service, Weight: 1})
 	builder.putEndpoint(0, 0, nil)
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		var message relay.Message
@@ -48,7 +48,7 @@
 	f.Add(endpointPacket(1, 0x03, 1, 2, ""))
 	f.Add([]byte{})
 	builder := newDirectoryBuilder()
-	builder.configure(directory.Share{Service: service, Weight: 1})
+	builder.configure(directory.WeightedService{Service: service, Weight: 1})
 	builder.putEndpoint(0, 0, nil)
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		balancer := newBalancer()
--- a/internal/relay/loadstats.go
+++ b/internal/relay/loadstats.go
@@ -106,7 +106,7 @@
 		if sums[service] == nil {
 			sums[service] = &ServiceLoad{Service: service}
 		}
-		if candidate.Leaving || candidate.Closed {
+		if candidate.Leaving || candidate.ZoneClosed {
 			continue
 		}
 		sum := sums[service]
@@ -154,8 +154,8 @@
 	switch {
 	case exists && flow.service != "":
 		class.Service = flow.service
-	case len(route.Shares) == 1:
-		class.Service = route.Shares[0].Service
+	case len(route.WeightedServices) == 1:
+		class.Service = route.WeightedServices[0].Service
 	}
 	return class
 }
--- a/internal/relay/loadstats_test.go
+++ b/internal/relay/loadstats_test.go
@@ -106,10 +106,10 @@
 
 	It("classifies a refused flow by the service and priority of its route", func() {
 		balancer, builder := newBalancer(), newDirectoryBuilder()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		balancer.Install(0, builder.machine.Snapshot())
 		Expect(classesOf(balancer.HandleClientPacket(0, openingPacket(1, 100)), relay.EventNoEndpoint)).To(Equal([]relay.TrafficClass{classOf(0)}))
-		builder.configure(directory.Share{Service: service, Weight: 1}, directory.Share{Service: otherService, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1}, directory.WeightedService{Service: otherService, Weight: 1})
 		balancer.Install(0, builder.machine.Snapshot())
 		Expect(classesOf(balancer.HandleClientPacket(0, openingPacket(2, 100)), relay.EventNoEndpoint)[0].Service).To(Equal("several"))
 	})
@@ -117,7 +117,7 @@
 	It("reports the time from the first query to the reset of an ownerless flow", func() {
 		const start = 20 * time.Second
 		balancer, builder := newBalancer(), newDirectoryBuilder()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		builder.putEndpoint(0, 0, nil)
 		builder.setSince(0)
 		balancer.Install(start, builder.machine.Snapshot())
--- a/internal/relay/locate.go
+++ b/internal/relay/locate.go
@@ -192,7 +192,7 @@
 	var services []string
 	route, exists := b.snapshot.Route(key.Service)
 	if exists {
-		for _, share := range route.Shares {
+		for _, share := range route.WeightedServices {
 			services = append(services, share.Service)
 		}
 	}
@@ -212,7 +212,7 @@
 // one of each service stays, because it is not known which was the last.
 func (b *Balancer) reachable(candidates []directory.Candidate) []directory.Candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(c directory.Candidate) bool {
-		occupant, _ := b.snapshot.At(c.Endpoint.IP)
+		occupant, _ := b.snapshot.CandidateAt(c.Endpoint.IP)
 		if occupant.ID == c.ID {
 			return false
 		}
@@ -256,7 +256,7 @@
 // have restarted and lost them.
 func (b *Balancer) parametersAt(key segment.FlowKey, agent segment.Address) FlowParameters {
 	route, routed := b.snapshot.Route(key.Service)
-	candidate, exists := b.snapshot.At(agent.IP)
+	candidate, exists := b.snapshot.CandidateAt(agent.IP)
 	if !routed || !exists {
 		return FlowParameters{}
 	}
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -54,7 +54,7 @@
 	}
 	b.retryBudget.earn()
 	newFlow := &balancerFlow{
-		clientISN: header.Sequence, openedAt: now, lastActivity: now, parameters: parametersOf(route), clientBeganAt: now - header.Waited,
+		clientISN: header.Sequence, openedAt: now, lastActivity: now, parameters: parametersOf(route), clientBeganAt: now - header.SinceFirstAttempt,
 	}
 	newFlow.offer = &offer{key: key, packet: slices.Clone(packet)}
 	newFlow.service = b.chooseService(now, route)
@@ -70,7 +70,7 @@
 // closed since.
 func (b *Balancer) offeredToClosedZone(flow *balancerFlow) bool {
 	candidate, exists := b.snapshot.Candidate(flow.endpoint)
-	return flow.state == flowOffering && exists && candidate.Closed
+	return flow.state == flowOffering && exists && candidate.ZoneClosed
 }
 
 // refusalReason returns the reason why no endpoint can take a flow.
@@ -79,7 +79,7 @@
 		return reasonCold
 	}
 	closed := slices.ContainsFunc(b.snapshot.Candidates(flow.service), func(candidate directory.Candidate) bool {
-		return candidate.Closed && !candidate.Leaving
+		return candidate.ZoneClosed && !candidate.Leaving
 	})
 	if closed {
 		return "zone_closed"
@@ -90,7 +90,7 @@
 func parametersOf(route *directory.Route) FlowParameters {
 	return FlowParameters{
 		Priority:      route.Priority,
-		LatencyTarget: uint32(route.Target.Milliseconds()),
+		LatencyTarget: uint32(route.TargetLatency.Milliseconds()),
 		Timeout:       uint32(route.Timeout.Milliseconds()),
 	}
 }
@@ -198,7 +198,7 @@
 	b.uncountFlow(flow)
 	flow.agent = agent
 	flow.endpoint = directory.EndpointID{}
-	if candidate, exists := b.snapshot.At(agent.IP); exists {
+	if candidate, exists := b.snapshot.CandidateAt(agent.IP); exists {
 		flow.endpoint = candidate.ID
 		flow.service = candidate.Endpoint.Service
 		b.countFlow(flow)
@@ -207,7 +207,7 @@
 
 func (b *Balancer) receiveReturned(now time.Duration, from segment.Address, message Message) {
 	header, outcome := b.config.Codec.Decode(message.Packet)
-	if outcome != segment.Decoded || !header.Opening() {
+	if outcome != segment.Decoded || !header.OpensFlow() {
 		b.recordEvent(Event{Kind: EventMalformed, Peer: from, Reason: "returned"})
 		return
 	}
@@ -233,7 +233,7 @@
 // fewest pending requests is asked in the end even if it is slow: where the newest requests go
 // first, a new one does not wait for late ones.
 func (o *offer) noteLastResort(agent segment.Address, load Load) {
-	if load.Report.Hold > 0 {
+	if load.Report.HoldMilliseconds > 0 {
 		// An ejected endpoint is unhealthy, so any busy one is preferred to it.
 		if o.lastResortAgent.IsZero() {
 			o.lastResortAgent, o.lastResortPending = agent, math.MaxUint32
@@ -267,8 +267,8 @@
 	if agent.IsZero() || flow.offer.lastResortAsked {
 		return false
 	}
-	candidate, exists := b.snapshot.At(agent.IP)
-	if exists && candidate.Closed {
+	candidate, exists := b.snapshot.CandidateAt(agent.IP)
+	if exists && candidate.ZoneClosed {
 		return false
 	}
 	flow.offer.lastResortAsked = true
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -38,7 +38,7 @@
 	serviceTimeChangedAt   time.Duration
 	serviceTimeRefreshedAt time.Duration
 	// utilization is the latest report of how busy the endpoint is.
-	utilization placement.News
+	utilization placement.LoadReport
 	// report is the latest health report from the agent. ejectedUntil is the end of the ejection in
 	// it.
 	report       outlier.Report
@@ -112,7 +112,7 @@
 	}
 	// The endpoint may have restarted since the flow was offered to it.
 	id := flow.endpoint
-	if occupant, exists := b.snapshot.At(from.IP); exists {
+	if occupant, exists := b.snapshot.CandidateAt(from.IP); exists {
 		id = occupant.ID
 	}
 	b.noteColdWait(now, id, load)
@@ -159,7 +159,7 @@
 func (b *Balancer) chooseEndpoint(now time.Duration, service string, tried []directory.EndpointID) (choice, bool) {
 	panel := b.panel(now, service)
 	massLapse := b.massLapse(now, service)
-	open := func(c directory.Candidate) bool { return !c.Closed && !b.healthOf(c.ID).inColdWait(now) }
+	open := func(c directory.Candidate) bool { return !c.ZoneClosed && !b.healthOf(c.ID).inColdWait(now) }
 	usable := func(c directory.Candidate) bool {
 		return open(c) && (!c.Leaving || massLapse && b.mayStillServe(now, c))
 	}
@@ -212,10 +212,10 @@
 // still be running. It is not if another endpoint has its address.
 func (b *Balancer) mayStillServe(now time.Duration, candidate directory.Candidate) bool {
 	tolerated := time.Duration(lapseTolerance * float64(b.config.DrainTimeout))
-	if candidate.LapsedSince(now) >= tolerated {
+	if candidate.ExpiredFor(now) >= tolerated {
 		return false
 	}
-	occupant, _ := b.snapshot.At(candidate.Endpoint.IP)
+	occupant, _ := b.snapshot.CandidateAt(candidate.Endpoint.IP)
 	return occupant.ID == candidate.ID
 }
 
@@ -232,7 +232,7 @@
 	}
 	medianServiceTime := b.medianServiceTime(now, service)
 	slotsPerFlow := b.demandOf(service).slotsPerFlow(medianServiceTime)
-	sample := placement.Draw(b.localScratch, b.config.Random)
+	sample := placement.Sample(b.localScratch, b.config.Random)
 	for _, index := range sample {
 		b.placementScratch = append(b.placementScratch, b.placementCandidate(now, b.candidateScratch[index], medianServiceTime, slotsPerFlow))
 	}
@@ -254,8 +254,8 @@
 	serviceTime := time.Duration(health.serviceTime) * time.Microsecond
 	groupUse := b.utilizationOf(candidate, slowness).At(now) * float64(candidate.Endpoint.Slots)
 	return placement.Candidate{
-		Slots: candidate.Endpoint.Slots, Outstanding: health.outstanding, Kept: slotsPerFlow * float64(health.persistent),
-		Others: health.utilization.Estimate(now, serviceTime, groupUse), Slowness: slowness, Warming: now < candidate.WarmAt,
+		Slots: candidate.Endpoint.Slots, Outstanding: health.outstanding, IdleFlowSlots: slotsPerFlow * float64(health.persistent),
+		SlotsUsedByOthers: health.utilization.Estimate(now, serviceTime, groupUse), Slowness: slowness, Warming: now < candidate.WarmAt,
 		Local: candidate.Endpoint.Zone == b.config.Zone,
 	}
 }
@@ -263,7 +263,7 @@
 // weightedRoundRobin spreads the new flows of one route over its services by smooth weighted round
 // robin (as in nginx, 2012). Every prefix of the choices stays within one flow of the weights.
 type weightedRoundRobin struct {
-	shares  []directory.Share
+	shares  []directory.WeightedService
 	credits []int64
 }
 
@@ -271,17 +271,17 @@
 // if that has no endpoint, another one of the route. It returns an empty name if the route has no
 // shares, that is, no service with a weight.
 func (b *Balancer) chooseService(now time.Duration, route *directory.Route) string {
-	switch len(route.Shares) {
+	switch len(route.WeightedServices) {
 	case 0:
 		return ""
 	case 1:
-		return route.Shares[0].Service
+		return route.WeightedServices[0].Service
 	}
 	chosen := b.roundRobinFor(route).next()
 	if _, exists := b.chooseEndpoint(now, chosen, nil); exists {
 		return chosen
 	}
-	for _, share := range route.Shares {
+	for _, share := range route.WeightedServices {
 		if _, exists := b.chooseEndpoint(now, share.Service, nil); exists {
 			return share.Service
 		}
@@ -291,8 +291,8 @@
 
 func (b *Balancer) roundRobinFor(route *directory.Route) *weightedRoundRobin {
 	roundRobin, exists := b.roundRobins[route.Address()]
-	if !exists || !slices.Equal(roundRobin.shares, route.Shares) {
-		roundRobin = &weightedRoundRobin{shares: route.Shares, credits: make([]int64, len(route.Shares))}
+	if !exists || !slices.Equal(roundRobin.shares, route.WeightedServices) {
+		roundRobin = &weightedRoundRobin{shares: route.WeightedServices, credits: make([]int64, len(route.WeightedServices))}
 		b.roundRobins[route.Address()] = roundRobin
 	}
 	return roundRobin
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -69,27 +69,27 @@
 // queueEntry returns the request in the form that the queue order uses.
 func (r *requestState) queueEntry() requestqueue.Request {
 	return requestqueue.Request{
-		Priority: r.parameters.Priority, Began: r.askedAt,
+		Priority: r.parameters.Priority, StartedAt: r.askedAt,
 		Objective: milliseconds(r.parameters.LatencyTarget), Timeout: milliseconds(r.parameters.Timeout),
 	}
 }
 
 // requestQueue holds the flows whose requests wait for the endpoint.
 type requestQueue struct {
-	order   requestqueue.Order
+	order   requestqueue.Scheduler
 	waiting []queuedRequest
 	entries []requestqueue.Request
 }
 
 func newRequestQueue(policy requestqueue.Policy) requestQueue {
-	return requestQueue{order: policy.NewOrder()}
+	return requestQueue{order: policy.NewScheduler()}
 }
 
 // expire removes and returns the requests whose clients have given up.
 func (q *requestQueue) expire(now, workTime time.Duration) []queuedRequest {
 	var expired []queuedRequest
 	q.waiting = slices.DeleteFunc(q.waiting, func(w queuedRequest) bool {
-		if w.flow.request.queueEntry().Outlook(now, workTime) != requestqueue.Expired {
+		if w.flow.request.queueEntry().Timeliness(now, workTime) != requestqueue.Expired {
 			return false
 		}
 		w.flow.request.held = nil
@@ -103,7 +103,7 @@
 func (q *requestQueue) countInTime(now, workTime time.Duration) uint32 {
 	count := uint32(0)
 	for _, w := range q.waiting {
-		if w.flow.request.queueEntry().Outlook(now, workTime) == requestqueue.InTime {
+		if w.flow.request.queueEntry().Timeliness(now, workTime) == requestqueue.InTime {
 			count++
 		}
 	}
@@ -132,7 +132,7 @@
 
 // queueCapacity returns what is known of the capacity of the endpoint.
 func (a *Agent) queueCapacity() requestqueue.Capacity {
-	return requestqueue.Capacity{Limit: a.usage.limit(), Work: time.Duration(a.usage.meanResponseTime * float64(time.Second))}
+	return requestqueue.Capacity{Concurrency: a.usage.limit(), ProcessingTime: time.Duration(a.usage.meanResponseTime * float64(time.Second))}
 }
 
 // admitPacket reports whether the endpoint can be given a packet with data now. It holds the packet
@@ -216,7 +216,7 @@
 }
 
 func (a *Agent) admitWaiting(now time.Duration) {
-	for _, expired := range a.queue.expire(now, a.queueCapacity().Work) {
+	for _, expired := range a.queue.expire(now, a.queueCapacity().ProcessingTime) {
 		request := &expired.flow.request
 		a.recordEvent(Event{Kind: EventExpired, Flow: expired.key, Request: request.id, Elapsed: now - request.askedAt})
 	}
--- a/internal/relay/reachability.go
+++ b/internal/relay/reachability.go
@@ -95,6 +95,6 @@
 // isAgent reports whether an address belongs to a known agent, so that other senders cannot make a
 // balancer believe that it reaches agents.
 func (b *Balancer) isAgent(from segment.Address) bool {
-	_, exists := b.snapshot.At(from.IP)
+	_, exists := b.snapshot.CandidateAt(from.IP)
 	return exists && from.Port == b.config.AgentPort
 }
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -104,14 +104,14 @@
 		builder.revision++
 		id := directory.EndpointID{Name: string(rune('a' + number)), Started: started}
 		address := endpointAddress(number)
-		builder.machine.Changes(now, []directory.Item{{EndpointID: id, Revision: builder.revision, Endpoint: &directory.Endpoint{
+		builder.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: builder.revision, Endpoint: &directory.Endpoint{
 			Service: service, IP: address.IP, Port: address.Port, Zone: ownZone, Slots: 4,
 		}}}, builder.revision)
 	}
 
 	BeforeEach(func() {
 		balancer, builder = newBalancer(), newDirectoryBuilder()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range 2 {
 			startEndpoint(0, number, 1_000)
 		}
--- a/internal/relay/servicetime.go
+++ b/internal/relay/servicetime.go
@@ -26,7 +26,7 @@
 // noteServiceTime records the service time that an agent reports. For an endpoint with persistent
 // flows the number of flows says little about it.
 func (b *Balancer) noteServiceTime(now time.Duration, from segment.Address, load Load) {
-	candidate, exists := b.snapshot.At(from.IP)
+	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || load.ServiceTime == 0 {
 		return
 	}
--- a/internal/relay/startupbuffer.go
+++ b/internal/relay/startupbuffer.go
@@ -62,7 +62,7 @@
 
 // bufferPacket handles a packet that arrives before the directory is known.
 func (b *Balancer) bufferPacket(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
-	if !b.startupBuffer.add(now, key, header.Opening(), packet) {
+	if !b.startupBuffer.add(now, key, header.OpensFlow(), packet) {
 		b.recordEvent(Event{Kind: EventNotReady, Flow: key})
 	}
 }
@@ -71,7 +71,7 @@
 func (b *Balancer) releaseBuffered(now time.Duration) {
 	for _, held := range b.startupBuffer.takeAll(now) {
 		header, _ := b.config.Codec.Decode(held.packet)
-		header.Waited += now - held.arrivedAt
+		header.SinceFirstAttempt += now - held.arrivedAt
 		b.recordEvent(Event{Kind: EventReleased, Flow: held.key, Version: b.snapshot.Version(), Elapsed: now - held.arrivedAt})
 		b.routePacket(now, held.key, header, held.packet)
 	}
--- a/internal/relay/startupbuffer_test.go
+++ b/internal/relay/startupbuffer_test.go
@@ -20,7 +20,7 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		builder = newDirectoryBuilder()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		builder.putEndpoint(0, 1, nil)
 	})
 
--- a/internal/relay/stuck_test.go
+++ b/internal/relay/stuck_test.go
@@ -41,7 +41,7 @@
 	It("returns new flows, and accepts them only as the last resort", func() {
 		Expect(returnedAsLastResort(100*millisecond, 3)).To(BeFalse(), "the endpoint does not count as stuck yet")
 		Expect(returnedAsLastResort(stuckAt, 4)).To(BeTrue())
-		Expect(agent.Load().Report.Held()).To(Equal(time.Second))
+		Expect(agent.Load().Report.HoldTime()).To(Equal(time.Second))
 		Expect(agent.Load().Report.Reason).To(Equal(outlier.Hang))
 		effects := agent.Receive(stuckAt, balancerA, relay.Message{
 			Kind: relay.KindOffer, Service: service, Parameters: agent.parameters, LastResort: true, Packet: openingPacket(4, 100),
--- a/internal/relay/survey_test.go
+++ b/internal/relay/survey_test.go
@@ -148,7 +148,7 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		builder = newDirectoryBuilder()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range agents {
 			builder.putEndpoint(0, number, nil)
 		}
@@ -269,8 +269,8 @@
 
 	It("limits surveys when the replies prove nothing because the agents are older than the directory", func() {
 		balancer = newBalancer()
-		builder.machine = directory.New()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.machine = directory.NewReplica()
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range agents {
 			builder.putEndpoint(start, number, nil)
 		}
@@ -331,7 +331,7 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		builder = newDirectoryBuilder()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range agents {
 			builder.putEndpoint(0, number, func(endpoint *directory.Endpoint) {
 				endpoint.IP[2] = byte(number >> 8)
--- a/internal/relay/utilization.go
+++ b/internal/relay/utilization.go
@@ -18,11 +18,11 @@
 }
 
 // utilizationOf returns the utilization of the group of an endpoint.
-func (b *Balancer) utilizationOf(candidate directory.Candidate, slowness float64) *placement.Level {
+func (b *Balancer) utilizationOf(candidate directory.Candidate, slowness float64) *placement.GroupUtilization {
 	key := endpointGroup{candidate.Endpoint.Service, candidate.Endpoint.Zone, slowness > 1}
 	level, exists := b.utilization[key]
 	if !exists {
-		level = &placement.Level{}
+		level = &placement.GroupUtilization{}
 		b.utilization[key] = level
 	}
 	return level
@@ -32,7 +32,7 @@
 // that the agent returns is not included, but is still counted among the flows that this balancer
 // gave the endpoint.
 func (b *Balancer) noteUtilization(now time.Duration, from segment.Address, message Message) {
-	candidate, exists := b.snapshot.At(from.IP)
+	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service || candidate.Endpoint.Slots == 0 {
 		return
 	}
@@ -42,6 +42,6 @@
 	if message.Kind == KindReturned {
 		own--
 	}
-	health.utilization = placement.News{Used: max(float64(message.Load.Pending)-max(own, 0), 0), At: now, Known: true}
-	b.utilizationOf(candidate, health.slowness(now, medianServiceTime)).Note(now, health.utilization.Used/float64(candidate.Endpoint.Slots))
+	health.utilization = placement.LoadReport{UsedByOthers: max(float64(message.Load.Pending)-max(own, 0), 0), ReceivedAt: now, Known: true}
+	b.utilizationOf(candidate, health.slowness(now, medianServiceTime)).Observe(now, health.utilization.UsedByOthers/float64(candidate.Endpoint.Slots))
 }
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -225,7 +225,7 @@
 // lifetime of a flow, or if it goes back to the start of the agents, before which there was
 // nothing. If all agents are as young as the directory, everything was started anew.
 func (b *Balancer) directoryCovers(now, agentStartedAt time.Duration) bool {
-	since := b.snapshot.Since()
+	since := b.snapshot.DeparturesKnownSince()
 	return now-since >= b.config.FlowLifetime || agentStartedAt+restartSpread >= since
 }
 
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -27,7 +27,7 @@
 	BeforeEach(func() {
 		balancer = newBalancer()
 		builder = newDirectoryBuilder()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range 3 {
 			builder.putEndpoint(0, number, nil)
 		}
@@ -139,8 +139,8 @@
 
 	It("does not reset the flow if agents are older than the history of the directory", func() {
 		balancer = newBalancer()
-		builder.machine = directory.New()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.machine = directory.NewReplica()
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range 3 {
 			builder.putEndpoint(start, number, nil)
 		}
@@ -158,8 +158,8 @@
 	})
 
 	It("resets the flow if agents are as young as the directory, since all were started together", func() {
-		builder.machine = directory.New()
-		builder.configure(directory.Share{Service: service, Weight: 1})
+		builder.machine = directory.NewReplica()
+		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range 3 {
 			builder.putEndpoint(start, number, nil)
 		}
@@ -188,7 +188,7 @@
 	It("does not reset the flow if it knows no endpoint, or more endpoints than it can ask", func() {
 		for _, count := range []int{0, 2100} {
 			builder = newDirectoryBuilder()
-			builder.configure(directory.Share{Service: service, Weight: 1})
+			builder.configure(directory.WeightedService{Service: service, Weight: 1})
 			for number := range count {
 				builder.putEndpoint(0, number, func(e *directory.Endpoint) { e.IP[2] = byte(number >> 8) })
 			}
