--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -118,10 +118,10 @@
 	lastSweep time.Duration
 	// utilization holds how busy each group of endpoints is.
 	utilization map[endpointGroup]*placement.GroupUtilization
-	// medianServiceTimes caches the median service time of each service.
-	medianServiceTimes map[string]cachedMedian
-	// serviceTimeScratch is reused by computeMedian.
-	serviceTimeScratch []uint32
+	// medianProcessingTimes caches the median processing time of each service.
+	medianProcessingTimes map[string]cachedMedian
+	// processingTimeScratch is reused by computeMedian.
+	processingTimeScratch []uint32
 	// candidateScratch, localScratch and placementScratch are reused by bestCandidate.
 	candidateScratch []directory.Candidate
 	localScratch     []bool
@@ -137,16 +137,16 @@
 // NewBalancer returns a balancer without a directory.
 func NewBalancer(config BalancerConfig) *Balancer {
 	return &Balancer{
-		config:             config,
-		snapshot:           directory.NewReplica().Snapshot(),
-		flows:              make(map[segment.FlowKey]*balancerFlow),
-		health:             make(map[directory.EndpointID]*endpointHealth),
-		demand:             make(map[string]*persistentDemand),
-		utilization:        make(map[endpointGroup]*placement.GroupUtilization),
-		medianServiceTimes: make(map[string]cachedMedian),
-		roundRobins:        make(map[segment.Address]*weightedRoundRobin),
-		retryBudget:        newRetryBudget(),
-		searchLimiter:      rate.NewLimiter(searchMessageRate, searchMessageBurst),
+		config:                config,
+		snapshot:              directory.NewReplica().Snapshot(),
+		flows:                 make(map[segment.FlowKey]*balancerFlow),
+		health:                make(map[directory.EndpointID]*endpointHealth),
+		demand:                make(map[string]*persistentDemand),
+		utilization:           make(map[endpointGroup]*placement.GroupUtilization),
+		medianProcessingTimes: make(map[string]cachedMedian),
+		roundRobins:           make(map[segment.Address]*weightedRoundRobin),
+		retryBudget:           newRetryBudget(),
+		searchLimiter:         rate.NewLimiter(searchMessageRate, searchMessageBurst),
 	}
 }
 
@@ -160,7 +160,7 @@
 	previous := b.snapshot
 	b.snapshot = snapshot
 	b.hasDirectory = true
-	clear(b.medianServiceTimes)
+	clear(b.medianProcessingTimes)
 	for id := range b.health {
 		if _, exists := snapshot.Candidate(id); !exists {
 			delete(b.health, id)
@@ -266,7 +266,7 @@
 		return b.effects
 	}
 	b.noteAgentHeard()
-	b.noteServiceTime(now, from, message.Load)
+	b.noteProcessingTime(now, from, message.Load)
 	b.noteUtilization(now, from, message)
 	b.noteReport(now, from, message)
 	switch message.Kind {
@@ -334,7 +334,7 @@
 		demand.update(now - b.lastSweep)
 	}
 	b.lastSweep = now
-	maps.DeleteFunc(b.utilization, func(_ endpointGroup, level *placement.GroupUtilization) bool { return level.Expired(now) })
+	maps.DeleteFunc(b.utilization, func(_ endpointGroup, utilization *placement.GroupUtilization) bool { return utilization.Expired(now) })
 	for key, flow := range b.flows {
 		retention := b.config.FlowLifetime
 		switch flow.state {
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -19,7 +19,7 @@
 		builder  *directoryBuilder
 	)
 
-	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.machine.Snapshot()) }
+	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.replica.Snapshot()) }
 
 	BeforeEach(func() { balancer, builder = newBalancerWithThreeEndpoints() })
 
@@ -46,10 +46,10 @@
 		Expect(offer.Message.LastResort).To(BeTrue())
 	})
 
-	It("gives a slow endpoint flows again once its service time has not changed for a while", func() {
-		reportServiceTime := func(now time.Duration, number int, pace uint32) {
+	It("gives a slow endpoint flows again once its processing time has not changed for a while", func() {
+		reportProcessingTime := func(now time.Duration, number int, pace uint32) {
 			balancer.Receive(now, agentAddress(number), relay.Message{
-				Kind: relay.KindPong, Service: service, Load: relay.Load{ServiceTime: pace},
+				Kind: relay.KindPong, Service: service, Load: relay.Load{ProcessingTime: pace},
 			})
 		}
 		offeredToSlow := func(now time.Duration, first int) (count int) {
@@ -63,17 +63,17 @@
 			}
 			return count
 		}
-		reportServiceTime(0, 0, 250_000)
-		reportServiceTime(0, 1, 50_000)
-		reportServiceTime(0, 2, 50_000)
+		reportProcessingTime(0, 0, 250_000)
+		reportProcessingTime(0, 1, 50_000)
+		reportProcessingTime(0, 2, 50_000)
 		Expect(offeredToSlow(time.Second, 0)).To(BeZero())
-		reportServiceTime(2*time.Second, 0, 250_000)
+		reportProcessingTime(2*time.Second, 0, 250_000)
 		Expect(offeredToSlow(2500*millisecond, 100)).To(BeNumerically(">", 0))
 	})
 
 	It("avoids an endpoint that was reported full until the report is old", func() {
 		reportPending := func(now time.Duration, number int, used uint32) {
-			load := relay.Load{Pending: used, ServiceTime: 50_000}
+			load := relay.Load{Pending: used, ProcessingTime: 50_000}
 			balancer.Receive(now, agentAddress(number), relay.Message{Kind: relay.KindPong, Service: service, Load: load})
 		}
 		for number := range 3 {
@@ -137,9 +137,9 @@
 		Expect(counts[agentAddress(0)]).To(BeNumerically("~", 9, 1))
 	})
 
-	// reportServiceTime makes an agent report the service time of its endpoint.
-	reportServiceTime := func(now time.Duration, number int, pace time.Duration) {
-		load := relay.Load{ServiceTime: uint32(pace.Microseconds())}
+	// reportProcessingTime makes an agent report the processing time of its endpoint.
+	reportProcessingTime := func(now time.Duration, number int, pace time.Duration) {
+		load := relay.Load{ProcessingTime: uint32(pace.Microseconds())}
 		balancer.Receive(now, agentAddress(number), relay.Message{Kind: relay.KindPong, Service: service, Load: load})
 	}
 	// countOffers opens a number of flows, which stay open, and counts their offers by endpoint.
@@ -155,25 +155,25 @@
 		return counted
 	}
 
-	It("gives a slow endpoint fewer flows in proportion to its service time", func() {
+	It("gives a slow endpoint fewer flows in proportion to its processing time", func() {
 		for number, pace := range []time.Duration{40, 45, 200} {
-			reportServiceTime(0, number, pace*millisecond)
+			reportProcessingTime(0, number, pace*millisecond)
 		}
 		counted := countOffers(millisecond, 110)
 		Expect(counted[2]).To(BeNumerically("~", 10, 3))
 		Expect(counted[0]).To(BeNumerically("~", 50, 3))
 	})
 
-	It("spreads flows evenly at small differences in service time", func() {
+	It("spreads flows evenly at small differences in processing time", func() {
 		for number, pace := range []time.Duration{40, 50, 55} {
-			reportServiceTime(0, number, pace*millisecond)
+			reportProcessingTime(0, number, pace*millisecond)
 		}
 		Expect(countOffers(millisecond, 90)).To(Equal(map[byte]int{0: 30, 1: 30, 2: 30}))
 	})
 
-	It("pings the agent of a slow endpoint and gives it flows again when its service time is normal", func() {
+	It("pings the agent of a slow endpoint and gives it flows again when its processing time is normal", func() {
 		for number, pace := range []time.Duration{40, 40, 400} {
-			reportServiceTime(0, number, pace*millisecond)
+			reportProcessingTime(0, number, pace*millisecond)
 		}
 		pings := 0
 		for number := range 100 {
@@ -185,7 +185,7 @@
 			}
 		}
 		Expect(pings).To(BeNumerically("~", 3, 1))
-		reportServiceTime(time.Second, 2, 40*millisecond)
+		reportProcessingTime(time.Second, 2, 40*millisecond)
 		Expect(countOffers(time.Second, 130)[2]).To(BeNumerically(">", 30))
 	})
 
@@ -273,10 +273,10 @@
 		builder.remove(0, 0)
 		builder.putEndpoint(0, 8, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP })
 		starting := newBalancer()
-		Expect(sentMessages(starting.Install(0, builder.machine.Snapshot()))).To(BeEmpty())
+		Expect(sentMessages(starting.Install(0, builder.replica.Snapshot()))).To(BeEmpty())
 	})
 
-	It("uses endpoints with lapsed entries for a short time if there are no others", func() {
+	It("uses endpoints with expired entries for a short time if there are no others", func() {
 		for number := range 3 {
 			builder.remove(time.Second, number)
 		}
@@ -298,11 +298,11 @@
 		Expect(offersByAgent).To(Equal(map[segment.Address]int{agentAddress(0): 10, agentAddress(1): 10, agentAddress(2): 10}))
 		now := 2600 * time.Millisecond
 		for number := range 20 {
-			Expect(onlyMessage(balancer.HandleClientPacket(now, openingPacket(100+number, 100))).To).To(Equal(agentAddress(1)), "the lapse is no longer tolerated")
+			Expect(onlyMessage(balancer.HandleClientPacket(now, openingPacket(100+number, 100))).To).To(Equal(agentAddress(1)), "the expiry is no longer tolerated")
 		}
 	})
 
-	It("gives no new flow to an endpoint whose entry alone has lapsed", func() {
+	It("gives no new flow to an endpoint whose entry alone has expired", func() {
 		builder.remove(time.Second, 0)
 		install(time.Second)
 		for number := range 20 {
@@ -310,7 +310,7 @@
 		}
 	})
 
-	It("gives no new flow to a lapsed endpoint whose address another endpoint has taken over", func() {
+	It("gives no new flow to an endpoint with an expired entry whose address another endpoint has taken over", func() {
 		for number := range 3 {
 			builder.remove(time.Second, number)
 		}
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -88,10 +88,10 @@
 	}
 }
 
-// measureServiceTime records how long the endpoint worked on a request that it begins to answer,
+// measureProcessingTime records how long the endpoint worked on a request that it begins to answer,
 // without the time that the request waited at the endpoint.
-func (a *Agent) measureServiceTime(now time.Duration, key segment.FlowKey, flow *agentFlow) {
+func (a *Agent) measureProcessingTime(now time.Duration, key segment.FlowKey, flow *agentFlow) {
 	if flow.request.occupiesSlot && flow.workStarted >= flow.request.admittedAt {
-		a.serviceTimeMeter.Observe(key.Service, now-flow.workStarted)
+		a.processingTimeMeter.Observe(key.Service, now-flow.workStarted)
 	}
 }
--- a/internal/relay/capacity_test.go
+++ b/internal/relay/capacity_test.go
@@ -62,17 +62,17 @@
 		Expect(agent.Load().Pending).To(BeZero())
 	})
 
-	It("excludes the wait at the endpoint from the service time", func() {
+	It("excludes the wait at the endpoint from the processing time", func() {
 		for number := range 3 {
 			agent.open(0, number)
 		}
 		answerRequest(work, 0)
 		answerRequest(work, 1)
 		answerRequest(2*work, 2)
-		Expect(agent.Load().ServiceTime).To(Equal(uint32(work.Microseconds())))
+		Expect(agent.Load().ProcessingTime).To(Equal(uint32(work.Microseconds())))
 	})
 
-	It("counts a long request as an occupied slot without raising the service time", func() {
+	It("counts a long request as an occupied slot without raising the processing time", func() {
 		agent.open(0, 0)
 		now := time.Duration(0)
 		for number := 1; number < 20; number++ {
@@ -82,7 +82,7 @@
 		}
 		Expect(agent.Load().Pending).To(Equal(uint32(1)))
 		answerRequest(now, 0)
-		Expect(agent.Load().ServiceTime).To(Equal(uint32(work.Microseconds())))
+		Expect(agent.Load().ProcessingTime).To(Equal(uint32(work.Microseconds())))
 		Expect(agent.Load().Pending).To(BeZero())
 	})
 })
--- a/internal/relay/closed_zone_test.go
+++ b/internal/relay/closed_zone_test.go
@@ -19,7 +19,7 @@
 // setZone closes or opens a zone.
 func (b *directoryBuilder) setZone(now time.Duration, name string, closed bool) {
 	b.revision++
-	b.machine.ApplyChanges(now, []directory.Item{{Key: name, Zone: name, ZoneClosed: closed, Revision: b.revision}}, b.revision)
+	b.replica.ApplyChanges(now, []directory.Item{{Key: name, Zone: name, ZoneClosed: closed, Revision: b.revision}}, b.revision)
 }
 
 var _ = Describe("Balancer, with a closed zone", func() {
@@ -28,7 +28,7 @@
 		builder  *directoryBuilder
 	)
 
-	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.machine.Snapshot()) }
+	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.replica.Snapshot()) }
 	closeZone := func(now time.Duration, zone string) {
 		builder.setZone(now, zone, true)
 		install(now)
@@ -106,7 +106,7 @@
 		Expect(offeredTo(install(10 * millisecond))).To(Equal([]segment.Address{openAgent}))
 	})
 
-	It("tolerates lapsed entries only in open zones", func() {
+	It("tolerates expired entries only in open zones", func() {
 		install(0)
 		closeZone(0, otherZone)
 		builder.remove(0, 0)
--- a/internal/relay/coldstart_test.go
+++ b/internal/relay/coldstart_test.go
@@ -327,7 +327,7 @@
 		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		builder.version++
 		builder.revision++
-		builder.machine.ApplyChanges(0, []directory.Item{{Revision: builder.revision, Configuration: &directory.Configuration{
+		builder.replica.ApplyChanges(0, []directory.Item{{Revision: builder.revision, Configuration: &directory.Configuration{
 			Version: builder.version,
 			Routes: []directory.Route{{
 				IP: routeAddress.IP, Port: routeAddress.Port, WeightedServices: []directory.WeightedService{{Service: service, Weight: 1}},
@@ -337,7 +337,7 @@
 		for number := range 2 {
 			builder.putEndpoint(0, number, func(e *directory.Endpoint) { e.ColdRemaining = warmupTime })
 		}
-		balancer.Install(0, builder.machine.Snapshot())
+		balancer.Install(0, builder.replica.Snapshot())
 	})
 
 	It("tells agents the rate of a cold endpoint, the remaining time and the revision of its entry", func() {
@@ -372,7 +372,7 @@
 		}
 		builder.setZone(time.Second, otherZone, true)
 		builder.setZone(5*time.Second, otherZone, false)
-		balancer.Install(5*time.Second, builder.machine.Snapshot())
+		balancer.Install(5*time.Second, builder.replica.Snapshot())
 		offer := onlyMessage(balancer.HandleClientPacket(5*time.Second, openingPacket(1, 100)))
 		Expect(offer.Message.Parameters.ColdStart.Remaining).To(Equal(uint32(2000)))
 		Expect(offer.Message.Parameters.ColdStart.Revision).To(Equal(uint64(builder.revision)))
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -113,26 +113,26 @@
 	b.lastEjectionEnd = max(b.lastEjectionEnd, health.ejectedUntil)
 }
 
-// panel compares the endpoints of a service. It returns nil while no endpoint of any service is
-// ejected.
-func (b *Balancer) panel(now time.Duration, service string) *outlier.ServiceHealth {
+// serviceHealth compares the endpoints of a service. It returns nil while no endpoint of any
+// service is ejected.
+func (b *Balancer) serviceHealth(now time.Duration, service string) *outlier.ServiceHealth {
 	if now >= b.lastEjectionEnd {
 		return nil
 	}
-	panel := &outlier.ServiceHealth{}
+	compared := &outlier.ServiceHealth{}
 	for _, candidate := range b.snapshot.Candidates(service) {
 		if !candidate.Leaving && !candidate.ZoneClosed {
 			health := b.healthOf(candidate.ID)
-			panel.Add(health.report, health.ejected(now))
+			compared.Add(health.report, health.ejected(now))
 		}
 	}
-	return panel
+	return compared
 }
 
 // excluded reports whether an endpoint gets no new flow because its agent has ejected it and the
 // other endpoints of its service do better.
-func (h *endpointHealth) excluded(now time.Duration, panel *outlier.ServiceHealth) bool {
-	return panel != nil && h.ejected(now) && panel.ConfirmsEjection(h.report)
+func (h *endpointHealth) excluded(now time.Duration, serviceHealth *outlier.ServiceHealth) bool {
+	return serviceHealth != nil && h.ejected(now) && serviceHealth.ConfirmsEjection(h.report)
 }
 
 // ejected reports whether the agent of the endpoint has ejected it.
--- a/internal/relay/ejection_test.go
+++ b/internal/relay/ejection_test.go
@@ -142,7 +142,7 @@
 		for each := range endpoints {
 			builder.putEndpoint(0, each, nil)
 		}
-		balancer.Install(0, builder.machine.Snapshot())
+		balancer.Install(0, builder.replica.Snapshot())
 		balancer.MarkConfirmed(0)
 	})
 
@@ -288,7 +288,7 @@
 		builder.putEndpoint(0, endpoints, func(endpoint *directory.Endpoint) {
 			endpoint.IP = endpointAddress(3).IP
 		})
-		balancer.Install(0, builder.machine.Snapshot())
+		balancer.Install(0, builder.replica.Snapshot())
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
 
--- a/internal/relay/endpointpacket.go
+++ b/internal/relay/endpointpacket.go
@@ -100,7 +100,7 @@
 	// An endpoint may close its side of the flow together with the answer or, in a packet of its
 	// own, before the answer.
 	if header.Length > 0 || header.Flags.Has(segment.Finish) {
-		a.measureServiceTime(now, key, flow)
+		a.measureProcessingTime(now, key, flow)
 		a.noteResponse(now, key, flow)
 	}
 	if header.Flags.Has(segment.Finish) || header.Flags.Has(segment.Reset) {
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -75,13 +75,13 @@
 
 // directoryBuilder builds snapshots of a directory.
 type directoryBuilder struct {
-	machine  *directory.Replica
+	replica  *directory.Replica
 	revision directory.Revision
 	version  uint64
 }
 
 func newDirectoryBuilder() *directoryBuilder {
-	return &directoryBuilder{machine: directory.NewReplica()}
+	return &directoryBuilder{replica: directory.NewReplica()}
 }
 
 func (b *directoryBuilder) putEndpoint(now time.Duration, number int, change func(*directory.Endpoint)) {
@@ -93,17 +93,17 @@
 		change(value)
 	}
 	id := directory.NameOnlyID(string(rune('a' + number)))
-	b.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: b.revision, Endpoint: value}}, b.revision)
+	b.replica.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: b.revision, Endpoint: value}}, b.revision)
 }
 
 func (b *directoryBuilder) remove(now time.Duration, number int) {
 	b.revision++
 	id := directory.NameOnlyID(string(rune('a' + number)))
-	b.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: b.revision}}, b.revision)
+	b.replica.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: b.revision}}, b.revision)
 }
 
 // setSince sets the time at which the history of the directory begins.
-func (b *directoryBuilder) setSince(since time.Duration) { b.machine.ApplyListing(since, nil, 0) }
+func (b *directoryBuilder) setSince(since time.Duration) { b.replica.ApplyListing(since, nil, 0) }
 
 func (b *directoryBuilder) configure(shares ...directory.WeightedService) {
 	b.revision++
@@ -115,7 +115,7 @@
 			TargetLatency: 250 * time.Millisecond, Timeout: 2 * time.Second,
 		}}
 	}
-	b.machine.ApplyChanges(0, []directory.Item{{Revision: b.revision, Configuration: configuration}}, b.revision)
+	b.replica.ApplyChanges(0, []directory.Item{{Revision: b.revision, Configuration: configuration}}, b.revision)
 }
 
 func newBalancer() *relay.Balancer {
@@ -134,7 +134,7 @@
 	for number := range 3 {
 		builder.putEndpoint(0, number, nil)
 	}
-	balancer.Install(0, builder.machine.Snapshot())
+	balancer.Install(0, builder.replica.Snapshot())
 	balancer.MarkConfirmed(0)
 	return balancer, builder
 }
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -28,7 +28,7 @@
 		}
 		agent := newAgent(false)
 		balancer := newBalancer()
-		balancer.Install(0, builder.machine.Snapshot())
+		balancer.Install(0, builder.replica.Snapshot())
 		balancer.HandleClientPacket(0, openingPacket(1, 100))
 		for step := range 3 {
 			now := time.Duration(step) * time.Second
@@ -52,7 +52,7 @@
 	builder.putEndpoint(0, 0, nil)
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		balancer := newBalancer()
-		balancer.Install(0, builder.machine.Snapshot())
+		balancer.Install(0, builder.replica.Snapshot())
 		for step := range 3 {
 			balancer.HandleClientPacket(time.Duration(step)*time.Second, packet)
 		}
--- a/internal/relay/loadstats.go
+++ b/internal/relay/loadstats.go
@@ -112,9 +112,9 @@
 		sum := sums[service]
 		sum.Endpoints++
 		sum.Slots += candidate.Endpoint.Slots
-		if serviceTime := b.serviceTimeOf(candidate); serviceTime > 0 {
+		if processingTime := b.processingTimeOf(candidate); processingTime > 0 {
 			measured[service] += candidate.Endpoint.Slots
-			sum.Capacity += capacity(candidate.Endpoint.Slots, serviceTime)
+			sum.Capacity += capacity(candidate.Endpoint.Slots, processingTime)
 		}
 	}
 	for service, sum := range sums {
@@ -134,13 +134,13 @@
 	return all
 }
 
-// serviceTimeOf returns the service time of an endpoint, 0 if its agent has not reported one.
-func (b *Balancer) serviceTimeOf(candidate directory.Candidate) time.Duration {
+// processingTimeOf returns the processing time of an endpoint, 0 if its agent has not reported one.
+func (b *Balancer) processingTimeOf(candidate directory.Candidate) time.Duration {
 	health, exists := b.health[candidate.ID]
 	if !exists {
 		return 0
 	}
-	return time.Duration(health.serviceTime) * time.Microsecond
+	return time.Duration(health.processingTime) * time.Microsecond
 }
 
 // classify returns the class of the route of the event's flow.
--- a/internal/relay/loadstats_test.go
+++ b/internal/relay/loadstats_test.go
@@ -83,9 +83,9 @@
 })
 
 var _ = Describe("Balancer, reporting the load of services", func() {
-	reportServiceTime := func(balancer *relay.Balancer, number int, took time.Duration) {
+	reportProcessingTime := func(balancer *relay.Balancer, number int, took time.Duration) {
 		balancer.Receive(0, agentAddress(number), relay.Message{
-			Kind: relay.KindPong, Service: service, Load: relay.Load{ServiceTime: uint32(took.Microseconds())},
+			Kind: relay.KindPong, Service: service, Load: relay.Load{ProcessingTime: uint32(took.Microseconds())},
 		})
 	}
 
@@ -93,24 +93,24 @@
 		balancer, builder := newBalancerWithThreeEndpoints()
 		builder.putEndpoint(0, 3, func(each *directory.Endpoint) { each.Service = otherService })
 		builder.putEndpoint(0, 4, func(each *directory.Endpoint) { each.Draining = true })
-		balancer.Install(0, builder.machine.Snapshot())
+		balancer.Install(0, builder.replica.Snapshot())
 		Expect(balancer.ServiceLoads()).To(Equal([]relay.ServiceLoad{
 			{Service: otherService, Endpoints: 1, Slots: 4},
 			{Service: service, Endpoints: 3, Slots: 12},
 		}))
-		reportServiceTime(balancer, 0, 20*millisecond)
-		reportServiceTime(balancer, 1, 40*millisecond)
-		reportServiceTime(balancer, 4, millisecond)
+		reportProcessingTime(balancer, 0, 20*millisecond)
+		reportProcessingTime(balancer, 1, 40*millisecond)
+		reportProcessingTime(balancer, 4, millisecond)
 		Expect(balancer.ServiceLoads()[1].Capacity).To(BeNumerically("~", (200+100)*1.5))
 	})
 
 	It("classifies a refused flow by the service and priority of its route", func() {
 		balancer, builder := newBalancer(), newDirectoryBuilder()
 		builder.configure(directory.WeightedService{Service: service, Weight: 1})
-		balancer.Install(0, builder.machine.Snapshot())
+		balancer.Install(0, builder.replica.Snapshot())
 		Expect(classesOf(balancer.HandleClientPacket(0, openingPacket(1, 100)), relay.EventNoEndpoint)).To(Equal([]relay.TrafficClass{classOf(0)}))
 		builder.configure(directory.WeightedService{Service: service, Weight: 1}, directory.WeightedService{Service: otherService, Weight: 1})
-		balancer.Install(0, builder.machine.Snapshot())
+		balancer.Install(0, builder.replica.Snapshot())
 		Expect(classesOf(balancer.HandleClientPacket(0, openingPacket(2, 100)), relay.EventNoEndpoint)[0].Service).To(Equal("several"))
 	})
 
@@ -120,7 +120,7 @@
 		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		builder.putEndpoint(0, 0, nil)
 		builder.setSince(0)
-		balancer.Install(start, builder.machine.Snapshot())
+		balancer.Install(start, builder.replica.Snapshot())
 		balancer.HandleClientPacket(start, clientPacket(1, segment.Acknowledge, 101, 501, "request"))
 		balancer.Tick(start + 10*millisecond)
 		balancer.MarkCurrentThrough(start+12*millisecond, start)
--- a/internal/relay/locate_test.go
+++ b/internal/relay/locate_test.go
@@ -18,7 +18,7 @@
 		builder  *directoryBuilder
 	)
 
-	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.machine.Snapshot()) }
+	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.replica.Snapshot()) }
 
 	BeforeEach(func() { balancer, builder = newBalancerWithThreeEndpoints() })
 
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -153,9 +153,9 @@
 	Waiting uint32
 	// Refusing is set if the endpoint accepts no new flows.
 	Refusing bool
-	// ServiceTime is the usual time that the endpoint works on a request, in microseconds, 0 if
+	// ProcessingTime is the usual time that the endpoint works on a request, in microseconds, 0 if
 	// unknown.
-	ServiceTime uint32
+	ProcessingTime uint32
 	// ColdWait is for how long a cold endpoint accepts no further request, in milliseconds.
 	ColdWait uint32
 	// Report is the health of the endpoint for clients in the zone of the receiving balancer.
--- a/internal/relay/message_gen.go
+++ b/internal/relay/message_gen.go
@@ -13,7 +13,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (g *AgentGroup) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *AgentGroup) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -28,19 +28,19 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
-	g.Service, err = dc.ReadString()
+	z.Service, err = dc.ReadString()
 	if err != nil {
 		err = msgp.WrapError(err, "Service")
 		return
 	}
-	g.Port, err = dc.ReadUint16()
+	z.Port, err = dc.ReadUint16()
 	if err != nil {
 		err = msgp.WrapError(err, "Port")
 		return
 	}
-	g.IPs, err = dc.ReadBytesLimit(g.IPs, zdc5d9100limitArrays)
-	if err == nil && g.IPs == nil {
-		g.IPs = []byte{}
+	z.IPs, err = dc.ReadBytesLimit(z.IPs, zdc5d9100limitArrays)
+	if err == nil && z.IPs == nil {
+		z.IPs = []byte{}
 	}
 	if err != nil {
 		err = msgp.WrapError(err, "IPs")
@@ -50,23 +50,23 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (g *AgentGroup) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *AgentGroup) EncodeMsg(en *msgp.Writer) (err error) {
 	// array header, size 3
 	err = en.Append(0x93)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(g.Service)
+	err = en.WriteString(z.Service)
 	if err != nil {
 		err = msgp.WrapError(err, "Service")
 		return
 	}
-	err = en.WriteUint16(g.Port)
+	err = en.WriteUint16(z.Port)
 	if err != nil {
 		err = msgp.WrapError(err, "Port")
 		return
 	}
-	err = en.WriteBytes(g.IPs)
+	err = en.WriteBytes(z.IPs)
 	if err != nil {
 		err = msgp.WrapError(err, "IPs")
 		return
@@ -75,18 +75,18 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (g *AgentGroup) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, g.Msgsize())
+func (z *AgentGroup) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
 	// array header, size 3
 	o = append(o, 0x93)
-	o = msgp.AppendString(o, g.Service)
-	o = msgp.AppendUint16(o, g.Port)
-	o = msgp.AppendBytes(o, g.IPs)
+	o = msgp.AppendString(o, z.Service)
+	o = msgp.AppendUint16(o, z.Port)
+	o = msgp.AppendBytes(o, z.IPs)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (g *AgentGroup) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AgentGroup) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -97,12 +97,12 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
-	g.Service, bts, err = msgp.ReadStringBytes(bts)
+	z.Service, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Service")
 		return
 	}
-	g.Port, bts, err = msgp.ReadUint16Bytes(bts)
+	z.Port, bts, err = msgp.ReadUint16Bytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err, "Port")
 		return
@@ -117,24 +117,24 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if g.IPs == nil || uint32(cap(g.IPs)) < zb0002 {
-		g.IPs = make([]byte, zb0002)
+	if z.IPs == nil || uint32(cap(z.IPs)) < zb0002 {
+		z.IPs = make([]byte, zb0002)
 	} else {
-		g.IPs = g.IPs[:zb0002]
+		z.IPs = z.IPs[:zb0002]
 	}
 	if uint32(len(bts)) < zb0002 {
 		err = msgp.ErrShortBytes
 		return
 	}
-	copy(g.IPs, bts[:zb0002])
+	copy(z.IPs, bts[:zb0002])
 	bts = bts[zb0002:]
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (g *AgentGroup) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(g.Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(g.IPs)
+func (z *AgentGroup) Msgsize() (s int) {
+	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.IPs)
 	return
 }
 
@@ -564,9 +564,9 @@
 		err = msgp.WrapError(err, "Refusing")
 		return
 	}
-	z.ServiceTime, err = dc.ReadUint32()
+	z.ProcessingTime, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "ServiceTime")
+		err = msgp.WrapError(err, "ProcessingTime")
 		return
 	}
 	z.ColdWait, err = dc.ReadUint32()
@@ -609,9 +609,9 @@
 		err = msgp.WrapError(err, "Refusing")
 		return
 	}
-	err = en.WriteUint32(z.ServiceTime)
+	err = en.WriteUint32(z.ProcessingTime)
 	if err != nil {
-		err = msgp.WrapError(err, "ServiceTime")
+		err = msgp.WrapError(err, "ProcessingTime")
 		return
 	}
 	err = en.WriteUint32(z.ColdWait)
@@ -640,7 +640,7 @@
 	o = msgp.AppendUint32(o, z.Running)
 	o = msgp.AppendUint32(o, z.Waiting)
 	o = msgp.AppendBool(o, z.Refusing)
-	o = msgp.AppendUint32(o, z.ServiceTime)
+	o = msgp.AppendUint32(o, z.ProcessingTime)
 	o = msgp.AppendUint32(o, z.ColdWait)
 	o, err = z.Report.MarshalMsg(o)
 	if err != nil {
@@ -678,9 +678,9 @@
 		err = msgp.WrapError(err, "Refusing")
 		return
 	}
-	z.ServiceTime, bts, err = msgp.ReadUint32Bytes(bts)
+	z.ProcessingTime, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "ServiceTime")
+		err = msgp.WrapError(err, "ProcessingTime")
 		return
 	}
 	z.ColdWait, bts, err = msgp.ReadUint32Bytes(bts)
--- a/internal/relay/persistentflow.go
+++ b/internal/relay/persistentflow.go
@@ -44,13 +44,13 @@
 	d.flows, d.requests = 0, 0
 }
 
-// slotsPerFlow returns the mean number of slots that one persistent flow uses at a service time in
-// microseconds (Little's law). It is 1 until the request rate and the service time are known.
-func (d *persistentDemand) slotsPerFlow(serviceTime uint32) float64 {
-	if d.requestRate == 0 || serviceTime == 0 {
+// slotsPerFlow returns the mean number of slots that one persistent flow uses at a processing time
+// in microseconds (Little's law). It is 1 until the request rate and the processing time are known.
+func (d *persistentDemand) slotsPerFlow(processingTime uint32) float64 {
+	if d.requestRate == 0 || processingTime == 0 {
 		return 1
 	}
-	return min(max(d.requestRate*float64(serviceTime)/microsecondsPerSecond, minDemand), 1)
+	return min(max(d.requestRate*float64(processingTime)/microsecondsPerSecond, minDemand), 1)
 }
 
 func (b *Balancer) demandOf(service string) *persistentDemand {
--- a/internal/relay/persistentflow_test.go
+++ b/internal/relay/persistentflow_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("Balancer, with persistent flows", func() {
 	const (
 		persistentFlows = 90
-		serviceTime     = 50 * millisecond
+		processingTime  = 50 * millisecond
 	)
 	var (
 		balancer *relay.Balancer
@@ -27,7 +27,7 @@
 		to := onlyMessage(balancer.HandleClientPacket(now, openingPacket(number, 100))).To
 		balancer.Receive(now, to, relay.Message{
 			Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(flowKey(number)), Sequence: 100,
-			Load: relay.Load{ServiceTime: uint32(serviceTime.Microseconds())},
+			Load: relay.Load{ProcessingTime: uint32(processingTime.Microseconds())},
 		})
 		return int(to.IP[3])
 	}
@@ -60,7 +60,7 @@
 	// concurrent new flows it gets.
 	flowsToNewEndpoint := func(now time.Duration) int {
 		builder.putEndpoint(now, 3, nil)
-		balancer.Install(now, builder.machine.Snapshot())
+		balancer.Install(now, builder.replica.Snapshot())
 		got := 0
 		for range 40 {
 			if open(now) == 3 {
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -31,12 +31,12 @@
 	silences       int
 	suspicion      time.Duration
 	suspectedUntil time.Duration
-	// serviceTime is the latest service time from the agent in microseconds. serviceTimeRefreshedAt
-	// is when it was reported or last requested.
-	serviceTime uint32
-	// serviceTimeChangedAt is when the reported service time last changed.
-	serviceTimeChangedAt   time.Duration
-	serviceTimeRefreshedAt time.Duration
+	// processingTime is the latest processing time from the agent in microseconds.
+	// processingTimeRefreshedAt is when it was reported or last requested.
+	processingTime uint32
+	// processingTimeChangedAt is when the reported processing time last changed.
+	processingTimeChangedAt   time.Duration
+	processingTimeRefreshedAt time.Duration
 	// utilization is the latest report of how busy the endpoint is.
 	utilization placement.LoadReport
 	// report is the latest health report from the agent. ejectedUntil is the end of the ejection in
@@ -157,18 +157,18 @@
 // answer a new flow soon. It takes a suspected or ejected endpoint only if there is no other, and
 // never one in a closed zone or one that accepts no request now because it is cold.
 func (b *Balancer) chooseEndpoint(now time.Duration, service string, tried []directory.EndpointID) (choice, bool) {
-	panel := b.panel(now, service)
-	massLapse := b.massLapse(now, service)
+	serviceHealth := b.serviceHealth(now, service)
+	massExpiry := b.massExpiry(now, service)
 	open := func(c directory.Candidate) bool { return !c.ZoneClosed && !b.healthOf(c.ID).inColdWait(now) }
 	usable := func(c directory.Candidate) bool {
-		return open(c) && (!c.Leaving || massLapse && b.mayStillServe(now, c))
+		return open(c) && (!c.Leaving || massExpiry && b.mayStillServe(now, c))
 	}
 	trusted := func(c directory.Candidate) bool {
 		health := b.healthOf(c.ID)
-		return usable(c) && !health.suspected(now) && !health.excluded(now, panel)
+		return usable(c) && !health.suspected(now) && !health.excluded(now, serviceHealth)
 	}
-	lapsed := func(c directory.Candidate) bool { return open(c) && b.mayStillServe(now, c) }
-	for tier, accepts := range []func(directory.Candidate) bool{trusted, usable, lapsed} {
+	expired := func(c directory.Candidate) bool { return open(c) && b.mayStillServe(now, c) }
+	for tier, accepts := range []func(directory.Candidate) bool{trusted, usable, expired} {
 		chosen, exists := b.bestCandidate(now, service, tried, accepts)
 		if exists {
 			doubtful := tier > 0
@@ -180,38 +180,38 @@
 }
 
 const (
-	// lapseTolerance is the share of DrainTimeout during which an endpoint whose entry lapsed
+	// expiryTolerance is the share of DrainTimeout during which an endpoint whose entry expired
 	// without notice may still get new flows. The rest is for the time until the balancer learns of
-	// the lapse.
-	lapseTolerance = 0.5
-	// massLapseRatio is the number of lapsed entries for each present one above which the store
+	// the expiry.
+	expiryTolerance = 0.5
+	// massExpiryRatio is the number of expired entries for each present one above which the store
 	// rather than the endpoints is presumed to have failed.
-	massLapseRatio = 0.5
-	// minMassLapse is the minimum number of lapsed entries for that.
-	minMassLapse = 2
+	massExpiryRatio = 0.5
+	// minMassExpiry is the minimum number of expired entries for that.
+	minMassExpiry = 2
 )
 
-// massLapse reports whether so many entries of a service have lapsed at once that the store rather
-// than the endpoints must have failed, as in an outage in which no endpoint can renew its entry.
-// Otherwise the few endpoints whose entries return first would get all flows. It corresponds to the
-// panic threshold of Envoy's load balancing.
-func (b *Balancer) massLapse(now time.Duration, service string) bool {
-	present, lapsed := 0, 0
+// massExpiry reports whether so many entries of a service have expired at once that the store
+// rather than the endpoints must have failed, as in an outage in which no endpoint can renew its
+// entry. Otherwise the few endpoints whose entries return first would get all flows. It corresponds
+// to the panic threshold of Envoy's load balancing.
+func (b *Balancer) massExpiry(now time.Duration, service string) bool {
+	present, expired := 0, 0
 	for _, candidate := range b.snapshot.Candidates(service) {
 		switch {
 		case !candidate.Leaving:
 			present++
 		case b.mayStillServe(now, candidate):
-			lapsed++
+			expired++
 		}
 	}
-	return lapsed >= minMassLapse && float64(lapsed) > massLapseRatio*float64(present)
+	return expired >= minMassExpiry && float64(expired) > massExpiryRatio*float64(present)
 }
 
-// mayStillServe reports whether the entry of an endpoint lapsed so recently that the endpoint may
+// mayStillServe reports whether the entry of an endpoint expired so recently that the endpoint may
 // still be running. It is not if another endpoint has its address.
 func (b *Balancer) mayStillServe(now time.Duration, candidate directory.Candidate) bool {
-	tolerated := time.Duration(lapseTolerance * float64(b.config.DrainTimeout))
+	tolerated := time.Duration(expiryTolerance * float64(b.config.DrainTimeout))
 	if candidate.ExpiredFor(now) >= tolerated {
 		return false
 	}
@@ -230,11 +230,11 @@
 		b.candidateScratch = append(b.candidateScratch, candidate)
 		b.localScratch = append(b.localScratch, candidate.Endpoint.Zone == b.config.Zone)
 	}
-	medianServiceTime := b.medianServiceTime(now, service)
-	slotsPerFlow := b.demandOf(service).slotsPerFlow(medianServiceTime)
+	medianProcessingTime := b.medianProcessingTime(now, service)
+	slotsPerFlow := b.demandOf(service).slotsPerFlow(medianProcessingTime)
 	sample := placement.Sample(b.localScratch, b.config.Random)
 	for _, index := range sample {
-		b.placementScratch = append(b.placementScratch, b.placementCandidate(now, b.candidateScratch[index], medianServiceTime, slotsPerFlow))
+		b.placementScratch = append(b.placementScratch, b.placementCandidate(now, b.candidateScratch[index], medianProcessingTime, slotsPerFlow))
 	}
 	best, exists := placement.Best(b.placementScratch)
 	if !exists {
@@ -244,18 +244,18 @@
 }
 
 // placementCandidate returns what is known of an endpoint that may get a new flow, given the median
-// service time of its service and the slots that one of its persistent flows uses.
-func (b *Balancer) placementCandidate(now time.Duration, candidate directory.Candidate, medianServiceTime uint32, slotsPerFlow float64) placement.Candidate {
+// processing time of its service and the slots that one of its persistent flows uses.
+func (b *Balancer) placementCandidate(now time.Duration, candidate directory.Candidate, medianProcessingTime uint32, slotsPerFlow float64) placement.Candidate {
 	health := b.healthOf(candidate.ID)
-	slowness := health.slowness(now, medianServiceTime)
+	slowness := health.slowness(now, medianProcessingTime)
 	if slowness > 1 {
-		b.refreshServiceTime(now, candidate, health)
+		b.refreshProcessingTime(now, candidate, health)
 	}
-	serviceTime := time.Duration(health.serviceTime) * time.Microsecond
+	processingTime := time.Duration(health.processingTime) * time.Microsecond
 	groupUse := b.utilizationOf(candidate, slowness).At(now) * float64(candidate.Endpoint.Slots)
 	return placement.Candidate{
 		Slots: candidate.Endpoint.Slots, Outstanding: health.outstanding, IdleFlowSlots: slotsPerFlow * float64(health.persistent),
-		SlotsUsedByOthers: health.utilization.Estimate(now, serviceTime, groupUse), Slowness: slowness, Warming: now < candidate.WarmAt,
+		SlotsUsedByOthers: health.utilization.Estimate(now, processingTime, groupUse), Slowness: slowness, Warming: now < candidate.WarmAt,
 		Local: candidate.Endpoint.Zone == b.config.Zone,
 	}
 }
@@ -263,8 +263,8 @@
 // weightedRoundRobin spreads the new flows of one route over its services by smooth weighted round
 // robin (as in nginx, 2012). Every prefix of the choices stays within one flow of the weights.
 type weightedRoundRobin struct {
-	shares  []directory.WeightedService
-	credits []int64
+	services []directory.WeightedService
+	credits  []int64
 }
 
 // chooseService returns the service for the next new flow of a route: the one whose turn it is or,
@@ -291,8 +291,8 @@
 
 func (b *Balancer) roundRobinFor(route *directory.Route) *weightedRoundRobin {
 	roundRobin, exists := b.roundRobins[route.Address()]
-	if !exists || !slices.Equal(roundRobin.shares, route.WeightedServices) {
-		roundRobin = &weightedRoundRobin{shares: route.WeightedServices, credits: make([]int64, len(route.WeightedServices))}
+	if !exists || !slices.Equal(roundRobin.services, route.WeightedServices) {
+		roundRobin = &weightedRoundRobin{services: route.WeightedServices, credits: make([]int64, len(route.WeightedServices))}
 		b.roundRobins[route.Address()] = roundRobin
 	}
 	return roundRobin
@@ -301,7 +301,7 @@
 func (w *weightedRoundRobin) next() string {
 	var total int64
 	best := 0
-	for index, share := range w.shares {
+	for index, share := range w.services {
 		w.credits[index] += int64(share.Weight)
 		total += int64(share.Weight)
 		if w.credits[index] > w.credits[best] {
@@ -309,5 +309,5 @@
 		}
 	}
 	w.credits[best] -= total
-	return w.shares[best].Service
+	return w.services[best].Service
 }
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -104,7 +104,7 @@
 		builder.revision++
 		id := directory.EndpointID{Name: string(rune('a' + number)), Started: started}
 		address := endpointAddress(number)
-		builder.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: builder.revision, Endpoint: &directory.Endpoint{
+		builder.replica.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: builder.revision, Endpoint: &directory.Endpoint{
 			Service: service, IP: address.IP, Port: address.Port, Zone: ownZone, Slots: 4,
 		}}}, builder.revision)
 	}
@@ -115,7 +115,7 @@
 		for number := range 2 {
 			startEndpoint(0, number, 1_000)
 		}
-		balancer.Install(0, builder.machine.Snapshot())
+		balancer.Install(0, builder.replica.Snapshot())
 		balancer.MarkConfirmed(0)
 	})
 
@@ -133,7 +133,7 @@
 	It("does not count flows from before the restart", func() {
 		openFlows(0, 0, 20)
 		startEndpoint(time.Second, 0, 2_000)
-		balancer.Install(time.Second, builder.machine.Snapshot())
+		balancer.Install(time.Second, builder.replica.Snapshot())
 		Expect(openFlows(time.Second, 100, 8)).To(Equal(map[segment.Address]int{agentAddress(0): 8}))
 	})
 
@@ -145,7 +145,7 @@
 			balancer.Tick(time.Duration(step) * 50 * millisecond)
 		}
 		startEndpoint(600*millisecond, 0, 2_000)
-		balancer.Install(600*millisecond, builder.machine.Snapshot())
+		balancer.Install(600*millisecond, builder.replica.Snapshot())
 		Expect(onlyMessage(balancer.HandleClientPacket(600*millisecond, openingPacket(50, 100))).To).To(Equal(agentAddress(0)))
 	})
 
@@ -154,7 +154,7 @@
 		Expect(given).To(HaveLen(2))
 		startEndpoint(time.Second, 0, 2_000)
 		startEndpoint(time.Second, 1, 2_000)
-		balancer.Install(time.Second, builder.machine.Snapshot())
+		balancer.Install(time.Second, builder.replica.Snapshot())
 		forwarded := onlyMessage(balancer.HandleClientPacket(time.Second, clientPacket(0, segment.Acknowledge, 101, 501, "request")))
 		Expect(forwarded.Message.Kind).To(Equal(relay.KindForward))
 	})
@@ -164,7 +164,7 @@
 			balancer.HandleClientPacket(0, openingPacket(number, 100))
 		}
 		startEndpoint(10*millisecond, 0, 2_000)
-		balancer.Install(10*millisecond, builder.machine.Snapshot())
+		balancer.Install(10*millisecond, builder.replica.Snapshot())
 		effects := balancer.Tick(60 * millisecond)
 		for _, effect := range effectsOfKind(effects, relay.EffectEvent) {
 			if effect.Event.Kind == relay.EventSuspected {
@@ -178,7 +178,7 @@
 		openFlows(0, 0, 20)
 		openFlows(0, 20, 1)
 		startEndpoint(time.Second, 0, 1_000)
-		balancer.Install(time.Second, builder.machine.Snapshot())
+		balancer.Install(time.Second, builder.replica.Snapshot())
 		given := openFlows(time.Second, 100, 7)
 		Expect(given).To(HaveLen(2))
 	})
--- a/internal/relay/startupbuffer_test.go
+++ b/internal/relay/startupbuffer_test.go
@@ -24,7 +24,7 @@
 		builder.putEndpoint(0, 1, nil)
 	})
 
-	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.machine.Snapshot()) }
+	install := func(now time.Duration) []relay.Effect { return balancer.Install(now, builder.replica.Snapshot()) }
 	// offeredPackets returns the opening packets of the offers among effects.
 	offeredPackets := func(effects []relay.Effect) [][]byte {
 		var packets [][]byte
--- a/internal/relay/survey_test.go
+++ b/internal/relay/survey_test.go
@@ -143,7 +143,7 @@
 		builder  *directoryBuilder
 	)
 
-	install := func() { balancer.Install(start, builder.machine.Snapshot()) }
+	install := func() { balancer.Install(start, builder.replica.Snapshot()) }
 
 	BeforeEach(func() {
 		balancer = newBalancer()
@@ -269,7 +269,7 @@
 
 	It("limits surveys when the replies prove nothing because the agents are older than the directory", func() {
 		balancer = newBalancer()
-		builder.machine = directory.NewReplica()
+		builder.replica = directory.NewReplica()
 		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range agents {
 			builder.putEndpoint(start, number, nil)
@@ -341,7 +341,7 @@
 			})
 		}
 		builder.setSince(0)
-		balancer.Install(start, builder.machine.Snapshot())
+		balancer.Install(start, builder.replica.Snapshot())
 	})
 
 	It("sends one survey that fits into a message for each search", func() {
--- a/internal/relay/utilization.go
+++ b/internal/relay/utilization.go
@@ -20,12 +20,12 @@
 // utilizationOf returns the utilization of the group of an endpoint.
 func (b *Balancer) utilizationOf(candidate directory.Candidate, slowness float64) *placement.GroupUtilization {
 	key := endpointGroup{candidate.Endpoint.Service, candidate.Endpoint.Zone, slowness > 1}
-	level, exists := b.utilization[key]
+	utilization, exists := b.utilization[key]
 	if !exists {
-		level = &placement.GroupUtilization{}
-		b.utilization[key] = level
+		utilization = &placement.GroupUtilization{}
+		b.utilization[key] = utilization
 	}
-	return level
+	return utilization
 }
 
 // noteUtilization records how many requests an endpoint works on according to its agent. A flow
@@ -37,11 +37,11 @@
 		return
 	}
 	health := b.healthOf(candidate.ID)
-	medianServiceTime := b.medianServiceTime(now, message.Service)
-	own := float64(health.outstanding) + b.demandOf(message.Service).slotsPerFlow(medianServiceTime)*float64(health.persistent)
+	medianProcessingTime := b.medianProcessingTime(now, message.Service)
+	own := float64(health.outstanding) + b.demandOf(message.Service).slotsPerFlow(medianProcessingTime)*float64(health.persistent)
 	if message.Kind == KindReturned {
 		own--
 	}
 	health.utilization = placement.LoadReport{UsedByOthers: max(float64(message.Load.Pending)-max(own, 0), 0), ReceivedAt: now, Known: true}
-	b.utilizationOf(candidate, health.slowness(now, medianServiceTime)).Observe(now, health.utilization.UsedByOthers/float64(candidate.Endpoint.Slots))
+	b.utilizationOf(candidate, health.slowness(now, medianProcessingTime)).Observe(now, health.utilization.UsedByOthers/float64(candidate.Endpoint.Slots))
 }
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -22,7 +22,7 @@
 		agentUptime time.Duration
 	)
 
-	install := func() { balancer.Install(start, builder.machine.Snapshot()) }
+	install := func() { balancer.Install(start, builder.replica.Snapshot()) }
 
 	BeforeEach(func() {
 		balancer = newBalancer()
@@ -139,7 +139,7 @@
 
 	It("does not reset the flow if agents are older than the history of the directory", func() {
 		balancer = newBalancer()
-		builder.machine = directory.NewReplica()
+		builder.replica = directory.NewReplica()
 		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range 3 {
 			builder.putEndpoint(start, number, nil)
@@ -158,7 +158,7 @@
 	})
 
 	It("resets the flow if agents are as young as the directory, since all were started together", func() {
-		builder.machine = directory.NewReplica()
+		builder.replica = directory.NewReplica()
 		builder.configure(directory.WeightedService{Service: service, Weight: 1})
 		for number := range 3 {
 			builder.putEndpoint(start, number, nil)
