--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -117,12 +117,12 @@
 	initialized bool
 	now         time.Duration
 	// currentParameters are those of the message being handled.
-	currentParameters   FlowParameters
-	flows               map[segment.FlowKey]*agentFlow
-	activeFlows         uint32
-	queue               requestQueue
-	usage               slotUsage
-	processingTimeMeter placement.ProcessingTimeEstimator
+	currentParameters FlowParameters
+	flows             map[segment.FlowKey]*agentFlow
+	activeFlows       uint32
+	queue             requestQueue
+	usage             slotUsage
+	processingTimes   placement.ProcessingTimeEstimator
 	// awaitingFirstRequest are accepted flows whose first request may still come.
 	awaitingFirstRequest []*agentFlow
 	// unanswered and detector judge the health of the endpoint.
@@ -161,7 +161,7 @@
 
 // loadFor returns the load and the health of the endpoint as reported to balancers of a zone.
 func (a *Agent) loadFor(zone string) Load {
-	processingTime := uint32(min(a.processingTimeMeter.Estimate().Microseconds(), math.MaxUint32))
+	processingTime := uint32(min(a.processingTimes.Estimate().Microseconds(), math.MaxUint32))
 	coldWait := uint32(math.Ceil(a.coldStart.waitTime(a.now).Seconds() * 1000))
 	return Load{
 		Running: a.activeFlows, Waiting: uint32(len(a.queue.waiting)), Refusing: a.refusing(), ProcessingTime: processingTime, ColdWait: coldWait,
--- a/internal/relay/agent_coldstart.go
+++ b/internal/relay/agent_coldstart.go
@@ -63,8 +63,8 @@
 	lowPriorityWaitingSince time.Duration
 }
 
-func newColdStartLimiter(bound ColdStartLimit) coldStartLimiter {
-	return coldStartLimiter{limit: bound, crashLoop: newCrashLoopLimiter(), unansweredSince: never, lowPriorityWaitingSince: never, urgentSeenAt: -2 * urgentRetention}
+func newColdStartLimiter(limit ColdStartLimit) coldStartLimiter {
+	return coldStartLimiter{limit: limit, crashLoop: newCrashLoopLimiter(), unansweredSince: never, lowPriorityWaitingSince: never, urgentSeenAt: -2 * urgentRetention}
 }
 
 // update records the values from a balancer. A later revision replaces the end of the cold phase.
--- a/internal/relay/agent_test.go
+++ b/internal/relay/agent_test.go
@@ -33,12 +33,12 @@
 	})
 
 	It("does not reply to a search for another service, since a reply would restart the search", func() {
-		stray := clientPacket(1, segment.Acknowledge, 101, 501, "request")
+		unownedPacket := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 		agent.open(0, 1)
-		foreign := locateQuery(stray)
-		foreign.Service = otherService
-		Expect(agent.Receive(0, balancerA, foreign)).To(BeEmpty())
-		Expect(agent.Receive(0, balancerA, relay.Message{Kind: relay.KindProbe, Service: otherService, Packet: stray})).To(BeEmpty())
+		otherQuery := locateQuery(unownedPacket)
+		otherQuery.Service = otherService
+		Expect(agent.Receive(0, balancerA, otherQuery)).To(BeEmpty())
+		Expect(agent.Receive(0, balancerA, relay.Message{Kind: relay.KindProbe, Service: otherService, Packet: unownedPacket})).To(BeEmpty())
 	})
 
 	It("returns an opening packet that its endpoint returned, without the mark of the endpoint", func() {
@@ -63,10 +63,10 @@
 	})
 
 	It("gives its endpoint no packet of a flow that it does not own", func() {
-		stray := clientPacket(1, segment.Acknowledge, 101, 501, "request")
-		Expect(deliveredPackets(agent.forward(0, relay.KindForward, stray))).To(BeEmpty())
+		unownedPacket := clientPacket(1, segment.Acknowledge, 101, 501, "request")
+		Expect(deliveredPackets(agent.forward(0, relay.KindForward, unownedPacket))).To(BeEmpty())
 		for step := range 20 {
-			effects := agent.locate(time.Duration(step)*200*millisecond, stray)
+			effects := agent.locate(time.Duration(step)*200*millisecond, unownedPacket)
 			Expect(deliveredPackets(effects)).To(BeEmpty())
 			Expect(sentMessages(effects)).To(BeEmpty())
 		}
@@ -124,8 +124,8 @@
 
 	It("resets a flow that its endpoint has lost, but not a flow that it does not know", func() {
 		agent.open(0, 1)
-		stray := clientPacket(2, segment.Acknowledge, 101, 501, "x")
-		Expect(resetHeaders(agent.HandleEndpointPacket(0, returnedCopy(stray)))).To(BeEmpty())
+		unownedPacket := clientPacket(2, segment.Acknowledge, 101, 501, "x")
+		Expect(resetHeaders(agent.HandleEndpointPacket(0, returnedCopy(unownedPacket)))).To(BeEmpty())
 		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 		lost := resetHeaders(agent.HandleEndpointPacket(millisecond, returnedCopy(request)))
 		Expect(lost).To(HaveLen(1))
@@ -225,8 +225,8 @@
 
 		It("delivers forwarded packets of a probed flow until its endpoint returns one", func() {
 			agent = newTestAgent(newAgent(false))
-			bare := clientPacket(1, segment.Acknowledge, 101, 501, "")
-			Expect(deliveredPackets(agent.forward(0, relay.KindForward, bare))).To(HaveLen(1), "an endpoint that holds the flow need not answer a packet without data")
+			withoutData := clientPacket(1, segment.Acknowledge, 101, 501, "")
+			Expect(deliveredPackets(agent.forward(0, relay.KindForward, withoutData))).To(HaveLen(1), "an endpoint that holds the flow need not answer a packet without data")
 			effects := agent.forward(400*millisecond, relay.KindForward, request)
 			Expect(deliveredPackets(effects)).To(HaveLen(1))
 			Expect(sentMessages(effects)).To(BeEmpty())
@@ -271,8 +271,8 @@
 	})
 
 	It("does not probe if it was started with its endpoint", func() {
-		stray := clientPacket(1, segment.Acknowledge, 101, 501, "request")
-		Expect(deliveredPackets(agent.forward(0, relay.KindProbe, stray))).To(BeEmpty())
+		unownedPacket := clientPacket(1, segment.Acknowledge, 101, 501, "request")
+		Expect(deliveredPackets(agent.forward(0, relay.KindProbe, unownedPacket))).To(BeEmpty())
 	})
 
 	It("removes flows that have ended", func() {
--- a/internal/relay/balancer_survey.go
+++ b/internal/relay/balancer_survey.go
@@ -44,19 +44,19 @@
 		return cmp.Or(cmp.Compare(a.Endpoint.Zone, b.Endpoint.Zone), cmp.Compare(a.Endpoint.Service, b.Endpoint.Service))
 	})
 	var parts [][]directory.Candidate
-	room, zone, service := 0, "", ""
+	remaining, zone, service := 0, "", ""
 	for _, candidate := range sorted {
 		size := ipv4Size
 		if candidate.Endpoint.Service != service {
 			size += groupOverhead + len(candidate.Endpoint.Service)
 		}
-		if len(parts) == 0 || room < size || candidate.Endpoint.Zone != zone {
+		if len(parts) == 0 || remaining < size || candidate.Endpoint.Zone != zone {
 			parts = append(parts, nil)
-			room = surveyPayloadSize - packetSize
+			remaining = surveyPayloadSize - packetSize
 			size = ipv4Size + groupOverhead + len(candidate.Endpoint.Service)
 		}
 		zone, service = candidate.Endpoint.Zone, candidate.Endpoint.Service
-		room -= size
+		remaining -= size
 		parts[len(parts)-1] = append(parts[len(parts)-1], candidate)
 	}
 	return parts
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -24,10 +24,10 @@
 	BeforeEach(func() { balancer, builder = newBalancerWithThreeEndpoints() })
 
 	It("sends no messages before it has a directory", func() {
-		starting := newBalancer()
-		Expect(starting.HandleClientPacket(0, openingPacket(1, 100))).To(BeEmpty())
-		Expect(starting.HandleClientPacket(0, clientPacket(1, segment.Acknowledge, 101, 7, ""))).To(BeEmpty())
-		Expect(starting.Tick(time.Second)).To(BeEmpty())
+		unreadyBalancer := newBalancer()
+		Expect(unreadyBalancer.HandleClientPacket(0, openingPacket(1, 100))).To(BeEmpty())
+		Expect(unreadyBalancer.HandleClientPacket(0, clientPacket(1, segment.Acknowledge, 101, 7, ""))).To(BeEmpty())
+		Expect(unreadyBalancer.Tick(time.Second)).To(BeEmpty())
 	})
 
 	It("offers a flow returned by busy agents to others, and after three returns to the least busy as the last resort", func() {
@@ -47,9 +47,9 @@
 	})
 
 	It("gives a slow endpoint flows again once its processing time has not changed for a while", func() {
-		reportProcessingTime := func(now time.Duration, number int, pace uint32) {
+		reportProcessingTime := func(now time.Duration, number int, processingTime uint32) {
 			balancer.Receive(now, agentAddress(number), relay.Message{
-				Kind: relay.KindPong, Service: service, Load: relay.Load{ProcessingTime: pace},
+				Kind: relay.KindPong, Service: service, Load: relay.Load{ProcessingTime: processingTime},
 			})
 		}
 		offeredToSlow := func(now time.Duration, first int) (count int) {
@@ -138,8 +138,8 @@
 	})
 
 	// reportProcessingTime makes an agent report the processing time of its endpoint.
-	reportProcessingTime := func(now time.Duration, number int, pace time.Duration) {
-		load := relay.Load{ProcessingTime: uint32(pace.Microseconds())}
+	reportProcessingTime := func(now time.Duration, number int, processingTime time.Duration) {
+		load := relay.Load{ProcessingTime: uint32(processingTime.Microseconds())}
 		balancer.Receive(now, agentAddress(number), relay.Message{Kind: relay.KindPong, Service: service, Load: load})
 	}
 	// countOffers opens a number of flows, which stay open, and counts their offers by endpoint.
@@ -156,8 +156,8 @@
 	}
 
 	It("gives a slow endpoint fewer flows in proportion to its processing time", func() {
-		for number, pace := range []time.Duration{40, 45, 200} {
-			reportProcessingTime(0, number, pace*millisecond)
+		for number, processingTime := range []time.Duration{40, 45, 200} {
+			reportProcessingTime(0, number, processingTime*millisecond)
 		}
 		counted := countOffers(millisecond, 110)
 		Expect(counted[2]).To(BeNumerically("~", 10, 3))
@@ -165,15 +165,15 @@
 	})
 
 	It("spreads flows evenly at small differences in processing time", func() {
-		for number, pace := range []time.Duration{40, 50, 55} {
-			reportProcessingTime(0, number, pace*millisecond)
+		for number, processingTime := range []time.Duration{40, 50, 55} {
+			reportProcessingTime(0, number, processingTime*millisecond)
 		}
 		Expect(countOffers(millisecond, 90)).To(Equal(map[byte]int{0: 30, 1: 30, 2: 30}))
 	})
 
 	It("pings the agent of a slow endpoint and gives it flows again when its processing time is normal", func() {
-		for number, pace := range []time.Duration{40, 40, 400} {
-			reportProcessingTime(0, number, pace*millisecond)
+		for number, processingTime := range []time.Duration{40, 40, 400} {
+			reportProcessingTime(0, number, processingTime*millisecond)
 		}
 		pings := 0
 		for number := range 100 {
@@ -272,8 +272,8 @@
 		builder.putEndpoint(0, 0, func(e *directory.Endpoint) { e.Draining = true })
 		builder.remove(0, 0)
 		builder.putEndpoint(0, 8, func(e *directory.Endpoint) { e.IP = endpointAddress(0).IP })
-		starting := newBalancer()
-		Expect(sentMessages(starting.Install(0, builder.replica.Snapshot()))).To(BeEmpty())
+		newcomer := newBalancer()
+		Expect(sentMessages(newcomer.Install(0, builder.replica.Snapshot()))).To(BeEmpty())
 	})
 
 	It("uses endpoints with expired entries for a short time if there are no others", func() {
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -92,6 +92,6 @@
 // without the time that the request waited at the endpoint.
 func (a *Agent) measureProcessingTime(now time.Duration, key segment.FlowKey, flow *agentFlow) {
 	if flow.request.occupiesSlot && flow.workStarted >= flow.request.admittedAt {
-		a.processingTimeMeter.Observe(key.Service, now-flow.workStarted)
+		a.processingTimes.Observe(key.Service, now-flow.workStarted)
 	}
 }
--- a/internal/relay/coldstart_test.go
+++ b/internal/relay/coldstart_test.go
@@ -91,9 +91,9 @@
 
 var _ = Describe("Agent, with a cold endpoint", func() {
 	rate := uint32(coldRate * 1000)
-	coldStart := func(remains time.Duration, revision uint64) relay.ColdStart {
+	coldStart := func(remaining time.Duration, revision uint64) relay.ColdStart {
 		return relay.ColdStart{
-			Rate: rate, WarmupTime: uint32(warmupTime.Milliseconds()), Remaining: uint32(remains.Milliseconds()), Revision: revision,
+			Rate: rate, WarmupTime: uint32(warmupTime.Milliseconds()), Remaining: uint32(remaining.Milliseconds()), Revision: revision,
 		}
 	}
 	maxAdmitted := int(coldStartLimit.Overrun*coldRate + coldStartLimit.Slack)
--- a/internal/relay/ejection_test.go
+++ b/internal/relay/ejection_test.go
@@ -19,10 +19,10 @@
 
 	BeforeEach(func() { agent, number = newTestAgent(newAgent(true)), 0 })
 
-	offerIn := func(zone string, now time.Duration, from segment.Address, insist bool) []relay.Effect {
+	offerIn := func(zone string, now time.Duration, from segment.Address, ignoreEjection bool) []relay.Effect {
 		number++
 		return agent.Receive(now, from, relay.Message{
-			Kind: relay.KindOffer, Service: service, Zone: zone, Parameters: agent.parameters, IgnoreEjection: insist, Packet: openingPacket(number, 100),
+			Kind: relay.KindOffer, Service: service, Zone: zone, Parameters: agent.parameters, IgnoreEjection: ignoreEjection, Packet: openingPacket(number, 100),
 		})
 	}
 	// answerNewFlow opens a flow from a balancer in a zone and lets the endpoint answer its
@@ -152,7 +152,7 @@
 		})
 	}
 	failing := outlier.Report{Outcomes: 10, Failures: 6, Reason: outlier.Failure, HoldMilliseconds: 1000}
-	arrive := func(now time.Duration) []relay.Effect {
+	openFlow := func(now time.Duration) []relay.Effect {
 		number++
 		return balancer.HandleClientPacket(now, openingPacket(number, 100))
 	}
@@ -169,7 +169,7 @@
 	shareOf := func(endpoint int) float64 {
 		counts := make(map[int]int)
 		for range 240 {
-			countOffers(arrive(millisecond), counts)
+			countOffers(openFlow(millisecond), counts)
 		}
 		return float64(counts[endpoint]) / (240 / endpoints)
 	}
@@ -179,7 +179,7 @@
 			refused, attempts := 0, 0
 			for range 300 {
 				now := time.Duration(number) * millisecond
-				effects := arrive(now)
+				effects := openFlow(now)
 				for {
 					messages := sentMessages(effects)
 					if len(messages) == 0 {
@@ -206,7 +206,7 @@
 	)
 
 	It("resets a flow at once if every endpoint returns it", func() {
-		effects := arrive(0)
+		effects := openFlow(0)
 		for range endpoints - 1 {
 			to := sentMessages(effects)[0].To
 			effects = balancer.Receive(0, to, relay.Message{Kind: relay.KindReturned, Service: service, Packet: openingPacket(number, 100)})
@@ -215,18 +215,18 @@
 		to := sentMessages(effects)[0].To
 		effects = balancer.Receive(0, to, relay.Message{Kind: relay.KindReturned, Service: service, Packet: openingPacket(number, 100)})
 		Expect(resetHeaders(effects)).To(HaveLen(1))
-		Expect(sentMessages(arrive(millisecond))).To(HaveLen(1), "the next flow tests an endpoint")
+		Expect(sentMessages(openFlow(millisecond))).To(HaveLen(1), "the next flow tests an endpoint")
 	})
 
 	It("gives no new flow to an ejected endpoint until the ejection ends", func() {
 		report(0, 3, failing)
 		counts := make(map[int]int)
 		for range 120 {
-			countOffers(arrive(millisecond), counts)
+			countOffers(openFlow(millisecond), counts)
 		}
 		Expect(counts).To(HaveLen(endpoints - 1))
 		Expect(counts).NotTo(HaveKey(3))
-		countOffers(arrive(1001*millisecond), counts)
+		countOffers(openFlow(1001*millisecond), counts)
 		Expect(counts).To(HaveKeyWithValue(3, 1))
 	})
 
@@ -234,17 +234,17 @@
 		for endpoint := range 7 {
 			report(0, endpoint, failing)
 		}
-		insisted := 0
+		ignored := 0
 		counts := make(map[int]int)
 		for range 120 {
-			effects := arrive(millisecond)
+			effects := openFlow(millisecond)
 			countOffers(effects, counts)
 			if onlyMessage(effects).Message.IgnoreEjection {
-				insisted++
+				ignored++
 			}
 		}
 		Expect(counts).To(HaveLen(endpoints))
-		Expect(insisted).To(Equal(70))
+		Expect(ignored).To(Equal(70))
 	})
 
 	It("ignores an ejection if the other endpoints fail nearly as often", func() {
@@ -259,7 +259,7 @@
 		for endpoint := range endpoints {
 			report(0, endpoint, outlier.Report{Reason: outlier.PacketReturned, HoldMilliseconds: 300})
 		}
-		effects := arrive(millisecond)
+		effects := openFlow(millisecond)
 		for range 3 {
 			message := onlyMessage(effects)
 			Expect(message.Message.IgnoreEjection).To(BeFalse())
--- a/internal/relay/loadstats_test.go
+++ b/internal/relay/loadstats_test.go
@@ -83,9 +83,9 @@
 })
 
 var _ = Describe("Balancer, reporting the load of services", func() {
-	reportProcessingTime := func(balancer *relay.Balancer, number int, took time.Duration) {
+	reportProcessingTime := func(balancer *relay.Balancer, number int, processingTime time.Duration) {
 		balancer.Receive(0, agentAddress(number), relay.Message{
-			Kind: relay.KindPong, Service: service, Load: relay.Load{ProcessingTime: uint32(took.Microseconds())},
+			Kind: relay.KindPong, Service: service, Load: relay.Load{ProcessingTime: uint32(processingTime.Microseconds())},
 		})
 	}
 
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -171,9 +171,9 @@
 	for tier, accepts := range []func(directory.Candidate) bool{trusted, usable, expired} {
 		chosen, exists := b.bestCandidate(now, service, tried, accepts)
 		if exists {
-			doubtful := tier > 0
-			overruled := !doubtful && b.healthOf(chosen.ID).ejected(now)
-			return choice{chosen, doubtful, overruled}, true
+			untrusted := tier > 0
+			ignoreEjection := !untrusted && b.healthOf(chosen.ID).ejected(now)
+			return choice{chosen, untrusted, ignoreEjection}, true
 		}
 	}
 	return choice{}, false
--- a/internal/relay/queue_test.go
+++ b/internal/relay/queue_test.go
@@ -238,7 +238,7 @@
 	})
 
 	It("records the request identifier in events if a packet contains one", func() {
-		named := func(effects []relay.Effect, kind relay.EventKind) string {
+		requestIDOf := func(effects []relay.Effect, kind relay.EventKind) string {
 			for _, effect := range effectsOfKind(effects, relay.EffectEvent) {
 				if effect.Event.Kind == kind {
 					return effect.Event.Request
@@ -246,23 +246,23 @@
 			}
 			return "no such event"
 		}
-		fresh := newAgent(true)
-		fresh.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Parameters: agent.parameters, Packet: openingPacket(9, 100)})
-		fresh.HandleEndpointPacket(0, endpointPacket(9, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
-		given := fresh.Receive(0, balancerA, relay.Message{
+		idleAgent := newAgent(true)
+		idleAgent.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Parameters: agent.parameters, Packet: openingPacket(9, 100)})
+		idleAgent.HandleEndpointPacket(0, endpointPacket(9, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
+		given := idleAgent.Receive(0, balancerA, relay.Message{
 			Kind: relay.KindForward, Service: service, Packet: clientPacket(9, segment.Acknowledge, 101, 501, "id=q9 GET"),
 		})
-		Expect(named(given, relay.EventGiven)).To(Equal("q9"))
+		Expect(requestIDOf(given, relay.EventGiven)).To(Equal("q9"))
 		handshake(millisecond, 10)
 		first := clientPacket(10, segment.Acknowledge, 101, 501, "id=q10 GET")
-		Expect(named(agent.forward(2*millisecond, relay.KindForward, first), relay.EventHeld)).To(Equal("q10"))
-		Expect(named(respond(3*millisecond, 0), relay.EventAdmitted)).To(Equal("q10"))
-		Expect(named(respond(4*millisecond, 10), relay.EventAnswered)).To(Equal("q10"))
-		Expect(named(agent.HandleEndpointPacket(5*millisecond, returnedCopy(first)), relay.EventEndpointLostFlow)).To(Equal("q10"))
+		Expect(requestIDOf(agent.forward(2*millisecond, relay.KindForward, first), relay.EventHeld)).To(Equal("q10"))
+		Expect(requestIDOf(respond(3*millisecond, 0), relay.EventAdmitted)).To(Equal("q10"))
+		Expect(requestIDOf(respond(4*millisecond, 10), relay.EventAnswered)).To(Equal("q10"))
+		Expect(requestIDOf(agent.HandleEndpointPacket(5*millisecond, returnedCopy(first)), relay.EventEndpointLostFlow)).To(Equal("q10"))
 		handshake(6*millisecond, 11)
 		agent.open(6*millisecond, 12)
 		agent.forward(7*millisecond, relay.KindForward, clientPacket(11, segment.Acknowledge, 101, 501, "id=q11 GET"))
-		Expect(named(respond(3*time.Second, 1), relay.EventExpired)).To(Equal("q11"))
+		Expect(requestIDOf(respond(3*time.Second, 1), relay.EventExpired)).To(Equal("q11"))
 	})
 
 	It("counts an answer that arrives with the end of its flow or after it, once", func() {
--- a/internal/relay/relay_bench_test.go
+++ b/internal/relay/relay_bench_test.go
@@ -14,7 +14,7 @@
 // benchmarkFleet returns a directory of services with eight endpoints each. The route of the
 // fixture leads to the first service.
 func benchmarkFleet(services int) *directory.Replica {
-	machine := directory.NewReplica()
+	replica := directory.NewReplica()
 	configuration := &directory.Configuration{Version: 1}
 	var items []directory.Item
 	for number := range services {
@@ -34,8 +34,8 @@
 		}
 	}
 	items = append(items, directory.Item{Revision: 1, Configuration: configuration})
-	machine.ApplyListing(0, items, directory.Revision(services*8+2))
-	return machine
+	replica.ApplyListing(0, items, directory.Revision(services*8+2))
+	return replica
 }
 
 func openingPacketFrom(number int) []byte {
@@ -45,11 +45,11 @@
 	}, nil)
 }
 
-func benchmarkBalancer(machine *directory.Replica) *relay.Balancer {
+func benchmarkBalancer(replica *directory.Replica) *relay.Balancer {
 	balancer := relay.NewBalancer(relay.BalancerConfig{
 		Codec: codec, AgentPort: agentPort, FlowLifetime: flowLifetime, FlowLimit: 1 << 24, Random: newRandom(),
 	})
-	balancer.Install(0, machine.Snapshot())
+	balancer.Install(0, replica.Snapshot())
 	return balancer
 }
 
@@ -85,10 +85,10 @@
 // BenchmarkBalancerMemory measures the memory used for a flow.
 func BenchmarkBalancerMemory(b *testing.B) {
 	const flows = 15_500
-	machine := benchmarkFleet(15)
+	replica := benchmarkFleet(15)
 	for b.Loop() {
 		before := heapBytes()
-		balancer := benchmarkBalancer(machine)
+		balancer := benchmarkBalancer(replica)
 		for number := range flows {
 			packet := openingPacketFrom(number)
 			effects := balancer.HandleClientPacket(0, packet)
@@ -124,13 +124,13 @@
 func BenchmarkDirectoryChange(b *testing.B) {
 	for _, services := range []int{15, 150, 1500} {
 		b.Run(fmt.Sprintf("endpoints=%d", services*8), func(b *testing.B) {
-			machine := benchmarkFleet(services)
+			replica := benchmarkFleet(services)
 			revision := directory.Revision(1 << 30)
 			endpoint := &directory.Endpoint{Service: "service-0", IP: [4]byte{10, 0, 0, 0}, Port: 8080, Slots: 7}
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
-				machine.ApplyChanges(0, []directory.Item{{EndpointID: directory.NameOnlyID("i-0000000000"), Revision: revision, Endpoint: endpoint}}, revision)
+				replica.ApplyChanges(0, []directory.Item{{EndpointID: directory.NameOnlyID("i-0000000000"), Revision: revision, Endpoint: endpoint}}, revision)
 			}
 		})
 	}
@@ -143,15 +143,15 @@
 		b.Run(fmt.Sprintf("endpoints=%d", services*8), func(b *testing.B) {
 			for b.Loop() {
 				before := heapBytes()
-				machine := benchmarkFleet(services)
+				replica := benchmarkFleet(services)
 				b.ReportMetric(float64(heapBytes()-before), "B")
-				state := machine.FullState(0)
+				state := replica.FullState(0)
 				encoded, err := state.MarshalMsg(nil)
 				if err != nil {
 					b.Fatal(err)
 				}
 				b.ReportMetric(float64(len(encoded)), "B/state")
-				runtime.KeepAlive(machine)
+				runtime.KeepAlive(replica)
 			}
 		})
 	}
--- a/internal/relay/survey_test.go
+++ b/internal/relay/survey_test.go
@@ -37,12 +37,12 @@
 	var agent *relay.Agent
 
 	// startSurvey sends the agent a survey of agents 1 and 2.
-	startSurvey := func(now time.Duration, probing bool) []relay.Effect {
+	startSurvey := func(now time.Duration, probe bool) []relay.Effect {
 		message := relay.Message{
 			Kind: relay.KindSurvey, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 5,
 			Acknowledgment: 501, Flags: segment.Acknowledge, Targets: agentGroup(1, 2),
 		}
-		if probing {
+		if probe {
 			message.Packet = surveyRequest
 		}
 		return agent.Receive(now, balancerA, message)
@@ -156,10 +156,10 @@
 		install()
 	})
 
-	reportSurvey := func(from segment.Address, unsure, silent []relay.AgentGroup) []relay.Effect {
+	reportSurvey := func(from segment.Address, uncertain, unresponsive []relay.AgentGroup) []relay.Effect {
 		return balancer.Receive(start+3*millisecond, from, relay.Message{
 			Kind: relay.KindSurveyResult, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 1, Uptime: start,
-			Uncertain: unsure, Unresponsive: silent,
+			Uncertain: uncertain, Unresponsive: unresponsive,
 		})
 	}
 	deny := func(from segment.Address) []relay.Effect {
@@ -212,20 +212,20 @@
 
 	It("probes only the agents that are uncertain", func() {
 		first := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
-		unsure := first.Message.Targets[0].Addresses()[3]
+		uncertain := first.Message.Targets[0].Addresses()[3]
 		deny(first.To)
-		probed := onlyMessage(reportSurvey(first.To, []relay.AgentGroup{{Service: service, Port: agentPort, IPs: unsure.IP[:]}}, nil))
+		probed := onlyMessage(reportSurvey(first.To, []relay.AgentGroup{{Service: service, Port: agentPort, IPs: uncertain.IP[:]}}, nil))
 		Expect(probed.Message.Kind).To(Equal(relay.KindProbe))
-		Expect(probed.To).To(Equal(unsure))
+		Expect(probed.To).To(Equal(uncertain))
 	})
 
 	It("asks again only the agents that have not replied", func() {
 		first := onlyMessage(balancer.HandleClientPacket(start, surveyRequest))
-		silent := first.Message.Targets[0].Addresses()[5]
+		unresponsive := first.Message.Targets[0].Addresses()[5]
 		deny(first.To)
-		Expect(sentMessages(reportSurvey(first.To, nil, []relay.AgentGroup{{Service: service, Port: agentPort, IPs: silent.IP[:]}}))).To(BeEmpty())
+		Expect(sentMessages(reportSurvey(first.To, nil, []relay.AgentGroup{{Service: service, Port: agentPort, IPs: unresponsive.IP[:]}}))).To(BeEmpty())
 		again := onlyMessage(balancer.Tick(start + 100*millisecond))
-		Expect(again.To).To(Equal(silent))
+		Expect(again.To).To(Equal(unresponsive))
 		Expect(again.Message.Kind).To(Equal(relay.KindVerify))
 	})
 
@@ -244,14 +244,14 @@
 	})
 
 	It("chooses another surveyor when one does not reply", func() {
-		asking := map[segment.Address]bool{onlyMessage(balancer.HandleClientPacket(start, surveyRequest)).To: true}
+		surveyors := map[segment.Address]bool{onlyMessage(balancer.HandleClientPacket(start, surveyRequest)).To: true}
 		for round := range 8 {
 			again := onlyMessage(balancer.Tick(start + time.Duration(round+1)*100*millisecond))
 			Expect(again.Message.Kind).To(Equal(relay.KindSurvey))
 			Expect(addressesIn(again.Message.Targets)).To(HaveLen(agents - 1))
-			asking[again.To] = true
+			surveyors[again.To] = true
 		}
-		Expect(len(asking)).To(BeNumerically(">", 5))
+		Expect(len(surveyors)).To(BeNumerically(">", 5))
 	})
 
 	It("sends no further survey when the client repeats its packet, until all rounds have failed", func() {
@@ -384,11 +384,11 @@
 		long := clientPacket(1, segment.Acknowledge, 101, 501, string(make([]byte, 1200)))
 		first := onlyMessage(balancer.HandleClientPacket(start, long))
 		balancer.Receive(start, first.To, relay.Message{Kind: relay.KindUncertain, Flow: relay.EncodeFlow(flowKey(1)), Uptime: start})
-		probing := slices.Clone(balancer.Receive(start, first.To, relay.Message{
+		probes := slices.Clone(balancer.Receive(start, first.To, relay.Message{
 			Kind: relay.KindSurveyResult, Flow: relay.EncodeFlow(flowKey(1)), Sequence: 1, Uptime: start, Uncertain: first.Message.Targets,
 		}))
-		Expect(effectsOfKind(probing, relay.EffectConfirmDirectory)).To(HaveLen(1), "a confirmation is requested while endpoints are probed")
-		for _, part := range sentMessages(probing) {
+		Expect(effectsOfKind(probes, relay.EffectConfirmDirectory)).To(HaveLen(1), "a confirmation is requested while endpoints are probed")
+		for _, part := range sentMessages(probes) {
 			answered := func(kind relay.MessageKind) []relay.Effect {
 				return balancer.Receive(start+millisecond, part.To, relay.Message{
 					Kind: kind, Flow: relay.EncodeFlow(flowKey(1)), Sequence: part.Message.Sequence, Uptime: start,
--- a/internal/relay/utilization.go
+++ b/internal/relay/utilization.go
@@ -38,10 +38,10 @@
 	}
 	health := b.healthOf(candidate.ID)
 	medianProcessingTime := b.medianProcessingTime(now, message.Service)
-	own := float64(health.outstanding) + b.demandOf(message.Service).slotsPerFlow(medianProcessingTime)*float64(health.persistent)
+	ownRequests := float64(health.outstanding) + b.demandOf(message.Service).slotsPerFlow(medianProcessingTime)*float64(health.persistent)
 	if message.Kind == KindReturned {
-		own--
+		ownRequests--
 	}
-	health.utilization = placement.LoadReport{UsedByOthers: max(float64(message.Load.Pending)-max(own, 0), 0), ReceivedAt: now, Known: true}
+	health.utilization = placement.LoadReport{UsedByOthers: max(float64(message.Load.Pending)-max(ownRequests, 0), 0), ReceivedAt: now, Known: true}
 	b.utilizationOf(candidate, health.slowness(now, medianProcessingTime)).Observe(now, health.utilization.UsedByOthers/float64(candidate.Endpoint.Slots))
 }
