--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -76,8 +76,8 @@
 	// the flow.
 	endpointIncarnation uint64
 	request             requestState
-	// workStarted is when the endpoint began to work on the latest request. It is out of date while
-	// it is before the admission of that request.
+	// workStarted is when the endpoint began to work on a request. It belongs to an earlier request
+	// while it is before request.admittedAt.
 	workStarted time.Duration
 }
 
@@ -103,9 +103,9 @@
 	endedRetention = 10 * time.Second
 	// sweepInterval is the time between removals of old flows.
 	sweepInterval = time.Second
-	// drainRetention is how long an agent takes its endpoint for draining after the last notice. It
-	// is longer than any balancer can miss the change, and finite because another endpoint may take
-	// over the agent's address.
+	// drainRetention is how long the endpoint counts as draining after the last notice. By the end
+	// of that time every balancer has learned of the drain from the directory. The time is finite
+	// because another endpoint may take over the agent's address.
 	drainRetention = 30 * time.Second
 )
 
@@ -125,7 +125,7 @@
 	processingTimes   placement.ProcessingTimeEstimator
 	// awaitingFirstRequest are accepted flows whose first request may still come.
 	awaitingFirstRequest []*agentFlow
-	// unanswered and detector judge the health of the endpoint.
+	// unanswered and detector measure the health of the endpoint.
 	unanswered unansweredRequests
 	detector   *outlier.Detector
 	coldStart  coldStartLimiter
@@ -334,9 +334,9 @@
 	a.deliver(message.Packet)
 }
 
-// learnColdStart records what a balancer says about the start of the endpoint. If the balancer
-// names no start, an agent that has itself just started assumes that its endpoint has started too,
-// since it cannot know.
+// learnColdStart records what a balancer reports about the start of the endpoint. If the balancer
+// reports no start, an agent without StartedWithEndpoint treats its endpoint as cold from its own
+// start, because it cannot tell whether the endpoint has started too.
 func (a *Agent) learnColdStart(now time.Duration, coldStart ColdStart) {
 	first := a.coldStart.rate == 0
 	a.coldStart.update(now, coldStart)
--- a/internal/relay/agent_coldstart.go
+++ b/internal/relay/agent_coldstart.go
@@ -9,7 +9,7 @@
 	// to count as restarted when it answers again. A running endpoint answers them within a few
 	// milliseconds.
 	restartSilence = 300 * time.Millisecond
-	// coldBurstShare is the share of the margin above the rate that one burst may use. A restarted
+	// coldBurstShare is the share of the headroom above the rate that one burst may use. A restarted
 	// agent does not know what its predecessor let through, so two bursts may come within a second.
 	coldBurstShare = 0.25
 	// maxLowPriorityWait is the maximum time that requests of lower priority wait for one of them
--- a/internal/relay/agent_survey.go
+++ b/internal/relay/agent_survey.go
@@ -20,8 +20,8 @@
 )
 
 // agentSurvey is a search for the owner of a flow that an agent makes among other agents on behalf
-// of a balancer. There are many agents with time to spare when a few balancers have to find the
-// owners of all flows.
+// of a balancer. A few balancers may have to find the owners of all flows at once, while many
+// agents have spare capacity.
 type agentSurvey struct {
 	flow     segment.FlowKey
 	balancer segment.Address
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -29,7 +29,8 @@
 	// DrainTimeout is the time after which an endpoint that is known to be leaving must not get new
 	// flows.
 	DrainTimeout time.Duration
-	// Random breaks ties between endpoints. It must not be shared with other users.
+	// Random draws the endpoints that are compared for a new flow, and the agents that carry out
+	// surveys. It must not be shared with other users.
 	Random *rand.Rand
 }
 
--- a/internal/relay/balancer_survey.go
+++ b/internal/relay/balancer_survey.go
@@ -16,13 +16,14 @@
 	// minFirstRoundSurveyAgents is the number of agents from which any round, even the first, is a
 	// survey. With fewer agents direct queries find the owner sooner.
 	minFirstRoundSurveyAgents = 16
-	// smallSurveyRounds is the number of verification rounds in which fewer agents than that are
-	// surveyed too, if they have to probe.
+	// smallSurveyRounds is the number of verification rounds in which fewer than
+	// minFirstRoundSurveyAgents agents are surveyed too, if they have to probe.
 	smallSurveyRounds = 2
 	// messagesPerSurvey is the number of messages of a survey on the balancer's network.
 	messagesPerSurvey = 3
-	// surveyPayloadSize is the size in bytes that a survey has for a packet and targets. Each
-	// target takes ipv4Size, each group groupOverhead and the length of its service name.
+	// surveyPayloadSize is the number of bytes in a survey that are available for a packet and
+	// targets. Each target takes ipv4Size bytes. Each group takes groupOverhead bytes and the
+	// length of its service name.
 	surveyPayloadSize = MaxMessageSize - 200
 	groupOverhead     = 12
 )
@@ -62,8 +63,8 @@
 	return parts
 }
 
-// delegateSurvey makes agents ask the others, by KindProbe if probe is set. It reports whether it
-// did so, which it does only if that is cheaper than to ask all agents directly.
+// delegateSurvey sends surveys of the given agents, by KindProbe if probe is set. It reports
+// whether it sent any: with few agents it does not, because direct queries are cheaper.
 func (b *Balancer) delegateSurvey(search *ownerSearch, agents []directory.Candidate, probe bool) bool {
 	if len(agents) < minSurveyAgents {
 		return false
@@ -128,8 +129,8 @@
 	b.conclude(now, flow)
 }
 
-// probeUncertain makes uncertain agents ask their endpoints. The owner is among them, so its own
-// endpoint sees the packet at the same time as the others.
+// probeUncertain makes all uncertain agents probe their endpoints at once. The owner is among them,
+// so its own endpoint gets the packet at the same time as the others.
 func (b *Balancer) probeUncertain(search *ownerSearch, uncertain []directory.Candidate) {
 	var unprobed []directory.Candidate
 	for _, candidate := range uncertain {
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -72,8 +72,8 @@
 	})
 
 	It("avoids an endpoint that was reported full until the report is old", func() {
-		reportPending := func(now time.Duration, number int, used uint32) {
-			load := relay.Load{Pending: used, ProcessingTime: 50_000}
+		reportPending := func(now time.Duration, number int, pending uint32) {
+			load := relay.Load{Pending: pending, ProcessingTime: 50_000}
 			balancer.Receive(now, agentAddress(number), relay.Message{Kind: relay.KindPong, Service: service, Load: load})
 		}
 		for number := range 3 {
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -60,8 +60,8 @@
 }
 
 // busy reports whether a new request would have to wait. The flow may then go to an endpoint that
-// is not busy: its balancer cannot tell busy ones, because it knows only the flows that it has
-// placed itself, which are very few of all flows if there are hundreds of balancers.
+// is not busy. Its balancer cannot tell which endpoints are busy, because it knows only the flows
+// that it has placed itself, which are very few of all flows if there are hundreds of balancers.
 func (a *Agent) busy(parameters FlowParameters) bool {
 	return parameters.Slots > 0 && a.pending() >= a.usage.limit()
 }
@@ -77,8 +77,8 @@
 	return a.usage.occupied + a.queue.countInTime(a.now, a.queueCapacity().ProcessingTime) + uint32(len(a.awaitingFirstRequest))
 }
 
-// markWorkStarted records which requests the endpoint has begun to work on. It takes them in the
-// order in which it was given them, as many at a time as it has slots.
+// markWorkStarted records which requests the endpoint has begun to work on. An endpoint takes its
+// requests in the order in which it was given them, as many at a time as it has slots.
 func (a *Agent) markWorkStarted(now time.Duration) {
 	inProgress := min(len(a.unanswered.flows), int(a.usage.slots))
 	for _, flow := range a.unanswered.flows[:inProgress] {
--- a/internal/relay/coldstart_test.go
+++ b/internal/relay/coldstart_test.go
@@ -20,9 +20,9 @@
 // coldStartLimit is the limit of the agents in these specs.
 var coldStartLimit = relay.ColdStartLimit{Overrun: 1.5, Slack: 5}
 
-func newColdAgent(complete bool, bound relay.ColdStartLimit) *relay.Agent {
+func newColdAgent(startedWithEndpoint bool, limit relay.ColdStartLimit) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
-		Service: service, Codec: codec, StartedWithEndpoint: complete, FlowLifetime: flowLifetime, FlowLimit: 100000, ColdStartLimit: bound,
+		Service: service, Codec: codec, StartedWithEndpoint: startedWithEndpoint, FlowLifetime: flowLifetime, FlowLimit: 100000, ColdStartLimit: limit,
 		OutlierLimits: outlier.DefaultConfig(),
 	})
 }
@@ -110,12 +110,12 @@
 		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">", 100))
 	})
 
-	DescribeTable("keeps to the configured limit", func(bound relay.ColdStartLimit, perSecond float64) {
+	DescribeTable("keeps to the configured limit", func(limit relay.ColdStartLimit, perSecond float64) {
 		cold := coldStart(warmupTime, 7)
 		cold.Rate = uint32(perSecond * 1000)
-		endpoint := &coldEndpoint{agent: newColdAgent(true, bound), coldStart: cold}
+		endpoint := &coldEndpoint{agent: newColdAgent(true, limit), coldStart: cold}
 		endpoint.offerContinuously(0, warmupTime)
-		Expect(endpoint.maxPerSecond(0, warmupTime)).To(BeNumerically("<=", bound.Overrun*perSecond+bound.Slack))
+		Expect(endpoint.maxPerSecond(0, warmupTime)).To(BeNumerically("<=", limit.Overrun*perSecond+limit.Slack))
 		Expect(len(endpoint.deliveredAt)).To(BeNumerically(">=", perSecond*warmupTime.Seconds()/2))
 	},
 		Entry("no slack", relay.ColdStartLimit{Overrun: 1}, 8.0),
@@ -152,7 +152,7 @@
 		Expect(len(endpoint.deliveredAt)).To(BeNumerically("<=", 100+maxAdmitted))
 	})
 
-	It("ignores an older entry that says it is warm, and a later message that extends the same cold phase", func() {
+	It("ignores an older entry in which the endpoint is warm, and a later message that extends the same cold phase", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(warmupTime, 8)}
 		endpoint.offer(0)
 		endpoint.coldStart = coldStart(0, 3)
@@ -184,7 +184,7 @@
 		Expect(endpoint.maxPerSecond(time.Second, 2*time.Second)).To(BeNumerically("<=", maxAdmitted))
 	})
 
-	It("counts copies of opening packets that a restarted endpoint has not seen", func() {
+	It("applies the limit to copies of opening packets that a restarted endpoint has not received", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(0, 3), down: true}
 		endpoint.offerContinuously(0, 100*millisecond)
 		endpoint.down = false
@@ -197,18 +197,18 @@
 	})
 
 	It("prefers the most urgent requests and still admits some others", func() {
-		const lasts = 5 * time.Second
-		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(lasts, 7)}
+		const remaining = 5 * time.Second
+		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(remaining, 7)}
 		urgent, others := 0, 0
-		for now := time.Duration(0); now < lasts; now += millisecond {
+		for now := time.Duration(0); now < remaining; now += millisecond {
 			endpoint.priority = uint8(1 + now/millisecond%2)
 			before := len(endpoint.deliveredAt)
 			endpoint.offer(now)
-			taken := len(endpoint.deliveredAt) - before
+			delivered := len(endpoint.deliveredAt) - before
 			if endpoint.priority == 1 {
-				urgent += taken
+				urgent += delivered
 			} else {
-				others += taken
+				others += delivered
 			}
 		}
 		Expect(urgent).To(BeNumerically(">", 2*others))
@@ -366,7 +366,7 @@
 		Expect(onlyMessage(balancer.HandleClientPacket(60*millisecond, openingPacket(3, 100))).To).To(Equal(second.To))
 	})
 
-	It("treats the endpoints of a reopened zone as cold before their entries say so", func() {
+	It("treats the endpoints of a reopened zone as cold before their entries show it", func() {
 		for number := range 2 {
 			builder.putEndpoint(0, number, inZone(otherZone))
 		}
--- a/internal/relay/crashloop.go
+++ b/internal/relay/crashloop.go
@@ -11,8 +11,8 @@
 	// load at the start. The limit then applies for the same time after the restart.
 	crashLoopWindow = 5 * time.Second
 	// crashLoopShare is the initial rate after such a failure as a share of the rate in the second
-	// before it. The rate doubles every crashLoopDoubling (slow start: Jacobson, 1988), and is
-	// above the rate before the failure after four of them.
+	// before it. The rate doubles every crashLoopDoubling (slow start: Jacobson, 1988), so after
+	// four doublings it is above the rate before the failure.
 	crashLoopShare    = 0.125
 	crashLoopDoubling = time.Second
 	// maxRecentRequests limits the request times that are remembered.
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -8,7 +8,7 @@
 //
 // The agent of the endpoint that holds a flow is the owner of the flow. Balancers only cache
 // owners: a balancer may restart, and the network may move a flow to another balancer at any
-// packet. A balancer that does not know a flow asks the agents for its owner, in the way of Beamer
+// packet. A balancer that does not know a flow asks the agents for its owner, as in Beamer
 // (Olteanu et al., "Stateless Datacenter Load-balancing with Beamer", NSDI 2018). An opening packet
 // may be offered to several endpoints; the client's first acknowledgment names the one that has the
 // flow.
--- a/internal/relay/effect.go
+++ b/internal/relay/effect.go
@@ -140,7 +140,7 @@
 	Elapsed time.Duration
 }
 
-// EventKinds lists all kinds.
+// EventKinds lists all kinds, for counters that are kept by kind.
 func EventKinds() []EventKind { return label.All(eventKindCount) }
 
 // String returns the kind in the form used as a metric label.
--- a/internal/relay/ejection_test.go
+++ b/internal/relay/ejection_test.go
@@ -230,7 +230,7 @@
 		Expect(counts).To(HaveKeyWithValue(3, 1))
 	})
 
-	It("ignores ejections if most endpoints of a service are ejected, and says so in its offers", func() {
+	It("ignores ejections if most endpoints of a service are ejected, and sets IgnoreEjection in its offers", func() {
 		for endpoint := range 7 {
 			report(0, endpoint, failing)
 		}
@@ -247,7 +247,7 @@
 		Expect(ignored).To(Equal(70))
 	})
 
-	It("ignores an ejection if the other endpoints fail nearly as often", func() {
+	It("ignores an ejection if the other endpoints fail nearly as often, since the requests are then the cause", func() {
 		for endpoint := range endpoints {
 			report(0, endpoint, outlier.Report{Outcomes: 10, Failures: 2})
 		}
@@ -255,7 +255,7 @@
 		Expect(shareOf(3)).To(BeNumerically("~", 1, 0.15))
 	})
 
-	It("asks at most three ejected endpoints if there are no others", func() {
+	It("offers a flow to at most three ejected endpoints if there are no others", func() {
 		for endpoint := range endpoints {
 			report(0, endpoint, outlier.Report{Reason: outlier.PacketReturned, HoldMilliseconds: 300})
 		}
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -148,11 +148,13 @@
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func newAgent(complete bool) *relay.Agent { return newAgentWith(complete, requestqueue.Policy{}) }
+func newAgent(startedWithEndpoint bool) *relay.Agent {
+	return newAgentWith(startedWithEndpoint, requestqueue.Policy{})
+}
 
-func newAgentWith(complete bool, policy requestqueue.Policy) *relay.Agent {
+func newAgentWith(startedWithEndpoint bool, policy requestqueue.Policy) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
-		Service: service, Codec: codec, StartedWithEndpoint: complete, FlowLifetime: flowLifetime, FlowLimit: 1000,
+		Service: service, Codec: codec, StartedWithEndpoint: startedWithEndpoint, FlowLifetime: flowLifetime, FlowLimit: 1000,
 		OutlierLimits: outlier.DefaultConfig(), QueuePolicy: policy,
 	})
 }
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -56,8 +56,8 @@
 		for step := range 3 {
 			balancer.HandleClientPacket(time.Duration(step)*time.Second, packet)
 		}
-		for _, complete := range []bool{false, true} {
-			agent := newAgent(complete)
+		for _, startedWithEndpoint := range []bool{false, true} {
+			agent := newAgent(startedWithEndpoint)
 			for kind := relay.KindOffer; kind <= relay.KindProbe; kind++ {
 				agent.Receive(0, balancerA, relay.Message{Kind: kind, Service: service, Packet: append([]byte(nil), packet...)})
 			}
--- a/internal/relay/loadstats.go
+++ b/internal/relay/loadstats.go
@@ -160,7 +160,7 @@
 	return class
 }
 
-// withElapsed sets Elapsed in the events that decide records.
+// withElapsed calls decide and sets Elapsed in the events that this call records.
 func (b *Balancer) withElapsed(elapsed time.Duration, decide func()) {
 	first := len(b.effects)
 	decide()
--- a/internal/relay/locate.go
+++ b/internal/relay/locate.go
@@ -98,8 +98,8 @@
 	return flow
 }
 
-// locate holds a packet of a flow and asks all agents that may own the flow. It makes some of the
-// uncertain agents probe.
+// locate holds a packet of a flow and asks all agents that may own the flow. It sends probes to
+// some of the uncertain agents.
 func (b *Balancer) locate(now time.Duration, key segment.FlowKey, flow *balancerFlow, header segment.Header, packet []byte) {
 	search := flow.search
 	search.hold(packet)
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -24,10 +24,10 @@
 const (
 	// KindOffer carries an opening packet that the agent's endpoint may accept.
 	KindOffer MessageKind = iota
-	// KindForward carries a packet of a flow that the sender believes the agent owns.
+	// KindForward carries a packet of a flow whose owner, according to the sender, is the agent.
 	KindForward
 	// KindLocate asks whether the agent owns a flow. Acknowledgment and Flags are those of a packet
-	// of the client. Only an agent that owns the flow, or may own it, replies.
+	// of the client. An agent replies only if it owns the flow or may own it.
 	KindLocate
 	// KindProbe carries a packet of an unknown flow. An agent that has restarted hands it to its
 	// endpoint to find out whether the endpoint holds the flow. Any other agent denies the flow.
@@ -51,7 +51,7 @@
 	KindLeaving
 	// KindDrain tells the agent that its endpoint must not get new flows.
 	KindDrain
-	// KindVerify asks the same as KindLocate and requires a reply in any case.
+	// KindVerify asks the same as KindLocate, but every agent replies.
 	KindVerify
 	// KindDenied reports that the agent's endpoint does not hold a flow.
 	KindDenied
@@ -104,7 +104,7 @@
 	return segment.Address{IP: [4]byte(e[:4]), Port: binary.BigEndian.Uint16(e[4:])}
 }
 
-// AgentGroup lists agents that the balancer takes for agents of endpoints of one service. All
+// AgentGroup lists agents whose endpoints, according to the balancer, belong to one service. All
 // listen on the same port.
 type AgentGroup struct {
 	Service string
@@ -210,8 +210,8 @@
 	// LastResort is set in an offer if no other endpoint takes the flow, and in a return if the
 	// endpoint would take the flow in that case.
 	LastResort bool
-	// IgnoreEjection is set in an offer if the endpoint must accept the flow although its agent has
-	// ejected it, because the other endpoints of the service do no better.
+	// IgnoreEjection is set in an offer if the agent must not return the flow on account of an
+	// ejection of its endpoint, because the other endpoints of the service do no better.
 	IgnoreEjection bool
 	// Zone is the zone of the balancer's clients. It is set in offers.
 	Zone string
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -10,8 +10,8 @@
 )
 
 // maxBusyReturns is the number of agents that may return an opening packet because they are busy.
-// After that the least busy of them must take it. Three choices are nearly as good as all (the
-// power of two choices: Mitzenmacher, 2001), and each costs a round trip.
+// After that the packet is offered to the least busy of them as the last resort. Three choices are
+// nearly as good as all (the power of two choices: Mitzenmacher, 2001), and each costs a round trip.
 const maxBusyReturns = 3
 
 // offer is an opening packet that no endpoint has answered yet.
--- a/internal/relay/persistentflow.go
+++ b/internal/relay/persistentflow.go
@@ -15,8 +15,8 @@
 	minRequestGap = 20 * time.Millisecond
 	// demandWeight is the weight of the latest second in the average demand of a service.
 	demandWeight = 0.2
-	// minDemand is the minimum demand of a persistent flow, so that idle flows are still spread
-	// evenly.
+	// minDemand is the minimum demand of a persistent flow in slots, so that idle flows are still
+	// spread evenly.
 	minDemand = 0.01
 )
 
@@ -32,7 +32,7 @@
 	requestRate float64
 }
 
-// update averages in the requests since the last sweep.
+// update adds the requests since the last sweep to the average request rate.
 func (d *persistentDemand) update(elapsed time.Duration) {
 	if d.flows > 0 && elapsed > 0 {
 		rate := float64(d.requests) / float64(d.flows) / elapsed.Seconds()
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -32,9 +32,9 @@
 	suspicion      time.Duration
 	suspectedUntil time.Duration
 	// processingTime is the latest processing time from the agent in microseconds.
-	// processingTimeRefreshedAt is when it was reported or last requested.
 	processingTime uint32
 	// processingTimeChangedAt is when the reported processing time last changed.
+	// processingTimeRefreshedAt is when it was last reported or requested.
 	processingTimeChangedAt   time.Duration
 	processingTimeRefreshedAt time.Duration
 	// utilization is the latest report of how busy the endpoint is.
@@ -148,7 +148,8 @@
 type choice struct {
 	directory.Candidate
 	// untrusted is set if the endpoint is suspected or ejected and there is no better one.
-	// ignoreEjection is set if its agent has ejected it and nothing else speaks against it.
+	// ignoreEjection is set if its agent has ejected it, but the other endpoints of its service do
+	// no better.
 	untrusted      bool
 	ignoreEjection bool
 }
@@ -184,10 +185,10 @@
 	// without notice may still get new flows. The rest is for the time until the balancer learns of
 	// the expiry.
 	expiryTolerance = 0.5
-	// massExpiryRatio is the number of expired entries for each present one above which the store
-	// rather than the endpoints is presumed to have failed.
+	// massExpiryRatio is the ratio of expired to present entries above which the store rather than
+	// the endpoints is presumed to have failed.
 	massExpiryRatio = 0.5
-	// minMassExpiry is the minimum number of expired entries for that.
+	// minMassExpiry is the minimum number of expired entries for that presumption.
 	minMassExpiry = 2
 )
 
@@ -219,8 +220,8 @@
 	return occupant.ID == candidate.ID
 }
 
-// bestCandidate returns the endpoint that is expected to answer a new flow first, among a few that
-// are drawn from the accepted endpoints of a service that were not tried.
+// bestCandidate draws a few endpoints of a service that are accepted and were not tried. It returns
+// the one that is expected to answer a new flow first.
 func (b *Balancer) bestCandidate(now time.Duration, service string, tried []directory.EndpointID, accepts func(directory.Candidate) bool) (directory.Candidate, bool) {
 	b.candidateScratch, b.localScratch, b.placementScratch = b.candidateScratch[:0], b.localScratch[:0], b.placementScratch[:0]
 	for _, candidate := range b.snapshot.Candidates(service) {
@@ -268,8 +269,8 @@
 }
 
 // chooseService returns the service for the next new flow of a route: the one whose turn it is or,
-// if that has no endpoint, another one of the route. It returns an empty name if the route has no
-// shares, that is, no service with a weight.
+// if that has no endpoint, another one of the route. It returns an empty name if no service of the
+// route has a weight.
 func (b *Balancer) chooseService(now time.Duration, route *directory.Route) string {
 	switch len(route.WeightedServices) {
 	case 0:
--- a/internal/relay/processingtime.go
+++ b/internal/relay/processingtime.go
@@ -10,12 +10,12 @@
 
 const (
 	// slowRatio is the ratio of processing time to median from which an endpoint counts as slow.
-	// Smaller ratios are within chance.
+	// Smaller ratios may be due to chance.
 	slowRatio = 1.5
 	// processingTimeRefresh is the maximum age of the processing time of a slow endpoint. Such an
 	// endpoint gets few new flows whose messages would update it.
 	processingTimeRefresh = 300 * time.Millisecond
-	// medianLifetime is how long a median is reused. To compute it takes a pass over all endpoints
+	// medianLifetime is how long a median is reused. Computing it takes a pass over all endpoints
 	// of the service.
 	medianLifetime = 100 * time.Millisecond
 	// slowRetention is how long an endpoint counts as slow while its processing time does not
@@ -23,8 +23,8 @@
 	slowRetention = 2 * time.Second
 )
 
-// noteProcessingTime records the processing time that an agent reports. For an endpoint with
-// persistent flows the number of flows says little about it.
+// noteProcessingTime records the processing time that an agent reports. The number of flows at an
+// endpoint says little about its processing time if many of them are persistent.
 func (b *Balancer) noteProcessingTime(now time.Duration, from segment.Address, load Load) {
 	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || load.ProcessingTime == 0 {
@@ -71,8 +71,8 @@
 	return b.processingTimeScratch[(len(b.processingTimeScratch)-1)/2]
 }
 
-// slowness returns the ratio of the endpoint's processing time to the median, or 1 if that is
-// within chance or unknown.
+// slowness returns the ratio of the endpoint's processing time to the median, or 1 if the ratio is
+// unknown or may be due to chance.
 func (h *endpointHealth) slowness(now time.Duration, median uint32) float64 {
 	if median == 0 || now-h.processingTimeChangedAt >= slowRetention {
 		return 1
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -44,14 +44,15 @@
 	answerUnread        bool
 	answerSequence      uint32
 	answerSequenceKnown bool
-	// latestPacket is the first packet of the latest request. It may be given to the endpoint again
+	// firstPacket is the first packet of the latest request. It may be given to the endpoint again
 	// to find out whether the endpoint still holds the flow.
-	latestPacket []byte
+	firstPacket []byte
 	// held are the packets of a waiting request.
 	held [][]byte
 }
 
-// setParameters sets the parameters of a flow that was opened before this agent was started.
+// setParameters sets the parameters of a flow if they are unknown because the flow was opened
+// before this agent was started.
 func (r *requestState) setParameters(parameters FlowParameters) {
 	if r.parameters == (FlowParameters{}) {
 		r.parameters = parameters
@@ -66,7 +67,7 @@
 
 func milliseconds(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// queueEntry returns the request in the form that the queue order uses.
+// queueEntry returns the request in the form that the scheduler uses.
 func (r *requestState) queueEntry() requestqueue.Request {
 	return requestqueue.Request{
 		Priority: r.parameters.Priority, StartedAt: r.askedAt,
@@ -76,20 +77,20 @@
 
 // requestQueue holds the flows whose requests wait for the endpoint.
 type requestQueue struct {
-	order   requestqueue.Scheduler
-	waiting []queuedRequest
-	entries []requestqueue.Request
+	scheduler requestqueue.Scheduler
+	waiting   []queuedRequest
+	entries   []requestqueue.Request
 }
 
 func newRequestQueue(policy requestqueue.Policy) requestQueue {
-	return requestQueue{order: policy.NewScheduler()}
+	return requestQueue{scheduler: policy.NewScheduler()}
 }
 
 // expire removes and returns the requests whose clients have given up.
-func (q *requestQueue) expire(now, workTime time.Duration) []queuedRequest {
+func (q *requestQueue) expire(now, processingTime time.Duration) []queuedRequest {
 	var expired []queuedRequest
 	q.waiting = slices.DeleteFunc(q.waiting, func(w queuedRequest) bool {
-		if w.flow.request.queueEntry().Timeliness(now, workTime) != requestqueue.Expired {
+		if w.flow.request.queueEntry().Timeliness(now, processingTime) != requestqueue.Expired {
 			return false
 		}
 		w.flow.request.held = nil
@@ -100,10 +101,10 @@
 }
 
 // countInTime returns how many of the waiting requests can still meet their objective.
-func (q *requestQueue) countInTime(now, workTime time.Duration) uint32 {
+func (q *requestQueue) countInTime(now, processingTime time.Duration) uint32 {
 	count := uint32(0)
 	for _, w := range q.waiting {
-		if w.flow.request.queueEntry().Timeliness(now, workTime) == requestqueue.InTime {
+		if w.flow.request.queueEntry().Timeliness(now, processingTime) == requestqueue.InTime {
 			count++
 		}
 	}
@@ -120,7 +121,7 @@
 	for _, w := range q.waiting {
 		q.entries = append(q.entries, w.flow.request.queueEntry())
 	}
-	choice := q.order.Next(now, capacity, q.entries)
+	choice := q.scheduler.Next(now, capacity, q.entries)
 	chosen := q.waiting[choice.Index]
 	q.waiting = slices.Delete(q.waiting, choice.Index, choice.Index+1)
 	return chosen, choice.Reason, true
@@ -135,8 +136,8 @@
 	return requestqueue.Capacity{Concurrency: a.usage.limit(), ProcessingTime: time.Duration(a.usage.meanResponseTime * float64(time.Second))}
 }
 
-// admitPacket reports whether the endpoint can be given a packet with data now. It holds the packet
-// if that belongs to a request that has to wait.
+// admitPacket reports whether the endpoint can be given a packet with data now. It holds a packet of
+// a request that has to wait.
 func (a *Agent) admitPacket(now time.Duration, key segment.FlowKey, flow *agentFlow, header segment.Header, packet []byte) bool {
 	end := header.Sequence + uint32(header.Length)
 	retransmission := int32(end-flow.request.sentEnd) <= 0
@@ -153,7 +154,7 @@
 		return false
 	default:
 		flow.request.id = a.config.Codec.RequestID(packet)
-		flow.request.latestPacket = append(flow.request.latestPacket[:0], packet...)
+		flow.request.firstPacket = append(flow.request.firstPacket[:0], packet...)
 		a.occupySlot(now, flow)
 		a.recordEvent(Event{Kind: EventGiven, Flow: key, Request: flow.request.id, Peer: flow.balancer})
 	}
@@ -231,7 +232,7 @@
 			Reason: reason.String(),
 		})
 		held := request.held
-		request.held, request.latestPacket = nil, held[0]
+		request.held, request.firstPacket = nil, held[0]
 		a.occupySlot(now, admitted.flow)
 		request.lastDataAt = now
 		for _, packet := range held {
--- a/internal/relay/queue_test.go
+++ b/internal/relay/queue_test.go
@@ -119,7 +119,7 @@
 		agent.lastResort = true
 	}
 
-	It("admits the earliest due request under that discipline if all can be in time", func() {
+	It("admits the request that is due first under DisciplineEarliestDue if all can be in time", func() {
 		fill(requestqueue.Policy{Discipline: requestqueue.DisciplineEarliestDue})
 		handshake(1*millisecond, 10)
 		handshake(2*millisecond, 11)
@@ -138,7 +138,7 @@
 		}
 		Expect(deliveredNumbers(respond(3*millisecond, 0))).To(Equal([]int{10}))
 		effects := respond(4*millisecond, 1)
-		Expect(deliveredNumbers(effects)).To(Equal([]int{11}), "less urgent")
+		Expect(deliveredNumbers(effects)).To(Equal([]int{11}), "the fair share of the less urgent requests is due")
 		Expect(effectsOfKind(effects, relay.EffectEvent)).To(ContainElement(HaveField("Event", And(
 			HaveField("Kind", relay.EventAdmitted), HaveField("Reason", "fair_share")))))
 		Expect(deliveredNumbers(respond(5*millisecond, 2))).To(Equal([]int{12}))
@@ -272,7 +272,7 @@
 		effects = agent.HandleEndpointPacket(50*millisecond, endpointPacket(1, segment.Acknowledge|segment.Finish, 507, 108, ""))
 		Expect(eventKinds(effects)).To(ContainElement(relay.EventAnswered))
 		effects = agent.HandleEndpointPacket(51*millisecond, endpointPacket(1, segment.Acknowledge, 501, 108, "answer"))
-		Expect(eventKinds(effects)).NotTo(ContainElement(relay.EventAnswered), "once")
+		Expect(eventKinds(effects)).NotTo(ContainElement(relay.EventAnswered), "the answer was counted already")
 	})
 
 	It("drops requests whose clients have given up", func() {
--- a/internal/relay/reachability.go
+++ b/internal/relay/reachability.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// pingDelay is how long no agent may respond to opening packets before agents are pinged.
+	// pingDelay is the time without any response to opening packets after which agents are pinged.
 	pingDelay = 250 * time.Millisecond
-	// isolationDelay is how long pings may stay unanswered before the balancer considers itself cut
-	// off from all agents.
+	// isolationDelay is how long pings may stay unanswered before the balancer counts as cut off from
+	// all agents.
 	isolationDelay = 500 * time.Millisecond
 	// pingInterval is the time between two rounds of pings.
 	pingInterval = 150 * time.Millisecond
@@ -92,8 +92,8 @@
 	}
 }
 
-// isAgent reports whether an address belongs to a known agent, so that other senders cannot make a
-// balancer believe that it reaches agents.
+// isAgent reports whether an address belongs to a known agent. Messages of other senders do not
+// prove that agents can be reached, so they are ignored.
 func (b *Balancer) isAgent(from segment.Address) bool {
 	_, exists := b.snapshot.CandidateAt(from.IP)
 	return exists && from.Port == b.config.AgentPort
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -10,8 +10,8 @@
 )
 
 // maxRestartProbes limits the flows for which an endpoint is probed at once after an apparent
-// restart to the number of packets that it reads within some milliseconds. Clients of other flows
-// learn of the restart with their next packet.
+// restart. An endpoint reads that many packets within some milliseconds. Other lost flows
+// are reset when their clients send the next packet.
 const maxRestartProbes = 256
 
 // probeAfterRestart handles an apparent restart of the endpoint. It finds out which earlier flows
@@ -22,7 +22,7 @@
 func (a *Agent) probeAfterRestart() {
 	a.endpointIncarnation++
 	for _, flow := range a.unconfirmedFlows() {
-		a.deliver(flow.request.latestPacket)
+		a.deliver(flow.request.firstPacket)
 	}
 }
 
@@ -31,12 +31,12 @@
 func (a *Agent) unconfirmedFlows() []*agentFlow {
 	var flows []*agentFlow
 	for _, flow := range a.flows {
-		if flow.state == stateOpen && flow.endpointIncarnation < a.endpointIncarnation && len(flow.request.latestPacket) > 0 {
+		if flow.state == stateOpen && flow.endpointIncarnation < a.endpointIncarnation && len(flow.request.firstPacket) > 0 {
 			flows = append(flows, flow)
 		}
 	}
 	slices.SortFunc(flows, func(x, y *agentFlow) int {
-		return cmp.Or(cmp.Compare(y.request.admittedAt, x.request.admittedAt), bytes.Compare(x.request.latestPacket, y.request.latestPacket))
+		return cmp.Or(cmp.Compare(y.request.admittedAt, x.request.admittedAt), bytes.Compare(x.request.firstPacket, y.request.firstPacket))
 	})
 	return flows[:min(len(flows), maxRestartProbes)]
 }
@@ -47,7 +47,8 @@
 	a.recordEvent(Event{Kind: EventEndpointLostFlow, Flow: key, Request: flow.request.id})
 	sequence := header.Acknowledgment
 	if flow.writtenKnown {
-		// The returned packet may be an old one.
+		// The returned packet may be an old one, and the client would not accept a reset at its
+		// acknowledgment.
 		sequence = flow.writtenEnd
 	}
 	a.effects = append(a.effects, Effect{
--- a/internal/relay/stuck.go
+++ b/internal/relay/stuck.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// stuckFactor is the ratio of the time since the last data of a request to the mean response
-	// time from which the endpoint counts as stuck. minStuckTime is the minimum time for that.
+	// The endpoint counts as stuck if the last data of an unanswered request is older than
+	// stuckFactor times the mean response time, and older than minStuckTime.
 	stuckFactor  = 12
 	minStuckTime = 300 * time.Millisecond
 )
@@ -28,6 +28,6 @@
 	if meanResponseTime == 0 {
 		return false
 	}
-	patience := max(time.Duration(stuckFactor*meanResponseTime*float64(time.Second)), minStuckTime)
-	return slices.ContainsFunc(u.flows, func(flow *agentFlow) bool { return now-flow.request.lastDataAt > patience })
+	threshold := max(time.Duration(stuckFactor*meanResponseTime*float64(time.Second)), minStuckTime)
+	return slices.ContainsFunc(u.flows, func(flow *agentFlow) bool { return now-flow.request.lastDataAt > threshold })
 }
--- a/internal/relay/survey_test.go
+++ b/internal/relay/survey_test.go
@@ -47,9 +47,9 @@
 		}
 		return agent.Receive(now, balancerA, message)
 	}
-	answer := func(now time.Duration, number int, kind relay.MessageKind, age time.Duration) []relay.Effect {
+	answer := func(now time.Duration, number int, kind relay.MessageKind, uptime time.Duration) []relay.Effect {
 		return agent.Receive(now, agentAddress(number), relay.Message{
-			Kind: kind, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Uptime: age,
+			Kind: kind, Service: service, Flow: relay.EncodeFlow(flowKey(1)), Uptime: uptime,
 		})
 	}
 
@@ -82,7 +82,7 @@
 	It("reports to the balancer once all agents have replied, with the longest uptime", func() {
 		startSurvey(0, false)
 		Expect(answer(millisecond, 1, relay.KindDenied, 7*time.Second)).To(BeEmpty())
-		Expect(answer(millisecond, 1, relay.KindDenied, 7*time.Second)).To(BeEmpty(), "a copy")
+		Expect(answer(millisecond, 1, relay.KindDenied, 7*time.Second)).To(BeEmpty(), "a copy of a reply")
 		result := onlyMessage(answer(millisecond, 2, relay.KindDenied, 5*time.Second))
 		Expect(result.To).To(Equal(balancerA))
 		Expect(result.Message.Kind).To(Equal(relay.KindSurveyResult))
@@ -106,7 +106,7 @@
 		result := onlyMessage(agent.Tick(60 * millisecond)).Message
 		Expect(result.Kind).To(Equal(relay.KindSurveyResult))
 		Expect(result.Unresponsive).To(Equal(agentGroup(2)))
-		Expect(sentMessages(agent.Tick(70*millisecond))).To(BeEmpty(), "once")
+		Expect(sentMessages(agent.Tick(70*millisecond))).To(BeEmpty(), "the result was reported already")
 		Expect(onlyMessage(answer(80*millisecond, 2, relay.KindDenied, time.Second)).Message.Unresponsive).To(BeEmpty())
 	})
 
@@ -178,7 +178,7 @@
 		Expect(surveyor.Message.Flags).To(Equal(segment.Acknowledge))
 	})
 
-	It("delegates the agents of each zone to one agent of the zone", func() {
+	It("delegates the search in each zone to one agent of the zone", func() {
 		for number := range agents {
 			builder.putEndpoint(0, number, func(e *directory.Endpoint) { e.Zone = []string{ownZone, otherZone}[number%2] })
 		}
--- a/internal/relay/utilization.go
+++ b/internal/relay/utilization.go
@@ -17,7 +17,7 @@
 	slow    bool
 }
 
-// utilizationOf returns the utilization of the group of an endpoint.
+// utilizationOf returns the utilization of the group of an endpoint with the given slowness.
 func (b *Balancer) utilizationOf(candidate directory.Candidate, slowness float64) *placement.GroupUtilization {
 	key := endpointGroup{candidate.Endpoint.Service, candidate.Endpoint.Zone, slowness > 1}
 	utilization, exists := b.utilization[key]
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -16,23 +16,23 @@
 	// number; an agent that starts together with others needs some of them.
 	verifyInterval = 100 * time.Millisecond
 	verifyRounds   = 16
-	// recheckRounds is the interval, in rounds, at which agents are asked again that replied that
-	// they do not know. Their endpoint may have written in the flow since.
+	// recheckRounds is the interval, in rounds, at which agents that replied that they do not know
+	// are asked again. Their endpoint may have written in the flow since.
 	recheckRounds = 4
-	// inconclusivePause is the first pause before agents are asked again that have all replied
-	// without a proof. It doubles each time. Without it 900 flows whose endpoints had lost power
-	// were searched for 58,000 times in 10 s, with 0.52 GB between zones and 142 s of processor
-	// time instead of 0.06 GB and 37 s (60 emulated machines).
+	// inconclusivePause is the first pause of a search in which all agents have replied without a
+	// proof. They are asked again after it. The pause doubles each time. Without it 900 flows whose
+	// endpoints had lost power were searched for 58,000 times in 10 s, with 0.52 GB between zones
+	// and 142 s of processor time instead of 0.06 GB and 37 s (60 emulated machines).
 	inconclusivePause = time.Second
-	// restartSpread is the tolerance for agents that were started together with the balancer's
-	// directory: they may have started that much earlier.
+	// restartSpread is how much earlier than the history of the balancer's directory an agent may
+	// have started and still count as started together with it.
 	restartSpread = 3 * time.Second
 )
 
 // searchReply is the reply of an agent to a search.
 type searchReply struct {
 	// denied is set if the agent's endpoint does not hold the flow. Otherwise the agent does not
-	// know, and probed is set once it was made to ask its endpoint.
+	// know. probed is set once the agent was made to probe its endpoint.
 	denied bool
 	probed bool
 	// agentStartedAt is when the agent was started.
@@ -106,7 +106,7 @@
 	}
 }
 
-// allProbed reports whether all of the agents were made to ask their endpoints.
+// allProbed reports whether all of the agents were made to probe their endpoints.
 func (b *Balancer) allProbed(search *ownerSearch, agents []directory.Candidate) bool {
 	return !slices.ContainsFunc(agents, func(candidate directory.Candidate) bool {
 		return !search.replies[b.agentAddress(candidate)].probed
@@ -161,7 +161,7 @@
 }
 
 // conclude resets a flow that no endpoint holds. Once all possible owners have replied, it makes
-// those that do not know ask their endpoints.
+// those that do not know probe their endpoints.
 func (b *Balancer) conclude(now time.Duration, flow *balancerFlow) {
 	search := flow.search
 	if search.verifications == 0 {
@@ -196,7 +196,8 @@
 }
 
 // awaitConfirmation requests a confirmation of the directory as of the start of a search, unless
-// one was requested recently. It reports whether the confirmation is still missing.
+// one was requested recently. It reports whether the confirmation is still missing. A confirmation
+// costs a call to the store.
 func (b *Balancer) awaitConfirmation(now time.Duration, search *ownerSearch) bool {
 	if b.currentThrough >= search.beganAt {
 		return false
@@ -221,9 +222,9 @@
 }
 
 // directoryCovers reports whether the directory's history is long enough to contain every endpoint
-// that may hold a flow, including one that has left and still serves. It is if it spans the
-// lifetime of a flow, or if it goes back to the start of the agents, before which there was
-// nothing. If all agents are as young as the directory, everything was started anew.
+// that may hold a flow, including one that has left and still serves. The history is long enough if
+// it spans the lifetime of a flow, or if it goes back to the start of the agents, before which
+// nothing was running. If all agents are as young as the directory, everything was started anew.
 func (b *Balancer) directoryCovers(now, agentStartedAt time.Duration) bool {
 	since := b.snapshot.DeparturesKnownSince()
 	return now-since >= b.config.FlowLifetime || agentStartedAt+restartSpread >= since
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -61,7 +61,7 @@
 		Expect(kindsByEndpoint(startVerification())).To(Equal(map[byte]relay.MessageKind{0: relay.KindVerify, 1: relay.KindVerify, 2: relay.KindVerify}))
 	})
 
-	It("requests a confirmation of the directory only once all agents have denied the flow", func() {
+	It("requests a confirmation of the directory only once all agents have denied the flow, since it costs a call to the store", func() {
 		startVerification()
 		Expect(effectsOfKind(answer(relay.KindDenied, start+11*millisecond, 0), relay.EffectConfirmDirectory)).To(BeEmpty())
 		Expect(effectsOfKind(answer(relay.KindDenied, start+11*millisecond, 1), relay.EffectConfirmDirectory)).To(BeEmpty())
@@ -120,7 +120,7 @@
 		install()
 		Expect(resetHeaders(confirmThrough(start))).To(BeEmpty())
 		again := balancer.Tick(start + 110*millisecond)
-		Expect(kindsByEndpoint(again)).To(Equal(map[byte]relay.MessageKind{3: relay.KindVerify}), "only the added endpoint")
+		Expect(kindsByEndpoint(again)).To(Equal(map[byte]relay.MessageKind{3: relay.KindVerify}), "only the added endpoint is asked")
 		Expect(resetHeaders(answer(relay.KindDenied, start+111*millisecond, 3))).To(HaveLen(1))
 	})
 
@@ -137,7 +137,7 @@
 		Expect(resetHeaders(answer(relay.KindDenied, start+13*millisecond, 4))).To(HaveLen(1))
 	})
 
-	It("does not reset the flow if agents are older than the history of the directory", func() {
+	It("does not reset the flow if agents are older than the history of the directory, however long it waits", func() {
 		balancer = newBalancer()
 		builder.replica = directory.NewReplica()
 		builder.configure(directory.WeightedService{Service: service, Weight: 1})
