--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -15,26 +15,26 @@
 	// Service is the service of the endpoint beside the agent.
 	Service string
 	Codec   segment.Codec
-	// StartedWithEndpoint is set if the agent starts together with its endpoint, so that
-	// no flow can have been opened before.
+	// StartedWithEndpoint is set if the agent starts together with its endpoint, so that the
+	// endpoint holds no flow that the agent does not know.
 	StartedWithEndpoint bool
-	// FlowLifetime is the longest time for which a flow may last.
+	// FlowLifetime is the longest time that a flow may last.
 	FlowLifetime time.Duration
-	// FlowLimit is the largest number of flows remembered.
+	// FlowLimit is the maximum number of flows remembered.
 	FlowLimit int
-	// ColdStartLimit is what a cold endpoint may get beyond its rate.
+	// ColdStartLimit is how far the requests for a cold endpoint may exceed its rate.
 	ColdStartLimit ColdStartLimit
-	// OutlierLimits are the limits within which the endpoint counts as well.
+	// OutlierLimits are the limits of outlier detection for the endpoint.
 	OutlierLimits outlier.Config
-	// QueuePolicy decides which request that waits is served first.
+	// QueuePolicy decides which waiting request is served first.
 	QueuePolicy requestqueue.Policy
 }
 
-// agentFlowState is the progress of a flow as its agent sees it.
+// agentFlowState is the state of a flow at its agent.
 type agentFlowState uint8
 
 const (
-	// stateOffered: the opening packet went to the endpoint.
+	// stateOffered: the endpoint was given the opening packet.
 	stateOffered agentFlowState = iota
 	// stateAnswered: the endpoint answered the opening packet.
 	stateAnswered
@@ -42,160 +42,160 @@
 	stateOpen
 	// stateEnded: one end has closed the flow, or reset it.
 	stateEnded
-	// stateProbed: the agent does not know the flow and has handed one packet
-	// of it to the endpoint to learn whether it does.
+	// stateProbed: the agent does not know the flow and gave the endpoint one packet of it to find
+	// out whether the endpoint holds it.
 	stateProbed
 	// stateDenied: the endpoint does not hold the flow.
 	stateDenied
 )
 
-// agentFlow is what an agent remembers of a flow.
+// agentFlow is what an agent knows of a flow.
 type agentFlow struct {
 	state agentFlowState
-	// sequence is the client's initial sequence number, answer the endpoint's or, once
-	// that has sent much, a later one.
-	sequence uint32
-	answer   uint32
-	// answered is set once answer is known.
-	answered bool
-	balancer segment.Address
-	// zone is that of the client, as far as the balancer told it when the flow was opened.
+	// clientISN is the initial sequence number of the client. ackBase is that of the endpoint or,
+	// once the endpoint has sent much data, a later sequence number.
+	clientISN uint32
+	ackBase   uint32
+	// ackBaseKnown is set once ackBase is known.
+	ackBaseKnown bool
+	balancer     segment.Address
+	// zone is the zone of the client, empty unless the balancer named it when the flow was opened.
 	zone string
-	// written is how far the endpoint has written, once wrote is set.
-	written uint32
-	wrote   bool
-	// prober is the daemon that wants to know, in stateProbed, if the endpoint does not
-	// hold the flow, and forwarded is set if it took this agent for the owner.
-	prober    segment.Address
-	forwarded bool
-	// opened is when its opening packet was first given to the endpoint, 0 if that is not
-	// known.
-	opened  time.Duration
-	touched time.Duration
-	// life is the endpoint's, as far as it is told apart, in which it has written in the
-	// flow last.
-	life uint64
-	work work
-	// started is when the endpoint began to work on the latest request, if that is not
-	// before it was given it.
-	started time.Duration
+	// writtenEnd is the sequence number after the last data that the endpoint has written. It is
+	// valid once writtenKnown is set.
+	writtenEnd   uint32
+	writtenKnown bool
+	// prober is the daemon to notify, in stateProbed, if the endpoint does not hold the flow.
+	// probedByForward is set if the prober took this agent for the owner.
+	prober          segment.Address
+	probedByForward bool
+	// openedAt is when the endpoint was first given the opening packet, 0 if unknown.
+	openedAt     time.Duration
+	lastActivity time.Duration
+	// endpointIncarnation is the value of Agent.endpointIncarnation when the endpoint last wrote in
+	// the flow.
+	endpointIncarnation uint64
+	request             requestState
+	// workStarted is when the endpoint began to work on a request. It belongs to an earlier request
+	// while it is before request.admittedAt.
+	workStarted time.Duration
 }
 
-// running reports whether the endpoint has the flow and it has not ended.
-func (f *agentFlow) running() bool { return f.state <= stateOpen }
+// active reports whether the endpoint has the flow and the flow has not ended.
+func (f *agentFlow) active() bool { return f.state <= stateOpen }
 
 // never is later than any time.
 const never = time.Duration(math.MaxInt64)
 
 const (
-	// openWindow is how far a client's acknowledgment may be ahead of the
-	// initial sequence number of the endpoint that holds its flow.
-	openWindow = 1 << 26
-	// openingWindow is the same for the first packet after the handshake. The
-	// endpoint has sent next to nothing then, and a packet for another endpoint
-	// fits by chance only once in 2^16 times.
-	openingWindow = 1 << 16
-	// offeredRetention is how long an opening packet that was not answered, or
-	// whose answer was not acknowledged, is remembered.
+	// ackWindow is how far an acknowledgment of the client may be ahead of ackBase for the packet
+	// to belong to the flow.
+	ackWindow = 1 << 26
+	// handshakeAckWindow replaces ackWindow for the first packet after the handshake. The endpoint
+	// has sent next to nothing then, and a packet for another endpoint falls into the window by
+	// chance only once in 2^16 times.
+	handshakeAckWindow = 1 << 16
+	// offeredRetention is how long a flow is remembered whose opening packet was not answered, or
+	// whose answer was not acknowledged.
 	offeredRetention = 5 * time.Second
-	// endedRetention is how long an ended flow is remembered, so that its last
-	// packets reach the endpoint.
+	// endedRetention is how long an ended flow is remembered, so that its last packets still reach
+	// the endpoint.
 	endedRetention = 10 * time.Second
 	// sweepInterval is the time between removals of old flows.
 	sweepInterval = time.Second
-	// drainMemory is how long an agent believes that its endpoint is draining.
-	// It outlasts what any balancer may not have heard, and ends since another
-	// endpoint may come to the agent's address.
-	drainMemory = 30 * time.Second
+	// drainRetention is how long the endpoint counts as draining after the last notice. By the end
+	// of that time every balancer has learned of the drain from the directory. The time is finite
+	// because another endpoint may take over the agent's address.
+	drainRetention = 30 * time.Second
 )
 
-// Agent decides what becomes of packets to and from one endpoint. It is not
-// safe for concurrent use.
+// Agent decides what happens to packets to and from one endpoint. It is not safe for concurrent
+// use.
 type Agent struct {
-	config  AgentConfig
-	started time.Duration
-	begun   bool
-	now     time.Duration
-	// terms are those of the message in hand.
-	terms   FlowParameters
-	flows   map[segment.FlowKey]*agentFlow
-	running uint32
-	queue   queue
-	pace    pace
-	meter   placement.ProcessingTimeEstimator
-	// opening are the flows that have been accepted and whose first request may be to come.
-	opening []*agentFlow
-	// unanswered and detector tell how well the endpoint is.
-	unanswered unanswered
+	config      AgentConfig
+	startedAt   time.Duration
+	initialized bool
+	now         time.Duration
+	// currentParameters are those of the message being handled.
+	currentParameters FlowParameters
+	flows             map[segment.FlowKey]*agentFlow
+	activeFlows       uint32
+	queue             requestQueue
+	usage             slotUsage
+	processingTimes   placement.ProcessingTimeEstimator
+	// awaitingFirstRequest are accepted flows whose first request may still come.
+	awaitingFirstRequest []*agentFlow
+	// unanswered and detector measure the health of the endpoint.
+	unanswered unansweredRequests
 	detector   *outlier.Detector
-	cold       coldLimit
-	// life counts the times that the endpoint seemed to have been started again.
-	life    uint64
-	surveys map[segment.FlowKey]*survey
-	// drainEnds is until when the endpoint is believed to be draining.
-	drainEnds time.Duration
-	stopping  bool
-	balancers map[segment.Address]knownBalancer
-	nextSweep time.Duration
-	effects   []Effect
+	coldStart  coldStartLimiter
+	// endpointIncarnation counts the detected restarts of the endpoint.
+	endpointIncarnation uint64
+	surveys             map[segment.FlowKey]*agentSurvey
+	// drainingUntil is the time until which the endpoint counts as draining.
+	drainingUntil time.Duration
+	stopping      bool
+	balancers     map[segment.Address]knownBalancer
+	nextSweep     time.Duration
+	effects       []Effect
 }
 
-// NewAgent returns an agent that knows no flow.
+// NewAgent returns an agent that knows no flows.
 func NewAgent(config AgentConfig) *Agent {
 	return &Agent{
 		config:    config,
 		flows:     make(map[segment.FlowKey]*agentFlow),
-		surveys:   make(map[segment.FlowKey]*survey),
+		surveys:   make(map[segment.FlowKey]*agentSurvey),
 		balancers: make(map[segment.Address]knownBalancer),
-		cold:      newColdLimit(config.ColdStartLimit),
+		coldStart: newColdStartLimiter(config.ColdStartLimit),
 		detector:  outlier.NewDetector(config.OutlierLimits),
-		queue:     newQueue(config.QueuePolicy),
+		queue:     newRequestQueue(config.QueuePolicy),
 	}
 }
 
 // FlowCount returns the number of flows remembered.
 func (a *Agent) FlowCount() int { return len(a.flows) }
 
-// Load returns how busy and how well the endpoint is.
+// Load returns the load and the health of the endpoint.
 func (a *Agent) Load() Load { return a.loadFor("") }
 
-// loadFor is the load as a balancer of a zone shall know it.
+// loadFor returns the load and the health of the endpoint as reported to balancers of a zone.
 func (a *Agent) loadFor(zone string) Load {
-	pace := uint32(min(a.meter.Estimate().Microseconds(), math.MaxUint32))
-	hold := uint32(math.Ceil(a.cold.wait(a.now).Seconds() * 1000))
+	processingTime := uint32(min(a.processingTimes.Estimate().Microseconds(), math.MaxUint32))
+	coldWait := uint32(math.Ceil(a.coldStart.waitTime(a.now).Seconds() * 1000))
 	return Load{
-		Running: a.running, Waiting: uint32(len(a.queue.waiting)), Refusing: a.refusing(), ServiceTime: pace, ColdWait: hold,
+		Running: a.activeFlows, Waiting: uint32(len(a.queue.waiting)), Refusing: a.refusing(), ProcessingTime: processingTime, ColdWait: coldWait,
 		Report: a.detector.Report(a.now, zone), Pending: a.pending(),
 	}
 }
 
-const microsecondsInSecond = 1e6
+const microsecondsPerSecond = 1e6
 
 // refusing reports whether the endpoint gets no new flows.
-func (a *Agent) refusing() bool { return a.stopping || a.now < a.drainEnds }
+func (a *Agent) refusing() bool { return a.stopping || a.now < a.drainingUntil }
 
-func (a *Agent) begin(now time.Duration) {
+func (a *Agent) beginCall(now time.Duration) {
 	a.effects = a.effects[:0]
-	a.terms = FlowParameters{}
+	a.currentParameters = FlowParameters{}
 	a.now = now
-	if !a.begun {
-		a.begun = true
-		a.started = now
+	if !a.initialized {
+		a.initialized = true
+		a.startedAt = now
 		if !a.config.StartedWithEndpoint {
-			a.cold.started(now)
+			a.coldStart.noteAgentStart(now)
 		}
 	}
 }
 
-// complete reports whether the agent knows all flows that its endpoint holds.
-func (a *Agent) complete(now time.Duration) bool {
-	return a.config.StartedWithEndpoint || now-a.started > a.config.FlowLifetime
+// knowsAllFlows reports whether the agent knows all flows that its endpoint holds.
+func (a *Agent) knowsAllFlows(now time.Duration) bool {
+	return a.config.StartedWithEndpoint || now-a.startedAt > a.config.FlowLifetime
 }
 
-// Stop makes the agent take no more new flows and tells balancers so. The
-// returned effects are valid until the next call.
+// Stop makes the agent refuse new flows and notifies the balancers that it knows. The returned
+// effects are valid until the next call.
 func (a *Agent) Stop(now time.Duration) []Effect {
-	a.begin(now)
+	a.beginCall(now)
 	a.stopping = true
 	for _, balancer := range a.knownBalancers() {
 		a.send(balancer, Message{Kind: KindLeaving, Service: a.config.Service})
@@ -203,26 +203,26 @@
 	return a.effects
 }
 
-// Receive handles a message from a balancer. The returned effects are valid
+// Receive handles a message from a balancer or from another agent. The returned effects are valid
 // until the next call.
 func (a *Agent) Receive(now time.Duration, from segment.Address, message Message) []Effect {
-	a.begin(now)
-	a.terms = message.Parameters
+	a.beginCall(now)
+	a.currentParameters = message.Parameters
 	a.receive(now, from, message)
-	a.noteStarts(now)
-	a.tellChanges()
+	a.markWorkStarted(now)
+	a.reportStateChanges()
 	return a.effects
 }
 
 func (a *Agent) receive(now time.Duration, from segment.Address, message Message) {
 	switch message.Kind {
 	case KindDenied, KindUncertain:
-		a.receiveNotOwned(from, message)
+		a.receiveSurveyReply(from, message)
 		return
 	case KindSurvey:
 		a.receiveSurvey(now, from, message)
 	}
-	a.remember(now, balancerOf(from, message), message.Zone)
+	a.rememberBalancer(now, originBalancer(from, message), message.Zone)
 	switch message.Kind {
 	case KindOffer, KindForward, KindProbe:
 		a.receivePacket(now, from, message)
@@ -234,7 +234,7 @@
 		a.send(from, Message{Kind: KindPong, Service: a.config.Service})
 	case KindDrain:
 		if message.Service == a.config.Service {
-			a.drainEnds = now + drainMemory
+			a.drainingUntil = now + drainRetention
 		}
 	}
 }
@@ -242,12 +242,12 @@
 func (a *Agent) receivePacket(now time.Duration, from segment.Address, message Message) {
 	header, outcome := a.config.Codec.Decode(message.Packet)
 	if outcome != segment.Decoded {
-		a.event(Event{Kind: EventMalformed, Peer: from, Reason: outcome.String()})
+		a.recordEvent(Event{Kind: EventMalformed, Peer: from, Reason: outcome.String()})
 		return
 	}
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 	if message.Service != a.config.Service {
-		a.refuseForeign(from, key, header, message)
+		a.refuseOtherService(from, key, header, message)
 		return
 	}
 	if header.OpensFlow() {
@@ -257,17 +257,18 @@
 	a.receiveSegment(now, from, key, header, message)
 }
 
-// refuseForeign handles a packet for an endpoint that had this address before. A
-// probe is part of a search and is not answered, or the search would never end.
-func (a *Agent) refuseForeign(from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
+// refuseOtherService handles a packet for an endpoint of another service that had this address
+// before. It does not answer a probe: an answer would restart the search that the probe is part of,
+// and the search would never end.
+func (a *Agent) refuseOtherService(from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
 	if message.Kind == KindProbe {
 		return
 	}
-	a.bringBack(from, key, header, message.Packet, "other_service")
+	a.returnPacket(from, key, header, message.Packet, "other_service")
 }
 
-// bringBack returns a packet to the balancer it came from.
-func (a *Agent) bringBack(to segment.Address, key segment.FlowKey, header segment.Header, packet []byte, reason string) {
+// returnPacket sends a packet back to the balancer it came from.
+func (a *Agent) returnPacket(to segment.Address, key segment.FlowKey, header segment.Header, packet []byte, reason string) {
 	message := Message{Kind: KindNotOwned, Service: a.config.Service, Sequence: header.Sequence, Packet: packet}
 	event := EventNotOwned
 	if header.OpensFlow() {
@@ -276,175 +277,177 @@
 		event = EventReturned
 	}
 	a.send(to, message)
-	a.event(Event{Kind: event, Flow: key, Peer: to, Reason: reason})
+	a.recordEvent(Event{Kind: event, Flow: key, Peer: to, Reason: reason})
 }
 
-// The reasons of the return of an opening packet which this endpoint shall get only if no
-// other takes it.
+// Reasons for returning an opening packet that this endpoint still takes if no other does.
 const (
 	reasonEjected = "ejected"
 	reasonBusy    = "busy"
 )
 
-// reasonCold is the reason of the return of an opening packet for which the endpoint is
-// too cold.
+// reasonCold is the reason for returning an opening packet that exceeds the rate of a cold
+// endpoint.
 const reasonCold = "cold"
 
 func (a *Agent) receiveOpening(now time.Duration, from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
-	a.learnCold(now, message.Parameters.ColdStart)
-	known, exists := a.flows[key]
-	if exists && known.sequence == header.Sequence && known.state <= stateOpen {
-		a.receiveCopy(now, from, key, known, header, message)
+	a.learnColdStart(now, message.Parameters.ColdStart)
+	flow, exists := a.flows[key]
+	if exists && flow.clientISN == header.Sequence && flow.state <= stateOpen {
+		a.receiveOpeningCopy(now, from, key, flow, header, message)
 		return
 	}
 	if a.refusing() {
-		a.bringBack(from, key, header, message.Packet, "leaving")
+		a.returnPacket(from, key, header, message.Packet, "leaving")
 		return
 	}
 	if len(a.flows) >= a.config.FlowLimit && !exists {
-		a.bringBack(from, key, header, message.Packet, "flow_limit")
+		a.returnPacket(from, key, header, message.Packet, "flow_limit")
 		return
 	}
 	if a.overloaded(message.Parameters) {
-		a.bringBack(from, key, header, message.Packet, "overload")
+		a.returnPacket(from, key, header, message.Packet, "overload")
 		return
 	}
 	if !message.LastResort && a.busy(message.Parameters) {
-		a.bringBack(from, key, header, message.Packet, reasonBusy)
+		a.returnPacket(from, key, header, message.Packet, reasonBusy)
 		return
 	}
-	if !message.LastResort && !message.IgnoreEjection && !a.trusts(now, message.Zone) {
-		a.bringBack(from, key, header, message.Packet, reasonEjected)
+	if !message.LastResort && !message.IgnoreEjection && !a.admitsNewFlow(now, message.Zone) {
+		a.returnPacket(from, key, header, message.Packet, reasonEjected)
 		return
 	}
-	if !a.cold.admits(now, message.Parameters.Priority) {
-		a.bringBack(from, key, header, message.Packet, reasonCold)
+	if !a.coldStart.admit(now, message.Parameters.Priority) {
+		a.returnPacket(from, key, header, message.Packet, reasonCold)
 		return
 	}
-	a.forget(now, key)
-	a.cold.gives(now)
-	opened := &agentFlow{
-		state: stateOffered, sequence: header.Sequence, balancer: from, zone: message.Zone, opened: now, touched: now, life: a.life,
-		work: work{terms: message.Parameters, asked: now - milliseconds(message.Parameters.Waited), sent: header.Sequence + 1},
+	a.forgetFlow(now, key)
+	a.coldStart.noteOpening(now)
+	newFlow := &agentFlow{
+		state: stateOffered, clientISN: header.Sequence, balancer: from, zone: message.Zone, openedAt: now, lastActivity: now, endpointIncarnation: a.endpointIncarnation,
+		request: requestState{parameters: message.Parameters, askedAt: now - milliseconds(message.Parameters.Waited), sentEnd: header.Sequence + 1},
 	}
-	a.flows[key] = opened
-	a.opening = append(a.opening, opened)
-	a.running++
+	a.flows[key] = newFlow
+	a.awaitingFirstRequest = append(a.awaitingFirstRequest, newFlow)
+	a.activeFlows++
 	a.detector.RecordOpening(now)
 	a.deliver(message.Packet)
 }
 
-// learnCold takes what a balancer tells of the endpoint's start. An agent that has just
-// been started does not know whether its endpoint has been, too.
-func (a *Agent) learnCold(now time.Duration, told ColdStart) {
-	first := a.cold.rate == 0
-	a.cold.learn(now, told)
-	if first && !a.config.StartedWithEndpoint && a.cold.told == 0 {
-		a.cold.ends = max(a.cold.ends, a.started+a.cold.lasts)
+// learnColdStart records what a balancer reports about the start of the endpoint. If the balancer
+// reports no start, an agent without StartedWithEndpoint treats its endpoint as cold from its own
+// start, because it cannot tell whether the endpoint has started too.
+func (a *Agent) learnColdStart(now time.Duration, coldStart ColdStart) {
+	first := a.coldStart.rate == 0
+	a.coldStart.update(now, coldStart)
+	if first && !a.config.StartedWithEndpoint && a.coldStart.revision == 0 {
+		a.coldStart.coldUntil = max(a.coldStart.coldUntil, a.startedAt+a.coldStart.warmupTime)
 	}
 }
 
-// receiveCopy handles a copy of an opening packet that the endpoint was given. One that it
-// has not answered may open a flow after it was restarted.
-func (a *Agent) receiveCopy(now time.Duration, from segment.Address, key segment.FlowKey, known *agentFlow, header segment.Header, message Message) {
-	if known.state == stateOffered && !a.cold.admits(now, message.Parameters.Priority) {
-		a.forget(now, key)
-		a.bringBack(from, key, header, message.Packet, reasonCold)
+// receiveOpeningCopy handles a copy of an opening packet that the endpoint was given. The cold
+// start limit applies if the endpoint has not answered the first copy: it may have restarted, and
+// the copy then opens a flow.
+func (a *Agent) receiveOpeningCopy(now time.Duration, from segment.Address, key segment.FlowKey, flow *agentFlow, header segment.Header, message Message) {
+	if flow.state == stateOffered && !a.coldStart.admit(now, message.Parameters.Priority) {
+		a.forgetFlow(now, key)
+		a.returnPacket(from, key, header, message.Packet, reasonCold)
 		return
 	}
-	known.balancer = from
-	a.cold.gives(now)
+	flow.balancer = from
+	a.coldStart.noteOpening(now)
 	a.deliver(message.Packet)
 }
 
 // receiveSegment handles a client's packet that does not open a flow.
 func (a *Agent) receiveSegment(now time.Duration, from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
-	known, exists := a.flows[key]
-	if exists && a.owns(known, header) {
-		a.receiveOwned(now, from, key, known, header, message)
+	flow, exists := a.flows[key]
+	if exists && a.owns(flow, header) {
+		a.receiveOwnedSegment(now, from, key, flow, header, message)
 		return
 	}
 	switch {
-	case a.mayOwn(now, known):
+	case a.mayOwn(now, flow):
 		a.probe(now, from, key, header, message)
-	case known != nil && known.state == stateProbed:
-		// An endpoint returns what it does not hold and need not answer a packet without data
-		// that it does. Sent elsewhere, the packets of a flow that was alive reached six other
-		// endpoints and not its own for 6 s, after its agent had been killed.
-		known.balancer, known.prober = balancerOf(from, message), from
-		known.forwarded = message.Kind == KindForward
+	case flow != nil && flow.state == stateProbed:
+		// The endpoint returns packets of flows that it does not hold, but it need not answer a
+		// packet without data of a flow that it holds. No answer therefore does not mean that it
+		// lacks the flow. When such packets were sent elsewhere after an agent had been killed,
+		// packets of a live flow reached six other endpoints and not its own for 6 s.
+		flow.balancer, flow.prober = originBalancer(from, message), from
+		flow.probedByForward = message.Kind == KindForward
 		a.deliver(message.Packet)
 	case message.Kind == KindForward:
-		a.bringBack(from, key, header, message.Packet, "not_owned")
-	case a.disowns(now, known):
+		a.returnPacket(from, key, header, message.Packet, "not_owned")
+	case a.certainlyNotHeld(now, flow):
 		a.deny(now, from, key)
 	}
 }
 
-func (a *Agent) end(now time.Duration, known *agentFlow) {
-	if known.running() {
-		a.running--
+func (a *Agent) endFlow(now time.Duration, flow *agentFlow) {
+	if flow.active() {
+		a.activeFlows--
 	}
-	known.state = stateEnded
-	a.release(now, known)
+	flow.state = stateEnded
+	a.releaseSlot(now, flow)
 }
 
-func (a *Agent) forget(now time.Duration, key segment.FlowKey) {
-	known, exists := a.flows[key]
+func (a *Agent) forgetFlow(now time.Duration, key segment.FlowKey) {
+	flow, exists := a.flows[key]
 	if !exists {
 		return
 	}
-	if known.running() {
-		a.running--
+	if flow.active() {
+		a.activeFlows--
 	}
 	delete(a.flows, key)
-	known.state = stateEnded
-	a.release(now, known)
+	flow.state = stateEnded
+	a.releaseSlot(now, flow)
 }
 
-// NextTick returns when Tick should be called at the latest.
+// NextTick returns the latest time for the next call of Tick.
 func (a *Agent) NextTick(now time.Duration) time.Duration {
 	next := now + sweepInterval
 	if len(a.queue.waiting) > 0 {
-		next = now + queueInterval
+		next = now + queueCheckInterval
 	}
 	if due, waits := a.detector.CheckDue(); waits {
 		next = min(next, due)
 	}
-	return min(next, a.nextSurvey())
+	return min(next, a.nextSurveyReport())
 }
 
 // Tick handles timeouts. The returned effects are valid until the next call.
 func (a *Agent) Tick(now time.Duration) []Effect {
-	a.begin(now)
-	a.expire(now)
+	a.beginCall(now)
+	a.releaseStuckSlots(now)
 	a.expireSurveys(now)
 	a.detector.CheckOpenings(now)
-	a.noteStarts(now)
-	a.tellChanges()
+	a.markWorkStarted(now)
+	a.reportStateChanges()
 	if now >= a.nextSweep {
 		a.sweep(now)
 	}
 	return a.effects
 }
 
-// sweep forgets what is too old.
+// sweep removes flows and balancers that were idle for too long.
 func (a *Agent) sweep(now time.Duration) {
 	a.nextSweep = now + sweepInterval
-	for key, known := range a.flows {
-		if now-known.touched > a.retention(known) {
-			a.forget(now, key)
+	for key, flow := range a.flows {
+		if now-flow.lastActivity > a.retention(flow) {
+			a.forgetFlow(now, key)
 		}
 	}
-	for balancer, known := range a.balancers {
-		if now-known.heard > a.config.FlowLifetime {
+	for balancer, record := range a.balancers {
+		if now-record.heardAt > a.config.FlowLifetime {
 			delete(a.balancers, balancer)
 		}
 	}
 }
 
-func (a *Agent) retention(known *agentFlow) time.Duration {
-	switch known.state {
+func (a *Agent) retention(flow *agentFlow) time.Duration {
+	switch flow.state {
 	case stateOffered, stateAnswered:
 		return offeredRetention
 	case stateEnded:
@@ -462,7 +465,7 @@
 	a.effects = append(a.effects, Effect{Kind: EffectSendMessage, To: to, Message: message})
 }
 
-func (a *Agent) event(event Event) {
+func (a *Agent) recordEvent(event Event) {
 	event.Class = a.classify(event)
 	a.effects = append(a.effects, Effect{Kind: EffectEvent, Event: event})
 }
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -20,245 +20,242 @@
 	Codec segment.Codec
 	// AgentPort is the port on which all agents receive messages.
 	AgentPort uint16
-	// FlowLifetime is the longest time for which a flow may last.
+	// FlowLifetime is the longest time that a flow may last.
 	FlowLifetime time.Duration
-	// FlowLimit is the largest number of flows remembered.
+	// FlowLimit is the maximum number of flows remembered.
 	FlowLimit int
-	// ApplyTimeout is the time in which a change of the configuration has to be
-	// in force.
+	// ApplyTimeout is the time within which a configuration change must take effect.
 	ApplyTimeout time.Duration
-	// DrainTimeout is the time after which an endpoint that is known to be
-	// leaving must get no new flow.
+	// DrainTimeout is the time after which an endpoint that is known to be leaving must not get new
+	// flows.
 	DrainTimeout time.Duration
-	// Random breaks ties. The balancer alone may use it.
+	// Random draws the endpoints that are compared for a new flow, and the agents that carry out
+	// surveys. It must not be shared with other users.
 	Random *rand.Rand
 }
 
 const (
-	// offerTimeout is how long a balancer waits for an agent to tell that its
-	// endpoint answered an opening packet before it offers the packet to
-	// another. It is shorter than any client's first repetition.
+	// offerTimeout is how long a balancer waits for an agent to report that its endpoint answered
+	// an opening packet, before it offers the packet to another endpoint. It is shorter than the
+	// first retransmission timeout of any client.
 	offerTimeout = 45 * time.Millisecond
-	// offersLast is how long an opening packet is offered to further endpoints: clients
-	// give up then.
-	offersLast = 1400 * time.Millisecond
-	// doubtfulOffers bounds how many endpoints are asked that are suspected or ejected:
-	// those that are well have been asked before.
-	doubtfulOffers = 3
-	// confirmationMargin is how much longer than ApplyTimeout after the last
-	// answer of the store a missing route is still believed to be missing.
+	// offerLifetime is how long an opening packet is offered to further endpoints. Clients give up
+	// after that time.
+	offerLifetime = 1400 * time.Millisecond
+	// maxUntrustedOffers limits the offers of a flow to endpoints that are suspected or ejected.
+	// All healthy endpoints have been asked before.
+	maxUntrustedOffers = 3
+	// confirmationMargin is added to ApplyTimeout. Their sum is how long after the last reply of
+	// the store the balancer still relies on the absence of a route.
 	confirmationMargin = time.Second
-	// closingRetention is how long a flow is remembered after its client has
-	// closed it.
+	// closingRetention is how long a flow is remembered after its client has closed it.
 	closingRetention = 5 * time.Second
-	// locateLimit bounds the agents that are asked for the owner of one flow. A survey
-	// has room for some 400 of them; flows whose route has more are not proved dead.
-	locateLimit = 2048
+	// maxLocateAgents limits the agents that are asked for the owner of one flow. A flow whose
+	// route has more agents is never declared ownerless. One survey has room for about 400 agents.
+	maxLocateAgents = 2048
 )
 
-// balancerFlowState is the progress of a flow as a balancer sees it.
+// balancerFlowState is the state of a flow at a balancer.
 type balancerFlowState uint8
 
 const (
-	// flowOffering: the opening packet was offered and nobody has answered.
+	// flowOffering: the opening packet was offered and no endpoint has answered.
 	flowOffering balancerFlowState = iota
 	// flowPlaced: the owner is known.
 	flowPlaced
-	// flowLocating: agents were asked for the owner.
+	// flowLocating: agents are being asked for the owner.
 	flowLocating
-	// flowClosing: the client has closed its end.
+	// flowClosing: the client has closed its side.
 	flowClosing
-	// flowOwnerless: no endpoint holds the flow; its client was told.
+	// flowOwnerless: no endpoint holds the flow and its client was reset.
 	flowOwnerless
 )
 
-// balancerFlow is what a balancer remembers of a flow. It is a cache: the
-// agent of the flow's endpoint knows better.
+// balancerFlow is what a balancer knows of a flow. It is a cache; the agent of the owning endpoint
+// is authoritative.
 type balancerFlow struct {
 	state balancerFlowState
-	// counted is set while the flow counts for its endpoint, and kept once it does so as a
-	// flow for many requests, the last of which began at asked.
-	counted  bool
-	kept     bool
-	asked    time.Duration
-	sequence uint32
-	agent    segment.Address
-	endpoint directory.EndpointID
-	service  string
-	opened   time.Duration
-	touched  time.Duration
-	terms    FlowParameters
-	// began is when the client began to open the flow, as far as its packets show.
-	began time.Duration
-	// offer is set while the state is flowOffering, search while it is
-	// flowLocating.
+	// counted is set while the flow is counted in the load of its endpoint. persistent is set once
+	// it is counted as a flow for many requests. lastRequestAt is when the client last sent data in
+	// it.
+	counted       bool
+	persistent    bool
+	lastRequestAt time.Duration
+	clientISN     uint32
+	agent         segment.Address
+	endpoint      directory.EndpointID
+	service       string
+	openedAt      time.Duration
+	lastActivity  time.Duration
+	parameters    FlowParameters
+	// clientBeganAt is when the client began to open the flow, according to its packets.
+	clientBeganAt time.Duration
+	// offer is set in state flowOffering, search in state flowLocating.
 	offer  *offer
-	search *search
+	search *ownerSearch
 }
 
-// Balancer decides what becomes of clients' packets. It is not safe for
-// concurrent use.
+// Balancer decides what happens to packets of clients. It is not safe for concurrent use.
 type Balancer struct {
-	config    BalancerConfig
-	snapshot  *directory.Snapshot
-	ready     bool
-	early     early
-	confirmed time.Duration
-	// current is the time before which everything is known that the store had
+	config        BalancerConfig
+	snapshot      *directory.Snapshot
+	hasDirectory  bool
+	startupBuffer startupBuffer
+	confirmedAt   time.Duration
+	// currentThrough is the time up to which the directory contains everything that the store had
 	// accepted.
-	current time.Duration
-	flows   map[segment.FlowKey]*balancerFlow
-	offers  []*offer
-	// verifications are searches that are due to be verified.
-	verifications []*search
-	// surveys counts the questions that were left to agents.
-	surveys uint32
-	health  map[directory.EndpointID]*health
-	// ejectionsEnd is when the last ejection ends of which agents have told.
-	ejectionsEnd time.Duration
-	// demands are what the kept flows of services ask for, measured at swept.
-	demands map[string]*demand
-	swept   time.Duration
-	// levels are how far groups of endpoints are used.
-	levels map[group]*placement.GroupUtilization
-	// usual are the paces that are usual for services.
-	usual map[string]usualPace
-	// paces is room for the paces of a service.
-	paces []uint32
-	// candidates, local and places are room for the endpoints that may get a flow.
-	candidates []directory.Candidate
-	local      []bool
-	places     []placement.Candidate
-	sharing    map[segment.Address]*sharing
-	budget     budget
-	searches   *rate.Limiter
-	reach      reach
-	nextSweep  time.Duration
-	effects    []Effect
+	currentThrough time.Duration
+	flows          map[segment.FlowKey]*balancerFlow
+	offers         []*offer
+	// pendingVerifications are searches with a verification scheduled.
+	pendingVerifications []*ownerSearch
+	// surveyCount is the number of the last survey that was sent.
+	surveyCount uint32
+	health      map[directory.EndpointID]*endpointHealth
+	// lastEjectionEnd is the latest end of the ejections reported by agents.
+	lastEjectionEnd time.Duration
+	// demand holds the demand of persistent flows by service, updated at lastSweep.
+	demand    map[string]*persistentDemand
+	lastSweep time.Duration
+	// utilization holds how busy each group of endpoints is.
+	utilization map[endpointGroup]*placement.GroupUtilization
+	// medianProcessingTimes caches the median processing time of each service.
+	medianProcessingTimes map[string]cachedMedian
+	// processingTimeScratch is reused by computeMedian.
+	processingTimeScratch []uint32
+	// candidateScratch, localScratch and placementScratch are reused by bestCandidate.
+	candidateScratch []directory.Candidate
+	localScratch     []bool
+	placementScratch []placement.Candidate
+	roundRobins      map[segment.Address]*weightedRoundRobin
+	retryBudget      retryBudget
+	searchLimiter    *rate.Limiter
+	reachability     reachability
+	nextSweep        time.Duration
+	effects          []Effect
 }
 
 // NewBalancer returns a balancer without a directory.
 func NewBalancer(config BalancerConfig) *Balancer {
 	return &Balancer{
-		config:   config,
-		snapshot: directory.NewReplica().Snapshot(),
-		flows:    make(map[segment.FlowKey]*balancerFlow),
-		health:   make(map[directory.EndpointID]*health),
-		demands:  make(map[string]*demand),
-		levels:   make(map[group]*placement.GroupUtilization),
-		usual:    make(map[string]usualPace),
-		sharing:  make(map[segment.Address]*sharing),
-		budget:   newBudget(),
-		searches: rate.NewLimiter(searchRate, searchBurst),
+		config:                config,
+		snapshot:              directory.NewReplica().Snapshot(),
+		flows:                 make(map[segment.FlowKey]*balancerFlow),
+		health:                make(map[directory.EndpointID]*endpointHealth),
+		demand:                make(map[string]*persistentDemand),
+		utilization:           make(map[endpointGroup]*placement.GroupUtilization),
+		medianProcessingTimes: make(map[string]cachedMedian),
+		roundRobins:           make(map[segment.Address]*weightedRoundRobin),
+		retryBudget:           newRetryBudget(),
+		searchLimiter:         rate.NewLimiter(searchMessageRate, searchMessageBurst),
 	}
 }
 
 // FlowCount returns the number of flows remembered.
 func (b *Balancer) FlowCount() int { return len(b.flows) }
 
-// Install makes later decisions use a snapshot of the directory, and tells the
-// agents of endpoints that are leaving so. The returned effects are valid until
-// the next call.
+// Install replaces the snapshot of the directory for later decisions and notifies the agents of
+// endpoints that are leaving. The returned effects are valid until the next call.
 func (b *Balancer) Install(now time.Duration, snapshot *directory.Snapshot) []Effect {
 	b.effects = b.effects[:0]
 	previous := b.snapshot
 	b.snapshot = snapshot
-	b.ready = true
-	clear(b.usual)
+	b.hasDirectory = true
+	clear(b.medianProcessingTimes)
 	for id := range b.health {
 		if _, exists := snapshot.Candidate(id); !exists {
 			delete(b.health, id)
 		}
 	}
-	b.tellLeaving(previous, snapshot)
-	b.releaseEarly(now)
+	b.notifyDraining(previous, snapshot)
+	b.releaseBuffered(now)
 	return b.effects
 }
 
-// tellLeaving tells agents that their endpoint must get no new flows, in case
-// that a balancer which does not know offers it one. The address of an endpoint
-// that has gone may be another's already.
-func (b *Balancer) tellLeaving(previous, current *directory.Snapshot) {
+// notifyDraining tells agents whose endpoint began to drain that it must not get new flows, because
+// a balancer that has not learned of the change may still offer some. It skips an endpoint that is
+// gone or whose address belongs to another endpoint now.
+func (b *Balancer) notifyDraining(previous, current *directory.Snapshot) {
 	for _, candidate := range current.All() {
-		before, existed := previous.Candidate(candidate.ID)
+		before, existedBefore := previous.Candidate(candidate.ID)
 		occupant, _ := current.CandidateAt(candidate.Endpoint.IP)
-		told := existed && before.Draining()
-		if !candidate.Draining() || candidate.Gone || told || occupant.ID != candidate.ID {
+		notified := existedBefore && before.Draining()
+		if !candidate.Draining() || candidate.Gone || notified || occupant.ID != candidate.ID {
 			continue
 		}
-		b.send(b.agentOf(candidate), Message{Kind: KindDrain, Service: candidate.Endpoint.Service})
+		b.send(b.agentAddress(candidate), Message{Kind: KindDrain, Service: candidate.Endpoint.Service})
 	}
 }
 
-// MarkConfirmed tells that the directory was current at a time.
-func (b *Balancer) MarkConfirmed(now time.Duration) { b.confirmed = max(b.confirmed, now) }
+// MarkConfirmed records that the directory was up to date at a time.
+func (b *Balancer) MarkConfirmed(now time.Duration) { b.confirmedAt = max(b.confirmedAt, now) }
 
-// HandleClientPacket handles a client's packet. The returned effects are valid until the
-// next call, and so must packet be.
+// HandleClientPacket handles a packet of a client. The returned effects are valid until the next
+// call, and packet must not change before then.
 func (b *Balancer) HandleClientPacket(now time.Duration, packet []byte) []Effect {
 	b.effects = b.effects[:0]
 	header, outcome := b.config.Codec.Decode(packet)
 	if outcome != segment.Decoded {
-		b.event(Event{Kind: EventMalformed, Reason: outcome.String()})
+		b.recordEvent(Event{Kind: EventMalformed, Reason: outcome.String()})
 		return b.effects
 	}
-	if !writtenByClient(header) {
-		b.event(Event{Kind: EventForged, Reason: "not_a_client"})
+	if !validFromClient(header) {
+		b.recordEvent(Event{Kind: EventForged, Reason: "not_a_client"})
 		return b.effects
 	}
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-	if !b.ready {
-		b.holdEarly(now, key, header, packet)
+	if !b.hasDirectory {
+		b.bufferPacket(now, key, header, packet)
 		return b.effects
 	}
-	b.arrive(now, key, header, packet)
+	b.routePacket(now, key, header, packet)
 	return b.effects
 }
 
-// arrive handles a client's packet once the directory is known.
-func (b *Balancer) arrive(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
+// routePacket handles a packet of a client once the directory is known.
+func (b *Balancer) routePacket(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
 	if header.OpensFlow() {
-		b.arriveOpening(now, key, header, packet)
+		b.routeOpening(now, key, header, packet)
 		return
 	}
-	b.arriveSegment(now, key, header, packet)
+	b.routeSegment(now, key, header, packet)
 }
 
-// writtenByClient reports whether a client may write such a packet.
-func writtenByClient(header segment.Header) bool {
-	answer := header.Flags.Has(segment.Synchronize | segment.Acknowledge)
-	return !answer && !header.Flags.Has(segment.Returned)
+// validFromClient reports whether the flags of a packet are ones that a client may send.
+func validFromClient(header segment.Header) bool {
+	openingAnswer := header.Flags.Has(segment.Synchronize | segment.Acknowledge)
+	return !openingAnswer && !header.Flags.Has(segment.Returned)
 }
 
-// arriveSegment handles a packet of a flow that was opened before.
-func (b *Balancer) arriveSegment(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
-	known, exists := b.flows[key]
+// routeSegment handles a packet of a client that does not open a flow.
+func (b *Balancer) routeSegment(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
+	flow, exists := b.flows[key]
 	if !exists {
-		known = b.remember(now, key)
-		if known == nil {
+		flow = b.startSearch(now, key)
+		if flow == nil {
 			return
 		}
 	}
-	known.touched = now
-	switch known.state {
+	flow.lastActivity = now
+	switch flow.state {
 	case flowLocating:
-		b.locate(now, key, known, header, packet)
+		b.locate(now, key, flow, header, packet)
 	case flowOwnerless:
-		b.reset(key, header)
+		b.resetFlow(key, header)
 	default:
-		b.noteRequest(now, known, header)
-		b.send(known.agent, Message{Kind: KindForward, Service: known.service, Packet: packet})
-		b.noteClosing(known, header)
+		b.noteRequest(now, flow, header)
+		b.send(flow.agent, Message{Kind: KindForward, Service: flow.service, Packet: packet})
+		b.markClosing(flow, header)
 	}
 }
 
-func (b *Balancer) noteClosing(known *balancerFlow, header segment.Header) {
+func (b *Balancer) markClosing(flow *balancerFlow, header segment.Header) {
 	if !header.Flags.Has(segment.Finish) && !header.Flags.Has(segment.Reset) {
 		return
 	}
-	b.settle(known)
-	b.uncount(known)
-	known.state = flowClosing
+	b.endOffer(flow)
+	b.uncountFlow(flow)
+	flow.state = flowClosing
 }
 
 // Receive handles a message from an agent. The returned effects are valid
@@ -266,12 +263,12 @@
 func (b *Balancer) Receive(now time.Duration, from segment.Address, message Message) []Effect {
 	b.effects = b.effects[:0]
 	if !b.isAgent(from) {
-		b.event(Event{Kind: EventForged, Peer: from, Reason: "not_an_agent"})
+		b.recordEvent(Event{Kind: EventForged, Peer: from, Reason: "not_an_agent"})
 		return b.effects
 	}
-	b.heardAgent()
-	b.notePace(now, from, message.Load)
-	b.noteUse(now, from, message)
+	b.noteAgentHeard()
+	b.noteProcessingTime(now, from, message.Load)
+	b.noteUtilization(now, from, message)
 	b.noteReport(now, from, message)
 	switch message.Kind {
 	case KindPlaced:
@@ -285,32 +282,32 @@
 	case KindDenied:
 		b.receiveDenied(now, from, message)
 	case KindSurveyResult:
-		b.receiveSurveyed(now, from, message)
+		b.receiveSurveyResult(now, from, message)
 	case KindNotOwned:
-		b.receiveUnknown(now, from, message)
+		b.receiveNotOwned(now, from, message)
 	case KindLeaving:
 		b.receiveLeaving(now, from)
 	}
 	return b.effects
 }
 
-// receiveLeaving handles that an agent is about to stop.
+// receiveLeaving handles the notice of an agent that it is about to stop.
 func (b *Balancer) receiveLeaving(now time.Duration, from segment.Address) {
 	if candidate, exists := b.snapshot.CandidateAt(from.IP); exists {
 		b.healthOf(candidate.ID).suspect(now)
 	}
 }
 
-// NextTick returns when Tick should be called at the latest.
+// NextTick returns the latest time for the next call of Tick.
 func (b *Balancer) NextTick(time.Duration) time.Duration {
-	next := min(b.nextSweep, b.nextReach())
-	for _, waiting := range b.offers {
-		if !waiting.done {
-			next = min(next, waiting.deadline)
+	next := min(b.nextSweep, b.nextReachabilityCheck())
+	for _, offer := range b.offers {
+		if !offer.done {
+			next = min(next, offer.deadline)
 		}
 	}
-	for _, sought := range b.verifications {
-		next = min(next, sought.verifyAt)
+	for _, search := range b.pendingVerifications {
+		next = min(next, search.verifyAt)
 	}
 	return next
 }
@@ -318,14 +315,14 @@
 // Tick handles timeouts. The returned effects are valid until the next call.
 func (b *Balancer) Tick(now time.Duration) []Effect {
 	b.effects = b.effects[:0]
-	b.offers = slices.DeleteFunc(b.offers, func(waiting *offer) bool { return waiting.done })
-	for _, waiting := range b.offers {
-		if !waiting.done && now >= waiting.deadline {
-			b.offerExpired(now, waiting)
+	b.offers = slices.DeleteFunc(b.offers, func(offer *offer) bool { return offer.done })
+	for _, offer := range b.offers {
+		if !offer.done && now >= offer.deadline {
+			b.expireOffer(now, offer)
 		}
 	}
 	b.verifyDue(now)
-	b.watchReach(now)
+	b.checkReachability(now)
 	if now >= b.nextSweep {
 		b.nextSweep = now + sweepInterval
 		b.sweep(now)
@@ -334,32 +331,32 @@
 }
 
 func (b *Balancer) sweep(now time.Duration) {
-	for _, known := range b.demands {
-		known.measure(now - b.swept)
+	for _, demand := range b.demand {
+		demand.update(now - b.lastSweep)
 	}
-	b.swept = now
-	maps.DeleteFunc(b.levels, func(_ group, level *placement.GroupUtilization) bool { return level.Expired(now) })
-	for key, known := range b.flows {
+	b.lastSweep = now
+	maps.DeleteFunc(b.utilization, func(_ endpointGroup, utilization *placement.GroupUtilization) bool { return utilization.Expired(now) })
+	for key, flow := range b.flows {
 		retention := b.config.FlowLifetime
-		switch known.state {
+		switch flow.state {
 		case flowClosing, flowOffering, flowLocating, flowOwnerless:
 			retention = closingRetention
 		}
-		if now-known.touched > retention {
-			b.forget(key, known)
+		if now-flow.lastActivity > retention {
+			b.forgetFlow(key, flow)
 			continue
 		}
-		b.keepOld(now, known)
+		b.markPersistent(now, flow)
 	}
 }
 
-func (b *Balancer) forget(key segment.FlowKey, known *balancerFlow) {
-	b.settle(known)
-	b.uncount(known)
+func (b *Balancer) forgetFlow(key segment.FlowKey, flow *balancerFlow) {
+	b.endOffer(flow)
+	b.uncountFlow(flow)
 	delete(b.flows, key)
 }
 
-func (b *Balancer) agentOf(candidate directory.Candidate) segment.Address {
+func (b *Balancer) agentAddress(candidate directory.Candidate) segment.Address {
 	return candidate.Endpoint.Address().WithPort(b.config.AgentPort)
 }
 
@@ -367,7 +364,7 @@
 	b.effects = append(b.effects, Effect{Kind: EffectSendMessage, To: to, Message: message})
 }
 
-func (b *Balancer) event(event Event) {
+func (b *Balancer) recordEvent(event Event) {
 	event.Class = b.classify(event)
 	b.effects = append(b.effects, Effect{Kind: EffectEvent, Event: event})
 }
--- a/internal/relay/balancer_survey.go
+++ b/internal/relay/balancer_survey.go
@@ -10,176 +10,177 @@
 )
 
 const (
-	// surveyMinimum is the least number of agents for which it is less work to leave a
-	// round to one of them, which asks the others.
-	surveyMinimum = 4
-	// surveyFirstMinimum is the number of agents from which already the first round is
-	// left to some of them, and every later one that has so many to ask. With fewer, the
-	// owner is found sooner without.
-	surveyFirstMinimum = 16
-	// surveyRounds is how many rounds with fewer agents than that are left to one.
-	surveyRounds = 2
-	// surveyCost is the number of messages of a survey on the network of the balancer.
-	surveyCost = 3
-	// surveyRoom is how much a survey carries, in bytes, of a packet and of targets, each
-	// of which takes ipSize; groupSize and the name of the service come to each group.
-	surveyRoom = MaxMessageSize - 200
-	groupSize  = 12
+	// minSurveyAgents is the minimum number of agents to ask for a survey to be cheaper than direct
+	// queries. In a survey one agent asks the others.
+	minSurveyAgents = 4
+	// minFirstRoundSurveyAgents is the number of agents from which any round, even the first, is a
+	// survey. With fewer agents direct queries find the owner sooner.
+	minFirstRoundSurveyAgents = 16
+	// smallSurveyRounds is the number of verification rounds in which fewer than
+	// minFirstRoundSurveyAgents agents are surveyed too, if they have to probe.
+	smallSurveyRounds = 2
+	// messagesPerSurvey is the number of messages of a survey on the balancer's network.
+	messagesPerSurvey = 3
+	// surveyPayloadSize is the number of bytes in a survey that are available for a packet and
+	// targets. Each target takes ipv4Size bytes. Each group takes groupOverhead bytes and the
+	// length of its service name.
+	surveyPayloadSize = MaxMessageSize - 200
+	groupOverhead     = 12
 )
 
-// delegated is a part of a round that was left to an agent, the surveyor.
-type delegated struct {
+// delegatedSurvey is the part of a round that one agent, the surveyor, carries out.
+type delegatedSurvey struct {
 	surveyor segment.Address
 	number   uint32
-	// asked are the endpoints whose agents the surveyor asks; it answers for itself.
-	asked []directory.Candidate
+	// targets are the endpoints whose agents the surveyor asks. The surveyor replies for itself.
+	targets []directory.Candidate
 }
 
-// surveyParts divides the agents to ask so that each part is of one zone, whose agents are
-// near to each other, and fits into one message beside a packet of a length: two messages
-// between zones find out what all agents of another zone say.
-func surveyParts(asked []directory.Candidate, packet int) [][]directory.Candidate {
-	sorted := slices.Clone(asked)
+// splitSurvey splits the agents to ask into parts of one zone each that fit into one message beside
+// a packet of the given size. Agents of a zone are near to each other, so two messages between
+// zones are enough to learn the replies of all agents of another zone.
+func splitSurvey(agents []directory.Candidate, packetSize int) [][]directory.Candidate {
+	sorted := slices.Clone(agents)
 	slices.SortStableFunc(sorted, func(a, b directory.Candidate) int {
 		return cmp.Or(cmp.Compare(a.Endpoint.Zone, b.Endpoint.Zone), cmp.Compare(a.Endpoint.Service, b.Endpoint.Service))
 	})
 	var parts [][]directory.Candidate
-	room, zone, service := 0, "", ""
+	remaining, zone, service := 0, "", ""
 	for _, candidate := range sorted {
-		size := ipSize
+		size := ipv4Size
 		if candidate.Endpoint.Service != service {
-			size += groupSize + len(candidate.Endpoint.Service)
+			size += groupOverhead + len(candidate.Endpoint.Service)
 		}
-		if len(parts) == 0 || room < size || candidate.Endpoint.Zone != zone {
+		if len(parts) == 0 || remaining < size || candidate.Endpoint.Zone != zone {
 			parts = append(parts, nil)
-			room = surveyRoom - packet
-			size = ipSize + groupSize + len(candidate.Endpoint.Service)
+			remaining = surveyPayloadSize - packetSize
+			size = ipv4Size + groupOverhead + len(candidate.Endpoint.Service)
 		}
 		zone, service = candidate.Endpoint.Zone, candidate.Endpoint.Service
-		room -= size
+		remaining -= size
 		parts[len(parts)-1] = append(parts[len(parts)-1], candidate)
 	}
 	return parts
 }
 
-// survey leaves it to agents to ask the others, with probing to make them ask their
-// endpoints. It reports whether that is less work than to ask all.
-func (b *Balancer) survey(sought *search, asked []directory.Candidate, probing bool) bool {
-	if len(asked) < surveyMinimum {
+// delegateSurvey sends surveys of the given agents, by KindProbe if probe is set. It reports
+// whether it sent any: with few agents it does not, because direct queries are cheaper.
+func (b *Balancer) delegateSurvey(search *ownerSearch, agents []directory.Candidate, probe bool) bool {
+	if len(agents) < minSurveyAgents {
 		return false
 	}
 	var packet []byte
-	if probing {
-		packet = sought.held[0]
+	if probe {
+		packet = search.held[0]
 	}
-	sought.delegated = sought.delegated[:0]
-	for _, part := range surveyParts(asked, len(packet)) {
-		b.surveyPart(sought, part, packet)
+	search.delegated = search.delegated[:0]
+	for _, part := range splitSurvey(agents, len(packet)) {
+		b.sendSurvey(search, part, packet)
 	}
 	return true
 }
 
-// surveyPart leaves some of the agents to one among them.
-func (b *Balancer) surveyPart(sought *search, part []directory.Candidate, packet []byte) {
-	chosen := b.config.Random.IntN(len(part))
-	surveyor := part[chosen]
-	b.surveys++
-	left := delegated{
-		surveyor: b.agentOf(surveyor), number: b.surveys, asked: slices.Delete(slices.Clone(part), chosen, chosen+1),
-	}
-	sought.delegated = append(sought.delegated, left)
+// sendSurvey sends a survey of the given agents to one of them.
+func (b *Balancer) sendSurvey(search *ownerSearch, agents []directory.Candidate, packet []byte) {
+	chosen := b.config.Random.IntN(len(agents))
+	surveyor := agents[chosen]
+	b.surveyCount++
+	delegated := delegatedSurvey{
+		surveyor: b.agentAddress(surveyor), number: b.surveyCount, targets: slices.Delete(slices.Clone(agents), chosen, chosen+1),
+	}
+	search.delegated = append(search.delegated, delegated)
 	message := Message{
-		Kind: KindSurvey, Service: surveyor.Endpoint.Service, Flow: EncodeFlow(sought.key), Sequence: left.number,
-		Acknowledgment: sought.header.Acknowledgment, Flags: sought.header.Flags,
-		Parameters: b.termsAt(sought.key, left.surveyor), Packet: packet,
+		Kind: KindSurvey, Service: surveyor.Endpoint.Service, Flow: EncodeFlow(search.key), Sequence: delegated.number,
+		Acknowledgment: search.latestHeader.Acknowledgment, Flags: search.latestHeader.Flags,
+		Parameters: b.parametersAt(search.key, delegated.surveyor), Packet: packet,
 	}
-	for _, candidate := range left.asked {
-		message.Targets = appendTarget(message.Targets, candidate.Endpoint.Service, b.agentOf(candidate))
+	for _, candidate := range delegated.targets {
+		message.Targets = appendToGroup(message.Targets, candidate.Endpoint.Service, b.agentAddress(candidate))
 	}
-	b.send(left.surveyor, message)
+	b.send(delegated.surveyor, message)
 }
 
-// receiveSurveyed handles what the agents have answered that another agent asked. That
-// one answers for itself.
-func (b *Balancer) receiveSurveyed(now time.Duration, from segment.Address, message Message) {
-	known, exists := b.soughtFlow(message)
+// receiveSurveyResult handles the result of a survey. It does not cover the surveyor, which replies
+// for itself.
+func (b *Balancer) receiveSurveyResult(now time.Duration, from segment.Address, message Message) {
+	flow, exists := b.searchedFlow(message)
 	if !exists {
 		return
 	}
-	sought := known.search
-	// The answer to an earlier survey says nothing of those asked in a later one.
-	index := slices.IndexFunc(sought.delegated, func(left delegated) bool {
-		return left.surveyor == from && left.number == message.Sequence
+	search := flow.search
+	// The result of an earlier survey does not apply to the agents asked in a later one.
+	index := slices.IndexFunc(search.delegated, func(delegated delegatedSurvey) bool {
+		return delegated.surveyor == from && delegated.number == message.Sequence
 	})
 	if index < 0 {
 		return
 	}
-	unsure := addressesOf(message.Uncertain)
-	silent := addressesOf(message.Unresponsive)
-	for _, candidate := range sought.delegated[index].asked {
-		agent := b.agentOf(candidate)
-		if slices.Contains(silent, agent) {
+	uncertain := groupAddresses(message.Uncertain)
+	unresponsive := groupAddresses(message.Unresponsive)
+	for _, candidate := range search.delegated[index].targets {
+		agent := b.agentAddress(candidate)
+		if slices.Contains(unresponsive, agent) {
 			continue
 		}
-		sought.replies[agent] = reply{
-			denied: !slices.Contains(unsure, agent), probed: sought.replies[agent].probed, began: now - message.Uptime,
+		search.replies[agent] = searchReply{
+			denied: !slices.Contains(uncertain, agent), probed: search.replies[agent].probed, agentStartedAt: now - message.Uptime,
 		}
 	}
-	b.conclude(now, known)
+	b.conclude(now, flow)
 }
 
-// surveyOrProbe makes agents ask their endpoints. The owner is among them, so that its
-// flow is found by its own endpoint at the same time as others see a packet of it.
-func (b *Balancer) surveyOrProbe(sought *search, unsure []directory.Candidate) {
-	var unasked []directory.Candidate
-	for _, candidate := range unsure {
-		agent := b.agentOf(candidate)
-		answered := sought.replies[agent]
-		if answered.probed {
+// probeUncertain makes all uncertain agents probe their endpoints at once. The owner is among them,
+// so its own endpoint gets the packet at the same time as the others.
+func (b *Balancer) probeUncertain(search *ownerSearch, uncertain []directory.Candidate) {
+	var unprobed []directory.Candidate
+	for _, candidate := range uncertain {
+		agent := b.agentAddress(candidate)
+		reply := search.replies[agent]
+		if reply.probed {
 			continue
 		}
-		answered.probed = true
-		sought.replies[agent] = answered
-		unasked = append(unasked, candidate)
+		reply.probed = true
+		search.replies[agent] = reply
+		unprobed = append(unprobed, candidate)
 	}
-	if len(unasked) == 0 || b.survey(sought, unasked, true) {
+	if len(unprobed) == 0 || b.delegateSurvey(search, unprobed, true) {
 		return
 	}
-	for _, candidate := range unasked {
-		b.send(b.agentOf(candidate), b.verification(sought, candidate))
+	for _, candidate := range unprobed {
+		b.send(b.agentAddress(candidate), b.verificationMessage(search, candidate))
 	}
 }
 
-// locateBySurvey leaves the search for an owner among many agents to some of them. While
-// their answers are out, it lets some of those that do not know probe.
-func (b *Balancer) locateBySurvey(now time.Duration, sought *search, owners []directory.Candidate, packet []byte) {
-	begins := sought.rounds == 0 || sought.verified >= verifyRounds
-	if begins && !b.beginSurvey(now, sought, owners) {
+// locateBySurvey searches for an owner among many agents by surveys. While results are outstanding
+// it makes some of the uncertain agents probe.
+func (b *Balancer) locateBySurvey(now time.Duration, search *ownerSearch, owners []directory.Candidate, packet []byte) {
+	restart := search.rounds == 0 || search.verifications >= verifyRounds
+	if restart && !b.beginSurvey(now, search, owners) {
 		return
 	}
-	if !begins {
-		b.probeSome(now, sought, packet)
+	if !restart {
+		b.probeNext(now, search, packet)
 	}
-	sought.asked = now
-	sought.rounds++
+	search.lastRoundAt = now
+	search.rounds++
 }
 
-// beginSurvey makes the first round of a search. It reports whether the network has room
-// for it.
-func (b *Balancer) beginSurvey(now time.Duration, sought *search, owners []directory.Candidate) bool {
-	if !b.maySearch(now, sought.key, surveyCost*len(surveyParts(owners, 0))) {
+// beginSurvey sends the first round of a search. It reports whether the limit of search messages
+// permits it.
+func (b *Balancer) beginSurvey(now time.Duration, search *ownerSearch, owners []directory.Candidate) bool {
+	if !b.allowSearch(now, search.key, messagesPerSurvey*len(splitSurvey(owners, 0))) {
 		return false
 	}
-	b.survey(sought, owners, false)
-	b.event(Event{Kind: EventLocating, Flow: sought.key, Version: b.snapshot.Version(), Reason: "survey"})
-	sought.verified = 1
-	b.verifyAt(now+verifyInterval, sought)
+	b.delegateSurvey(search, owners, false)
+	b.recordEvent(Event{Kind: EventLocating, Flow: search.key, Version: b.snapshot.Version(), Reason: "survey"})
+	search.verifications = 1
+	b.scheduleVerification(now+verifyInterval, search)
 	return true
 }
 
-// probeSome makes some agents that do not know ask their endpoints.
-func (b *Balancer) probeSome(now time.Duration, sought *search, packet []byte) {
-	for _, agent := range sought.nextProbes(now) {
+// probeNext sends a probe to the next uncertain agents.
+func (b *Balancer) probeNext(now time.Duration, search *ownerSearch, packet []byte) {
+	for _, agent := range search.nextProbes(now) {
 		candidate, exists := b.snapshot.CandidateAt(agent.IP)
 		if exists {
 			b.send(agent, Message{Kind: KindProbe, Service: candidate.Endpoint.Service, Packet: packet})
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -43,24 +43,24 @@
 	return segment.Address{IP: [4]byte{100, 64, 0, byte(number >> 8)}, Port: uint16(40000 + number)}
 }
 
-func keyOf(number int) segment.FlowKey {
+func flowKey(number int) segment.FlowKey {
 	return segment.FlowKey{Client: clientAddress(number), Service: routeAddress}
 }
 
-// fromClient returns a packet of the client with a number.
-func fromClient(number int, flags segment.Flags, sequence, acknowledgment uint32, data string) []byte {
+// clientPacket returns a packet from a client.
+func clientPacket(number int, flags segment.Flags, sequence, acknowledgment uint32, data string) []byte {
 	return codec.Encode(segment.Header{
 		Source: clientAddress(number), Destination: routeAddress,
 		Flags: flags, Sequence: sequence, Acknowledgment: acknowledgment,
 	}, []byte(data))
 }
 
-func opening(number int, sequence uint32) []byte {
-	return fromClient(number, segment.Synchronize, sequence, 0, "")
+func openingPacket(number int, sequence uint32) []byte {
+	return clientPacket(number, segment.Synchronize, sequence, 0, "")
 }
 
-// fromEndpoint returns a packet of an endpoint to the client with a number.
-func fromEndpoint(number int, flags segment.Flags, sequence, acknowledgment uint32, data string) []byte {
+// endpointPacket returns a packet from an endpoint to a client.
+func endpointPacket(number int, flags segment.Flags, sequence, acknowledgment uint32, data string) []byte {
 	return codec.Encode(segment.Header{
 		Source: routeAddress, Destination: clientAddress(number),
 		Flags: flags, Sequence: sequence, Acknowledgment: acknowledgment,
@@ -73,17 +73,19 @@
 
 func agentAddress(number int) segment.Address { return endpointAddress(number).WithPort(agentPort) }
 
-// fleet builds snapshots of a directory.
-type fleet struct {
-	machine  *directory.Replica
+// directoryBuilder builds snapshots of a directory.
+type directoryBuilder struct {
+	replica  *directory.Replica
 	revision directory.Revision
 	version  uint64
 }
 
-func newFleet() *fleet { return &fleet{machine: directory.NewReplica()} }
+func newDirectoryBuilder() *directoryBuilder {
+	return &directoryBuilder{replica: directory.NewReplica()}
+}
 
-func (f *fleet) endpoint(now time.Duration, number int, change func(*directory.Endpoint)) {
-	f.revision++
+func (b *directoryBuilder) putEndpoint(now time.Duration, number int, change func(*directory.Endpoint)) {
+	b.revision++
 	value := &directory.Endpoint{
 		Service: service, IP: endpointAddress(number).IP, Port: endpointAddress(number).Port, Zone: ownZone, Slots: 4,
 	}
@@ -91,29 +93,29 @@
 		change(value)
 	}
 	id := directory.NameOnlyID(string(rune('a' + number)))
-	f.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: f.revision, Endpoint: value}}, f.revision)
+	b.replica.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: b.revision, Endpoint: value}}, b.revision)
 }
 
-func (f *fleet) gone(now time.Duration, number int) {
-	f.revision++
+func (b *directoryBuilder) remove(now time.Duration, number int) {
+	b.revision++
 	id := directory.NameOnlyID(string(rune('a' + number)))
-	f.machine.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: f.revision}}, f.revision)
+	b.replica.ApplyChanges(now, []directory.Item{{EndpointID: id, Revision: b.revision}}, b.revision)
 }
 
-// follow makes the directory reach back to a time.
-func (f *fleet) follow(since time.Duration) { f.machine.ApplyListing(since, nil, 0) }
+// setSince sets the time at which the history of the directory begins.
+func (b *directoryBuilder) setSince(since time.Duration) { b.replica.ApplyListing(since, nil, 0) }
 
-func (f *fleet) configure(shares ...directory.WeightedService) {
-	f.revision++
-	f.version++
-	configuration := &directory.Configuration{Version: f.version}
+func (b *directoryBuilder) configure(shares ...directory.WeightedService) {
+	b.revision++
+	b.version++
+	configuration := &directory.Configuration{Version: b.version}
 	if len(shares) > 0 {
 		configuration.Routes = []directory.Route{{
 			IP: routeAddress.IP, Port: routeAddress.Port, WeightedServices: shares,
 			TargetLatency: 250 * time.Millisecond, Timeout: 2 * time.Second,
 		}}
 	}
-	f.machine.ApplyChanges(0, []directory.Item{{Revision: f.revision, Configuration: configuration}}, f.revision)
+	b.replica.ApplyChanges(0, []directory.Item{{Revision: b.revision, Configuration: configuration}}, b.revision)
 }
 
 func newBalancer() *relay.Balancer {
@@ -124,45 +126,50 @@
 	})
 }
 
-// balancerOfThree returns a balancer with a directory of three endpoints of a route.
-func balancerOfThree() (*relay.Balancer, *fleet) {
-	balancer, known := newBalancer(), newFleet()
-	known.configure(directory.WeightedService{Service: service, Weight: 1})
+// newBalancerWithThreeEndpoints returns a balancer whose directory has one route with three
+// endpoints.
+func newBalancerWithThreeEndpoints() (*relay.Balancer, *directoryBuilder) {
+	balancer, builder := newBalancer(), newDirectoryBuilder()
+	builder.configure(directory.WeightedService{Service: service, Weight: 1})
 	for number := range 3 {
-		known.endpoint(0, number, nil)
+		builder.putEndpoint(0, number, nil)
 	}
-	balancer.Install(0, known.machine.Snapshot())
+	balancer.Install(0, builder.replica.Snapshot())
 	balancer.MarkConfirmed(0)
-	return balancer, known
+	return balancer, builder
 }
 
-// placed lets an agent tell a balancer that its endpoint has answered a flow.
-func placed(balancer *relay.Balancer, now time.Duration, agent segment.Address, number int, sequence uint32) []relay.Effect {
+// reportPlaced delivers the report of an agent that its endpoint has answered an opening packet.
+func reportPlaced(balancer *relay.Balancer, now time.Duration, agent segment.Address, number int, sequence uint32) []relay.Effect {
 	return balancer.Receive(now, agent, relay.Message{
-		Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(keyOf(number)), Sequence: sequence,
+		Kind: relay.KindPlaced, Service: service, Flow: relay.EncodeFlow(flowKey(number)), Sequence: sequence,
 	})
 }
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func newAgent(complete bool) *relay.Agent { return newAgentWith(complete, requestqueue.Policy{}) }
+func newAgent(startedWithEndpoint bool) *relay.Agent {
+	return newAgentWith(startedWithEndpoint, requestqueue.Policy{})
+}
 
-func newAgentWith(complete bool, policy requestqueue.Policy) *relay.Agent {
+func newAgentWith(startedWithEndpoint bool, policy requestqueue.Policy) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
-		Service: service, Codec: codec, StartedWithEndpoint: complete, FlowLifetime: flowLifetime, FlowLimit: 1000,
+		Service: service, Codec: codec, StartedWithEndpoint: startedWithEndpoint, FlowLifetime: flowLifetime, FlowLimit: 1000,
 		OutlierLimits: outlier.DefaultConfig(), QueuePolicy: policy,
 	})
 }
 
-// sent returns the messages among effects, with their receivers.
-func sent(effects []relay.Effect) []relay.Effect { return ofKind(effects, relay.EffectSendMessage) }
+// sentMessages returns the effects that send a message.
+func sentMessages(effects []relay.Effect) []relay.Effect {
+	return effectsOfKind(effects, relay.EffectSendMessage)
+}
 
-// sentTo returns the messages to one receiver.
-func sentTo(to segment.Address, effects []relay.Effect) []relay.Effect {
-	return slices.DeleteFunc(sent(effects), func(effect relay.Effect) bool { return effect.To != to })
+// messagesTo returns the effects that send a message to one receiver.
+func messagesTo(to segment.Address, effects []relay.Effect) []relay.Effect {
+	return slices.DeleteFunc(sentMessages(effects), func(effect relay.Effect) bool { return effect.To != to })
 }
 
-func ofKind(effects []relay.Effect, kind relay.EffectKind) []relay.Effect {
+func effectsOfKind(effects []relay.Effect, kind relay.EffectKind) []relay.Effect {
 	var found []relay.Effect
 	for _, effect := range effects {
 		if effect.Kind == kind {
@@ -172,26 +179,26 @@
 	return found
 }
 
-// onlyMessage expects exactly one message among the effects.
+// onlyMessage expects exactly one message among effects and returns it.
 func onlyMessage(effects []relay.Effect) relay.Effect {
 	GinkgoHelper()
-	messages := sent(effects)
+	messages := sentMessages(effects)
 	Expect(messages).To(HaveLen(1))
 	return messages[0]
 }
 
-func events(effects []relay.Effect) []relay.EventKind {
+func eventKinds(effects []relay.Effect) []relay.EventKind {
 	var kinds []relay.EventKind
-	for _, effect := range ofKind(effects, relay.EffectEvent) {
+	for _, effect := range effectsOfKind(effects, relay.EffectEvent) {
 		kinds = append(kinds, effect.Event.Kind)
 	}
 	return kinds
 }
 
-// resets returns the resets to clients among effects.
-func resets(effects []relay.Effect) []segment.Header {
+// resetHeaders returns the headers of the resets to clients among effects.
+func resetHeaders(effects []relay.Effect) []segment.Header {
 	var found []segment.Header
-	for _, effect := range ofKind(effects, relay.EffectSendToClient) {
+	for _, effect := range effectsOfKind(effects, relay.EffectSendToClient) {
 		header, _ := codec.Decode(effect.Packet)
 		if header.Flags.Has(segment.Reset) {
 			found = append(found, header)
@@ -200,45 +207,45 @@
 	return found
 }
 
-// drivenAgent is an agent with the inputs that specs give it.
-type drivenAgent struct {
+// testAgent is an agent with helpers for its inputs.
+type testAgent struct {
 	*relay.Agent
-	// terms are those of what is offered, and lastResort is set if others have returned it.
-	terms      relay.FlowParameters
+	// parameters and lastResort are set in offers.
+	parameters relay.FlowParameters
 	lastResort bool
 }
 
-func drive(agent *relay.Agent) *drivenAgent {
-	return &drivenAgent{Agent: agent, terms: relay.FlowParameters{Slots: 2, LatencyTarget: 250, Timeout: 2000}}
+func newTestAgent(agent *relay.Agent) *testAgent {
+	return &testAgent{Agent: agent, parameters: relay.FlowParameters{Slots: 2, LatencyTarget: 250, Timeout: 2000}}
 }
 
-func (a *drivenAgent) offer(now time.Duration, number int, sequence uint32) []relay.Effect {
+func (a *testAgent) offer(now time.Duration, number int, sequence uint32) []relay.Effect {
 	return a.Receive(now, balancerA, relay.Message{
-		Kind: relay.KindOffer, Service: service, Parameters: a.terms, LastResort: a.lastResort, Packet: opening(number, sequence),
+		Kind: relay.KindOffer, Service: service, Parameters: a.parameters, LastResort: a.lastResort, Packet: openingPacket(number, sequence),
 	})
 }
 
-func (a *drivenAgent) forward(now time.Duration, kind relay.MessageKind, packet []byte) []relay.Effect {
+func (a *testAgent) forward(now time.Duration, kind relay.MessageKind, packet []byte) []relay.Effect {
 	return a.Receive(now, balancerB, relay.Message{Kind: kind, Service: service, Packet: packet})
 }
 
-func (a *drivenAgent) locate(now time.Duration, packet []byte) []relay.Effect {
-	return a.Receive(now, balancerB, question(packet))
+func (a *testAgent) locate(now time.Duration, packet []byte) []relay.Effect {
+	return a.Receive(now, balancerB, locateQuery(packet))
 }
 
-func (a *drivenAgent) answer(now time.Duration, number int, sequence uint32) []relay.Effect {
-	return a.HandleEndpointPacket(now, fromEndpoint(number, segment.Synchronize|segment.Acknowledge, sequence, 101, ""))
+func (a *testAgent) answer(now time.Duration, number int, sequence uint32) []relay.Effect {
+	return a.HandleEndpointPacket(now, endpointPacket(number, segment.Synchronize|segment.Acknowledge, sequence, 101, ""))
 }
 
-// open opens a flow whose endpoint's initial sequence number is 500.
-func (a *drivenAgent) open(now time.Duration, number int) {
+// open opens a flow with a request. The endpoint's initial sequence number is 500.
+func (a *testAgent) open(now time.Duration, number int) {
 	a.offer(now, number, 100)
 	a.answer(now, number, 500)
-	a.forward(now, relay.KindForward, fromClient(number, segment.Acknowledge, 101, 501, "request"))
+	a.forward(now, relay.KindForward, clientPacket(number, segment.Acknowledge, 101, 501, "request"))
 }
 
-// question is a search for the owner of a packet's flow.
-func question(packet []byte) relay.Message {
+// locateQuery returns a query for the owner of a packet's flow.
+func locateQuery(packet []byte) relay.Message {
 	header, _ := codec.Decode(packet)
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 	return relay.Message{
@@ -247,13 +254,13 @@
 	}
 }
 
-// delivered returns what an agent gave its endpoint.
-func delivered(effects []relay.Effect) []relay.Effect {
-	return ofKind(effects, relay.EffectSendToEndpoint)
+// deliveredPackets returns the effects that give a packet to the endpoint.
+func deliveredPackets(effects []relay.Effect) []relay.Effect {
+	return effectsOfKind(effects, relay.EffectSendToEndpoint)
 }
 
-// returned is a packet as an endpoint returns it that does not take it.
-func returned(packet []byte) []byte {
+// returnedCopy returns a copy of a packet as its endpoint returns it.
+func returnedCopy(packet []byte) []byte {
 	copied := append([]byte(nil), packet...)
 	codec.MarkReturned(copied)
 	return copied
--- a/internal/relay/message_gen.go
+++ b/internal/relay/message_gen.go
@@ -370,7 +370,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *EncodedFlow) Msgsize() (s int) {
-	s = msgp.ArrayHeaderSize + (flowSize * (msgp.ByteSize))
+	s = msgp.ArrayHeaderSize + (encodedFlowSize * (msgp.ByteSize))
 	return
 }
 
@@ -564,9 +564,9 @@
 		err = msgp.WrapError(err, "Refusing")
 		return
 	}
-	z.ServiceTime, err = dc.ReadUint32()
+	z.ProcessingTime, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "ServiceTime")
+		err = msgp.WrapError(err, "ProcessingTime")
 		return
 	}
 	z.ColdWait, err = dc.ReadUint32()
@@ -609,9 +609,9 @@
 		err = msgp.WrapError(err, "Refusing")
 		return
 	}
-	err = en.WriteUint32(z.ServiceTime)
+	err = en.WriteUint32(z.ProcessingTime)
 	if err != nil {
-		err = msgp.WrapError(err, "ServiceTime")
+		err = msgp.WrapError(err, "ProcessingTime")
 		return
 	}
 	err = en.WriteUint32(z.ColdWait)
@@ -640,7 +640,7 @@
 	o = msgp.AppendUint32(o, z.Running)
 	o = msgp.AppendUint32(o, z.Waiting)
 	o = msgp.AppendBool(o, z.Refusing)
-	o = msgp.AppendUint32(o, z.ServiceTime)
+	o = msgp.AppendUint32(o, z.ProcessingTime)
 	o = msgp.AppendUint32(o, z.ColdWait)
 	o, err = z.Report.MarshalMsg(o)
 	if err != nil {
@@ -678,9 +678,9 @@
 		err = msgp.WrapError(err, "Refusing")
 		return
 	}
-	z.ServiceTime, bts, err = msgp.ReadUint32Bytes(bts)
+	z.ProcessingTime, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "ServiceTime")
+		err = msgp.WrapError(err, "ProcessingTime")
 		return
 	}
 	z.ColdWait, bts, err = msgp.ReadUint32Bytes(bts)
@@ -1481,7 +1481,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Message) Msgsize() (s int) {
-	s = 3 + msgp.Uint8Size + msgp.StringPrefixSize + len(z.Service) + msgp.ArrayHeaderSize + (flowSize * (msgp.ByteSize)) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.BoolSize + msgp.BoolSize + msgp.StringPrefixSize + len(z.Zone) + msgp.DurationSize + msgp.BytesPrefixSize + len([]byte(z.ReplyTo)) + msgp.ArrayHeaderSize
+	s = 3 + msgp.Uint8Size + msgp.StringPrefixSize + len(z.Service) + msgp.ArrayHeaderSize + (encodedFlowSize * (msgp.ByteSize)) + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint8Size + msgp.BoolSize + msgp.BoolSize + msgp.StringPrefixSize + len(z.Zone) + msgp.DurationSize + msgp.BytesPrefixSize + len([]byte(z.ReplyTo)) + msgp.ArrayHeaderSize
 	for za0002 := range z.Targets {
 		s += 1 + msgp.StringPrefixSize + len(z.Targets[za0002].Service) + msgp.Uint16Size + msgp.BytesPrefixSize + len(z.Targets[za0002].IPs)
 	}
--- a/internal/relay/reachability.go
+++ b/internal/relay/reachability.go
@@ -7,65 +7,64 @@
 )
 
 const (
-	// pingAfter is how long no agent may be heard, while opening packets wait
-	// for an answer, before agents are pinged.
-	pingAfter = 250 * time.Millisecond
-	// isolatedAfter is how long pings may stay without an answer before the
-	// balancer takes itself for cut off from all agents.
-	isolatedAfter = 500 * time.Millisecond
+	// pingDelay is the time without any response to opening packets after which agents are pinged.
+	pingDelay = 250 * time.Millisecond
+	// isolationDelay is how long pings may stay unanswered before the balancer counts as cut off from
+	// all agents.
+	isolationDelay = 500 * time.Millisecond
 	// pingInterval is the time between two rounds of pings.
 	pingInterval = 150 * time.Millisecond
-	// pingLimit bounds the agents that are pinged in one round.
-	pingLimit = 16
+	// maxPingedAgents limits the agents pinged in one round.
+	maxPingedAgents = 16
 )
 
-// reach tells whether a balancer can reach any agent. One that cannot is better
-// left out by the fabric: it would lose every new flow.
-type reach struct {
-	// unanswered is set if an opening packet was sent and no agent was heard
-	// since; waiting is when that began.
-	unanswered bool
-	waiting    time.Duration
-	pinging    bool
-	pinged     time.Duration
-	nextPing   time.Duration
-	isolated   bool
-	// turn is the position of the next agent to ping.
-	turn int
+// reachability tracks whether a balancer can reach any agent. The fabric should not send packets to
+// a balancer that cannot: it would lose every new flow.
+type reachability struct {
+	// awaiting is set if an opening packet was sent and no agent has responded since. awaitingSince
+	// is when that began.
+	awaiting      bool
+	awaitingSince time.Duration
+	pinging       bool
+	pingingSince  time.Duration
+	nextPing      time.Duration
+	isolated      bool
+	// lastPinged is the index of the agent that was pinged last.
+	lastPinged int
 }
 
 // Isolated reports whether the balancer cannot reach any agent.
-func (b *Balancer) Isolated() bool { return b.reach.isolated }
+func (b *Balancer) Isolated() bool { return b.reachability.isolated }
 
-// heardAgent notes that some agent can be reached.
-func (b *Balancer) heardAgent() {
-	if b.reach.isolated {
-		b.event(Event{Kind: EventReconnected})
+// noteAgentHeard records that an agent can be reached.
+func (b *Balancer) noteAgentHeard() {
+	if b.reachability.isolated {
+		b.recordEvent(Event{Kind: EventReconnected})
 	}
-	b.reach = reach{turn: b.reach.turn}
+	b.reachability = reachability{lastPinged: b.reachability.lastPinged}
 }
 
-// awaitAgent notes that an agent should answer.
-func (b *Balancer) awaitAgent(now time.Duration) {
-	if !b.reach.unanswered {
-		b.reach.unanswered = true
-		b.reach.waiting = now
+// expectAgentReply records that an agent is expected to respond.
+func (b *Balancer) expectAgentReply(now time.Duration) {
+	if !b.reachability.awaiting {
+		b.reachability.awaiting = true
+		b.reachability.awaitingSince = now
 	}
 }
 
-// watchReach pings agents while none is heard.
-func (b *Balancer) watchReach(now time.Duration) {
-	r := &b.reach
-	if !r.unanswered || now-r.waiting < pingAfter {
+// checkReachability pings agents while none responds.
+func (b *Balancer) checkReachability(now time.Duration) {
+	r := &b.reachability
+	if !r.awaiting || now-r.awaitingSince < pingDelay {
 		return
 	}
 	if !r.pinging {
 		r.pinging = true
-		r.pinged = now
+		r.pingingSince = now
 	}
-	if !r.isolated && now-r.pinged >= isolatedAfter {
+	if !r.isolated && now-r.pingingSince >= isolationDelay {
 		r.isolated = true
-		b.event(Event{Kind: EventIsolated, Version: b.snapshot.Version()})
+		b.recordEvent(Event{Kind: EventIsolated, Version: b.snapshot.Version()})
 	}
 	if now >= r.nextPing {
 		r.nextPing = now + pingInterval
@@ -73,29 +72,29 @@
 	}
 }
 
-// nextReach returns when watchReach should be called at the latest.
-func (b *Balancer) nextReach() time.Duration {
+// nextReachabilityCheck returns the latest time for the next call of checkReachability.
+func (b *Balancer) nextReachabilityCheck() time.Duration {
 	switch {
-	case !b.reach.unanswered:
+	case !b.reachability.awaiting:
 		return never
-	case !b.reach.pinging:
-		return b.reach.waiting + pingAfter
+	case !b.reachability.pinging:
+		return b.reachability.awaitingSince + pingDelay
 	}
-	return b.reach.nextPing
+	return b.reachability.nextPing
 }
 
 func (b *Balancer) pingAgents() {
 	all := b.snapshot.All()
-	for range min(len(all), pingLimit) {
-		b.reach.turn = (b.reach.turn + 1) % len(all)
-		candidate := all[b.reach.turn]
-		b.send(b.agentOf(candidate), Message{Kind: KindPing, Service: candidate.Endpoint.Service})
+	for range min(len(all), maxPingedAgents) {
+		b.reachability.lastPinged = (b.reachability.lastPinged + 1) % len(all)
+		candidate := all[b.reachability.lastPinged]
+		b.send(b.agentAddress(candidate), Message{Kind: KindPing, Service: candidate.Endpoint.Service})
 	}
 }
 
-// isAgent reports whether an address is that of a known agent, so that others
-// cannot make a balancer believe that it reaches agents.
+// isAgent reports whether an address belongs to a known agent. Messages of other senders do not
+// prove that agents can be reached, so they are ignored.
 func (b *Balancer) isAgent(from segment.Address) bool {
-	_, known := b.snapshot.CandidateAt(from.IP)
-	return known && from.Port == b.config.AgentPort
+	_, exists := b.snapshot.CandidateAt(from.IP)
+	return exists && from.Port == b.config.AgentPort
 }
--- a/internal/relay/relay_bench_test.go
+++ b/internal/relay/relay_bench_test.go
@@ -11,10 +11,10 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// benchmarkFleet has the given number of services with eight endpoints each;
-// the fixture's route leads to the first.
+// benchmarkFleet returns a directory of services with eight endpoints each. The route of the
+// fixture leads to the first service.
 func benchmarkFleet(services int) *directory.Replica {
-	machine := directory.NewReplica()
+	replica := directory.NewReplica()
 	configuration := &directory.Configuration{Version: 1}
 	var items []directory.Item
 	for number := range services {
@@ -34,33 +34,33 @@
 		}
 	}
 	items = append(items, directory.Item{Revision: 1, Configuration: configuration})
-	machine.ApplyListing(0, items, directory.Revision(services*8+2))
-	return machine
+	replica.ApplyListing(0, items, directory.Revision(services*8+2))
+	return replica
 }
 
-func openingTo(number int) []byte {
+func openingPacketFrom(number int) []byte {
 	return codec.Encode(segment.Header{
 		Source:      segment.Address{IP: [4]byte{100, 64, byte(number >> 16), byte(number >> 8)}, Port: uint16(number)},
 		Destination: routeAddress, Flags: segment.Synchronize, Sequence: 100,
 	}, nil)
 }
 
-func benchmarkBalancer(machine *directory.Replica) *relay.Balancer {
+func benchmarkBalancer(replica *directory.Replica) *relay.Balancer {
 	balancer := relay.NewBalancer(relay.BalancerConfig{
 		Codec: codec, AgentPort: agentPort, FlowLifetime: flowLifetime, FlowLimit: 1 << 24, Random: newRandom(),
 	})
-	balancer.Install(0, machine.Snapshot())
+	balancer.Install(0, replica.Snapshot())
 	return balancer
 }
 
-// BenchmarkBalancerOpening measures a new flow with the notice of its owner.
+// BenchmarkBalancerOpening measures the opening of a flow, including the report of its owner.
 func BenchmarkBalancerOpening(b *testing.B) {
 	for _, services := range []int{15, 150, 1500} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
 			balancer := benchmarkBalancer(benchmarkFleet(services))
 			b.ReportAllocs()
 			for number := range b.N {
-				packet := openingTo(number)
+				packet := openingPacketFrom(number)
 				effects := balancer.HandleClientPacket(0, packet)
 				to := effects[0].To
 				header, _ := codec.Decode(packet)
@@ -74,30 +74,30 @@
 // BenchmarkBalancerForward measures a packet of a known flow.
 func BenchmarkBalancerForward(b *testing.B) {
 	balancer := benchmarkBalancer(benchmarkFleet(1500))
-	balancer.HandleClientPacket(0, opening(1, 100))
-	packet := fromClient(1, segment.Acknowledge, 101, 501, "request")
+	balancer.HandleClientPacket(0, openingPacket(1, 100))
+	packet := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 	b.ReportAllocs()
 	for b.Loop() {
 		balancer.HandleClientPacket(0, packet)
 	}
 }
 
-// BenchmarkBalancerMemory measures what a flow takes.
+// BenchmarkBalancerMemory measures the memory used for a flow.
 func BenchmarkBalancerMemory(b *testing.B) {
 	const flows = 15_500
-	machine := benchmarkFleet(15)
+	replica := benchmarkFleet(15)
 	for b.Loop() {
-		before := heap()
-		balancer := benchmarkBalancer(machine)
+		before := heapBytes()
+		balancer := benchmarkBalancer(replica)
 		for number := range flows {
-			packet := openingTo(number)
+			packet := openingPacketFrom(number)
 			effects := balancer.HandleClientPacket(0, packet)
 			header, _ := codec.Decode(packet)
 			key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 			balancer.Receive(0, effects[0].To, relay.Message{Kind: relay.KindPlaced, Flow: relay.EncodeFlow(key), Sequence: 100})
 		}
 		balancer.Tick(time.Second)
-		b.ReportMetric(float64(heap()-before)/flows, "B/flow")
+		b.ReportMetric(float64(heapBytes()-before)/flows, "B/flow")
 		runtime.KeepAlive(balancer)
 	}
 }
@@ -108,56 +108,56 @@
 	agent := newAgent(true)
 	b.ReportAllocs()
 	for b.Loop() {
-		agent.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Packet: opening(1, 100)})
-		agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
+		agent.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Packet: openingPacket(1, 100)})
+		agent.HandleEndpointPacket(0, endpointPacket(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
 		agent.Receive(0, balancerA, relay.Message{
-			Kind: relay.KindForward, Service: service, Packet: fromClient(1, segment.Acknowledge, 101, 501, "request"),
+			Kind: relay.KindForward, Service: service, Packet: clientPacket(1, segment.Acknowledge, 101, 501, "request"),
 		})
-		agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
+		agent.HandleEndpointPacket(0, endpointPacket(1, segment.Acknowledge, 501, 108, "answer"))
 		agent.Receive(0, balancerA, relay.Message{
-			Kind: relay.KindForward, Service: service, Packet: fromClient(1, segment.Acknowledge|segment.Finish, 108, 507, ""),
+			Kind: relay.KindForward, Service: service, Packet: clientPacket(1, segment.Acknowledge|segment.Finish, 108, 507, ""),
 		})
 	}
 }
 
-// BenchmarkDirectoryChange measures one changed entry, with the new snapshot.
+// BenchmarkDirectoryChange measures the change of one entry, including the new snapshot.
 func BenchmarkDirectoryChange(b *testing.B) {
 	for _, services := range []int{15, 150, 1500} {
 		b.Run(fmt.Sprintf("endpoints=%d", services*8), func(b *testing.B) {
-			machine := benchmarkFleet(services)
+			replica := benchmarkFleet(services)
 			revision := directory.Revision(1 << 30)
 			endpoint := &directory.Endpoint{Service: "service-0", IP: [4]byte{10, 0, 0, 0}, Port: 8080, Slots: 7}
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
-				machine.ApplyChanges(0, []directory.Item{{EndpointID: directory.NameOnlyID("i-0000000000"), Revision: revision, Endpoint: endpoint}}, revision)
+				replica.ApplyChanges(0, []directory.Item{{EndpointID: directory.NameOnlyID("i-0000000000"), Revision: revision, Endpoint: endpoint}}, revision)
 			}
 		})
 	}
 }
 
-// BenchmarkDirectoryMemory measures a directory with its snapshot, and its
-// encoded state.
+// BenchmarkDirectoryMemory measures the memory of a directory with its snapshot, and the size of
+// its encoded state.
 func BenchmarkDirectoryMemory(b *testing.B) {
 	for _, services := range []int{15, 150, 1500} {
 		b.Run(fmt.Sprintf("endpoints=%d", services*8), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
-				machine := benchmarkFleet(services)
-				b.ReportMetric(float64(heap()-before), "B")
-				state := machine.FullState(0)
+				before := heapBytes()
+				replica := benchmarkFleet(services)
+				b.ReportMetric(float64(heapBytes()-before), "B")
+				state := replica.FullState(0)
 				encoded, err := state.MarshalMsg(nil)
 				if err != nil {
 					b.Fatal(err)
 				}
 				b.ReportMetric(float64(len(encoded)), "B/state")
-				runtime.KeepAlive(machine)
+				runtime.KeepAlive(replica)
 			}
 		})
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var statistics runtime.MemStats
 	runtime.ReadMemStats(&statistics)
--- a/internal/relay/utilization.go
+++ b/internal/relay/utilization.go
@@ -8,38 +8,40 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// group is a set of endpoints that are used alike: those of a service, in a zone, that are
-// slow or not. Slow ones get less, and each zone has a demand of its own.
-type group struct {
+// endpointGroup is a set of endpoints that are expected to be equally busy: those of a service in a
+// zone that are slow, or those that are not. Slow endpoints get fewer flows, and the demand differs
+// between zones.
+type endpointGroup struct {
 	service string
 	zone    string
 	slow    bool
 }
 
-// levelOf returns how far the endpoints like one of some slowness are used.
-func (b *Balancer) levelOf(candidate directory.Candidate, slowness float64) *placement.GroupUtilization {
-	key := group{candidate.Endpoint.Service, candidate.Endpoint.Zone, slowness > 1}
-	known, exists := b.levels[key]
+// utilizationOf returns the utilization of the group of an endpoint with the given slowness.
+func (b *Balancer) utilizationOf(candidate directory.Candidate, slowness float64) *placement.GroupUtilization {
+	key := endpointGroup{candidate.Endpoint.Service, candidate.Endpoint.Zone, slowness > 1}
+	utilization, exists := b.utilization[key]
 	if !exists {
-		known = &placement.GroupUtilization{}
-		b.levels[key] = known
+		utilization = &placement.GroupUtilization{}
+		b.utilization[key] = utilization
 	}
-	return known
+	return utilization
 }
 
-// noteUse notes how many requests an endpoint works on, as its agent tells. A flow that it
-// returns is not among them, but still among those that this balancer has placed there.
-func (b *Balancer) noteUse(now time.Duration, from segment.Address, message Message) {
+// noteUtilization records how many requests an endpoint works on according to its agent. A flow
+// that the agent returns is not included, but is still counted among the flows that this balancer
+// gave the endpoint.
+func (b *Balancer) noteUtilization(now time.Duration, from segment.Address, message Message) {
 	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service || candidate.Endpoint.Slots == 0 {
 		return
 	}
-	known := b.healthOf(candidate.ID)
-	usual := b.usualPace(now, message.Service)
-	own := float64(known.outstanding) + b.demandOf(message.Service).slots(usual)*float64(known.kept)
+	health := b.healthOf(candidate.ID)
+	medianProcessingTime := b.medianProcessingTime(now, message.Service)
+	ownRequests := float64(health.outstanding) + b.demandOf(message.Service).slotsPerFlow(medianProcessingTime)*float64(health.persistent)
 	if message.Kind == KindReturned {
-		own--
+		ownRequests--
 	}
-	known.news = placement.LoadReport{UsedByOthers: max(float64(message.Load.Pending)-max(own, 0), 0), ReceivedAt: now, Known: true}
-	b.levelOf(candidate, known.slowness(now, usual)).Observe(now, known.news.UsedByOthers/float64(candidate.Endpoint.Slots))
+	health.utilization = placement.LoadReport{UsedByOthers: max(float64(message.Load.Pending)-max(ownRequests, 0), 0), ReceivedAt: now, Known: true}
+	b.utilizationOf(candidate, health.slowness(now, medianProcessingTime)).Observe(now, health.utilization.UsedByOthers/float64(candidate.Endpoint.Slots))
 }
