--- a/internal/directory/announce.go
+++ b/internal/directory/announce.go
@@ -1,4 +1,4 @@
-// This file implements which updates a Spread sends to other balancers.
+// This file implements which updates a Disseminator sends to other balancers.
 
 package directory
 
@@ -8,92 +8,95 @@
 )
 
 const (
-	// subscription is how long a process that has asked is sent updates: longer than the
-	// membership takes to have it.
-	subscription = 30 * time.Second
-	// subscriberLimit bounds the subscribers.
-	subscriberLimit = 256
-	// renewalShare is how much longer than the time between two confirmations a process
-	// waits for one before it asks a watcher, which is before it asks the store.
-	renewalShare = 1.15
-	// announcementOverlap is how many updates back an update reaches, so that one that is lost
-	// costs nothing.
+	// subscriptionLifetime is how long a process receives updates after its request. It exceeds
+	// the time until the membership includes that process.
+	subscriptionLifetime = 30 * time.Second
+	// maxSubscribers limits the subscribers.
+	maxSubscribers = 256
+	// renewalFactor, times the interval between confirmations, is how long a process waits for
+	// a confirmation before it asks a watcher. It must stay below the delay after which the
+	// process polls the store.
+	renewalFactor = 1.15
+	// announcementOverlap is the number of preceding updates whose changes each update repeats,
+	// so that losing a single update has no effect.
 	announcementOverlap = 2
-	// repeatDelay is how long after an update it is sent again, since a lost one is made up
-	// for only by the next. It is longer than a queue at a link lasts.
+	// repeatDelay is the delay after which an update is sent again. Otherwise only the next
+	// update would make up for a lost one. It exceeds the time that a queue on a link takes to
+	// drain.
 	repeatDelay = 100 * time.Millisecond
 )
 
-// repetition is what is to be sent again: all changes after a revision.
-type repetition struct {
-	at    time.Duration
+// repeatedUpdates describes the pending repetition: all changes after a revision.
+type repeatedUpdates struct {
+	due   time.Duration
 	after Revision
 	to    []Peer
 }
 
-// announce returns the updates for others, except for one: all changes since the last ones.
-func (s *Disseminator) announce(now time.Duration, to []Peer, except Peer) []Outgoing {
-	if !s.machine.Loaded() {
+// announce returns updates with all changes since the previous announcements, for every
+// receiver but one.
+func (d *Disseminator) announce(now time.Duration, to []Peer, except Peer) []Outgoing {
+	if !d.replica.Loaded() {
 		return nil
 	}
 	receivers := slices.DeleteFunc(slices.Clone(to), func(peer Peer) bool { return peer == except })
-	receivers = append(receivers, s.subscribed(now, receivers, except)...)
-	base := s.machine.AppliedRevision()
-	// What was announced before a refutation leads nowhere.
-	s.announcedRevisions = slices.DeleteFunc(s.announcedRevisions, func(revision Revision) bool { return revision > base })
-	if len(s.announcedRevisions) > 0 {
-		base = s.announcedRevisions[0]
+	receivers = append(receivers, d.activeSubscribers(now, receivers, except)...)
+	base := d.replica.AppliedRevision()
+	// No receiver can connect changes to revisions announced before an invalidation.
+	d.announcedRevisions = slices.DeleteFunc(d.announcedRevisions, func(revision Revision) bool { return revision > base })
+	if len(d.announcedRevisions) > 0 {
+		base = d.announcedRevisions[0]
 	}
-	s.announcedRevisions = append(s.announcedRevisions, s.machine.AppliedRevision())
-	s.announcedRevisions = s.announcedRevisions[max(len(s.announcedRevisions)-announcementOverlap, 0):]
-	s.announcedAt = now
-	s.announcedVersion = s.machine.Snapshot().Version()
-	s.repeat = repetition{at: now + repeatDelay, after: base, to: receivers}
-	return s.address(s.updates(now, base), receivers)
+	d.announcedRevisions = append(d.announcedRevisions, d.replica.AppliedRevision())
+	d.announcedRevisions = d.announcedRevisions[max(len(d.announcedRevisions)-announcementOverlap, 0):]
+	d.announcedAt = now
+	d.announcedVersion = d.replica.Snapshot().Version()
+	d.pendingRepeat = repeatedUpdates{due: now + repeatDelay, after: base, to: receivers}
+	return d.addressTo(d.updates(now, base), receivers)
 }
 
-// Repeat returns the last updates again, once repeatDelay has passed. It is to be called about
-// as often.
-func (s *Disseminator) Repeat(now time.Duration) []Outgoing {
-	due := s.repeat
-	if len(due.to) == 0 || now < due.at {
+// Repeat returns the last updates once more after repeatDelay. Call it about that often.
+func (d *Disseminator) Repeat(now time.Duration) []Outgoing {
+	due := d.pendingRepeat
+	if len(due.to) == 0 || now < due.due {
 		return nil
 	}
-	s.repeat = repetition{}
-	return s.address(s.updates(now, due.after), due.to)
+	d.pendingRepeat = repeatedUpdates{}
+	return d.addressTo(d.updates(now, due.after), due.to)
 }
 
-// Renewal returns what asks a watcher for changes, if no confirmation has come in time. This
-// process is a subscriber of the watcher from then on.
-func (s *Disseminator) RenewalRequest(now time.Duration) []Outgoing {
-	patience := time.Duration(renewalShare * float64(s.timing.watchWait()))
-	lasting := s.machine.Loaded() || s.machine.corrects()
-	if !lasting || now-max(s.confirmed, s.renewed) < patience {
+// RenewalRequest returns a request to a watcher for changes if no confirmation arrived in time.
+// The watcher then treats this process as a subscriber.
+func (d *Disseminator) RenewalRequest(now time.Duration) []Outgoing {
+	timeout := time.Duration(renewalFactor * float64(d.timing.watchWait()))
+	eligible := d.replica.Loaded() || d.replica.needsFullState()
+	if !eligible || now-max(d.confirmedAt, d.renewalRequestedAt) < timeout {
 		return nil
 	}
-	watcher, exists := s.AnyWatcher()
+	watcher, exists := d.AnyWatcher()
 	if !exists {
 		return nil
 	}
-	s.renewed = now
-	return s.address([]Update{{RequestsChanges: true, State: s.Summary(now)}}, []Peer{watcher})
+	d.renewalRequestedAt = now
+	return d.addressTo([]Update{{RequestsChanges: true, State: d.Summary(now)}}, []Peer{watcher})
 }
 
-// Fetched notes that another process has been given the directory.
-func (s *Disseminator) StateSent(now time.Duration, by Peer) { s.subscribe(now, by) }
+// StateSent records that another process has received the directory.
+func (d *Disseminator) StateSent(now time.Duration, by Peer) { d.subscribe(now, by) }
 
-func (s *Disseminator) subscribe(now time.Duration, peer Peer) {
-	if _, exists := s.subscribers[peer]; exists || len(s.subscribers) < subscriberLimit {
-		s.subscribers[peer] = now
+func (d *Disseminator) subscribe(now time.Duration, peer Peer) {
+	if _, exists := d.subscribers[peer]; exists || len(d.subscribers) < maxSubscribers {
+		d.subscribers[peer] = now
 	}
 }
 
-// subscribed returns those that have asked lately and are not among others, in order.
-func (s *Disseminator) subscribed(now time.Duration, others []Peer, except Peer) []Peer {
+// activeSubscribers returns the subscribers whose subscription is current and who are not in
+// others, in order.
+func (d *Disseminator) activeSubscribers(now time.Duration, others []Peer, except Peer) []Peer {
 	var peers []Peer
-	for peer, since := range s.subscribers {
-		if now-since > subscription {
-			delete(s.subscribers, peer)
+	for peer, since := range d.subscribers {
+		if now-since > subscriptionLifetime {
+			delete(d.subscribers, peer)
 			continue
 		}
 		if peer != except && !slices.Contains(others, peer) {
@@ -104,17 +107,17 @@
 	return peers
 }
 
-// Announced returns how much is known, and of when that is.
-func (s *Disseminator) Summary(now time.Duration) State {
-	state := s.machine.stateFrom(s.machine.AppliedRevision())
+// Summary returns the versions and the age of the directory without its content.
+func (d *Disseminator) Summary(now time.Duration) State {
+	state := d.replica.stateHeader(d.replica.AppliedRevision())
 	state.Whole = false
-	return s.aged(now, state)
+	return d.withAge(now, state)
 }
 
-// aged completes a state with the time for which the directory is current.
-func (s *Disseminator) aged(now time.Duration, state State) State {
-	state.MemberCount = s.members
-	state.Age = now - s.confirmed
+// withAge adds the membership size and the age of the last confirmation to a state.
+func (d *Disseminator) withAge(now time.Duration, state State) State {
+	state.MemberCount = d.memberCount
+	state.Age = now - d.confirmedAt
 	state.Confirmed = state.Age <= Retention
 	if !state.Confirmed {
 		state.Age = 0
@@ -122,16 +125,16 @@
 	return state
 }
 
-// State returns what is known beyond a digest, with its age.
-func (s *Disseminator) State(now time.Duration, known Digest) State {
-	return s.aged(now, s.machine.StateAfter(now, known))
+// State returns the content that the process with peerDigest lacks, with its age.
+func (d *Disseminator) State(now time.Duration, peerDigest Digest) State {
+	return d.withAge(now, d.replica.StateAfter(now, peerDigest))
 }
 
-func (s *Disseminator) updates(now time.Duration, known Revision) []Update {
-	return updatesOf(s.aged(now, s.machine.ChangesAfter(now, known)))
+func (d *Disseminator) updates(now time.Duration, after Revision) []Update {
+	return splitUpdates(d.withAge(now, d.replica.ChangesAfter(now, after)))
 }
 
-func (s *Disseminator) address(updates []Update, to []Peer) []Outgoing {
+func (d *Disseminator) addressTo(updates []Update, to []Peer) []Outgoing {
 	outgoing := make([]Outgoing, 0, len(updates)*len(to))
 	for _, peer := range to {
 		for _, update := range updates {
--- a/internal/directory/confirmation_request.go
+++ b/internal/directory/confirmation_request.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// Question is one of another balancer for a confirmation of the directory.
+// ConfirmationRequest is a request of another balancer to confirm the directory against the
+// store.
 type ConfirmationRequest struct {
-	From   Peer
-	Update Update
-	at     time.Duration
+	From       Peer
+	Update     Update
+	receivedAt time.Duration
 }
 
-// Questions are those that wait for a confirmation.
+// ConfirmationQueue holds the requests that wait for the next confirmation.
 type ConfirmationQueue struct{ waiting []ConfirmationRequest }
 
-// Add notes a question that comes now.
+// Add queues a request received at now.
 func (q *ConfirmationQueue) Add(now time.Duration, from Peer, update Update) {
-	q.waiting = append(q.waiting, ConfirmationRequest{From: from, Update: update, at: now})
+	q.waiting = append(q.waiting, ConfirmationRequest{From: from, Update: update, receivedAt: now})
 }
 
-// Any reports whether there are any.
+// Pending reports whether any request is queued.
 func (q *ConfirmationQueue) Pending() bool { return len(q.waiting) > 0 }
 
-// TakeThrough removes and returns the questions that came until a time, for which the
-// directory is confirmed, or for which it could not be.
+// TakeThrough removes and returns the requests received at or before a time. The caller has
+// confirmed the directory for that time, or has failed to.
 func (q *ConfirmationQueue) TakeThrough(through time.Duration) []ConfirmationRequest {
 	var taken, later []ConfirmationRequest
-	for _, each := range q.waiting {
-		if each.at <= through {
-			taken = append(taken, each)
+	for _, request := range q.waiting {
+		if request.receivedAt <= through {
+			taken = append(taken, request)
 			continue
 		}
-		later = append(later, each)
+		later = append(later, request)
 	}
 	q.waiting = later
 	return taken
--- a/internal/directory/confirmer.go
+++ b/internal/directory/confirmer.go
@@ -7,173 +7,176 @@
 )
 
 const (
-	// shortestServing is the least time between two confirmations that others wait for, each of
-	// which costs a call. A client whose flow is dead waits for one before it is told, out of a
-	// latency objective of some hundreds of milliseconds.
-	shortestServing = 25 * time.Millisecond
-	// shortestOwn is that between two which serve only the searches of one balancer.
-	shortestOwn = 75 * time.Millisecond
-	// confirmRate is how many confirmations a second begin in the long run, and confirmBurst
-	// how many may begin faster: as many as in the seconds after everything has returned, in
-	// which endpoints have no room for clients that come back late.
+	// minServingInterval is the shortest interval between two confirmations on behalf of other
+	// balancers. Each costs a call to the store. A client whose flow is dead waits for one
+	// before it is told, within a latency objective of several hundred milliseconds.
+	minServingInterval = 25 * time.Millisecond
+	// minOwnInterval is the shortest interval between two confirmations that serve only flow
+	// lookups of this balancer.
+	minOwnInterval = 75 * time.Millisecond
+	// confirmRate is the sustained number of confirmations per second. confirmBurst is the
+	// number that may exceed it, enough for the seconds after the whole deployment has
+	// returned, when endpoints have no capacity for clients that reconnect late.
 	confirmRate  = 12
 	confirmBurst = 100
-	// askRate is how many questions a second a watcher gets at the most of those who ask it: a
-	// small part of a slow machine's processor.
-	askRate = 1000
-	// confirmRateShare is the part of the store's rate that the confirmations of all
-	// balancers together may take, half of it those that others wait for.
+	// watcherRequestRate limits the requests per second that one watcher receives, a small part
+	// of a slow machine's CPU.
+	watcherRequestRate = 1000
+	// confirmRateShare is the part of the store's rate limit that the confirmations of all
+	// balancers may use. Half of it is for confirmations on behalf of others.
 	confirmRateShare = 0.25
-	// confirmWait is how long a watch for what is missing waits. The store has it.
+	// confirmWait is the wait of a watch for missing changes. The store already has them.
 	confirmWait = time.Millisecond
-	// keyAfterAll comes after every key, so that a listing after it has nothing but
-	// the revision of the store.
+	// keyAfterAll sorts after every key. A listing after it returns only the revision of the
+	// store.
 	keyAfterAll = "~"
 )
 
-// Confirmer decides which calls prove that the directory has all changes that the
-// store accepted before a time. An answer to a watch proves that only for the time at
-// which the store gave it, and the next may be seconds away. It is deterministic.
+// Confirmer decides which calls prove that the directory has all changes that the store
+// accepted before a given time. The response to a watch proves that only for the time at which
+// the store sent it, and the next response may be seconds away. It is deterministic.
 type Confirmer struct {
-	machine *Replica
-	// servingInterval and ownInterval are the least times between two confirmations that others
-	// wait for, and between two that serve this balancer alone.
+	replica *Replica
+	// servingInterval is the shortest interval between confirmations on behalf of other
+	// balancers, and ownInterval between those that serve this balancer alone.
 	servingInterval time.Duration
 	ownInterval     time.Duration
-	// serves is set if other balancers wait for a confirmation.
-	serves bool
-	rush   *rate.Limiter
-	wanted bool
-	busy   bool
-	// made is set once one has begun.
-	made bool
-	// askInterval is the least time between two questions to watchers, and nextAsk when the
-	// next may be sent.
-	askInterval time.Duration
-	nextAsk     time.Duration
-	// begun is when the latest confirmation began: its call, or the first of two.
+	// servesOthers is set while other balancers wait for a confirmation.
+	servesOthers bool
+	limiter      *rate.Limiter
+	requested    bool
+	busy         bool
+	// hasBegun is set once a confirmation has begun.
+	hasBegun bool
+	// watcherRequestInterval is the shortest interval between two requests to watchers.
+	// nextWatcherRequest is when the next one may be sent.
+	watcherRequestInterval time.Duration
+	nextWatcherRequest     time.Duration
+	// begun is when the latest confirmation began: its only call, or the first of two.
 	begun time.Duration
-	// known is the revision that the directory had when the present listing began.
-	known Revision
-	// target is the revision that the directory has to reach; it is zero until the
-	// store has told it.
-	target Revision
+	// startRevision is the revision of the directory when the current listing began.
+	startRevision Revision
+	// targetRevision is the revision that the directory must reach, or 0 until the store has
+	// reported it.
+	targetRevision Revision
 }
 
-// NewConfirmer returns a confirmer of what a machine knows.
-func NewConfirmer(machine *Replica) *Confirmer {
+// NewConfirmer returns a confirmer of a replica.
+func NewConfirmer(replica *Replica) *Confirmer {
 	return &Confirmer{
-		machine: machine, servingInterval: shortestServing, ownInterval: shortestOwn,
-		rush: rate.NewLimiter(confirmRate, confirmBurst),
+		replica: replica, servingInterval: minServingInterval, ownInterval: minOwnInterval,
+		limiter: rate.NewLimiter(confirmRate, confirmBurst),
 	}
 }
 
-// Share tells how many balancers there are and how many calls a second the store
-// answers of all of them together.
+// SetStoreRate sets the number of balancers and the calls per second that the store accepts
+// from all of them together.
 func (c *Confirmer) SetStoreRate(balancers int, storeRate float64) {
-	half := storeRate * confirmRateShare / 2
-	c.servingInterval = max(shortestServing, secondsOf(float64(askedAmong(balancers))/half))
-	c.ownInterval = max(shortestOwn, secondsOf(float64(balancers)/half))
-	c.askInterval = secondsOf(float64(balancers) / float64(askedAmong(balancers)*askRate))
+	rateShare := storeRate * confirmRateShare / 2
+	c.servingInterval = max(minServingInterval, secondsToDuration(float64(confirmerCount(balancers))/rateShare))
+	c.ownInterval = max(minOwnInterval, secondsToDuration(float64(balancers)/rateShare))
+	c.watcherRequestInterval = secondsToDuration(float64(balancers) / float64(confirmerCount(balancers)*watcherRequestRate))
 }
 
-// askedAmong returns how many watchers a number of balancers ask.
-func askedAmong(balancers int) int {
-	return min(watchersAmong(balancers), 1+balancers/askersOfWatcher)
+// confirmerCount returns how many watchers confirm the directory on behalf of a number of
+// balancers.
+func confirmerCount(balancers int) int {
+	return min(watcherCount(balancers), 1+balancers/balancersPerConfirmer)
 }
 
-func secondsOf(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
+func secondsToDuration(count float64) time.Duration {
+	return time.Duration(count * float64(time.Second))
+}
 
-// Want asks for a confirmation that is begun from now on.
-func (c *Confirmer) Request() { c.wanted = true }
+// Request asks for a confirmation that begins from now on.
+func (c *Confirmer) Request() { c.requested = true }
 
-// Wanted reports whether a confirmation was asked for that has not begun.
-func (c *Confirmer) Requested() bool { return c.wanted }
+// Requested reports whether a requested confirmation has not begun.
+func (c *Confirmer) Requested() bool { return c.requested }
 
-// Next returns the call to make now, false if there is none. An answer or Failed must
-// follow.
+// Next returns the call to make now, or false if there is none. HandlePage, HandleChanges or
+// HandleFailure must follow.
 func (c *Confirmer) Next(now time.Duration) (Call, bool) {
 	if c.busy {
 		return Call{}, false
 	}
-	if c.target > 0 {
+	if c.targetRevision > 0 {
 		c.busy = true
-		return Call{AfterRevision: c.machine.AppliedRevision(), Wait: confirmWait, Timeout: callTimeout}, true
+		return Call{AfterRevision: c.replica.AppliedRevision(), Wait: confirmWait, Timeout: callTimeout}, true
 	}
-	if c.machine.AppliedRevision() == 0 || !c.BeginWithStore(now) {
+	if c.replica.AppliedRevision() == 0 || !c.BeginWithStore(now) {
 		return Call{}, false
 	}
 	c.busy = true
-	c.known = c.machine.AppliedRevision()
+	c.startRevision = c.replica.AppliedRevision()
 	return Call{Listing: true, AfterKey: keyAfterAll, Timeout: callTimeout}, true
 }
 
-// Serves tells whether other balancers wait for a confirmation by this one.
-func (c *Confirmer) SetServesOthers(others bool) { c.serves = others }
+// SetServesOthers sets whether other balancers wait for a confirmation by this one.
+func (c *Confirmer) SetServesOthers(servesOthers bool) { c.servesOthers = servesOthers }
 
-// interval is the least time between two confirmations now.
+// interval returns the shortest interval that applies between two confirmations now.
 func (c *Confirmer) interval() time.Duration {
-	if c.serves {
+	if c.servesOthers {
 		return c.servingInterval
 	}
 	return c.ownInterval
 }
 
-// Begin begins a confirmation by the store, within the bounds on calls. It reports whether one
-// is wanted and may begin.
+// BeginWithStore begins a confirmation by the store, subject to the limits on calls. It reports
+// whether one is requested and may begin.
 func (c *Confirmer) BeginWithStore(now time.Duration) bool {
-	if c.busy || !c.wanted || c.made && now < c.begun+c.interval() || !c.rush.AllowN(time.Unix(0, int64(now)), 1) {
+	if c.busy || !c.requested || c.hasBegun && now < c.begun+c.interval() || !c.limiter.AllowN(time.Unix(0, int64(now)), 1) {
 		return false
 	}
-	c.wanted = false
+	c.requested = false
 	c.begun = now
-	c.made = true
+	c.hasBegun = true
 	return true
 }
 
-// Ask begins a confirmation that a watcher shall make, which bounds the calls for all who
-// ask it. It reports whether one is wanted and may begin.
+// BeginWithWatcher begins a confirmation by a watcher, which limits the calls on behalf of
+// everyone that asks it. It reports whether one is requested and may begin.
 func (c *Confirmer) BeginWithWatcher(now time.Duration) bool {
-	if c.busy || !c.wanted || now < c.nextAsk {
+	if c.busy || !c.requested || now < c.nextWatcherRequest {
 		return false
 	}
-	c.wanted = false
-	c.nextAsk = now + c.askInterval
+	c.requested = false
+	c.nextWatcherRequest = now + c.watcherRequestInterval
 	return true
 }
 
-// Unanswered notes that a watcher which was asked has not answered: a confirmation is wanted
-// again.
-func (c *Confirmer) WatcherTimedOut() { c.wanted = true }
+// WatcherTimedOut records that a watcher did not reply. The confirmation is requested again.
+func (c *Confirmer) WatcherTimedOut() { c.requested = true }
 
-// Listed handles the revision of the store. It returns the time for which the
-// directory is confirmed, false if changes are missing or if the directory is ahead of the
-// store, since a peer announced a false revision.
+// HandlePage handles the reported revision of the store. It returns the time for which the
+// directory is confirmed. It returns false if changes are missing, or if the directory is ahead
+// of the store because a peer announced a false revision.
 func (c *Confirmer) HandlePage(page Page) (time.Duration, bool) {
 	c.busy = false
-	if page.Revision < c.known {
+	if page.Revision < c.startRevision {
 		return 0, false
 	}
-	if page.Revision > c.machine.AppliedRevision() {
-		c.target = page.Revision
+	if page.Revision > c.replica.AppliedRevision() {
+		c.targetRevision = page.Revision
 		return 0, false
 	}
 	return c.begun, true
 }
 
-// Watched handles the changes that were missing. It reports whether the snapshot
-// changed, and returns the time for which the directory is confirmed, false if it is
-// not.
-func (c *Confirmer) HandleChanges(now time.Duration, changes Changes) (changed bool, confirmed time.Duration, current bool) {
-	changed = c.machine.ApplyChanges(now, changes.Items, changes.Through)
-	current = c.machine.AppliedRevision() >= c.target
+// HandleChanges applies the missing changes. It reports whether the snapshot changed, the time
+// for which the directory is confirmed, and whether it is confirmed.
+func (c *Confirmer) HandleChanges(now time.Duration, changes Changes) (changed bool, confirmedAt time.Duration, complete bool) {
+	changed = c.replica.ApplyChanges(now, changes.Items, changes.Through)
+	complete = c.replica.AppliedRevision() >= c.targetRevision
 	c.busy = false
-	c.target = 0
-	return changed, c.begun, current
+	c.targetRevision = 0
+	return changed, c.begun, complete
 }
 
-// Failed handles a failed call. The confirmation is given up; who needs it asks again.
+// HandleFailure abandons the confirmation after a failed call. Whoever needs it must request it
+// again.
 func (c *Confirmer) HandleFailure() {
 	c.busy = false
-	c.target = 0
+	c.targetRevision = 0
 }
--- a/internal/directory/confirmer_test.go
+++ b/internal/directory/confirmer_test.go
@@ -12,14 +12,14 @@
 var _ = Describe("Confirmer", func() {
 	const millisecond = time.Millisecond
 	var (
-		machine   *directory.Replica
+		replica   *directory.Replica
 		confirmer *directory.Confirmer
 	)
 
 	BeforeEach(func() {
-		machine = directory.NewReplica()
-		machine.ApplyListing(0, nil, 10)
-		confirmer = directory.NewConfirmer(machine)
+		replica = directory.NewReplica()
+		replica.ApplyListing(0, nil, 10)
+		confirmer = directory.NewConfirmer(replica)
 	})
 
 	begin := func(now time.Duration) directory.Call {
@@ -30,7 +30,8 @@
 		return call
 	}
 
-	// callsIn returns how many confirmations begin in a period in which they are always wanted.
+	// callsIn returns the number of confirmations that begin in a period if one is always
+	// requested.
 	callsIn := func(from, to time.Duration) int {
 		calls := 0
 		for now := from; now < to; now += millisecond {
@@ -43,19 +44,19 @@
 		return calls
 	}
 
-	It("calls the store only if it is asked to", func() {
+	It("makes no call unless a confirmation is requested", func() {
 		_, wanted := confirmer.Next(0)
 		Expect(wanted).To(BeFalse())
 	})
 
-	It("confirms the directory for the time at which it asked, if the store has nothing newer", func() {
+	It("confirms the directory for the time of the call if the store has no newer revision", func() {
 		Expect(begin(5 * millisecond).Listing).To(BeTrue())
 		confirmed, current := confirmer.HandlePage(directory.Page{Revision: 10})
 		Expect(current).To(BeTrue())
 		Expect(confirmed).To(Equal(5 * millisecond))
 	})
 
-	It("fetches what is missing before it confirms", func() {
+	It("fetches missing changes before it confirms", func() {
 		begin(5 * millisecond)
 		_, current := confirmer.HandlePage(directory.Page{Revision: 12})
 		Expect(current).To(BeFalse())
@@ -74,10 +75,10 @@
 		_, current := confirmer.HandlePage(directory.Page{Revision: 9})
 		Expect(current).To(BeFalse())
 		_, wanted := confirmer.Next(time.Second)
-		Expect(wanted).To(BeFalse(), "nothing is missing that could be fetched")
+		Expect(wanted).To(BeFalse(), "no changes are missing that could be fetched")
 	})
 
-	It("does not confirm if a watch that hears nothing answers less than the store has", func() {
+	It("does not confirm if an empty watch response is behind the revision of the store", func() {
 		begin(0)
 		confirmer.HandlePage(directory.Page{Revision: 12})
 		confirmer.Next(millisecond)
@@ -85,7 +86,7 @@
 		Expect(current).To(BeFalse())
 	})
 
-	It("asks again after a failure only if it is asked to, and not too often", func() {
+	It("retries after a failure only on request and after the minimum interval", func() {
 		begin(0)
 		confirmer.HandleFailure()
 		_, wanted := confirmer.Next(time.Second)
@@ -99,7 +100,7 @@
 		Expect(wanted).To(BeTrue())
 	})
 
-	It("keeps all balancers together to a part of the store's rate", func() {
+	It("limits the calls of all balancers to a part of the store's rate", func() {
 		confirmer.SetStoreRate(1100, 2000)
 		begin(0)
 		confirmer.HandlePage(directory.Page{Revision: 10})
@@ -108,51 +109,51 @@
 		Expect(wanted).To(BeFalse())
 	})
 
-	It("takes no answer that is behind, or ahead of what it has adopted, for a confirmation", func() {
-		Expect(machine.ConfirmedBy(10, 10)).To(BeTrue())
-		Expect(machine.ConfirmedBy(9, 10)).To(BeFalse(), "the watcher is behind")
-		Expect(machine.ConfirmedBy(12, 10)).To(BeFalse(), "what came with it was refused")
-		Expect(machine.ConfirmedBy(10, 0)).To(BeFalse(), "nothing was known")
+	It("ConfirmedBy rejects a reply that is behind or ahead of the applied revision", func() {
+		Expect(replica.ConfirmedBy(10, 10)).To(BeTrue())
+		Expect(replica.ConfirmedBy(9, 10)).To(BeFalse(), "the watcher is behind")
+		Expect(replica.ConfirmedBy(12, 10)).To(BeFalse(), "the announced state was not applied")
+		Expect(replica.ConfirmedBy(10, 0)).To(BeFalse(), "no revision was known")
 	})
 
-	It("calls often for all in a large fleet, since few are asked", func() {
+	It("confirms often for others in a large fleet, because few watchers are asked", func() {
 		confirmer.SetStoreRate(1100, 2000)
 		confirmer.SetServesOthers(true)
 		Expect(callsIn(0, time.Second)).To(BeNumerically(">=", 20))
 	})
 
-	It("calls the store if the balancer that was asked in its place does not answer", func() {
+	It("calls the store if the requested watcher does not reply", func() {
 		confirmer.Request()
 		Expect(confirmer.BeginWithWatcher(0)).To(BeTrue())
 		_, wanted := confirmer.Next(300 * millisecond)
-		Expect(wanted).To(BeFalse(), "an answer is awaited")
+		Expect(wanted).To(BeFalse(), "a reply is pending")
 		confirmer.WatcherTimedOut()
 		_, wanted = confirmer.Next(300 * millisecond)
 		Expect(wanted).To(BeTrue())
 	})
 
-	It("lets a balancer ask a watcher again as soon as that has answered, since it bounds the calls", func() {
+	It("allows the next watcher request as soon as the watcher has replied", func() {
 		confirmer.Request()
 		Expect(confirmer.BeginWithWatcher(0)).To(BeTrue())
-		Expect(confirmer.BeginWithWatcher(0)).To(BeFalse(), "nothing is wanted any more")
+		Expect(confirmer.BeginWithWatcher(0)).To(BeFalse(), "no confirmation is requested any more")
 		confirmer.Request()
 		Expect(confirmer.BeginWithWatcher(millisecond)).To(BeTrue())
 	})
 
-	It("calls more often while others wait for it", func() {
+	It("confirms more often while other balancers wait", func() {
 		alone := callsIn(0, time.Second)
 		confirmer.SetServesOthers(true)
 		Expect(callsIn(time.Second, 2*time.Second)).To(BeNumerically(">=", 2*alone))
 	})
 
-	It("calls less often once a rush has lasted", func() {
+	It("confirms less often once the burst is used up", func() {
 		confirmer.SetServesOthers(true)
 		rush := callsIn(0, 2*time.Second)
 		callsIn(2*time.Second, 10*time.Second)
 		Expect(callsIn(10*time.Second, 12*time.Second)).To(BeNumerically("<=", rush/3))
 	})
 
-	It("keeps the questions of many balancers to what a watcher can answer", func() {
+	It("limits the watcher requests of many balancers to what a watcher can answer", func() {
 		const balancers, watchers, period = 1100, 5, 10 * time.Second
 		confirmer.SetStoreRate(balancers, 2000)
 		asked := 0
@@ -166,9 +167,9 @@
 		Expect(perWatcher).To(BeNumerically("~", 1000, 50))
 	})
 
-	It("makes no call before the first listing, but lets a peer confirm, no more often", func() {
+	It("makes no call before the first listing but allows confirmations by a peer at the same interval", func() {
 		confirmer = directory.NewConfirmer(directory.NewReplica())
-		Expect(confirmer.BeginWithStore(0)).To(BeFalse(), "nobody wants it")
+		Expect(confirmer.BeginWithStore(0)).To(BeFalse(), "no confirmation is requested")
 		confirmer.Request()
 		_, wanted := confirmer.Next(0)
 		Expect(wanted).To(BeFalse())
--- a/internal/directory/delta_test.go
+++ b/internal/directory/delta_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("StateAfter", func() {
-	It("leaves out what the other knows, but not what has gone", func() {
+	It("omits what the peer knows but includes endpoints that are gone", func() {
 		informed := directory.NewReplica()
 		informed.ApplyChanges(0, []directory.Item{
 			configurationItem(4, 2), endpointItem("old", 3, endpoint("s", false)),
@@ -22,14 +22,14 @@
 		state := informed.StateAfter(0, directory.Digest{ConfigurationVersion: 4, Revision: 7})
 		Expect(state.Configuration).To(BeNil())
 		Expect(state.Through).To(Equal(directory.Revision(9)))
-		var told []directory.EndpointID
+		var receiver []directory.EndpointID
 		for _, each := range state.Endpoints {
-			told = append(told, each.ID)
+			receiver = append(receiver, each.ID)
 		}
-		Expect(told).To(ConsistOf(directory.NameOnlyID("left"), directory.NameOnlyID("new")))
+		Expect(receiver).To(ConsistOf(directory.NameOnlyID("left"), directory.NameOnlyID("new")))
 	})
 
-	It("does not make a process ready that has no configuration", func() {
+	It("does not make a process without a configuration ready", func() {
 		informed := directory.NewReplica()
 		informed.ApplyChanges(0, []directory.Item{configurationItem(4, 2)}, 8)
 		starting := directory.NewReplica()
@@ -39,7 +39,7 @@
 	})
 })
 
-// history is what happened in a store, revision by revision.
+// history returns the successive changes of a store.
 func history(t *rapid.T) []directory.Item {
 	ids := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	var items []directory.Item
@@ -59,33 +59,33 @@
 	return items
 }
 
-// TestDifference checks that adopting what a digest does not show leads to the same
-// directory as adopting everything, whatever each has heard of the store.
-func TestDifference(t *testing.T) {
+// TestDelta checks that applying the difference to a digest leads to the same directory as
+// applying the full state, for any changes that each side knows.
+func TestDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		happened := history(t)
+		items := history(t)
 		follow := func(name string) *directory.Replica {
-			machine := directory.NewReplica()
-			for _, item := range happened[:rapid.IntRange(0, len(happened)).Draw(t, name)] {
-				machine.ApplyChanges(0, []directory.Item{item}, item.Revision)
+			replica := directory.NewReplica()
+			for _, item := range items[:rapid.IntRange(0, len(items)).Draw(t, name)] {
+				replica.ApplyChanges(0, []directory.Item{item}, item.Revision)
 			}
-			return machine
+			return replica
 		}
 		informed, asking := follow("informed"), follow("asking")
-		whole := directory.NewReplica()
-		whole.ApplyState(0, asking.FullState(0))
-		part := directory.NewReplica()
-		part.ApplyState(0, asking.FullState(0))
-		whole.ApplyState(time.Second, informed.FullState(time.Second))
-		part.ApplyState(time.Second, informed.StateAfter(time.Second, part.Digest()))
-		expected, got := whole.Snapshot(), part.Snapshot()
-		if expected.Version() != got.Version() || whole.Digest() != part.Digest() {
-			t.Fatalf("version and digest are %d, %v and not %d, %v", got.Version(), part.Digest(), expected.Version(), whole.Digest())
+		full := directory.NewReplica()
+		full.ApplyState(0, asking.FullState(0))
+		partial := directory.NewReplica()
+		partial.ApplyState(0, asking.FullState(0))
+		full.ApplyState(time.Second, informed.FullState(time.Second))
+		partial.ApplyState(time.Second, informed.StateAfter(time.Second, partial.Digest()))
+		expected, got := full.Snapshot(), partial.Snapshot()
+		if expected.Version() != got.Version() || full.Digest() != partial.Digest() {
+			t.Fatalf("version and digest are %d, %v, want %d, %v", got.Version(), partial.Digest(), expected.Version(), full.Digest())
 		}
 		for _, candidate := range expected.All() {
 			other, exists := got.Candidate(candidate.ID)
 			if !exists || other.Leaving != candidate.Leaving || other.Gone != candidate.Gone {
-				t.Fatalf("endpoint %s is %+v and not %+v", candidate.ID, other, candidate)
+				t.Fatalf("endpoint %s is %+v, want %+v", candidate.ID, other, candidate)
 			}
 		}
 	})
--- a/internal/directory/disseminator.go
+++ b/internal/directory/disseminator.go
@@ -7,215 +7,218 @@
 	"time"
 )
 
-// Outgoing is an update for another balancer.
+// Outgoing is an update addressed to another balancer.
 type Outgoing struct {
 	To     Peer
 	Update Update
 }
 
-// Spread decides which balancers call the store and which updates they send each other. A few
-// watch it; each announces changes to the balancers of its own zone, and to one of every other
-// zone, which passes them on. Whoever has had no confirmation for too long polls the store
-// itself and announces the answer, those of low rank first: there is no election, and nobody
-// depends on a watcher. It is deterministic.
+// Disseminator decides which balancers call the store and which updates they send to each
+// other. A few balancers watch the store. Each of them announces changes to the balancers of
+// its own zone and to one balancer of every other zone, which forwards them within its zone. A
+// balancer that has received no confirmation for too long polls the store itself and announces
+// the result, those of low rank first. There is no election, and no balancer depends on a
+// particular watcher. It is deterministic.
 type Disseminator struct {
-	machine *Replica
+	replica *Replica
 	timing  Timing
 	random  *rand.Rand
 	self    Member
 	seeds   []Peer
-	// alone is set while no other balancer is known to run.
+	// alone is set while no other balancer is known.
 	alone    bool
 	watching bool
-	// confirms is set if it is one of those that others ask for confirmations.
-	confirms bool
-	// heads are the first of each zone, without this process, and neighbours the others
-	// of its own zone; place is its own among those of its zone, and head is set if it is
-	// the first.
-	heads      []Peer
-	neighbours []Peer
-	watchers   []Peer
-	// silentWatcher has not confirmed the directory in time; until askAnyUntil any other may be
-	// asked.
-	silentWatcher Peer
-	askAnyUntil   time.Duration
-	place         float64
-	head          bool
-	// members is how many balancers the membership has, and advertisedMembers the most that
-	// others have advertised lately, at advertisedAt.
-	members           uint32
+	// confirmsForOthers is set if this process is one of the watchers that others ask for
+	// confirmations.
+	confirmsForOthers bool
+	// zoneHeads holds the first balancer of each other zone and zonePeers the other balancers
+	// of the own zone. zoneRank is the relative position of this process in its zone, from 0.
+	// isZoneHead is set if it is the first.
+	zoneHeads []Peer
+	zonePeers []Peer
+	watchers  []Peer
+	// unresponsiveWatcher did not confirm the directory in time. Until avoidWatcherUntil, any
+	// other watcher may be asked.
+	unresponsiveWatcher Peer
+	avoidWatcherUntil   time.Duration
+	zoneRank            float64
+	isZoneHead          bool
+	// memberCount is the number of balancers in the membership. advertisedMembers is the
+	// highest number that others advertised recently, at advertisedAt.
+	memberCount       uint32
 	advertisedMembers uint32
 	advertisedAt      time.Duration
-	// asked is set once this process has listed the store itself.
-	asked bool
-	// confirmed is the latest time for which the directory is known to be current.
-	confirmed time.Duration
-	// announcedRevisions are the latest that were announced, the last one last, announcedAt is
-	// when that was, and announcedVersion the version of the configuration then.
+	// listedStore is set once this process has listed the store itself.
+	listedStore bool
+	// confirmedAt is the latest time for which the directory is known to be current.
+	confirmedAt time.Duration
+	// announcedRevisions holds the revisions announced recently, the latest last. announcedAt
+	// is the time of the last announcement and announcedVersion the configuration version at
+	// that time.
 	announcedRevisions []Revision
 	announcedAt        time.Duration
 	announcedVersion   uint64
-	repeat             repetition
-	// renewed is when a watcher was asked last.
-	renewed time.Duration
-	// subscribers are processes that know something and have asked lately.
+	pendingRepeat      repeatedUpdates
+	// renewalRequestedAt is when a watcher was last asked for changes.
+	renewalRequestedAt time.Duration
+	// subscribers maps processes that have a directory to the time of their last request.
 	subscribers map[Peer]time.Duration
 	sources     sources
-	// referrer is the seed that has named a source to this process, zero if none has.
+	// referrer is the seed that first directed this process to a source, or 0.
 	referrer Peer
-	// snapshotDue is until when a snapshot of a source may be expected.
-	snapshotDue time.Duration
-	// seedAdvertised is set once a seed has shown that it has a directory, so that it can name
-	// a source to others which start.
-	seedAdvertised bool
-	// patience is until when a seed without a directory is waited for, zero if none has
-	// answered.
-	patience time.Duration
-	// advertised is set once this process has announced to a seed that it has a directory.
-	advertised bool
+	// snapshotDeadline is until when a snapshot of a source may arrive.
+	snapshotDeadline time.Duration
+	// seedHasDirectory is set once a seed has shown that it has a directory and so can direct
+	// starting processes to this one.
+	seedHasDirectory bool
+	// seedWaitDeadline is until when this process waits for a seed without a directory, or 0 if
+	// none has replied.
+	seedWaitDeadline time.Duration
+	// advertisedToSeed is set once this process has told a seed that it has a directory.
+	advertisedToSeed bool
 }
 
-// NewSpread returns the spread of a machine's directory, for a process which asks the seeds at
-// its start.
-func NewDisseminator(machine *Replica, timing Timing, self Member, seeds []Peer, random *rand.Rand) *Disseminator {
+// NewDisseminator returns the disseminator of a replica in a process that contacts the seeds
+// when it starts.
+func NewDisseminator(replica *Replica, timing Timing, self Member, seeds []Peer, random *rand.Rand) *Disseminator {
 	return &Disseminator{
-		machine: machine, timing: timing, random: random, self: self, seeds: seeds, alone: true,
-		confirmed: math.MinInt64 / 2, subscribers: make(map[Peer]time.Duration), sources: sources{self: self.Peer},
+		replica: replica, timing: timing, random: random, self: self, seeds: seeds, alone: true,
+		confirmedAt: math.MinInt64 / 2, subscribers: make(map[Peer]time.Duration), sources: sources{self: self.Peer},
 	}
 }
 
 // SetSeeds replaces the seeds.
-func (s *Disseminator) SetSeeds(seeds []Peer) { s.seeds = seeds }
+func (d *Disseminator) SetSeeds(seeds []Peer) { d.seeds = seeds }
 
-// Watching reports whether this process watches the store. While it knows no other balancer it
-// does so if it has listed the store itself or no other has a directory.
-func (s *Disseminator) Watching() bool {
-	if s.alone {
-		return s.asked || !s.sources.others()
+// Watching reports whether this process watches the store. While it knows no other balancer, it
+// watches if it has listed the store itself or if no other process has a directory.
+func (d *Disseminator) Watching() bool {
+	if d.alone {
+		return d.listedStore || !d.sources.hasOthers()
 	}
-	return s.watching && membershipShare*float64(s.advertisedMembers) <= float64(s.members)
+	return d.watching && minMembershipShare*float64(d.advertisedMembers) <= float64(d.memberCount)
 }
 
 const (
-	// membershipShare is the part of the advertised members which a process has to have itself
-	// to be a watcher. While the membership spreads, each is among the first of the few that
-	// it has.
-	membershipShare = 0.5
-	// membershipMemory is how long an advertised number of members counts. A process without
-	// confirmations polls before.
-	membershipMemory = 5 * time.Second
+	// minMembershipShare is the part of the advertised members that a process must know to be a
+	// watcher. While the membership spreads, every process ranks among the first of the few
+	// members that it knows.
+	minMembershipShare = 0.5
+	// advertisedMembersLifetime is how long an advertised number of members counts. A process
+	// without confirmations polls before it ends.
+	advertisedMembersLifetime = 5 * time.Second
 )
 
-// noteMembers takes account of how many members another advertises.
-func (s *Disseminator) noteMembers(now time.Duration, advertised uint32) {
-	if advertised >= s.advertisedMembers || now-s.advertisedAt > membershipMemory {
-		s.advertisedMembers, s.advertisedAt = advertised, now
+// noteMembers records the number of members that another process advertises.
+func (d *Disseminator) noteMembers(now time.Duration, count uint32) {
+	if count >= d.advertisedMembers || now-d.advertisedAt > advertisedMembersLifetime {
+		d.advertisedMembers, d.advertisedAt = count, now
 	}
 }
 
-// Alone reports whether no other balancer is known to run.
-func (s *Disseminator) Alone() bool { return s.alone }
+// Alone reports whether no other balancer is known.
+func (d *Disseminator) Alone() bool { return d.alone }
 
-// PollAt returns when this process asks the store even if it does not watch it.
-func (s *Disseminator) PollAt() time.Duration {
-	return s.confirmed + s.timing.pollPatience() + time.Duration(s.place*float64(s.timing.pollSpread()))
+// PollAt returns when this process polls the store if it does not watch it.
+func (d *Disseminator) PollAt() time.Duration {
+	return d.confirmedAt + d.timing.pollDelay() + time.Duration(d.zoneRank*float64(d.timing.pollSpread()))
 }
 
-// Confirmed returns the latest time for which the directory is known to be current.
-func (s *Disseminator) ConfirmedAt() time.Duration { return s.confirmed }
+// ConfirmedAt returns the latest time for which the directory is known to be current.
+func (d *Disseminator) ConfirmedAt() time.Duration { return d.confirmedAt }
 
 const (
-	// askersOfWatcher is how many balancers ask the same watcher to confirm the directory. The
-	// fewer watchers are asked, the fewer calls of the store serve all.
-	askersOfWatcher = 50
-	// askedElsewhere is for how long a balancer asks any watcher after one has not answered:
-	// until the membership has noticed if that one has failed.
-	askedElsewhere = 2 * time.Second
+	// balancersPerConfirmer is the number of balancers that share one confirming watcher. The
+	// fewer watchers confirm, the more requests one call to the store serves.
+	balancersPerConfirmer = 50
+	// watcherAvoidanceTime is how long a balancer asks any other watcher after one did not
+	// reply. By then the membership has noticed a failed watcher.
+	watcherAvoidanceTime = 2 * time.Second
 )
 
-// Asker returns a watcher which can tell of changes, false if that is this process or none
-// is known.
-func (s *Disseminator) AnyWatcher() (Peer, bool) {
-	if s.Watching() {
+// AnyWatcher returns a watcher to ask for changes, or false if this process is a watcher or
+// none is known.
+func (d *Disseminator) AnyWatcher() (Peer, bool) {
+	if d.Watching() {
 		return 0, false
 	}
-	return s.anyOf(s.watchers)
+	return d.randomPeer(d.watchers)
 }
 
-// Confirming returns the watcher to ask for a confirmation of the directory, false if that is
-// this process or none is known that answers.
-func (s *Disseminator) ConfirmationWatcher(now time.Duration) (Peer, bool) {
-	if s.confirms && s.Watching() {
+// ConfirmationWatcher returns the watcher to ask for a confirmation, or false if this process
+// confirms itself or no responsive watcher is known.
+func (d *Disseminator) ConfirmationWatcher(now time.Duration) (Peer, bool) {
+	if d.confirmsForOthers && d.Watching() {
 		return 0, false
 	}
-	if now < s.askAnyUntil {
-		answering := slices.DeleteFunc(slices.Clone(s.watchers), func(watcher Peer) bool { return watcher == s.silentWatcher })
-		return s.anyOf(answering)
+	if now < d.avoidWatcherUntil {
+		responsive := slices.DeleteFunc(slices.Clone(d.watchers), func(watcher Peer) bool { return watcher == d.unresponsiveWatcher })
+		return d.randomPeer(responsive)
 	}
-	return s.anyOf(s.watchers[:min(len(s.watchers), askedAmong(int(s.members)))])
+	return d.randomPeer(d.watchers[:min(len(d.watchers), confirmerCount(int(d.memberCount)))])
 }
 
-func (s *Disseminator) anyOf(watchers []Peer) (Peer, bool) {
+func (d *Disseminator) randomPeer(watchers []Peer) (Peer, bool) {
 	if len(watchers) == 0 {
 		return 0, false
 	}
-	return watchers[s.random.IntN(len(watchers))], true
+	return watchers[d.random.IntN(len(watchers))], true
 }
 
-// Unanswered notes that a watcher has not confirmed the directory in time. Any other is asked
-// for a while.
-func (s *Disseminator) WatcherTimedOut(now time.Duration, watcher Peer) {
-	s.silentWatcher, s.askAnyUntil = watcher, now+askedElsewhere
+// WatcherTimedOut records that a watcher did not confirm the directory in time. Other watchers
+// are asked for a while.
+func (d *Disseminator) WatcherTimedOut(now time.Duration, watcher Peer) {
+	d.unresponsiveWatcher, d.avoidWatcherUntil = watcher, now+watcherAvoidanceTime
 }
 
-// Listed notes that this process has listed the store itself.
-func (s *Disseminator) StoreListed() { s.asked = true }
+// StoreListed records that this process has listed the store itself.
+func (d *Disseminator) StoreListed() { d.listedStore = true }
 
-// Answered handles that the store has answered, so that the directory is current as of now,
-// and returns what to announce.
-func (s *Disseminator) StoreAnswered(now time.Duration) []Outgoing {
-	s.confirmed = max(s.confirmed, now)
-	outgoing := s.announce(now, slices.Concat(s.neighbours, s.heads), 0)
-	outgoing = append(outgoing, s.advertise(now, s.seeds)...)
-	return append(outgoing, s.serveWaiting(now)...)
+// StoreAnswered records that the store has responded, so the directory is current as of now. It
+// returns the updates to send.
+func (d *Disseminator) StoreAnswered(now time.Duration) []Outgoing {
+	d.confirmedAt = max(d.confirmedAt, now)
+	outgoing := d.announce(now, slices.Concat(d.zonePeers, d.zoneHeads), 0)
+	outgoing = append(outgoing, d.advertise(now, d.seeds)...)
+	return append(outgoing, d.assignSources(now)...)
 }
 
-// Receive handles an update of another balancer. It reports whether the snapshot changed, and
-// whether it lacks what the other announces.
-func (s *Disseminator) Receive(now time.Duration, from Peer, update Update) (changed, lacks bool, answers []Outgoing) {
-	if s.machine.refutes(update.State.Through) {
+// Receive handles an update of another balancer. It reports whether the snapshot changed and
+// whether this process still lacks announced changes.
+func (d *Disseminator) Receive(now time.Duration, from Peer, update Update) (changed, incomplete bool, replies []Outgoing) {
+	if d.replica.isInvalid(update.State.Through) {
 		return false, false, nil
 	}
-	before := s.machine.Digest()
+	before := d.replica.Digest()
 	if update.RequestsChanges && update.State.Through > 0 {
-		s.subscribe(now, from)
+		d.subscribe(now, from)
 	}
-	s.noteMembers(now, update.State.MemberCount)
-	changed = s.machine.ApplyState(now, update.State)
+	d.noteMembers(now, update.State.MemberCount)
+	changed = d.replica.ApplyState(now, update.State)
 	digest := Digest{update.State.ConfigurationVersion, update.State.Through}
-	lacks = s.machine.lacks(digest) || update.Source != 0 && !s.machine.Loaded()
-	answers = s.noteSources(now, from, update)
-	if !lacks {
-		s.noteConfirmation(now, update.State)
+	incomplete = d.replica.isBehind(digest) || update.Source != 0 && !d.replica.Loaded()
+	replies = d.noteSources(now, from, update)
+	if !incomplete {
+		d.noteConfirmation(now, update.State)
 	}
 	if update.RequestsChanges && !update.Confirmation {
-		answers = append(answers, s.answer(now, from, update)...)
+		replies = append(replies, d.reply(now, from, update)...)
 	}
-	if !lacks && !update.RequestsChanges && s.passesOn(now, from, before) {
-		answers = append(answers, s.announce(now, s.neighbours, from)...)
+	if !incomplete && !update.RequestsChanges && d.shouldForward(now, from, before) {
+		replies = append(replies, d.announce(now, d.zonePeers, from)...)
 	}
-	return changed, lacks, answers
+	return changed, incomplete, replies
 }
 
-// noteConfirmation takes account of a confirmed state, which was sent, or asked for, at a
-// time. One that is behind this directory does not confirm it.
-func (s *Disseminator) noteConfirmation(at time.Duration, state State) {
-	if state.Confirmed && state.Through >= s.machine.AppliedRevision() {
-		s.confirmed = max(s.confirmed, at-max(state.Age, 0))
+// noteConfirmation applies the confirmation in a state that was sent, or requested, at sentAt.
+// A state that is behind this directory does not confirm it.
+func (d *Disseminator) noteConfirmation(sentAt time.Duration, state State) {
+	if state.Confirmed && state.Through >= d.replica.AppliedRevision() {
+		d.confirmedAt = max(d.confirmedAt, sentAt-max(state.Age, 0))
 	}
 }
 
-// SourceOf returns who can be asked for what an update shows.
+// SourceOrSender returns the process to fetch the announced content from.
 func (u Update) SourceOrSender(sender Peer) Peer {
 	if u.Source != 0 {
 		return u.Source
@@ -223,60 +226,63 @@
 	return sender
 }
 
-// passesOn reports whether this process announces to its zone what came from another.
-func (s *Disseminator) passesOn(now time.Duration, from Peer, before Digest) bool {
-	if !s.head || slices.Contains(s.neighbours, from) {
+// shouldForward reports whether this process announces to its zone what it received from
+// another zone.
+func (d *Disseminator) shouldForward(now time.Duration, from Peer, before Digest) bool {
+	if !d.isZoneHead || slices.Contains(d.zonePeers, from) {
 		return false
 	}
-	return s.machine.Digest().ahead(before) || now-s.announcedAt >= s.timing.watchWait()/2
+	return d.replica.Digest().isAheadOf(before) || now-d.announcedAt >= d.timing.watchWait()/2
 }
 
-// answer returns the changes that another process lacks, or a source for it.
-func (s *Disseminator) answer(now time.Duration, to Peer, question Update) []Outgoing {
-	known := question.State.Through
+// reply returns the changes that another process lacks, or a source for it.
+func (d *Disseminator) reply(now time.Duration, to Peer, request Update) []Outgoing {
+	peerRevision := request.State.Through
 	switch {
-	case known > 0 && s.machine.Loaded():
-		return s.address(s.updates(now, known), []Peer{to})
-	case known > 0:
+	case peerRevision > 0 && d.replica.Loaded():
+		return d.addressTo(d.updates(now, peerRevision), []Peer{to})
+	case peerRevision > 0:
 		return nil
 	}
-	s.sources.wait(to)
-	served := s.serveWaiting(now)
-	if !s.machine.Loaded() && !s.sources.others() {
-		served = append(served, Outgoing{To: to, Update: Update{State: s.Summary(now), ListingStore: true}})
+	d.sources.enqueue(to)
+	outgoing := d.assignSources(now)
+	if !d.replica.Loaded() && !d.sources.hasOthers() {
+		outgoing = append(outgoing, Outgoing{To: to, Update: Update{State: d.Summary(now), ListingStore: true}})
 	}
-	return served
+	return outgoing
 }
 
-// Answer returns the answer to a process that wanted a confirmation by the store.
-func (s *Disseminator) ConfirmationReplies(now time.Duration, to Peer, question Update) []Outgoing {
-	answers := s.address(s.updates(now, question.State.Through), []Peer{to})
-	last := &answers[len(answers)-1].Update
-	last.Confirmation, last.RequestID = true, question.RequestID
-	return answers
+// ConfirmationReplies returns the updates for a process that requested a confirmation by the
+// store.
+func (d *Disseminator) ConfirmationReplies(now time.Duration, to Peer, request Update) []Outgoing {
+	replies := d.addressTo(d.updates(now, request.State.Through), []Peer{to})
+	last := &replies[len(replies)-1].Update
+	last.Confirmation, last.RequestID = true, request.RequestID
+	return replies
 }
 
-// Took handles that this process has adopted a state which it asked another for at a time. It
-// returns what to announce to its zone: a new configuration is not in any update.
-func (s *Disseminator) StateFetched(now, asked time.Duration, from Peer, state State) []Outgoing {
-	if s.machine.refutes(state.Through) {
+// StateFetched records that this process has applied a state that it requested from a peer at
+// requestedAt. It returns the updates for its zone, since updates never contain a new
+// configuration.
+func (d *Disseminator) StateFetched(now, requestedAt time.Duration, from Peer, state State) []Outgoing {
+	if d.replica.isInvalid(state.Through) {
 		return nil
 	}
-	if !s.machine.lacks(Digest{state.ConfigurationVersion, state.Through}) {
-		s.noteConfirmation(asked, state)
+	if !d.replica.isBehind(Digest{state.ConfigurationVersion, state.Through}) {
+		d.noteConfirmation(requestedAt, state)
 	}
 	var outgoing []Outgoing
-	if s.referrer != 0 {
-		outgoing = s.advertise(now, []Peer{s.referrer})
+	if d.referrer != 0 {
+		outgoing = d.advertise(now, []Peer{d.referrer})
 	}
-	if !s.head || s.machine.Snapshot().Version() <= s.announcedVersion {
+	if !d.isZoneHead || d.replica.Snapshot().Version() <= d.announcedVersion {
 		return outgoing
 	}
-	return append(outgoing, s.announce(now, s.neighbours, from)...)
+	return append(outgoing, d.announce(now, d.zonePeers, from)...)
 }
 
-// Lost forgets a process that has failed.
-func (s *Disseminator) PeerLost(peer Peer) {
-	s.sources.forget(peer)
-	delete(s.subscribers, peer)
+// PeerLost removes a process that has failed.
+func (d *Disseminator) PeerLost(peer Peer) {
+	d.sources.remove(peer)
+	delete(d.subscribers, peer)
 }
--- a/internal/directory/disseminator_test.go
+++ b/internal/directory/disseminator_test.go
@@ -13,7 +13,7 @@
 
 const millisecond = time.Millisecond
 
-// fleetOf returns a number of members in some zones.
+// fleetOf returns count members spread over a number of zones.
 func fleetOf(count, zones int) []directory.Member {
 	members := make([]directory.Member, count)
 	for index := range members {
@@ -22,27 +22,27 @@
 	return members
 }
 
-// participant is one balancer of a fleet.
-type participant struct {
-	machine *directory.Replica
-	spread  *directory.Disseminator
+// testBalancer is one balancer of a fleet.
+type testBalancer struct {
+	replica      *directory.Replica
+	disseminator *directory.Disseminator
 }
 
-func newParticipant(self directory.Member, seeds ...directory.Peer) *participant {
-	machine := directory.NewReplica()
+func newTestBalancer(self directory.Member, seeds ...directory.Peer) *testBalancer {
+	replica := directory.NewReplica()
 	random := rand.New(rand.NewPCG(uint64(self.Peer), 1))
-	return &participant{machine, directory.NewDisseminator(machine, timing, self, seeds, random)}
+	return &testBalancer{replica, directory.NewDisseminator(replica, timing, self, seeds, random)}
 }
 
-// list makes the participant list the store itself.
-func (p *participant) list(now time.Duration, revision directory.Revision, items ...directory.Item) []directory.Outgoing {
-	p.machine.ApplyListing(now, append(items, configurationItem(1, 1)), revision)
-	p.spread.StoreListed()
-	return p.spread.StoreAnswered(now)
+// list makes the balancer list the store itself.
+func (p *testBalancer) list(now time.Duration, revision directory.Revision, items ...directory.Item) []directory.Outgoing {
+	p.replica.ApplyListing(now, append(items, configurationItem(1, 1)), revision)
+	p.disseminator.StoreListed()
+	return p.disseminator.StoreAnswered(now)
 }
 
-// announcing returns endpoints that are announced one after the other.
-func announcing(first directory.Revision, count int) []directory.Item {
+// sequentialEndpoints returns endpoints announced at consecutive revisions.
+func sequentialEndpoints(first directory.Revision, count int) []directory.Item {
 	var items []directory.Item
 	for index := range count {
 		value := endpoint("service", false)
@@ -60,30 +60,30 @@
 	return receivers
 }
 
-var _ = Describe("Spread", func() {
-	// fleet returns participants that know each other and the store at revision 5.
-	fleet := func(count, zones int) map[directory.Peer]*participant {
+var _ = Describe("Disseminator", func() {
+	// fleet returns balancers that know each other and the store at revision 5.
+	fleet := func(count, zones int) map[directory.Peer]*testBalancer {
 		members := fleetOf(count, zones)
-		all := make(map[directory.Peer]*participant)
+		all := make(map[directory.Peer]*testBalancer)
 		for _, member := range members {
-			created := newParticipant(member)
+			created := newTestBalancer(member)
 			created.list(0, 5)
-			created.spread.SetMembers(members)
+			created.disseminator.SetMembers(members)
 			all[member.Peer] = created
 		}
 		return all
 	}
-	watching := func(all map[directory.Peer]*participant) []directory.Peer {
+	watching := func(all map[directory.Peer]*testBalancer) []directory.Peer {
 		var peers []directory.Peer
 		for peer := range directory.Peer(len(all)) {
-			if all[peer+1].spread.Watching() {
+			if all[peer+1].disseminator.Watching() {
 				peers = append(peers, peer+1)
 			}
 		}
 		return peers
 	}
 
-	DescribeTable("lets few watch, the same in the eyes of all", func(members, zones, expected int) {
+	DescribeTable("selects few watchers, on which all balancers agree", func(members, zones, expected int) {
 		all := fleet(members, zones)
 		Expect(watching(all)).To(HaveLen(expected))
 		watchedZones := make(map[directory.Peer]bool)
@@ -92,74 +92,74 @@
 		}
 		Expect(watchedZones).To(HaveLen(min(expected, zones)))
 	},
-		Entry("of 1", 1, 1, 1),
-		Entry("of 2", 2, 1, 2),
-		Entry("of 6", 6, 3, 2),
-		Entry("of 91", 91, 5, 3),
-		Entry("of 1,000", 1000, 11, 4),
+		Entry("with 1 balancer", 1, 1, 1),
+		Entry("with 2 balancers", 2, 1, 2),
+		Entry("with 6 balancers", 6, 3, 2),
+		Entry("with 91 balancers", 91, 5, 3),
+		Entry("with 1,000 balancers", 1000, 11, 4),
 	)
 
-	It("replaces a watcher that has failed by one, and leaves the others", func() {
+	It("keeps the other watchers when one has failed", func() {
 		all := fleet(91, 5)
 		before := watching(all)
 		members := fleetOf(91, 5)
 		left := append(members[:before[0]-1:before[0]-1], members[before[0]:]...)
 		for _, each := range all {
-			each.spread.SetMembers(left)
+			each.disseminator.SetMembers(left)
 		}
 		after := watching(all)
 		Expect(after).To(ContainElements(before[1:]))
 	})
 
-	It("watches again once the only other, which had told it the directory, has failed", func() {
-		other, told := newParticipant(directory.Member{Peer: 1}), newParticipant(directory.Member{Peer: 2})
+	It("watches again once the only other balancer, its source of the directory, has failed", func() {
+		other, receiver := newTestBalancer(directory.Member{Peer: 1}), newTestBalancer(directory.Member{Peer: 2})
 		other.list(0, 5)
-		told.spread.Receive(0, 1, directory.Update{State: other.spread.Summary(0)})
-		told.machine.ApplyState(0, other.spread.State(0, directory.Digest{}))
-		told.spread.Receive(0, 1, directory.Update{State: other.spread.Summary(0)})
-		Expect(told.spread.Watching()).To(BeFalse())
-		told.spread.PeerLost(1)
-		Expect(told.spread.Watching()).To(BeTrue())
+		receiver.disseminator.Receive(0, 1, directory.Update{State: other.disseminator.Summary(0)})
+		receiver.replica.ApplyState(0, other.disseminator.State(0, directory.Digest{}))
+		receiver.disseminator.Receive(0, 1, directory.Update{State: other.disseminator.Summary(0)})
+		Expect(receiver.disseminator.Watching()).To(BeFalse())
+		receiver.disseminator.PeerLost(1)
+		Expect(receiver.disseminator.Watching()).To(BeTrue())
 	})
 
-	It("does not watch while it knows far fewer balancers than others do, and for no longer", func() {
+	It("does not watch while others know far more balancers, until their advertisement expires", func() {
 		few := fleetOf(3, 1)
-		early := newParticipant(few[0])
+		early := newTestBalancer(few[0])
 		early.list(0, 5)
 		for _, each := range few {
-			seen := newParticipant(each)
-			seen.spread.SetMembers(few)
-			if seen.spread.Watching() {
+			seen := newTestBalancer(each)
+			seen.disseminator.SetMembers(few)
+			if seen.disseminator.Watching() {
 				early = seen
 			}
 		}
-		Expect(early.spread.Watching()).To(BeTrue())
-		informed := newParticipant(directory.Member{Peer: 9})
+		Expect(early.disseminator.Watching()).To(BeTrue())
+		informed := newTestBalancer(directory.Member{Peer: 9})
 		informed.list(0, 5)
-		informed.spread.SetMembers(fleetOf(300, 5))
-		early.spread.Receive(0, 9, directory.Update{State: informed.spread.Summary(0)})
-		Expect(early.spread.Watching()).To(BeFalse())
-		informed.spread.SetMembers(fleetOf(2, 1))
-		early.spread.Receive(6*time.Second, 9, directory.Update{State: informed.spread.Summary(6 * time.Second)})
-		Expect(early.spread.Watching()).To(BeTrue(), "the fleet has shrunk")
+		informed.disseminator.SetMembers(fleetOf(300, 5))
+		early.disseminator.Receive(0, 9, directory.Update{State: informed.disseminator.Summary(0)})
+		Expect(early.disseminator.Watching()).To(BeFalse())
+		informed.disseminator.SetMembers(fleetOf(2, 1))
+		early.disseminator.Receive(6*time.Second, 9, directory.Update{State: informed.disseminator.Summary(6 * time.Second)})
+		Expect(early.disseminator.Watching()).To(BeTrue(), "the fleet has shrunk")
 	})
 
-	It("watches while it knows nobody, unless others have told it the directory", func() {
-		alone, told, listed := newParticipant(directory.Member{Peer: 1}), newParticipant(directory.Member{Peer: 2}), newParticipant(directory.Member{Peer: 3})
+	It("watches while it knows no other balancer, unless another has announced a directory", func() {
+		alone, receiver, listed := newTestBalancer(directory.Member{Peer: 1}), newTestBalancer(directory.Member{Peer: 2}), newTestBalancer(directory.Member{Peer: 3})
 		listed.list(0, 5)
-		for _, each := range []*participant{told, listed} {
-			each.spread.Receive(0, 4, directory.Update{State: listed.spread.Summary(0)})
+		for _, each := range []*testBalancer{receiver, listed} {
+			each.disseminator.Receive(0, 4, directory.Update{State: listed.disseminator.Summary(0)})
 		}
-		Expect(alone.spread.Watching()).To(BeTrue())
-		Expect(told.spread.Watching()).To(BeFalse())
-		Expect(listed.spread.Watching()).To(BeTrue())
+		Expect(alone.disseminator.Watching()).To(BeTrue())
+		Expect(receiver.disseminator.Watching()).To(BeFalse())
+		Expect(listed.disseminator.Watching()).To(BeTrue())
 	})
 
-	It("makes balancers that hear nothing ask one after the other, the last in time", func() {
+	It("spreads the polls of balancers without confirmations, the last one within the limit", func() {
 		all := fleet(20, 1)
 		polls := make(map[time.Duration]bool)
 		for _, each := range all {
-			at := each.spread.PollAt()
+			at := each.disseminator.PollAt()
 			Expect(at).To(BeNumerically(">=", timing.ApplyTimeout/2))
 			Expect(at).To(BeNumerically("<=", timing.ApplyTimeout*2/3))
 			polls[at] = true
@@ -167,146 +167,146 @@
 		Expect(polls).To(HaveLen(20))
 	})
 
-	It("tells its own zone and one balancer of every other, which tells its zone", func() {
+	It("announces to its own zone and to one balancer of every other zone, which forwards to its zone", func() {
 		all := fleet(30, 3)
-		teller := watching(all)[0]
-		all[teller].machine.ApplyChanges(time.Second, announcing(6, 2), 7)
-		reached := map[directory.Peer]bool{teller: true}
-		sent := all[teller].spread.StoreAnswered(time.Second)
+		sender := watching(all)[0]
+		all[sender].replica.ApplyChanges(time.Second, sequentialEndpoints(6, 2), 7)
+		reached := map[directory.Peer]bool{sender: true}
+		sent := all[sender].disseminator.StoreAnswered(time.Second)
 		Expect(receiversOf(sent)).To(HaveLen(9 + 2))
 		for len(sent) > 0 {
 			each := sent[0]
 			sent = sent[1:]
 			reached[each.To] = true
-			changed, lacks, further := all[each.To].spread.Receive(time.Second, teller, each.Update)
+			changed, incomplete, further := all[each.To].disseminator.Receive(time.Second, sender, each.Update)
 			Expect(changed).To(BeTrue())
-			Expect(lacks).To(BeFalse())
+			Expect(incomplete).To(BeFalse())
 			sent = append(sent, further...)
 		}
 		Expect(reached).To(HaveLen(30))
 		for _, each := range all {
-			Expect(each.machine.AppliedRevision()).To(Equal(directory.Revision(7)))
-			Expect(each.machine.Snapshot().All()).To(HaveLen(2))
-			Expect(each.spread.ConfirmedAt()).To(Equal(time.Second))
+			Expect(each.replica.AppliedRevision()).To(Equal(directory.Revision(7)))
+			Expect(each.replica.Snapshot().All()).To(HaveLen(2))
+			Expect(each.disseminator.ConfirmedAt()).To(Equal(time.Second))
 		}
 	})
 
-	It("takes the age of what it is told into account", func() {
+	It("subtracts the age of an announced confirmation", func() {
 		all := fleet(2, 1)
-		update := directory.Update{State: all[1].spread.Summary(700 * millisecond)}
-		_, lacks, _ := all[2].spread.Receive(time.Second, 1, update)
-		Expect(lacks).To(BeFalse())
-		Expect(all[2].spread.ConfirmedAt()).To(Equal(300 * millisecond))
+		update := directory.Update{State: all[1].disseminator.Summary(700 * millisecond)}
+		_, incomplete, _ := all[2].disseminator.Receive(time.Second, 1, update)
+		Expect(incomplete).To(BeFalse())
+		Expect(all[2].disseminator.ConfirmedAt()).To(Equal(300 * millisecond))
 	})
 
-	It("believes no confirmation of what it does not know", func() {
+	It("ignores a confirmation of changes that it lacks", func() {
 		all := fleet(2, 1)
-		all[1].machine.ApplyChanges(time.Second, []directory.Item{configurationItem(2, 6)}, 6)
-		for _, each := range all[1].spread.StoreAnswered(time.Second) {
-			_, lacks, _ := all[2].spread.Receive(time.Second, 1, each.Update)
-			Expect(lacks).To(BeTrue(), "the configuration has to be fetched")
+		all[1].replica.ApplyChanges(time.Second, []directory.Item{configurationItem(2, 6)}, 6)
+		for _, each := range all[1].disseminator.StoreAnswered(time.Second) {
+			_, incomplete, _ := all[2].disseminator.Receive(time.Second, 1, each.Update)
+			Expect(incomplete).To(BeTrue(), "the configuration must be fetched")
 		}
-		Expect(all[2].spread.ConfirmedAt()).To(BeZero())
-		Expect(all[2].machine.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 1, Revision: 5}))
-		all[2].machine.ApplyState(time.Second, all[1].spread.State(time.Second, all[2].machine.Digest()))
-		Expect(all[2].machine.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 2, Revision: 6}))
+		Expect(all[2].disseminator.ConfirmedAt()).To(BeZero())
+		Expect(all[2].replica.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 1, Revision: 5}))
+		all[2].replica.ApplyState(time.Second, all[1].disseminator.State(time.Second, all[2].replica.Digest()))
+		Expect(all[2].replica.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 2, Revision: 6}))
 	})
 
-	It("tells its zone of a configuration that it had to fetch, if it is the first of its zone", func() {
+	It("announces a fetched configuration to its zone if it is the zone head", func() {
 		all := fleet(30, 3)
-		teller := watching(all)[0]
-		all[teller].machine.ApplyChanges(time.Second, []directory.Item{configurationItem(2, 6)}, 6)
-		for peer := range receiversOf(all[teller].spread.StoreAnswered(time.Second)) {
-			digest := all[peer].machine.Digest()
-			state := all[teller].spread.State(time.Second, digest)
-			all[peer].machine.ApplyState(time.Second, state)
-			told := receiversOf(all[peer].spread.StateFetched(time.Second, time.Second, teller, state))
-			if peer%3 == teller%3 {
-				Expect(told).To(BeEmpty(), "it is in the zone of the watcher")
+		sender := watching(all)[0]
+		all[sender].replica.ApplyChanges(time.Second, []directory.Item{configurationItem(2, 6)}, 6)
+		for peer := range receiversOf(all[sender].disseminator.StoreAnswered(time.Second)) {
+			digest := all[peer].replica.Digest()
+			state := all[sender].disseminator.State(time.Second, digest)
+			all[peer].replica.ApplyState(time.Second, state)
+			receivers := receiversOf(all[peer].disseminator.StateFetched(time.Second, time.Second, sender, state))
+			if peer%3 == sender%3 {
+				Expect(receivers).To(BeEmpty(), "the watcher announces to this zone itself")
 				continue
 			}
-			Expect(told).To(HaveLen(9))
-			Expect(all[peer].spread.StateFetched(time.Second, time.Second, teller, state)).To(BeEmpty(), "once")
+			Expect(receivers).To(HaveLen(9))
+			Expect(all[peer].disseminator.StateFetched(time.Second, time.Second, sender, state)).To(BeEmpty(), "once")
 		}
 	})
 
-	It("asks a watcher when it has not heard in time, and is told by it from then on though the membership does not know it", func() {
+	It("requests changes from a watcher after a missing confirmation and is then a subscriber, even outside the membership", func() {
 		all := fleet(91, 5)
 		watcher := all[watching(all)[0]]
 		asking := all[1]
-		if asking.spread.Watching() {
+		if asking.disseminator.Watching() {
 			asking = all[2]
 		}
-		Expect(asking.spread.RenewalRequest(time.Second)).To(BeEmpty())
-		due := asking.spread.RenewalRequest(1400 * millisecond)
+		Expect(asking.disseminator.RenewalRequest(time.Second)).To(BeEmpty())
+		due := asking.disseminator.RenewalRequest(1400 * millisecond)
 		Expect(due).To(HaveLen(1))
 		Expect(due[0].To).To(BeElementOf(watching(all)))
 		Expect(due[0].Update).To(And(HaveField("RequestsChanges", true), HaveField("Confirmation", false)))
-		Expect(asking.spread.PollAt()).To(BeNumerically(">", 1400*millisecond), "before it asks the store")
-		Expect(asking.spread.RenewalRequest(1500*millisecond)).To(BeEmpty(), "it waits for the answer")
-		watcher.spread.SetMembers(fleetOf(2, 1))
-		watcher.spread.StoreAnswered(1300 * millisecond)
-		_, _, answers := watcher.spread.Receive(1401*millisecond, 77, due[0].Update)
+		Expect(asking.disseminator.PollAt()).To(BeNumerically(">", 1400*millisecond), "before it polls the store")
+		Expect(asking.disseminator.RenewalRequest(1500*millisecond)).To(BeEmpty(), "the reply is pending")
+		watcher.disseminator.SetMembers(fleetOf(2, 1))
+		watcher.disseminator.StoreAnswered(1300 * millisecond)
+		_, _, answers := watcher.disseminator.Receive(1401*millisecond, 77, due[0].Update)
 		Expect(answers).To(HaveLen(1))
-		asking.spread.Receive(1402*millisecond, due[0].To, answers[0].Update)
-		Expect(asking.spread.RenewalRequest(2500 * millisecond)).To(BeEmpty())
-		Expect(receiversOf(watcher.spread.StoreAnswered(20 * time.Second))).To(HaveKey(directory.Peer(77)))
+		asking.disseminator.Receive(1402*millisecond, due[0].To, answers[0].Update)
+		Expect(asking.disseminator.RenewalRequest(2500 * millisecond)).To(BeEmpty())
+		Expect(receiversOf(watcher.disseminator.StoreAnswered(20 * time.Second))).To(HaveKey(directory.Peer(77)))
 	})
 
-	It("repeats what it has told, once and soon, so that a lost datagram does not last until it tells again", func() {
+	It("repeats an update once after a short delay, so that a lost datagram is made up for before the next update", func() {
 		all := fleet(91, 5)
-		teller := all[watching(all)[0]]
-		teller.machine.ApplyChanges(time.Second, announcing(6, 1), 6)
-		lost := receiversOf(teller.spread.StoreAnswered(time.Second))
-		Expect(teller.spread.Repeat(time.Second + 50*millisecond)).To(BeEmpty())
-		repeated := teller.spread.Repeat(time.Second + 100*millisecond)
+		sender := all[watching(all)[0]]
+		sender.replica.ApplyChanges(time.Second, sequentialEndpoints(6, 1), 6)
+		lost := receiversOf(sender.disseminator.StoreAnswered(time.Second))
+		Expect(sender.disseminator.Repeat(time.Second + 50*millisecond)).To(BeEmpty())
+		repeated := sender.disseminator.Repeat(time.Second + 100*millisecond)
 		Expect(receiversOf(repeated)).To(Equal(lost))
 		receiver := all[repeated[0].To]
-		changed, lacks, _ := receiver.spread.Receive(time.Second+101*millisecond, 1, repeated[0].Update)
+		changed, incomplete, _ := receiver.disseminator.Receive(time.Second+101*millisecond, 1, repeated[0].Update)
 		Expect(changed).To(BeTrue())
-		Expect(lacks).To(BeFalse())
-		Expect(teller.spread.Repeat(time.Second + 200*millisecond)).To(BeEmpty())
-		changed, lacks, passed := receiver.spread.Receive(time.Second+201*millisecond, 1, repeated[0].Update)
+		Expect(incomplete).To(BeFalse())
+		Expect(sender.disseminator.Repeat(time.Second + 200*millisecond)).To(BeEmpty())
+		changed, incomplete, passed := receiver.disseminator.Receive(time.Second+201*millisecond, 1, repeated[0].Update)
 		Expect(changed).To(BeFalse())
-		Expect(lacks).To(BeFalse())
-		Expect(passed).To(BeEmpty(), "it was passed on already")
+		Expect(incomplete).To(BeFalse())
+		Expect(passed).To(BeEmpty(), "it was forwarded already")
 	})
 
-	It("makes up for one update that was lost, and knows when it lacks more", func() {
+	It("overlaps updates, so that one lost update is made up for, and detects larger gaps", func() {
 		all := fleet(2, 1)
-		tell := func(revision directory.Revision) []directory.Outgoing {
-			all[1].machine.ApplyChanges(time.Second, announcing(revision, 1), revision)
-			return all[1].spread.StoreAnswered(time.Second)
+		announce := func(revision directory.Revision) []directory.Outgoing {
+			all[1].replica.ApplyChanges(time.Second, sequentialEndpoints(revision, 1), revision)
+			return all[1].disseminator.StoreAnswered(time.Second)
 		}
-		tell(6)
-		tell(7)
-		_, lacks, _ := all[2].spread.Receive(time.Second, 1, tell(8)[0].Update)
-		Expect(lacks).To(BeTrue())
-		all[2].machine.ApplyState(time.Second, all[1].spread.State(time.Second, all[2].machine.Digest()))
-		tell(9)
-		_, lacks, _ = all[2].spread.Receive(time.Second, 1, tell(10)[0].Update)
-		Expect(lacks).To(BeFalse())
-		Expect(all[2].machine.AppliedRevision()).To(Equal(directory.Revision(10)))
+		announce(6)
+		announce(7)
+		_, incomplete, _ := all[2].disseminator.Receive(time.Second, 1, announce(8)[0].Update)
+		Expect(incomplete).To(BeTrue())
+		all[2].replica.ApplyState(time.Second, all[1].disseminator.State(time.Second, all[2].replica.Digest()))
+		announce(9)
+		_, incomplete, _ = all[2].disseminator.Receive(time.Second, 1, announce(10)[0].Update)
+		Expect(incomplete).To(BeFalse())
+		Expect(all[2].replica.AppliedRevision()).To(Equal(directory.Revision(10)))
 	})
 
-	It("divides many changes into datagrams, each of which can come alone, and announces too many", func() {
+	It("splits changes into datagrams that apply independently, and announces too many without content", func() {
 		for _, count := range []int{1, 10, 30, 60, 300} {
 			all := fleet(2, 1)
-			all[1].machine.ApplyChanges(time.Second, announcing(6, count), directory.Revision(5+count))
-			parts := all[1].spread.StoreAnswered(time.Second)
+			all[1].replica.ApplyChanges(time.Second, sequentialEndpoints(6, count), directory.Revision(5+count))
+			parts := all[1].disseminator.StoreAnswered(time.Second)
 			lacking := false
 			for _, part := range parts {
 				encoded, err := part.Update.MarshalMsg(nil)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(len(encoded)).To(BeNumerically("<=", directory.MaxUpdateSize))
-				before := len(all[2].machine.Snapshot().All())
-				_, lacks, _ := all[2].spread.Receive(time.Second, 1, part.Update)
-				Expect(len(all[2].machine.Snapshot().All())).To(Equal(before + len(part.Update.State.Endpoints)))
-				lacking = lacks
+				before := len(all[2].replica.Snapshot().All())
+				_, incomplete, _ := all[2].disseminator.Receive(time.Second, 1, part.Update)
+				Expect(len(all[2].replica.Snapshot().All())).To(Equal(before + len(part.Update.State.Endpoints)))
+				lacking = incomplete
 			}
 			if count < 300 {
 				Expect(lacking).To(BeFalse())
-				Expect(all[2].machine.Snapshot().All()).To(HaveLen(count))
+				Expect(all[2].replica.Snapshot().All()).To(HaveLen(count))
 			} else {
 				Expect(parts).To(HaveLen(1))
 				Expect(lacking).To(BeTrue())
@@ -314,22 +314,22 @@
 		}
 	})
 
-	It("tells those who have asked lately of what is new", func() {
-		source := newParticipant(directory.Member{Peer: 1})
+	It("sends updates to processes that fetched recently", func() {
+		source := newTestBalancer(directory.Member{Peer: 1})
 		source.list(0, 5)
-		source.spread.StateSent(0, 7)
-		source.machine.ApplyChanges(time.Second, announcing(6, 1), 6)
-		Expect(receiversOf(source.spread.StoreAnswered(time.Second))).To(HaveKey(directory.Peer(7)))
-		Expect(receiversOf(source.spread.StoreAnswered(32 * time.Second))).To(BeEmpty())
+		source.disseminator.StateSent(0, 7)
+		source.replica.ApplyChanges(time.Second, sequentialEndpoints(6, 1), 6)
+		Expect(receiversOf(source.disseminator.StoreAnswered(time.Second))).To(HaveKey(directory.Peer(7)))
+		Expect(receiversOf(source.disseminator.StoreAnswered(32 * time.Second))).To(BeEmpty())
 	})
 
-	It("has the same few watchers confirm the directory for all, and any other once one does not answer", func() {
+	It("asks the same few watchers to confirm, and any other once one does not reply", func() {
 		all := fleet(91, 5)
 		asked := make(map[directory.Peer]int)
-		var last *participant
+		var last *testBalancer
 		for range 20 {
 			for _, each := range all {
-				if watcher, exists := each.spread.ConfirmationWatcher(0); exists {
+				if watcher, exists := each.disseminator.ConfirmationWatcher(0); exists {
 					asked[watcher]++
 					last = each
 				}
@@ -337,62 +337,62 @@
 		}
 		Expect(asked).To(HaveLen(2))
 		for watcher := range asked {
-			_, exists := all[watcher].spread.ConfirmationWatcher(0)
+			_, exists := all[watcher].disseminator.ConfirmationWatcher(0)
 			Expect(exists).To(BeFalse(), "it calls the store itself")
 		}
 		clear(asked)
-		silent, _ := last.spread.ConfirmationWatcher(0)
-		last.spread.WatcherTimedOut(0, silent)
+		silent, _ := last.disseminator.ConfirmationWatcher(0)
+		last.disseminator.WatcherTimedOut(0, silent)
 		for range 200 {
-			watcher, _ := last.spread.ConfirmationWatcher(time.Second)
+			watcher, _ := last.disseminator.ConfirmationWatcher(time.Second)
 			asked[watcher]++
 		}
 		Expect(len(asked)).To(BeNumerically(">=", 2))
 		Expect(asked).NotTo(HaveKey(silent))
 	})
 
-	It("does not take itself for one that confirms while others know many more balancers", func() {
-		starting := newParticipant(directory.Member{Peer: 1})
-		starting.spread.SetMembers([]directory.Member{{Peer: 1}, {Peer: 2}})
-		other := newParticipant(directory.Member{Peer: 2})
-		other.spread.SetMembers([]directory.Member{{Peer: 1}, {Peer: 2}})
+	It("does not confirm itself while others know many more balancers", func() {
+		starting := newTestBalancer(directory.Member{Peer: 1})
+		starting.disseminator.SetMembers([]directory.Member{{Peer: 1}, {Peer: 2}})
+		other := newTestBalancer(directory.Member{Peer: 2})
+		other.disseminator.SetMembers([]directory.Member{{Peer: 1}, {Peer: 2}})
 		first := starting
-		if _, exists := starting.spread.ConfirmationWatcher(0); exists {
+		if _, exists := starting.disseminator.ConfirmationWatcher(0); exists {
 			first = other
 		}
-		_, exists := first.spread.ConfirmationWatcher(0)
+		_, exists := first.disseminator.ConfirmationWatcher(0)
 		Expect(exists).To(BeFalse())
-		first.spread.Receive(0, 3, directory.Update{State: directory.State{MemberCount: 300}})
-		_, exists = first.spread.ConfirmationWatcher(0)
+		first.disseminator.Receive(0, 3, directory.Update{State: directory.State{MemberCount: 300}})
+		_, exists = first.disseminator.ConfirmationWatcher(0)
 		Expect(exists).To(BeTrue())
 	})
 
-	It("lets another that watches confirm the directory, and answers with what is missing", func() {
+	It("requests a confirmation from a watcher and receives the missing changes", func() {
 		all := fleet(91, 5)
 		asking := all[1]
-		if asking.spread.Watching() {
+		if asking.disseminator.Watching() {
 			asking = all[2]
 		}
-		watcher, exists := asking.spread.ConfirmationWatcher(0)
+		watcher, exists := asking.disseminator.ConfirmationWatcher(0)
 		Expect(exists).To(BeTrue())
 		Expect(watching(all)).To(ContainElement(watcher))
-		all[watcher].machine.ApplyChanges(time.Second, announcing(6, 3), 8)
-		question := directory.Update{RequestsChanges: true, Confirmation: true, RequestID: 4, State: asking.spread.Summary(0)}
-		_, _, answers := all[watcher].spread.Receive(0, 1, question)
-		Expect(answers).To(BeEmpty(), "the store has to be asked first")
-		answers = all[watcher].spread.ConfirmationReplies(time.Second, 1, question)
+		all[watcher].replica.ApplyChanges(time.Second, sequentialEndpoints(6, 3), 8)
+		request := directory.Update{RequestsChanges: true, Confirmation: true, RequestID: 4, State: asking.disseminator.Summary(0)}
+		_, _, answers := all[watcher].disseminator.Receive(0, 1, request)
+		Expect(answers).To(BeEmpty(), "the store must be asked first")
+		answers = all[watcher].disseminator.ConfirmationReplies(time.Second, 1, request)
 		Expect(answers).To(HaveLen(1))
 		Expect(answers[0].Update).To(And(HaveField("Confirmation", true), HaveField("RequestID", uint32(4))))
-		_, lacks, _ := asking.spread.Receive(time.Second, watcher, answers[0].Update)
-		Expect(lacks).To(BeFalse())
-		Expect(asking.machine.AppliedRevision()).To(Equal(directory.Revision(8)))
-		_, exists = all[watcher].spread.ConfirmationWatcher(0)
-		Expect(exists).To(BeFalse(), "it asks the store itself")
+		_, incomplete, _ := asking.disseminator.Receive(time.Second, watcher, answers[0].Update)
+		Expect(incomplete).To(BeFalse())
+		Expect(asking.replica.AppliedRevision()).To(Equal(directory.Revision(8)))
+		_, exists = all[watcher].disseminator.ConfirmationWatcher(0)
+		Expect(exists).To(BeFalse(), "it calls the store itself")
 	})
 })
 
-var _ = Describe("Questions", func() {
-	It("gives back those that came until a time, once, and keeps the later", func() {
+var _ = Describe("ConfirmationQueue", func() {
+	It("returns the requests received up to a time once and keeps later ones", func() {
 		var waiting directory.ConfirmationQueue
 		for number := range 3 {
 			waiting.Add(time.Duration(number)*millisecond, directory.Peer(number), directory.Update{RequestID: uint32(number)})
@@ -405,63 +405,63 @@
 	})
 })
 
-var _ = Describe("Machine, told by others", func() {
-	It("learns from a whole state what has gone, and goes on from its revision", func() {
-		teller, told := directory.NewReplica(), directory.NewReplica()
-		told.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("old", 2, endpoint("s", false))}, 3)
-		teller.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("new", 8, endpoint("s", false))}, 9)
-		state := teller.StateAfter(0, told.Digest())
-		Expect(state.Whole).To(BeTrue(), "the teller does not know what happened since 3")
-		Expect(told.ApplyState(0, state)).To(BeTrue())
-		Expect(told.AppliedRevision()).To(Equal(directory.Revision(9)))
-		candidate, _ := told.Snapshot().Candidate(directory.NameOnlyID("old"))
+var _ = Describe("Replica, with states of other processes", func() {
+	It("marks endpoints missing from a full state as gone and continues from its revision", func() {
+		sender, receiver := directory.NewReplica(), directory.NewReplica()
+		receiver.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("old", 2, endpoint("s", false))}, 3)
+		sender.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("new", 8, endpoint("s", false))}, 9)
+		state := sender.StateAfter(0, receiver.Digest())
+		Expect(state.Whole).To(BeTrue(), "the sender lacks the history since revision 3")
+		Expect(receiver.ApplyState(0, state)).To(BeTrue())
+		Expect(receiver.AppliedRevision()).To(Equal(directory.Revision(9)))
+		candidate, _ := receiver.Snapshot().Candidate(directory.NameOnlyID("old"))
 		Expect(candidate.Gone).To(BeTrue())
 	})
 
-	It("does not bring back an entry that has lapsed, come back and lapsed again in a gap", func() {
-		told := directory.NewReplica()
-		told.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 2)
-		told.ApplyChanges(0, []directory.Item{endpointItem("a", 3, nil)}, 3)
-		told.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 6)
+	It("does not restore an entry that expired, returned and expired again during a gap", func() {
+		receiver := directory.NewReplica()
+		receiver.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 2)
+		receiver.ApplyChanges(0, []directory.Item{endpointItem("a", 3, nil)}, 3)
+		receiver.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 6)
 		late := directory.NewReplica()
 		late.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 4, endpoint("s", false))}, 4)
-		told.ApplyState(0, late.ChangesAfter(0, 3))
-		told.ApplyState(0, late.FullState(0))
-		candidate, _ := told.Snapshot().Candidate(directory.NameOnlyID("a"))
+		receiver.ApplyState(0, late.ChangesAfter(0, 3))
+		receiver.ApplyState(0, late.FullState(0))
+		candidate, _ := receiver.Snapshot().Candidate(directory.NameOnlyID("a"))
 		Expect(candidate.Gone).To(BeTrue())
 	})
 
-	It("learns from a whole state of the end of an entry of whose return the teller has not heard", func() {
-		teller, told := directory.NewReplica(), directory.NewReplica()
-		teller.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 2)
-		teller.ApplyChanges(0, []directory.Item{endpointItem("a", 3, nil)}, 3)
-		teller.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 5)
-		told.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 4, endpoint("s", false))}, 4)
-		told.ApplyState(0, teller.StateAfter(0, told.Digest()))
-		candidate, _ := told.Snapshot().Candidate(directory.NameOnlyID("a"))
+	It("marks an endpoint as gone by a full state although the sender missed its return", func() {
+		sender, receiver := directory.NewReplica(), directory.NewReplica()
+		sender.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 2)
+		sender.ApplyChanges(0, []directory.Item{endpointItem("a", 3, nil)}, 3)
+		sender.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 5)
+		receiver.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 4, endpoint("s", false))}, 4)
+		receiver.ApplyState(0, sender.StateAfter(0, receiver.Digest()))
+		candidate, _ := receiver.Snapshot().Candidate(directory.NameOnlyID("a"))
 		Expect(candidate.Gone).To(BeTrue())
 	})
 
-	It("does not go on from changes that begin after what it knows", func() {
-		teller, told := directory.NewReplica(), directory.NewReplica()
-		told.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 3)
-		teller.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 3)
-		teller.ApplyChanges(0, []directory.Item{endpointItem("a", 4, endpoint("s", false))}, 4)
-		teller.ApplyChanges(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
-		teller.ApplyChanges(0, []directory.Item{endpointItem("b", 6, endpoint("s", false))}, 6)
-		changes := teller.ChangesAfter(0, 5)
-		Expect(told.CompletesWith(changes)).To(BeFalse())
-		Expect(told.ApplyState(0, changes)).To(BeTrue(), "what it is told is true all the same")
-		Expect(told.AppliedRevision()).To(Equal(directory.Revision(3)))
+	It("does not advance by changes that begin after its revision", func() {
+		sender, receiver := directory.NewReplica(), directory.NewReplica()
+		receiver.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 3)
+		sender.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 3)
+		sender.ApplyChanges(0, []directory.Item{endpointItem("a", 4, endpoint("s", false))}, 4)
+		sender.ApplyChanges(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
+		sender.ApplyChanges(0, []directory.Item{endpointItem("b", 6, endpoint("s", false))}, 6)
+		changes := sender.ChangesAfter(0, 5)
+		Expect(receiver.CompletesWith(changes)).To(BeFalse())
+		Expect(receiver.ApplyState(0, changes)).To(BeTrue(), "the received changes are applied all the same")
+		Expect(receiver.AppliedRevision()).To(Equal(directory.Revision(3)))
 	})
 
-	It("tells everything to who last heard before an endpoint that is forgotten by now", func() {
-		teller := directory.NewReplica()
-		teller.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 3)
-		teller.ApplyChanges(0, []directory.Item{endpointItem("a", 4, nil)}, 4)
-		Expect(teller.StateAfter(0, directory.Digest{ConfigurationVersion: 1, Revision: 3}).Whole).To(BeFalse())
+	It("sends a full state to a process whose revision precedes a dropped endpoint", func() {
+		sender := directory.NewReplica()
+		sender.ApplyListing(0, []directory.Item{configurationItem(1, 1), endpointItem("a", 2, endpoint("s", false))}, 3)
+		sender.ApplyChanges(0, []directory.Item{endpointItem("a", 4, nil)}, 4)
+		Expect(sender.StateAfter(0, directory.Digest{ConfigurationVersion: 1, Revision: 3}).Whole).To(BeFalse())
 		late := directory.Retention + time.Second
-		teller.ApplyChanges(late, nil, 5)
-		Expect(teller.StateAfter(late, directory.Digest{ConfigurationVersion: 1, Revision: 3}).Whole).To(BeTrue())
+		sender.ApplyChanges(late, nil, 5)
+		Expect(sender.StateAfter(late, directory.Digest{ConfigurationVersion: 1, Revision: 3}).Whole).To(BeTrue())
 	})
 })
--- a/internal/directory/fleet_start_test.go
+++ b/internal/directory/fleet_start_test.go
@@ -11,8 +11,8 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// The fleet whose return is replayed: 682 endpoints on four pages of a store that sends 1,000
-// Mbit/s, and a state of some 40 KB that balancers give each other on links of 20 to 200.
+// The simulated fleet: 682 endpoints on four pages of a store that sends 1,000 Mbit/s, and a
+// state of about 40 KB that balancers send to each other over links of 20 to 200 Mbit/s.
 const (
 	startPages     = 4
 	startPageSize  = 66e3
@@ -20,17 +20,17 @@
 	startDelay     = time.Millisecond
 	storeWork      = 4 * time.Millisecond
 	storeBandwidth = 1000e6 / 8
-	// startWithin is how much later than others a balancer may start.
+	// startWithin is the period within which all balancers start.
 	startWithin = 200 * time.Millisecond
 )
 
-// link sends one thing after the other.
+// link sends one item after the other.
 type link struct {
 	bandwidth float64
 	free      time.Duration
 }
 
-// sends returns when all of something has been sent.
+// sends returns when an item of the given size has been sent completely.
 func (l *link) sends(now time.Duration, size float64) time.Duration {
 	l.free = max(l.free, now) + time.Duration(size/l.bandwidth*float64(time.Second))
 	return l.free
@@ -53,37 +53,37 @@
 	return last
 }
 
-// startingBalancer is a balancer that knows nothing at its start.
+// startingBalancer is a balancer that starts without a directory.
 type startingBalancer struct {
-	participant
+	testBalancer
 	peer     directory.Peer
 	link     link
 	follower *directory.Follower
-	exchange *directory.PeerFetcher[directory.Peer]
+	fetcher  *directory.PeerFetcher[directory.Peer]
 	calling  bool
 	readyAt  time.Duration
-	begins   time.Duration
-	away     bool
+	startsAt time.Duration
+	absent   bool
 }
 
-// startingFleet replays the start of all balancers of a fleet at once.
+// startingFleet simulates the simultaneous start of all balancers of a fleet.
 type startingFleet struct {
-	now      time.Duration
-	queue    startQueue
-	store    link
-	calls    int
-	items    []directory.Item
-	fleet    map[directory.Peer]*startingBalancer
-	fetches  int
-	busiest  map[directory.Peer]int
-	revision directory.Revision
+	now             time.Duration
+	queue           startQueue
+	store           link
+	calls           int
+	items           []directory.Item
+	fleet           map[directory.Peer]*startingBalancer
+	fetches         int
+	fetchesBySource map[directory.Peer]int
+	revision        directory.Revision
 }
 
-func (f *startingFleet) after(delay time.Duration, run func()) {
+func (f *startingFleet) schedule(delay time.Duration, run func()) {
 	heap.Push(&f.queue, startEvent{f.now + delay, run})
 }
 
-func (f *startingFleet) until(end time.Duration) {
+func (f *startingFleet) runUntil(end time.Duration) {
 	for len(f.queue) > 0 && f.queue[0].at <= end {
 		next := heap.Pop(&f.queue).(startEvent)
 		f.now = next.at
@@ -91,27 +91,26 @@
 	}
 }
 
-// startingScenario is how a fleet starts, whose first three balancers are the seeds of all.
-type startingScenario struct {
+// startScenario describes the start of a fleet. Its first three balancers are the seeds.
+type startScenario struct {
 	count int
-	// first is set at the first start of the whole fleet.
-	first bool
-	// seedsLate is how much later than others the seeds start, and seedsAway is set if they
-	// never do.
-	seedsLate time.Duration
-	seedsAway bool
-	// unconfigured is set while no configuration has been written.
-	unconfigured bool
+	// firstStart is set for the first start of the whole fleet.
+	firstStart bool
+	// seedsLate is the additional delay of the seeds. seedsAbsent is set if they never start.
+	seedsLate   time.Duration
+	seedsAbsent bool
+	// noConfiguration is set if no configuration has been written.
+	noConfiguration bool
 }
 
-func newStartingFleet(scenario startingScenario) *startingFleet {
+func newStartingFleet(scenario startScenario) *startingFleet {
 	count := scenario.count
 	created := &startingFleet{
-		store: link{bandwidth: storeBandwidth}, items: append(announcing(2, 40), configurationItem(1, 1)),
-		fleet: make(map[directory.Peer]*startingBalancer), busiest: make(map[directory.Peer]int), revision: 50,
+		store: link{bandwidth: storeBandwidth}, items: append(sequentialEndpoints(2, 40), configurationItem(1, 1)),
+		fleet: make(map[directory.Peer]*startingBalancer), fetchesBySource: make(map[directory.Peer]int), revision: 50,
 	}
-	if scenario.unconfigured {
-		created.items = announcing(2, 40)
+	if scenario.noConfiguration {
+		created.items = sequentialEndpoints(2, 40)
 	}
 	seeds := []directory.Peer{1, 2, 3}
 	random := rand.New(rand.NewPCG(uint64(count), 7))
@@ -124,50 +123,50 @@
 			}
 		}
 		used := timing
-		used.ListingDelay = directory.FirstListingDelay(isSeed, scenario.first, random.Float64())
+		used.ListingDelay = directory.FirstListingDelay(isSeed, scenario.firstStart, random.Float64())
 		balancer := &startingBalancer{
-			participant: *newParticipant(member, others...), peer: member.Peer,
-			link: link{bandwidth: (20 + 180*random.Float64()) * 1e6 / 8}, away: isSeed && scenario.seedsAway,
+			testBalancer: *newTestBalancer(member, others...), peer: member.Peer,
+			link: link{bandwidth: (20 + 180*random.Float64()) * 1e6 / 8}, absent: isSeed && scenario.seedsAbsent,
 		}
-		balancer.follower = directory.NewFollower(balancer.machine, used, balancer.spread)
-		balancer.exchange = directory.NewPeerFetcher(balancer.machine, used, others, random)
+		balancer.follower = directory.NewFollower(balancer.replica, used, balancer.disseminator)
+		balancer.fetcher = directory.NewPeerFetcher(balancer.replica, used, others, random)
 		created.fleet[member.Peer] = balancer
-		balancer.begins = time.Duration(random.Float64() * float64(startWithin))
+		balancer.startsAt = time.Duration(random.Float64() * float64(startWithin))
 		if isSeed {
-			balancer.begins += scenario.seedsLate
+			balancer.startsAt += scenario.seedsLate
 		}
-		if !balancer.away {
-			created.after(balancer.begins, func() { created.tick(balancer) })
+		if !balancer.absent {
+			created.schedule(balancer.startsAt, func() { created.tick(balancer) })
 		}
 	}
 	return created
 }
 
-// tick is what a balancer does every 50 ms.
+// tick runs the periodic work of a balancer every 50 ms.
 func (f *startingFleet) tick(b *startingBalancer) {
 	f.follow(b)
 	f.fetch(b)
-	if question, asks := b.spread.StartupRequest(f.now); asks {
-		f.send(b, []directory.Outgoing{question})
+	if request, asks := b.disseminator.StartupRequest(f.now); asks {
+		f.send(b, []directory.Outgoing{request})
 	}
-	f.after(50*millisecond, func() { f.tick(b) })
+	f.schedule(50*millisecond, func() { f.tick(b) })
 }
 
-// follow calls the store if it is time.
+// follow calls the store if a call is due.
 func (f *startingFleet) follow(b *startingBalancer) {
 	call, at := b.follower.Next(f.now)
 	if b.calling || !call.Listing {
 		return
 	}
 	if at > f.now {
-		f.after(at-f.now, func() { f.follow(b) })
+		f.schedule(at-f.now, func() { f.follow(b) })
 		return
 	}
 	b.calling = true
 	f.calls++
-	f.after(startDelay, func() {
+	f.schedule(startDelay, func() {
 		sent := f.store.sends(f.now+storeWork, startPageSize)
-		f.after(b.link.sends(sent, startPageSize)-f.now, func() { f.listed(b, call) })
+		f.schedule(b.link.sends(sent, startPageSize)-f.now, func() { f.listed(b, call) })
 	})
 }
 
@@ -179,31 +178,31 @@
 	}
 	b.follower.HandlePage(f.now, page)
 	if b.follower.InSync() {
-		b.spread.StoreListed()
-		f.send(b, b.spread.StoreAnswered(f.now))
+		b.disseminator.StoreListed()
+		f.send(b, b.disseminator.StoreAnswered(f.now))
 	}
 	f.noteReady(b)
 	f.follow(b)
 }
 
 func (f *startingFleet) fetch(b *startingBalancer) {
-	from, wanted := b.exchange.Next(f.now)
+	from, wanted := b.fetcher.Next(f.now)
 	if !wanted {
 		return
 	}
 	source := f.fleet[from]
-	if source == nil || source.away || f.now < source.begins {
-		f.after(250*millisecond, func() { b.exchange.FetchFailed() })
+	if source == nil || source.absent || f.now < source.startsAt {
+		f.schedule(250*millisecond, func() { b.fetcher.FetchFailed() })
 		return
 	}
 	f.fetches++
-	f.busiest[from]++
-	f.after(3*startDelay, func() {
-		source.spread.StateSent(f.now, b.peer)
-		state := source.spread.State(f.now, b.machine.Digest())
-		f.after(source.link.sends(f.now, startStateSize)-f.now, func() {
-			b.exchange.Fetched(f.now, state)
-			f.send(b, b.spread.StateFetched(f.now, f.now, from, state))
+	f.fetchesBySource[from]++
+	f.schedule(3*startDelay, func() {
+		source.disseminator.StateSent(f.now, b.peer)
+		state := source.disseminator.State(f.now, b.replica.Digest())
+		f.schedule(source.link.sends(f.now, startStateSize)-f.now, func() {
+			b.fetcher.Fetched(f.now, state)
+			f.send(b, b.disseminator.StateFetched(f.now, f.now, from, state))
 			f.noteReady(b)
 		})
 	})
@@ -212,14 +211,14 @@
 func (f *startingFleet) send(from *startingBalancer, outgoing []directory.Outgoing) {
 	for _, each := range outgoing {
 		to := f.fleet[each.To]
-		f.after(startDelay, func() {
-			if to.away || f.now < to.begins {
+		f.schedule(startDelay, func() {
+			if to.absent || f.now < to.startsAt {
 				return
 			}
-			_, lacks, answers := to.spread.Receive(f.now, from.peer, each.Update)
+			_, incomplete, answers := to.disseminator.Receive(f.now, from.peer, each.Update)
 			f.send(to, answers)
-			if lacks {
-				to.exchange.UpdateIncomplete(f.now, each.Update.SourceOrSender(from.peer))
+			if incomplete {
+				to.fetcher.UpdateIncomplete(f.now, each.Update.SourceOrSender(from.peer))
 				f.fetch(to)
 			}
 			f.noteReady(to)
@@ -229,62 +228,62 @@
 }
 
 func (f *startingFleet) noteReady(b *startingBalancer) {
-	if b.readyAt == 0 && b.machine.AppliedRevision() > 0 {
+	if b.readyAt == 0 && b.replica.AppliedRevision() > 0 {
 		b.readyAt = f.now
 	}
 }
 
-// lastReady returns how long after its start the last balancer was ready, never if one is
-// not.
+// lastReady returns the longest time from start to readiness, or an hour if a balancer is not
+// ready.
 func (f *startingFleet) lastReady() time.Duration {
 	last := time.Duration(0)
 	for _, each := range f.fleet {
-		if each.away {
+		if each.absent {
 			continue
 		}
 		if each.readyAt == 0 {
 			return time.Hour
 		}
-		last = max(last, each.readyAt-each.begins)
+		last = max(last, each.readyAt-each.startsAt)
 	}
 	return last
 }
 
-var _ = Describe("A fleet that starts at once", func() {
-	// The aim: every balancer is ready half a second after its start, however many there
-	// are. While a seed answers, few list the store; where none does, each has to, and the
-	// store's link then takes as long as that of all.
-	DescribeTable("is ready soon, and lists the store a few times", func(scenario startingScenario) {
+var _ = Describe("A fleet whose balancers start simultaneously", func() {
+	// Every balancer must be ready half a second after its start, for any fleet size. While a
+	// seed replies, few balancers list the store. Without seeds every balancer has to list it,
+	// and the store's link then needs the time of all listings.
+	DescribeTable("is ready in time and lists the store few times", func(scenario startScenario) {
 		starting := newStartingFleet(scenario)
-		starting.until(2 * time.Second)
+		starting.runUntil(2 * time.Second)
 		most := 0
-		for _, given := range starting.busiest {
-			most = max(most, given)
+		for _, fetches := range starting.fetchesBySource {
+			most = max(most, fetches)
 		}
-		GinkgoWriter.Printf("%+v: %d calls, %d fetches, %d of the busiest, last ready after %v\n",
+		GinkgoWriter.Printf("%+v: %d calls, %d fetches, %d from the busiest source, last ready after %v\n",
 			scenario, starting.calls, starting.fetches, most, starting.lastReady())
-		if scenario.seedsAway || scenario.seedsLate > 0 {
+		if scenario.seedsAbsent || scenario.seedsLate > 0 {
 			listings := time.Duration(float64(scenario.count) * startPages * startPageSize / storeBandwidth * float64(time.Second))
 			Expect(starting.lastReady()).To(BeNumerically("<=", 250*millisecond+listings))
 			return
 		}
 		Expect(starting.lastReady()).To(BeNumerically("<=", 500*millisecond))
-		if scenario.first {
+		if scenario.firstStart {
 			Expect(starting.calls).To(BeNumerically("<=", 30*startPages))
 		}
 	},
-		Entry("20 at first", startingScenario{count: 20, first: true}),
-		Entry("100 at first", startingScenario{count: 100, first: true}),
-		Entry("300 at first", startingScenario{count: 300, first: true}),
-		Entry("1,000 at first", startingScenario{count: 1000, first: true}),
-		Entry("2,500 at first", startingScenario{count: 2500, first: true}),
-		Entry("300 before there is a configuration", startingScenario{count: 300, first: true, unconfigured: true}),
-		Entry("20 again", startingScenario{count: 20}),
-		Entry("300 again", startingScenario{count: 300}),
-		Entry("1,000 again", startingScenario{count: 1000}),
-		Entry("20 again, with late seeds", startingScenario{count: 20, seedsLate: 350 * millisecond}),
-		Entry("300 again, with late seeds", startingScenario{count: 300, seedsLate: 350 * millisecond}),
-		Entry("20 again, without seeds", startingScenario{count: 20, seedsAway: true}),
-		Entry("300 again, without seeds", startingScenario{count: 300, seedsAway: true}),
+		Entry("first start of 20", startScenario{count: 20, firstStart: true}),
+		Entry("first start of 100", startScenario{count: 100, firstStart: true}),
+		Entry("first start of 300", startScenario{count: 300, firstStart: true}),
+		Entry("first start of 1,000", startScenario{count: 1000, firstStart: true}),
+		Entry("first start of 2,500", startScenario{count: 2500, firstStart: true}),
+		Entry("first start of 300 without a configuration", startScenario{count: 300, firstStart: true, noConfiguration: true}),
+		Entry("restart of 20", startScenario{count: 20}),
+		Entry("restart of 300", startScenario{count: 300}),
+		Entry("restart of 1,000", startScenario{count: 1000}),
+		Entry("restart of 20 with late seeds", startScenario{count: 20, seedsLate: 350 * millisecond}),
+		Entry("restart of 300 with late seeds", startScenario{count: 300, seedsLate: 350 * millisecond}),
+		Entry("restart of 20 without seeds", startScenario{count: 20, seedsAbsent: true}),
+		Entry("restart of 300 without seeds", startScenario{count: 300, seedsAbsent: true}),
 	)
 })
--- a/internal/directory/invalidation.go
+++ b/internal/directory/invalidation.go
@@ -1,55 +1,56 @@
-// This file implements the correction of a directory that went ahead of the store, since a
-// peer announced a revision which the store does not have.
+// This file implements the correction of a directory that is ahead of the store because a peer
+// announced a revision that the store does not have.
 
 package directory
 
-// Refute handles that the store itself was only at a revision when it was asked about changes
-// after a later one. Nothing that was merged can be ordered any more, so that a whole
-// directory is needed, from the store or from a peer; the snapshot stays in force meanwhile.
-// What peers announce at the false revision or later is stale until the store has reached it.
-func (m *Replica) Invalidate(asked, at Revision) {
-	m.refuted = asked
-	if at < m.complete {
-		m.refuted = min(asked, m.complete)
+// Invalidate handles that the store was only at storeRevision when it was asked for changes
+// after a later revision. The merged items can no longer be ordered, so a full directory is
+// needed, from the store or from a peer. The snapshot stays in use until then. States of peers
+// at the false revision or later are ignored until the store has reached it.
+func (r *Replica) Invalidate(requested, storeRevision Revision) {
+	r.invalidFrom = requested
+	if storeRevision < r.appliedRevision {
+		r.invalidFrom = min(requested, r.appliedRevision)
 	}
-	m.complete, m.floor, m.latest = 0, 0, 0
-	m.refutations++
-	for _, known := range m.endpoints {
-		known.revision = 0
+	r.appliedRevision, r.historyFloor, r.latestSeen = 0, 0, 0
+	r.invalidations++
+	for _, record := range r.endpoints {
+		record.revision = 0
 	}
-	for zone, known := range m.zones {
-		known.revision = 0
-		m.zones[zone] = known
+	for zone, record := range r.zones {
+		record.revision = 0
+		r.zones[zone] = record
 	}
 }
 
-// Refutations returns how often the store has shown that this directory was ahead of it.
-func (m *Replica) Invalidations() uint64 { return m.refutations }
+// Invalidations returns how often the store has shown that this directory was ahead of it.
+func (r *Replica) Invalidations() uint64 { return r.invalidations }
 
-// ConfirmedBy reports whether the answer of a watcher, which has announced a revision, proves
-// that this directory is current, given the revision that it had when the watcher was asked:
-// neither is ahead of the other by a false revision, and nothing that was announced is missing.
-func (m *Replica) ConfirmedBy(announced, known Revision) bool {
-	return known > 0 && announced >= known && m.complete >= announced
+// ConfirmedBy reports whether the reply of a watcher proves that this directory is current.
+// announced is the revision in the reply and known is the local revision when the watcher was
+// asked. Neither side may be ahead of the other because of a false revision, and no announced
+// change may be missing.
+func (r *Replica) ConfirmedBy(announced, known Revision) bool {
+	return known > 0 && announced >= known && r.appliedRevision >= announced
 }
 
-// corrects reports whether a whole directory is needed to replace one that was refuted.
-func (m *Replica) corrects() bool { return m.refutations > 0 && m.complete == 0 }
+// needsFullState reports whether the directory was invalidated and not replaced yet.
+func (r *Replica) needsFullState() bool { return r.invalidations > 0 && r.appliedRevision == 0 }
 
-// refutes reports whether a revision that a peer announces is known to be false.
-func (m *Replica) refutes(announced Revision) bool {
-	return m.refuted > 0 && announced >= m.refuted
+// isInvalid reports whether a revision announced by a peer is known to be false.
+func (r *Replica) isInvalid(announced Revision) bool {
+	return r.invalidFrom > 0 && announced >= r.invalidFrom
 }
 
-// reached handles that the store itself has a revision.
-func (m *Replica) reached(at Revision) {
-	if at >= m.refuted {
-		m.refuted = 0
+// noteStoreRevision records that the store has reached a revision.
+func (r *Replica) noteStoreRevision(revision Revision) {
+	if revision >= r.invalidFrom {
+		r.invalidFrom = 0
 	}
 }
 
-// lacks reports whether a digest shows something that this machine does not have and that is
-// not refuted.
-func (m *Replica) lacks(digest Digest) bool {
-	return !m.refutes(digest.Revision) && digest.ahead(m.Digest())
+// isBehind reports whether a digest covers a change that this replica lacks and that is not
+// known to be false.
+func (r *Replica) isBehind(digest Digest) bool {
+	return !r.isInvalid(digest.Revision) && digest.isAheadOf(r.Digest())
 }
--- a/internal/directory/invalidation_test.go
+++ b/internal/directory/invalidation_test.go
@@ -10,10 +10,10 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// forgedRevision is far ahead of the store's.
+// forgedRevision is far ahead of the store's revision.
 const forgedRevision = 1000
 
-// forgedUpdate claims that nothing but an endpoint of its own has changed up to forgedRevision.
+// forgedUpdate claims that up to forgedRevision nothing changed except one endpoint of its own.
 func forgedUpdate() directory.Update {
 	value := endpoint("service", false)
 	value.IP = [4]byte{10, 9, 9, 9}
@@ -23,165 +23,167 @@
 	}}
 }
 
-// watchingDuty is that of a process which always watches.
+// watchingPolicy is the policy of a process that always watches.
 type watchingPolicy struct{ directory.WatchPolicy }
 
 func (watchingPolicy) Watching() bool                  { return true }
 func (watchingPolicy) Alone() bool                     { return false }
 func (watchingPolicy) SnapshotDeadline() time.Duration { return 0 }
 
-var _ = Describe("A directory that was led ahead of the store", func() {
-	// poisoned returns a watcher that was at revision 5 and has taken a forged update.
-	poisoned := func() (*participant, *directory.Follower) {
-		created := newParticipant(directory.Member{Peer: 1})
-		follower := directory.NewFollower(created.machine, timing, watchingPolicy{})
+var _ = Describe("A directory that is ahead of the store because of a forged revision", func() {
+	// withFalseRevision returns a watcher that was at revision 5 and has applied a forged
+	// update.
+	withFalseRevision := func() (*testBalancer, *directory.Follower) {
+		created := newTestBalancer(directory.Member{Peer: 1})
+		follower := directory.NewFollower(created.replica, timing, watchingPolicy{})
 		follower.Next(0)
-		follower.HandlePage(0, directory.Page{Revision: 5, Items: append(announcing(2, 3), configurationItem(1, 1))})
-		_, lacks, _ := created.spread.Receive(0, 2, forgedUpdate())
-		Expect(lacks).To(BeFalse())
-		Expect(created.machine.AppliedRevision()).To(Equal(directory.Revision(forgedRevision)))
+		follower.HandlePage(0, directory.Page{Revision: 5, Items: append(sequentialEndpoints(2, 3), configurationItem(1, 1))})
+		_, incomplete, _ := created.disseminator.Receive(0, 2, forgedUpdate())
+		Expect(incomplete).To(BeFalse())
+		Expect(created.replica.AppliedRevision()).To(Equal(directory.Revision(forgedRevision)))
 		return created, follower
 	}
-	// refute lets the store answer that it is only at revision 7.
-	refute := func(follower *directory.Follower) {
+	// invalidate makes the store respond that it is only at revision 7.
+	invalidate := func(follower *directory.Follower) {
 		follower.Next(time.Second)
 		follower.HandleChanges(time.Second, directory.Changes{Through: 7}, 0)
 	}
 
-	It("is listed anew, and has the changes that were hidden", func() {
-		each, follower := poisoned()
-		refute(follower)
+	It("is listed again and then contains the changes that the forged revision hid", func() {
+		each, follower := withFalseRevision()
+		invalidate(follower)
 		Expect(follower.InSync()).To(BeFalse())
-		Expect(each.machine.Snapshot().All()).To(HaveLen(4), "it stays in force meanwhile")
+		Expect(each.replica.Snapshot().All()).To(HaveLen(4), "the snapshot stays in use until then")
 		call, at := follower.Next(time.Second)
 		Expect(call.Listing).To(BeTrue())
 		Expect(at).To(BeNumerically("<=", time.Second))
-		items := append(announcing(2, 2), configurationItem(1, 1))
+		items := append(sequentialEndpoints(2, 2), configurationItem(1, 1))
 		late := endpoint("service", false)
 		late.IP = [4]byte{10, 0, 7, 7}
 		items = append(items, endpointItem("late", 7, late))
 		Expect(follower.HandlePage(time.Second, directory.Page{Revision: 7, Items: items})).To(BeTrue())
-		Expect(each.machine.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 1, Revision: 7}))
+		Expect(each.replica.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 1, Revision: 7}))
 		for name, gone := range map[string]bool{"endpoint-001": false, "endpoint-002": true, "late": false, "forged": true} {
-			candidate, exists := each.machine.Snapshot().Candidate(directory.NameOnlyID(name))
+			candidate, exists := each.replica.Snapshot().Candidate(directory.NameOnlyID(name))
 			Expect(exists).To(BeTrue())
 			Expect(candidate.Gone).To(Equal(gone), name)
 		}
 		Expect(follower.InSync()).To(BeTrue())
-		Expect(each.machine.Invalidations()).To(Equal(uint64(1)))
+		Expect(each.replica.Invalidations()).To(Equal(uint64(1)))
 	})
 
-	It("does not take the false revision again, from an update, a state or a digest, until the store has it", func() {
-		each, follower := poisoned()
-		other := newParticipant(directory.Member{Peer: 2})
+	It("rejects the false revision in updates, states and digests until the store has reached it", func() {
+		each, follower := withFalseRevision()
+		other := newTestBalancer(directory.Member{Peer: 2})
 		other.list(0, 5)
-		other.spread.Receive(0, 3, forgedUpdate())
-		refute(follower)
+		other.disseminator.Receive(0, 3, forgedUpdate())
+		invalidate(follower)
 		follower.Next(time.Second)
 		follower.HandlePage(time.Second, directory.Page{Revision: 7, Items: []directory.Item{configurationItem(1, 1)}})
-		_, lacks, answers := each.spread.Receive(time.Second, 2, forgedUpdate())
-		Expect(lacks).To(BeFalse())
+		_, incomplete, answers := each.disseminator.Receive(time.Second, 2, forgedUpdate())
+		Expect(incomplete).To(BeFalse())
 		Expect(answers).To(BeEmpty())
-		Expect(each.machine.ApplyState(time.Second, other.spread.State(time.Second, directory.Digest{}))).To(BeFalse())
-		Expect(each.spread.StateFetched(time.Second, time.Second, 2, other.spread.State(time.Second, directory.Digest{}))).To(BeEmpty())
-		exchange := directory.NewPeerFetcher[directory.Peer](each.machine, timing, nil, rand.New(rand.NewPCG(1, 1)))
-		exchange.ReceiveDigest(time.Second, 2, other.machine.Digest())
-		exchange.Fetched(time.Second, directory.State{})
-		_, wanted := exchange.Next(time.Minute)
+		Expect(each.replica.ApplyState(time.Second, other.disseminator.State(time.Second, directory.Digest{}))).To(BeFalse())
+		Expect(each.disseminator.StateFetched(time.Second, time.Second, 2, other.disseminator.State(time.Second, directory.Digest{}))).To(BeEmpty())
+		fetcher := directory.NewPeerFetcher[directory.Peer](each.replica, timing, nil, rand.New(rand.NewPCG(1, 1)))
+		fetcher.ReceiveDigest(time.Second, 2, other.replica.Digest())
+		fetcher.Fetched(time.Second, directory.State{})
+		_, wanted := fetcher.Next(time.Minute)
 		Expect(wanted).To(BeFalse())
-		Expect(each.machine.AppliedRevision()).To(Equal(directory.Revision(7)))
+		Expect(each.replica.AppliedRevision()).To(Equal(directory.Revision(7)))
 		follower.Next(time.Second)
 		follower.HandleChanges(time.Second, directory.Changes{Through: forgedRevision}, 0)
 		follower.Next(time.Second)
-		ahead := other.spread.Summary(time.Second)
+		ahead := other.disseminator.Summary(time.Second)
 		ahead.Through, ahead.From = forgedRevision+1, forgedRevision
-		each.spread.Receive(time.Second, 2, directory.Update{State: ahead})
-		Expect(each.machine.AppliedRevision()).To(Equal(directory.Revision(forgedRevision + 1)))
+		each.disseminator.Receive(time.Second, 2, directory.Update{State: ahead})
+		Expect(each.replica.AppliedRevision()).To(Equal(directory.Revision(forgedRevision + 1)))
 	})
 
-	It("is not confirmed by one that is behind it", func() {
-		each, _ := poisoned()
-		honest := newParticipant(directory.Member{Peer: 2})
+	It("is not confirmed by a balancer that is behind it", func() {
+		each, _ := withFalseRevision()
+		honest := newTestBalancer(directory.Member{Peer: 2})
 		honest.list(0, 5)
-		honest.machine.ApplyChanges(time.Second, nil, 7)
-		honest.spread.StoreAnswered(time.Second)
-		each.spread.Receive(time.Second, 2, directory.Update{State: honest.spread.Summary(time.Second)})
-		Expect(each.spread.ConfirmedAt()).To(BeZero())
+		honest.replica.ApplyChanges(time.Second, nil, 7)
+		honest.disseminator.StoreAnswered(time.Second)
+		each.disseminator.Receive(time.Second, 2, directory.Update{State: honest.disseminator.Summary(time.Second)})
+		Expect(each.disseminator.ConfirmedAt()).To(BeZero())
 	})
 
-	It("is verified at once if the store has told less than a peer, which costs no listing if the peer is right", func() {
-		each, follower := poisoned()
+	It("is verified at once if the store reports less than a peer, without a listing if the peer is right", func() {
+		each, follower := withFalseRevision()
 		follower.HandleChanges(time.Second, directory.Changes{Through: 6}, 0)
-		Expect(follower.InSync()).To(BeFalse(), "the answer confirms only what the store had")
+		Expect(follower.InSync()).To(BeFalse(), "the response confirms only the store's revision")
 		call, at := follower.Next(time.Second)
 		Expect(call.IsPoll()).To(BeTrue())
 		Expect(at).To(BeNumerically("<=", 1200*millisecond))
 		follower.HandleChanges(1200*millisecond, directory.Changes{Through: forgedRevision}, 0)
 		Expect(follower.InSync()).To(BeTrue())
-		Expect(each.machine.Invalidations()).To(BeZero())
+		Expect(each.replica.Invalidations()).To(BeZero())
 	})
 
-	It("is refuted by an entry's revision as well", func() {
-		each, follower := poisoned()
-		refute(follower)
+	It("is invalidated by the revision of a single entry as well", func() {
+		each, follower := withFalseRevision()
+		invalidate(follower)
 		follower.Next(time.Second)
 		follower.HandlePage(time.Second, directory.Page{Revision: 7, Items: []directory.Item{configurationItem(1, 1)}})
 		gap := forgedUpdate()
 		gap.State.Through, gap.State.From = 900, 800
-		each.spread.Receive(time.Second, 2, gap)
-		Expect(each.machine.AppliedRevision()).To(Equal(directory.Revision(7)), "it does not lead on")
-		refute(follower)
-		Expect(each.machine.Invalidations()).To(Equal(uint64(2)))
+		each.disseminator.Receive(time.Second, 2, gap)
+		Expect(each.replica.AppliedRevision()).To(Equal(directory.Revision(7)), "the update does not connect to the known revision")
+		invalidate(follower)
+		Expect(each.replica.Invalidations()).To(Equal(uint64(2)))
 	})
 
-	It("is given by a peer instead of the store where many are refuted", func() {
-		each, _ := poisoned()
-		each.machine.Invalidate(forgedRevision, 7)
-		honest := newParticipant(directory.Member{Peer: 2})
-		honest.list(0, 7, announcing(2, 3)...)
-		each.machine.ApplyState(time.Second, honest.spread.State(time.Second, each.machine.Digest()))
-		Expect(each.machine.AppliedRevision()).To(Equal(directory.Revision(7)))
-		candidate, _ := each.machine.Snapshot().Candidate(directory.NameOnlyID("forged"))
+	It("is replaced by the state of a peer instead of a listing when many are invalidated", func() {
+		each, _ := withFalseRevision()
+		each.replica.Invalidate(forgedRevision, 7)
+		honest := newTestBalancer(directory.Member{Peer: 2})
+		honest.list(0, 7, sequentialEndpoints(2, 3)...)
+		each.replica.ApplyState(time.Second, honest.disseminator.State(time.Second, each.replica.Digest()))
+		Expect(each.replica.AppliedRevision()).To(Equal(directory.Revision(7)))
+		candidate, _ := each.replica.Snapshot().Candidate(directory.NameOnlyID("forged"))
 		Expect(candidate.Gone).To(BeTrue())
 	})
 })
 
-// refutedFleet replays how a running fleet corrects itself after all have taken a forged update.
-type refutedFleet struct {
+// invalidatedFleet simulates how a running fleet corrects itself after all balancers have
+// applied a forged update.
+type invalidatedFleet struct {
 	*startingFleet
 	listings, watches int
 	correctedAt       map[directory.Peer]time.Duration
 }
 
-func newRefutedFleet(count int) *refutedFleet {
-	created := &refutedFleet{
-		startingFleet: newStartingFleet(startingScenario{count: count, first: true}),
+func newInvalidatedFleet(count int) *invalidatedFleet {
+	created := &invalidatedFleet{
+		startingFleet: newStartingFleet(startScenario{count: count, firstStart: true}),
 		correctedAt:   make(map[directory.Peer]time.Duration),
 	}
 	created.queue = nil
 	for _, each := range created.fleet {
-		each.spread.SetMembers(fleetOf(count, 5))
-		each.machine.ApplyListing(0, created.items, created.revision)
-		each.begins = 0
-		created.after(time.Duration(each.peer)*time.Second/time.Duration(count), func() { created.tick(each) })
+		each.disseminator.SetMembers(fleetOf(count, 5))
+		each.replica.ApplyListing(0, created.items, created.revision)
+		each.startsAt = 0
+		created.schedule(time.Duration(each.peer)*time.Second/time.Duration(count), func() { created.tick(each) })
 	}
 	return created
 }
 
-// tick is what a running balancer does every 50 ms.
-func (f *refutedFleet) tick(b *startingBalancer) {
+// tick runs the periodic work of a running balancer every 50 ms.
+func (f *invalidatedFleet) tick(b *startingBalancer) {
 	f.call(b)
 	f.fetch(b)
-	f.send(b, b.spread.Repeat(f.now))
-	f.send(b, b.spread.RenewalRequest(f.now))
-	if _, corrected := f.correctedAt[b.peer]; !corrected && b.machine.AppliedRevision() == f.revision {
+	f.send(b, b.disseminator.Repeat(f.now))
+	f.send(b, b.disseminator.RenewalRequest(f.now))
+	if _, corrected := f.correctedAt[b.peer]; !corrected && b.replica.AppliedRevision() == f.revision {
 		f.correctedAt[b.peer] = f.now
 	}
-	f.after(50*millisecond, func() { f.tick(b) })
+	f.schedule(50*millisecond, func() { f.tick(b) })
 }
 
-// call calls the store if it is time; a watch without news lasts for all of its wait.
-func (f *refutedFleet) call(b *startingBalancer) {
+// call calls the store if a call is due. A watch without changes takes its whole wait.
+func (f *invalidatedFleet) call(b *startingBalancer) {
 	if b.calling {
 		return
 	}
@@ -192,9 +194,9 @@
 	b.calling = true
 	if call.Listing {
 		f.listings++
-		f.after(startDelay, func() {
+		f.schedule(startDelay, func() {
 			sent := f.store.sends(f.now+storeWork, startPageSize)
-			f.after(b.link.sends(sent, startPageSize)-f.now, func() { f.listed(b, call) })
+			f.schedule(b.link.sends(sent, startPageSize)-f.now, func() { f.listed(b, call) })
 		})
 		return
 	}
@@ -203,7 +205,7 @@
 	if call.AfterRevision < f.revision {
 		wait = 0
 	}
-	f.after(wait+2*startDelay, func() {
+	f.schedule(wait+2*startDelay, func() {
 		b.calling = false
 		changes := directory.Changes{Through: f.revision}
 		for _, item := range f.items {
@@ -213,14 +215,14 @@
 		}
 		b.follower.HandleChanges(f.now, changes, float64(b.peer%997)/997)
 		if b.follower.InSync() {
-			f.send(b, b.spread.StoreAnswered(f.now))
+			f.send(b, b.disseminator.StoreAnswered(f.now))
 		}
 		f.call(b)
 	})
 }
 
-// listed is shadowed, since the balancer goes on by call.
-func (f *refutedFleet) listed(b *startingBalancer, call directory.Call) {
+// listed replaces the method of startingFleet, because the balancer continues with call.
+func (f *invalidatedFleet) listed(b *startingBalancer, call directory.Call) {
 	b.calling = false
 	page := directory.Page{Revision: f.revision, More: len(call.AfterKey) < startPages-1, LastKey: call.AfterKey + "x"}
 	if !page.More {
@@ -228,43 +230,43 @@
 	}
 	b.follower.HandlePage(f.now, page)
 	if b.follower.InSync() {
-		b.spread.StoreListed()
-		f.send(b, b.spread.StoreAnswered(f.now))
+		b.disseminator.StoreListed()
+		f.send(b, b.disseminator.StoreAnswered(f.now))
 	}
 	f.call(b)
 }
 
-var _ = Describe("A fleet that was led ahead of the store", func() {
-	DescribeTable("is right again in time, and lists the store a few times", func(count, listings int) {
-		fleet := newRefutedFleet(count)
-		fleet.until(10 * time.Second)
+var _ = Describe("A fleet that is ahead of the store because of a forged revision", func() {
+	DescribeTable("is corrected in time and lists the store few times", func(count, listings int) {
+		fleet := newInvalidatedFleet(count)
+		fleet.runUntil(10 * time.Second)
 		watchesBefore, listingsBefore := fleet.watches, fleet.listings
 		clear(fleet.correctedAt)
 		for _, each := range fleet.fleet {
-			each.spread.Receive(fleet.now, 0, forgedUpdate())
+			each.disseminator.Receive(fleet.now, 0, forgedUpdate())
 		}
 		hidden := endpoint("service", false)
 		hidden.IP = [4]byte{10, 7, 7, 7}
 		fleet.revision++
 		fleet.items = append(fleet.items, endpointItem("hidden", fleet.revision, hidden))
 		forged := fleet.now
-		fleet.until(forged + timing.ApplyTimeout)
+		fleet.runUntil(forged + timing.ApplyTimeout)
 		last := time.Duration(0)
 		for peer, each := range fleet.fleet {
 			Expect(fleet.correctedAt).To(HaveKey(peer))
 			last = max(last, fleet.correctedAt[peer]-forged)
-			candidate, exists := each.machine.Snapshot().Candidate(directory.NameOnlyID("hidden"))
+			candidate, exists := each.replica.Snapshot().Candidate(directory.NameOnlyID("hidden"))
 			Expect(exists && !candidate.Gone).To(BeTrue())
-			candidate, _ = each.machine.Snapshot().Candidate(directory.NameOnlyID("forged"))
+			candidate, _ = each.replica.Snapshot().Candidate(directory.NameOnlyID("forged"))
 			Expect(candidate.Gone).To(BeTrue())
 		}
 		pages, watches := fleet.listings-listingsBefore, fleet.watches-watchesBefore
 		GinkgoWriter.Printf("%d balancers: corrected after %v, %d pages, %d watches and polls\n", count, last, pages, watches)
 		Expect(pages).To(BeNumerically("<=", listings*startPages))
 	},
-		Entry("of 4", 4, 4),
-		Entry("of 20", 20, 10),
-		Entry("of 300", 300, 30),
-		Entry("of 1,000", 1000, 30),
+		Entry("with 4 balancers", 4, 4),
+		Entry("with 20 balancers", 20, 10),
+		Entry("with 300 balancers", 300, 30),
+		Entry("with 1,000 balancers", 1000, 30),
 	)
 })
--- a/internal/directory/listing_delay.go
+++ b/internal/directory/listing_delay.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// askingTime is how long a seed takes at least to answer a process that starts: some
+	// seedReplyTime is the shortest time in which a seed replies to a starting process: a few
 	// round trips.
-	askingTime = 20 * time.Millisecond
-	// suppressionTime is the longest time for which a process that starts leaves it to others
-	// to list the store, beside askingTime. Seeds have the directory after a part of it.
-	suppressionTime = 250 * time.Millisecond
-	// suppressionSlope is the logarithm of the number of processes among which one or two
-	// list within the first eighth of suppressionTime.
+	seedReplyTime = 20 * time.Millisecond
+	// maxSuppression is the longest time, in addition to seedReplyTime, that a starting process
+	// leaves the listing of the store to others. Seeds have the directory after a part of that
+	// time.
+	maxSuppression = 250 * time.Millisecond
+	// suppressionSlope is the logarithm of the number of processes of which one or two list
+	// within the first eighth of maxSuppression.
 	suppressionSlope = 8
 )
 
-// FirstListing returns how long a process that starts waits for a snapshot of a peer, before
-// it lists the store itself; random is from 0 to below 1. A seed lists at once, since all
-// others ask it. When the whole fleet starts for the first time there is no traffic that would
-// wait. Later there is: a process waits no longer than a seed takes to answer, and goes on
-// waiting only if one does.
+// FirstListingDelay returns how long a starting process waits for a snapshot of a peer before
+// it lists the store itself. random is in [0, 1). A seed lists at once, because all others ask
+// it. During the first start of a whole fleet no traffic is waiting, so a process draws a
+// random delay. Later it waits only as long as a seed takes to reply, and longer only if a seed
+// does reply.
 func FirstListingDelay(seed, firstStart bool, random float64) time.Duration {
 	switch {
 	case seed:
@@ -29,18 +30,18 @@
 	case firstStart:
 		return ListingDelay(random)
 	}
-	return askingTime
+	return seedReplyTime
 }
 
-// ListingDelay draws how long a process leaves it to others to list the store; random is
-// from 0 to below 1.
+// ListingDelay draws the time for which a process leaves the listing of the store to others.
+// random is in [0, 1).
 //
-// When a whole fleet returns at once and each process lists, the store's own link is what all
-// of them wait for. So processes draw delays of which few are short (exponentially distributed
-// timers for feedback suppression: Nonnenmacher and Biersack, "Optimal Multicast Feedback",
-// INFOCOM 1998). The number that list hardly grows with the fleet, and the others fetch from
-// them.
+// If a whole fleet restarts at once and every process lists, all of them wait for the store's
+// network link. Processes therefore draw delays of which few are short (exponentially
+// distributed timers for feedback suppression: Nonnenmacher and Biersack, "Optimal Multicast
+// Feedback", INFOCOM 1998). The number of listings hardly grows with the fleet. All other
+// processes fetch from those that listed.
 func ListingDelay(random float64) time.Duration {
 	drawn := math.Log1p(random*math.Expm1(suppressionSlope)) / suppressionSlope
-	return askingTime + time.Duration(drawn*float64(suppressionTime))
+	return seedReplyTime + time.Duration(drawn*float64(maxSuppression))
 }
--- a/internal/directory/membership.go
+++ b/internal/directory/membership.go
@@ -8,15 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a balancer that is running, as far as is known.
+// Member is a balancer that is running as far as this process knows.
 type Member struct {
 	Peer Peer
 	Zone int
 }
 
-// rank orders members by highest random weight (rendezvous hashing: Thaler and
-// Ravishankar, 1998): each process computes the same order, and few places in it change
-// when a member comes or goes.
+// rank orders members by highest random weight (rendezvous hashing: Thaler and Ravishankar,
+// 1998). Every process computes the same order, and few positions change when a member joins or
+// leaves.
 func (m Member) rank() uint64 {
 	var encoded [8]byte
 	for index := range encoded {
@@ -29,67 +29,67 @@
 	return cmp.Or(cmp.Compare(a.rank(), b.rank()), cmp.Compare(a.Peer, b.Peer))
 }
 
-// SetMembers replaces the live members, this process included. With an incomplete membership a
-// process takes itself for a watcher more often.
-func (s *Disseminator) SetMembers(members []Member) {
+// SetMembers replaces the live members, including this process. With an incomplete membership,
+// more processes consider themselves watchers.
+func (d *Disseminator) SetMembers(members []Member) {
 	ordered := slices.Clone(members)
 	slices.SortFunc(ordered, compareRanks)
-	heads := firstOfZones(ordered)
-	s.alone = len(ordered) < 2
-	s.members = uint32(len(ordered))
-	s.heads, s.neighbours = nil, nil
-	s.place, s.head = 0, false
-	before := 0
+	heads := zoneHeadsOf(ordered)
+	d.alone = len(ordered) < 2
+	d.memberCount = uint32(len(ordered))
+	d.zoneHeads, d.zonePeers = nil, nil
+	d.zoneRank, d.isZoneHead = 0, false
+	precedingInZone := 0
 	for _, member := range ordered {
 		switch {
-		case member == s.self:
-			s.place = float64(before)
-		case member.Zone == s.self.Zone:
-			before++
-			s.neighbours = append(s.neighbours, member.Peer)
+		case member == d.self:
+			d.zoneRank = float64(precedingInZone)
+		case member.Zone == d.self.Zone:
+			precedingInZone++
+			d.zonePeers = append(d.zonePeers, member.Peer)
 		}
 	}
-	s.place /= float64(max(len(s.neighbours), 1))
+	d.zoneRank /= float64(max(len(d.zonePeers), 1))
 	for _, head := range heads {
 		switch {
-		case head == s.self:
-			s.head = true
-		case head.Zone != s.self.Zone:
-			s.heads = append(s.heads, head.Peer)
+		case head == d.self:
+			d.isZoneHead = true
+		case head.Zone != d.self.Zone:
+			d.zoneHeads = append(d.zoneHeads, head.Peer)
 		}
 	}
-	s.chooseWatchers(ordered, heads)
+	d.chooseWatchers(ordered, heads)
 }
 
-// firstOfZones returns the first member of each zone.
-func firstOfZones(ordered []Member) []Member {
+// zoneHeadsOf returns the first member of each zone.
+func zoneHeadsOf(ordered []Member) []Member {
 	var heads []Member
 	for _, member := range ordered {
-		known := slices.ContainsFunc(heads, func(head Member) bool { return head.Zone == member.Zone })
-		if !known {
+		found := slices.ContainsFunc(heads, func(head Member) bool { return head.Zone == member.Zone })
+		if !found {
 			heads = append(heads, member)
 		}
 	}
 	return heads
 }
 
-// chooseWatchers takes the first of zones and then others, so that a zone that is cut off
-// takes one of them at the most.
-func (s *Disseminator) chooseWatchers(ordered, heads []Member) {
+// chooseWatchers selects the heads of zones and then other members, so that an isolated zone
+// contains at most one watcher where there are enough zones.
+func (d *Disseminator) chooseWatchers(ordered, heads []Member) {
 	others := slices.DeleteFunc(slices.Clone(ordered), func(member Member) bool { return slices.Contains(heads, member) })
-	s.watchers, s.watching, s.confirms = nil, false, false
-	for index, member := range slices.Concat(heads, others)[:min(watchersAmong(len(ordered)), len(ordered))] {
-		if member == s.self {
-			s.watching = true
-			s.confirms = index < askedAmong(len(ordered))
+	d.watchers, d.watching, d.confirmsForOthers = nil, false, false
+	for index, member := range slices.Concat(heads, others)[:min(watcherCount(len(ordered)), len(ordered))] {
+		if member == d.self {
+			d.watching = true
+			d.confirmsForOthers = index < confirmerCount(len(ordered))
 			continue
 		}
-		s.watchers = append(s.watchers, member.Peer)
+		d.watchers = append(d.watchers, member.Peer)
 	}
 }
 
-// watchersAmong returns how many of a number of balancers watch the store: 2 of 4, 3 of
-// 100, 4 of 1,000.
-func watchersAmong(members int) int {
+// watcherCount returns how many of a number of balancers watch the store: 2 of 4, 3 of 100, 4
+// of 1,000.
+func watcherCount(members int) int {
 	return 1 + int(math.Ceil(math.Log10(float64(max(members, 2)))))
 }
--- a/internal/directory/model_test.go
+++ b/internal/directory/model_test.go
@@ -13,20 +13,20 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// storeModel is a store whose whole history is remembered: the item with an index has the
-// revision after it.
+// storeModel is a store with its whole history. The item at an index has the revision index +
+// 1.
 type storeModel struct{ history []directory.Item }
 
 func (s *storeModel) revision() directory.Revision { return directory.Revision(len(s.history)) }
 
-// write accepts one change.
+// write appends one change.
 func (s *storeModel) write(item directory.Item) {
 	item.Revision = s.revision() + 1
 	s.history = append(s.history, item)
 }
 
-// at returns the entries that are there at a revision, by the names of their endpoints, and
-// the configuration's version. Those that cannot be used are not there.
+// at returns the existing entries at a revision by endpoint name, and the configuration
+// version. Unusable entries do not count as existing.
 func (s *storeModel) at(revision directory.Revision) (map[string]directory.Item, uint64) {
 	entries := make(map[string]directory.Item)
 	version := uint64(0)
@@ -58,7 +58,7 @@
 	return closed
 }
 
-// page returns a listing of everything, at a revision.
+// page returns a full listing at a revision.
 func (s *storeModel) page(revision directory.Revision) []directory.Item {
 	entries, _ := s.at(revision)
 	var items []directory.Item
@@ -76,48 +76,48 @@
 	return items
 }
 
-// delivery is an update on its way.
+// delivery is an update in flight.
 type delivery struct {
 	from directory.Peer
 	directory.Outgoing
 }
 
-// spreadModel is a fleet whose updates are lost, doubled and reordered.
-type spreadModel struct {
-	store storeModel
-	fleet []*participant
-	way   []delivery
-	now   time.Duration
-	next  int
-	// planted is a fault of the balancers.
-	planted plantedFault
+// disseminationModel is a fleet whose updates are lost, duplicated and reordered.
+type disseminationModel struct {
+	store    storeModel
+	fleet    []*testBalancer
+	inFlight []delivery
+	now      time.Duration
+	next     int
+	// fault is injected into the balancers.
+	fault injectedFault
 }
 
-// plantedFault is one that the check has to find.
-type plantedFault uint8
+// injectedFault is a fault that the check has to detect.
+type injectedFault uint8
 
 const (
-	// plantedOmitsGone: updates leave out endpoints that have gone.
-	plantedOmitsGone plantedFault = iota + 1
-	// plantedOmitsZones: updates leave out zones that were closed or opened.
-	plantedOmitsZones
-	// plantedOmitsOpened: updates and states leave out zones that were opened.
-	plantedOmitsOpened
-	// plantedStateOmitsZones: whole states leave out zones that are closed.
-	plantedStateOmitsZones
-	// plantedOmitsStart: updates and states do not tell which incarnation an endpoint is.
-	plantedOmitsStart
+	// omitsGone removes endpoints that are gone from updates.
+	omitsGone injectedFault = iota + 1
+	// omitsZones removes closed and opened zones from updates.
+	omitsZones
+	// omitsOpened removes opened zones from updates and partial states.
+	omitsOpened
+	// fullStateOmitsZones removes closed zones from full states.
+	fullStateOmitsZones
+	// omitsStart removes the incarnation of endpoints from updates and states.
+	omitsStart
 )
 
-// tells returns what is told of a state by balancers with the fault.
-func (p plantedFault) tells(state directory.State, update bool) directory.State {
+// apply returns a state as balancers with the fault send it.
+func (p injectedFault) apply(state directory.State, update bool) directory.State {
 	switch {
-	case p == plantedOmitsStart:
+	case p == omitsStart:
 		state.Endpoints = slices.Clone(state.Endpoints)
 		for index := range state.Endpoints {
 			state.Endpoints[index].ID.Started = 0
 		}
-	case p == plantedOmitsGone && update:
+	case p == omitsGone && update:
 		var kept []directory.EndpointState
 		for _, described := range state.Endpoints {
 			if !described.Gone {
@@ -125,9 +125,9 @@
 			}
 		}
 		state.Endpoints = kept
-	case p == plantedOmitsZones && update, p == plantedStateOmitsZones && state.Whole:
+	case p == omitsZones && update, p == fullStateOmitsZones && state.Whole:
 		state.Zones = nil
-	case p == plantedOmitsOpened && !state.Whole:
+	case p == omitsOpened && !state.Whole:
 		var kept []directory.ZoneState
 		for _, described := range state.Zones {
 			if described.Closed {
@@ -139,28 +139,28 @@
 	return state
 }
 
-func newSpreadModel(balancers int) *spreadModel {
-	created := &spreadModel{}
+func newDisseminationModel(balancers int) *disseminationModel {
+	created := &disseminationModel{}
 	created.store.write(configurationItem(1, 0))
 	members := fleetOf(balancers, 2)
 	for _, member := range members {
-		machine := directory.NewReplica()
-		spread := directory.NewDisseminator(machine, timing, member, nil, rand.New(rand.NewPCG(uint64(member.Peer), 1)))
-		spread.SetMembers(members)
-		created.fleet = append(created.fleet, &participant{machine, spread})
+		replica := directory.NewReplica()
+		disseminator := directory.NewDisseminator(replica, timing, member, nil, rand.New(rand.NewPCG(uint64(member.Peer), 1)))
+		disseminator.SetMembers(members)
+		created.fleet = append(created.fleet, &testBalancer{replica, disseminator})
 	}
 	return created
 }
 
-func (m *spreadModel) send(from directory.Peer, outgoing []directory.Outgoing) {
+func (m *disseminationModel) send(from directory.Peer, outgoing []directory.Outgoing) {
 	for _, each := range outgoing {
-		each.Update.State = m.planted.tells(each.Update.State, true)
-		m.way = append(m.way, delivery{from, each})
+		each.Update.State = m.fault.apply(each.Update.State, true)
+		m.inFlight = append(m.inFlight, delivery{from, each})
 	}
 }
 
-// step lets one thing happen.
-func (m *spreadModel) step(t *rapid.T) {
+// step performs one random action.
+func (m *disseminationModel) step(t *rapid.T) {
 	m.now += time.Duration(rapid.IntRange(1, 400).Draw(t, "passed")) * time.Millisecond
 	index := rapid.IntRange(0, len(m.fleet)-1).Draw(t, "balancer")
 	chosen, peer := m.fleet[index], directory.Peer(index+1)
@@ -171,17 +171,17 @@
 		value.IP = [4]byte{10, 0, 0, byte(m.next)}
 		m.store.write(endpointItem(fmt.Sprintf("e%d", rapid.IntRange(max(m.next-3, 1), m.next).Draw(t, "id")), 0, value))
 	case "restart endpoint":
-		// Its clock may have stepped back.
-		if item, exists := m.anEndpoint(); exists {
+		// The endpoint's clock may have stepped back.
+		if item, exists := m.oldestEndpoint(); exists {
 			item.EndpointID.Started = rapid.Int64Range(1, 4).Draw(t, "started")
 			m.store.write(item)
 		}
 	case "leave":
-		if gone, exists := m.anEndpoint(); exists {
+		if gone, exists := m.oldestEndpoint(); exists {
 			m.store.write(endpointItem(gone.EndpointID.Name, 0, nil))
 		}
 	case "refuse":
-		if spoiled, exists := m.anEndpoint(); exists {
+		if spoiled, exists := m.oldestEndpoint(); exists {
 			item := endpointItem(spoiled.EndpointID.Name, 0, nil)
 			item.RefusalReason = directory.RefusedUnreadable
 			m.store.write(item)
@@ -197,31 +197,31 @@
 		_, version := m.store.at(m.store.revision())
 		m.store.write(configurationItem(version+1, 0))
 	case "list":
-		chosen.machine.ApplyListing(m.now, m.store.page(m.store.revision()), m.store.revision())
-		m.send(peer, chosen.spread.StoreAnswered(m.now))
+		chosen.replica.ApplyListing(m.now, m.store.page(m.store.revision()), m.store.revision())
+		m.send(peer, chosen.disseminator.StoreAnswered(m.now))
 	case "watch":
-		if after := chosen.machine.AppliedRevision(); after > 0 {
-			chosen.machine.ApplyChanges(m.now, m.store.history[after:], m.store.revision())
-			m.send(peer, chosen.spread.StoreAnswered(m.now))
+		if after := chosen.replica.AppliedRevision(); after > 0 {
+			chosen.replica.ApplyChanges(m.now, m.store.history[after:], m.store.revision())
+			m.send(peer, chosen.disseminator.StoreAnswered(m.now))
 		}
 	case "repeat":
-		m.send(peer, chosen.spread.Repeat(m.now))
-		m.send(peer, chosen.spread.RenewalRequest(m.now))
+		m.send(peer, chosen.disseminator.Repeat(m.now))
+		m.send(peer, chosen.disseminator.RenewalRequest(m.now))
 	case "deliver", "double", "lose":
 		m.deliver(t)
 	case "fetch":
 		other := rapid.IntRange(0, len(m.fleet)-1).Draw(t, "source")
-		state := m.planted.tells(m.fleet[other].spread.State(m.now, chosen.machine.Digest()), false)
-		chosen.machine.ApplyState(m.now, state)
-		m.send(peer, chosen.spread.StateFetched(m.now, m.now, directory.Peer(other+1), state))
+		state := m.fault.apply(m.fleet[other].disseminator.State(m.now, chosen.replica.Digest()), false)
+		chosen.replica.ApplyState(m.now, state)
+		m.send(peer, chosen.disseminator.StateFetched(m.now, m.now, directory.Peer(other+1), state))
 	case "restart":
-		*chosen = *newParticipant(directory.Member{Peer: peer, Zone: index % 2})
-		chosen.spread.SetMembers(fleetOf(len(m.fleet), 2))
+		*chosen = *newTestBalancer(directory.Member{Peer: peer, Zone: index % 2})
+		chosen.disseminator.SetMembers(fleetOf(len(m.fleet), 2))
 	}
 }
 
-// anEndpoint returns the entry of the endpoint that has been there for longest.
-func (m *spreadModel) anEndpoint() (directory.Item, bool) {
+// oldestEndpoint returns the entry of the endpoint that has existed the longest.
+func (m *disseminationModel) oldestEndpoint() (directory.Item, bool) {
 	entries, _ := m.store.at(m.store.revision())
 	for number := range m.next + 1 {
 		if item, exists := entries[fmt.Sprintf("e%d", number)]; exists {
@@ -231,74 +231,74 @@
 	return directory.Item{}, false
 }
 
-// deliver hands over an update that is on its way, in any order.
-func (m *spreadModel) deliver(t *rapid.T) {
-	if len(m.way) == 0 {
+// deliver delivers a random update in flight and may keep a duplicate of it.
+func (m *disseminationModel) deliver(t *rapid.T) {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	index := rapid.IntRange(0, len(m.way)-1).Draw(t, "update")
-	arriving := m.way[index]
+	index := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "update")
+	arriving := m.inFlight[index]
 	if rapid.IntRange(0, 4).Draw(t, "fate") > 0 {
-		m.way = append(m.way[:index], m.way[index+1:]...)
+		m.inFlight = append(m.inFlight[:index], m.inFlight[index+1:]...)
 	}
-	_, _, answers := m.fleet[arriving.To-1].spread.Receive(m.now, arriving.from, arriving.Update)
+	_, _, answers := m.fleet[arriving.To-1].disseminator.Receive(m.now, arriving.from, arriving.Update)
 	m.send(arriving.To, answers)
 }
 
-// wrong returns what a balancer believes that is not so at the revision up to which it
-// claims to know all changes, empty if there is nothing.
-func (m *spreadModel) wrong(each *participant) string {
-	complete := each.machine.AppliedRevision()
+// mismatch describes where a balancer's directory differs from the store at the revision that
+// the balancer claims. It is empty if nothing differs.
+func (m *disseminationModel) mismatch(each *testBalancer) string {
+	complete := each.replica.AppliedRevision()
 	if complete == 0 {
 		return ""
 	}
 	entries, version := m.store.at(complete)
-	if known := each.machine.Snapshot().Version(); known < version {
-		return fmt.Sprintf("version %d and not %d at revision %d", known, version, complete)
+	if known := each.replica.Snapshot().Version(); known < version {
+		return fmt.Sprintf("version is %d, want %d at revision %d", known, version, complete)
 	}
-	if wrong := m.wrongZone(each, complete); wrong != "" {
-		return wrong
+	if mismatch := m.zoneMismatch(each, complete); mismatch != "" {
+		return mismatch
 	}
 	newest, _ := m.store.at(m.store.revision())
 	known := make(map[string]directory.Candidate)
-	for _, candidate := range each.machine.Snapshot().All() {
+	for _, candidate := range each.replica.Snapshot().All() {
 		known[candidate.ID.Name] = candidate
 	}
 	for name, entry := range entries {
 		candidate, exists := known[name]
 		current := newest[name].Revision == entry.Revision
 		if !exists || current && (candidate.Gone || candidate.ID != entry.EndpointID) {
-			return fmt.Sprintf("%s, which is there, missing at revision %d", entry.EndpointID, complete)
+			return fmt.Sprintf("existing endpoint %s is missing at revision %d", entry.EndpointID, complete)
 		}
 	}
-	for _, candidate := range each.machine.Snapshot().All() {
+	for _, candidate := range each.replica.Snapshot().All() {
 		there := entries[candidate.ID.Name].EndpointID == candidate.ID
 		if !there && !candidate.Gone && !m.changedAfter(candidate.ID.Name, complete) {
-			return fmt.Sprintf("%s, which has gone, is there at revision %d", candidate.ID, complete)
+			return fmt.Sprintf("deleted endpoint %s exists at revision %d", candidate.ID, complete)
 		}
 	}
 	return ""
 }
 
-// wrongZone returns a zone that a balancer takes wrongly for closed or open. It may know
-// later changes than those up to the revision that it claims.
-func (m *spreadModel) wrongZone(each *participant, complete directory.Revision) string {
+// zoneMismatch describes a zone whose state in a balancer's directory is wrong. The balancer
+// may know changes after the revision that it claims.
+func (m *disseminationModel) zoneMismatch(each *testBalancer, complete directory.Revision) string {
 	believed := make(map[string]bool)
-	for _, zone := range each.machine.Snapshot().ClosedZones() {
+	for _, zone := range each.replica.Snapshot().ClosedZones() {
 		believed[zone.Zone] = true
 	}
 	closed := m.store.closedAt(complete)
 	for _, zone := range []string{"z1", "z2"} {
 		_, there := closed[zone]
 		if believed[zone] != there && !m.zoneChangedAfter(zone, complete) {
-			return fmt.Sprintf("zone %s, closed %t, is believed closed %t at revision %d", zone, there, believed[zone], complete)
+			return fmt.Sprintf("zone %s: closed is %t in the store but %t in the replica at revision %d", zone, there, believed[zone], complete)
 		}
 	}
 	return ""
 }
 
 // zoneChangedAfter reports whether a zone was closed or opened after a revision.
-func (m *spreadModel) zoneChangedAfter(zone string, revision directory.Revision) bool {
+func (m *disseminationModel) zoneChangedAfter(zone string, revision directory.Revision) bool {
 	for _, item := range m.store.history[revision:] {
 		if item.Zone == zone {
 			return true
@@ -307,8 +307,8 @@
 	return false
 }
 
-// changedAfter reports whether an endpoint has changed after a revision.
-func (m *spreadModel) changedAfter(name string, revision directory.Revision) bool {
+// changedAfter reports whether an endpoint changed after a revision.
+func (m *disseminationModel) changedAfter(name string, revision directory.Revision) bool {
 	for _, item := range m.store.history[revision:] {
 		if item.EndpointID.Name == name {
 			return true
@@ -317,8 +317,7 @@
 	return false
 }
 
-// seed makes a test have the same verdict each time. More runs, with other seeds, are a
-// matter of -rapid.checks and of changing it.
+// seed makes the test deterministic. Use -rapid.checks and another seed for further runs.
 const seed = "20261202"
 
 func seeded(t *testing.T) {
@@ -327,42 +326,42 @@
 	}
 }
 
-// TestSpreadModel checks that a balancer knows the store as it was at the revision that
-// it claims, whatever becomes of updates.
-func TestSpreadModel(t *testing.T) {
+// TestDisseminationModel checks that a balancer knows the store as of the revision that it
+// claims, whichever updates are lost, duplicated or reordered.
+func TestDisseminationModel(t *testing.T) {
 	seeded(t)
 	rapid.Check(t, func(t *rapid.T) {
-		model := newSpreadModel(5)
+		model := newDisseminationModel(5)
 		for range 60 {
 			model.step(t)
 			for index, each := range model.fleet {
-				if wrong := model.wrong(each); wrong != "" {
-					t.Fatalf("balancer %d: %s", index+1, wrong)
+				if mismatch := model.mismatch(each); mismatch != "" {
+					t.Fatalf("balancer %d: %s", index+1, mismatch)
 				}
 			}
 		}
 	})
 }
 
-// TestSpreadModelSeesFaults shows that the check finds balancers that do not tell all they
-// claim.
-func TestSpreadModelSeesFaults(t *testing.T) {
-	for _, planted := range []plantedFault{plantedOmitsGone, plantedOmitsZones, plantedOmitsOpened, plantedStateOmitsZones, plantedOmitsStart} {
-		t.Run(fmt.Sprint(planted), func(t *testing.T) {
+// TestDisseminationModelDetectsFaults checks that the model detects balancers that omit part of
+// what they claim.
+func TestDisseminationModelDetectsFaults(t *testing.T) {
+	for _, fault := range []injectedFault{omitsGone, omitsZones, omitsOpened, fullStateOmitsZones, omitsStart} {
+		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			seeded(t)
 			found := false
 			rapid.Check(t, func(t *rapid.T) {
-				model := newSpreadModel(5)
-				model.planted = planted
+				model := newDisseminationModel(5)
+				model.fault = fault
 				for range 300 {
 					model.step(t)
 					for _, each := range model.fleet {
-						found = found || model.wrong(each) != ""
+						found = found || model.mismatch(each) != ""
 					}
 				}
 			})
 			if !found {
-				t.Fatal("no run found a planted fault")
+				t.Fatal("no run detected the injected fault")
 			}
 		})
 	}
--- a/internal/directory/peer_fetcher.go
+++ b/internal/directory/peer_fetcher.go
@@ -7,158 +7,159 @@
 )
 
 const (
-	// fetchInterval is the least time between two fetches, startFetchInterval that of a
-	// process without a directory.
+	// fetchInterval is the shortest interval between two fetches. startFetchInterval applies to
+	// a process without a directory.
 	fetchInterval      = 250 * time.Millisecond
 	startFetchInterval = 50 * time.Millisecond
-	// startPatience is how long a process that has started waits for the store, before it
-	// fetches everything from a peer.
-	startPatience = 500 * time.Millisecond
-	// rememberedPeers bounds the peers that are remembered.
-	rememberedPeers = 16
+	// storeWait is how long a starting process waits for the store before it fetches everything
+	// from a peer.
+	storeWait = 500 * time.Millisecond
+	// maxPeers limits the peers that are kept.
+	maxPeers = 16
 )
 
-// Exchange decides when a balancer fetches the directory of another: once after
-// its start, since peers know of endpoints that have left and still have flows,
-// whenever it stays behind, as when no update reaches it, and at once if an update did not
-// hold what it lacks. It is deterministic.
+// PeerFetcher decides when a balancer fetches the directory from another balancer. It fetches
+// once after the start, because peers know of endpoints that have left but still hold flows. It
+// fetches when the local directory stays behind, for example because no updates arrive, and at
+// once when an update was incomplete. It is deterministic.
 type PeerFetcher[Peer comparable] struct {
-	machine *Replica
+	replica *Replica
 	timing  Timing
 	random  *rand.Rand
 	seeds   []Peer
 	peers   []Peer
-	// begun is when a fetch was first considered.
-	begun    time.Duration
-	hasBegun bool
-	// storeFailed is set once a call of the store has failed.
+	// startedAt is when the first fetch was first considered.
+	startedAt  time.Duration
+	hasStarted bool
+	// storeFailed is set once a call to the store has failed.
 	storeFailed bool
 	// fetched is set after the first successful fetch.
-	fetched bool
-	behind  bool
-	since   time.Duration
-	// lacks is set if only a fetch from informed brings what is missing.
-	lacks    bool
-	informed Peer
-	busy     bool
-	next     time.Duration
+	fetched     bool
+	behind      bool
+	behindSince time.Duration
+	// fetchRequired is set if only a fetch from aheadPeer provides what is missing.
+	fetchRequired bool
+	aheadPeer     Peer
+	busy          bool
+	nextFetch     time.Duration
 }
 
-// NewExchange returns an exchange that first asks the seeds.
-func NewPeerFetcher[Peer comparable](machine *Replica, timing Timing, seeds []Peer, random *rand.Rand) *PeerFetcher[Peer] {
-	return &PeerFetcher[Peer]{machine: machine, timing: timing, seeds: seeds, random: random}
+// NewPeerFetcher returns a PeerFetcher that fetches from the seeds first.
+func NewPeerFetcher[Peer comparable](replica *Replica, timing Timing, seeds []Peer, random *rand.Rand) *PeerFetcher[Peer] {
+	return &PeerFetcher[Peer]{replica: replica, timing: timing, seeds: seeds, random: random}
 }
 
 // SetSeeds replaces the seeds.
-func (e *PeerFetcher[Peer]) SetSeeds(seeds []Peer) { e.seeds = seeds }
+func (f *PeerFetcher[Peer]) SetSeeds(seeds []Peer) { f.seeds = seeds }
 
-// StoreFailed notes that a call of the store has failed: a process that has started need not
-// wait for it.
-func (e *PeerFetcher[Peer]) StoreFailed() { e.storeFailed = true }
+// StoreFailed records that a call to the store failed. A starting process then does not wait
+// for the store.
+func (f *PeerFetcher[Peer]) StoreFailed() { f.storeFailed = true }
 
 // ReceiveDigest handles the digest of a peer.
-func (e *PeerFetcher[Peer]) ReceiveDigest(now time.Duration, from Peer, digest Digest) {
-	if !slices.Contains(e.peers, from) {
-		e.peers = append(e.peers, from)
+func (f *PeerFetcher[Peer]) ReceiveDigest(now time.Duration, from Peer, digest Digest) {
+	if !slices.Contains(f.peers, from) {
+		f.peers = append(f.peers, from)
 	}
-	if len(e.peers) > rememberedPeers {
-		e.peers = slices.Delete(e.peers, 0, 1)
+	if len(f.peers) > maxPeers {
+		f.peers = slices.Delete(f.peers, 0, 1)
 	}
-	if !e.machine.lacks(digest) {
+	if !f.replica.isBehind(digest) {
 		return
 	}
-	if !e.behind {
-		e.behind = true
-		e.since = now
+	if !f.behind {
+		f.behind = true
+		f.behindSince = now
 	}
-	e.informed = from
+	f.aheadPeer = from
 }
 
-// Lacks notes that an update of a peer did not hold all that this process lacks.
-func (e *PeerFetcher[Peer]) UpdateIncomplete(now time.Duration, from Peer) {
-	if !e.behind {
-		e.behind = true
-		e.since = now
+// UpdateIncomplete records that an update of a peer did not contain all changes that this
+// process lacks.
+func (f *PeerFetcher[Peer]) UpdateIncomplete(now time.Duration, from Peer) {
+	if !f.behind {
+		f.behind = true
+		f.behindSince = now
 	}
-	e.lacks = true
-	e.informed = from
+	f.fetchRequired = true
+	f.aheadPeer = from
 }
 
-// Any returns a peer or, if none is known, a seed; false if there are neither.
-func (e *PeerFetcher[Peer]) RandomPeer() (Peer, bool) {
-	known := e.peers
-	if len(known) == 0 {
-		known = e.seeds
+// RandomPeer returns a known peer, or a seed if none is known. It returns false if there are
+// neither.
+func (f *PeerFetcher[Peer]) RandomPeer() (Peer, bool) {
+	candidates := f.peers
+	if len(candidates) == 0 {
+		candidates = f.seeds
 	}
-	if len(known) == 0 {
+	if len(candidates) == 0 {
 		var none Peer
 		return none, false
 	}
-	return known[e.random.IntN(len(known))], true
+	return candidates[f.random.IntN(len(candidates))], true
 }
 
-// Lost forgets a peer that has failed or left.
-func (e *PeerFetcher[Peer]) PeerLost(peer Peer) {
-	e.peers = slices.DeleteFunc(e.peers, func(known Peer) bool { return known == peer })
+// PeerLost removes a peer that has failed or left.
+func (f *PeerFetcher[Peer]) PeerLost(peer Peer) {
+	f.peers = slices.DeleteFunc(f.peers, func(known Peer) bool { return known == peer })
 }
 
-// Next returns the peer to fetch from now, false if there is nothing to fetch.
-// Fetched or FetchFailed must follow.
-func (e *PeerFetcher[Peer]) Next(now time.Duration) (chosen Peer, wanted bool) {
-	if e.busy || now < e.next {
+// Next returns the peer to fetch from now, or false. Fetched or FetchFailed must follow.
+func (f *PeerFetcher[Peer]) Next(now time.Duration) (chosen Peer, wanted bool) {
+	if f.busy || now < f.nextFetch {
 		return chosen, false
 	}
-	chosen, wanted = e.choose(now)
+	chosen, wanted = f.choose(now)
 	if wanted {
-		e.busy = true
-		e.next = now + e.interval()
+		f.busy = true
+		f.nextFetch = now + f.interval()
 	}
 	return chosen, wanted
 }
 
-func (e *PeerFetcher[Peer]) interval() time.Duration {
-	if !e.machine.Loaded() {
+func (f *PeerFetcher[Peer]) interval() time.Duration {
+	if !f.replica.Loaded() {
 		return startFetchInterval
 	}
 	return fetchInterval
 }
 
-func (e *PeerFetcher[Peer]) choose(now time.Duration) (chosen Peer, wanted bool) {
-	if e.behind && (e.lacks || now-e.since >= e.timing.patience() || !e.machine.Loaded()) {
-		return e.informed, true
+func (f *PeerFetcher[Peer]) choose(now time.Duration) (chosen Peer, wanted bool) {
+	if f.behind && (f.fetchRequired || now-f.behindSince >= f.timing.fetchDelay() || !f.replica.Loaded()) {
+		return f.aheadPeer, true
 	}
-	known := slices.Concat(e.peers, e.seeds)
-	if e.fetched || len(known) == 0 || !e.mayBegin(now) {
+	candidates := slices.Concat(f.peers, f.seeds)
+	if f.fetched || len(candidates) == 0 || !f.initialFetchDue(now) {
 		return chosen, false
 	}
-	return known[e.random.IntN(len(known))], true
+	return candidates[f.random.IntN(len(candidates))], true
 }
 
-// mayBegin reports whether it is time for the first fetch. Once the store has been listed, a
-// peer has little to add; all of it, asked for by all processes that start together, would
-// take the network from flows.
-func (e *PeerFetcher[Peer]) mayBegin(now time.Duration) bool {
-	if !e.hasBegun {
-		e.hasBegun = true
-		e.begun = now
+// initialFetchDue reports whether the first fetch may begin. After a listing of the store, a
+// peer has little to add. A full state for every process of a starting fleet would take network
+// capacity from flows.
+func (f *PeerFetcher[Peer]) initialFetchDue(now time.Duration) bool {
+	if !f.hasStarted {
+		f.hasStarted = true
+		f.startedAt = now
 	}
-	return e.machine.AppliedRevision() > 0 || e.storeFailed || now-e.begun >= startPatience
+	return f.replica.AppliedRevision() > 0 || f.storeFailed || now-f.startedAt >= storeWait
 }
 
-// Fetched handles the state of a peer. It reports whether the snapshot changed.
-func (e *PeerFetcher[Peer]) Fetched(now time.Duration, state State) bool {
-	e.busy = false
-	e.behind = false
-	e.lacks = false
-	changed := e.machine.ApplyState(now, state)
-	// A peer that has just been started itself may have had no directory.
-	e.fetched = e.fetched || e.machine.Loaded()
+// Fetched applies the state of a peer. It reports whether the snapshot changed.
+func (f *PeerFetcher[Peer]) Fetched(now time.Duration, state State) bool {
+	f.busy = false
+	f.behind = false
+	f.fetchRequired = false
+	changed := f.replica.ApplyState(now, state)
+	// A peer that has just started may have had no directory.
+	f.fetched = f.fetched || f.replica.Loaded()
 	return changed
 }
 
-// FetchFailed notes that a peer did not answer.
-func (e *PeerFetcher[Peer]) FetchFailed() {
-	e.busy = false
-	e.behind = false
-	e.lacks = false
+// FetchFailed records that a peer did not respond.
+func (f *PeerFetcher[Peer]) FetchFailed() {
+	f.busy = false
+	f.behind = false
+	f.fetchRequired = false
 }
--- a/internal/directory/peer_fetcher_test.go
+++ b/internal/directory/peer_fetcher_test.go
@@ -10,56 +10,56 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-var _ = Describe("Exchange", func() {
+var _ = Describe("PeerFetcher", func() {
 	var (
-		machine  *directory.Replica
-		exchange *directory.PeerFetcher[string]
+		replica *directory.Replica
+		fetcher *directory.PeerFetcher[string]
 	)
 
 	newer := directory.Digest{ConfigurationVersion: 9, Revision: 100}
 
 	BeforeEach(func() {
-		machine = directory.NewReplica()
-		machine.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 1)
-		exchange = directory.NewPeerFetcher(machine, timing, []string{"seed"}, rand.New(rand.NewPCG(1, 1)))
+		replica = directory.NewReplica()
+		replica.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 1)
+		fetcher = directory.NewPeerFetcher(replica, timing, []string{"seed"}, rand.New(rand.NewPCG(1, 1)))
 	})
 
 	fetch := func(now time.Duration) string {
-		peer, wanted := exchange.Next(now)
+		peer, wanted := fetcher.Next(now)
 		if !wanted {
 			return ""
 		}
 		return peer
 	}
 
-	It("asks a seed at the start, again after a failure, and no more after a success", func() {
+	It("fetches from a seed at the start, retries after a failure and stops after a success", func() {
 		Expect(fetch(0)).To(Equal("seed"))
 		Expect(fetch(time.Second)).To(BeEmpty(), "one fetch at a time")
-		exchange.FetchFailed()
-		Expect(fetch(100*time.Millisecond)).To(BeEmpty(), "not at once")
+		fetcher.FetchFailed()
+		Expect(fetch(100*time.Millisecond)).To(BeEmpty(), "not before the interval has passed")
 		Expect(fetch(time.Second)).To(Equal("seed"))
-		exchange.Fetched(time.Second, directory.State{})
+		fetcher.Fetched(time.Second, directory.State{})
 		Expect(fetch(time.Minute)).To(BeEmpty())
 	})
 
-	It("fetches from a peer that is ahead, but leaves the store some time first", func() {
+	It("fetches from a peer that is ahead after a delay for the store's own changes", func() {
 		fetch(0)
-		exchange.Fetched(0, directory.State{})
-		exchange.ReceiveDigest(time.Second, "peer", newer)
+		fetcher.Fetched(0, directory.State{})
+		fetcher.ReceiveDigest(time.Second, "peer", newer)
 		Expect(fetch(time.Second)).To(BeEmpty())
 		Expect(fetch(1900 * time.Millisecond)).To(BeEmpty())
 		Expect(fetch(2000 * time.Millisecond)).To(Equal("peer"))
 	})
 
-	It("does not fetch what it knows", func() {
+	It("does not fetch what is known", func() {
 		fetch(0)
-		exchange.Fetched(0, directory.State{})
-		machine.ApplyChanges(0, []directory.Item{configurationItem(9, 100)}, 100)
-		exchange.ReceiveDigest(time.Second, "peer", newer)
+		fetcher.Fetched(0, directory.State{})
+		replica.ApplyChanges(0, []directory.Item{configurationItem(9, 100)}, 100)
+		fetcher.ReceiveDigest(time.Second, "peer", newer)
 		Expect(fetch(time.Minute)).To(BeEmpty())
 	})
 
-	It("leaves the store some time to answer first, unless that fails", func() {
+	It("waits for the store first unless a call to it fails", func() {
 		for _, fails := range []bool{false, true} {
 			starting := directory.NewPeerFetcher(directory.NewReplica(), timing, []string{"seed"}, rand.New(rand.NewPCG(1, 1)))
 			_, wanted := starting.Next(time.Second)
@@ -76,7 +76,7 @@
 		}
 	})
 
-	It("goes on asking while it knows nothing, if a peer had nothing to tell", func() {
+	It("keeps fetching without a directory if a peer had none", func() {
 		starting := directory.NewPeerFetcher(directory.NewReplica(), timing, []string{"seed"}, rand.New(rand.NewPCG(1, 1)))
 		starting.StoreFailed()
 		_, wanted := starting.Next(0)
@@ -86,7 +86,7 @@
 		Expect(wanted).To(BeTrue())
 	})
 
-	It("fetches from a peer that knows something at once while it knows nothing itself", func() {
+	It("fetches at once from a peer with a directory while it has none", func() {
 		starting := directory.NewPeerFetcher[string](directory.NewReplica(), timing, nil, rand.New(rand.NewPCG(1, 1)))
 		starting.ReceiveDigest(0, "peer", newer)
 		peer, wanted := starting.Next(0)
@@ -94,13 +94,13 @@
 		Expect(peer).To(Equal("peer"))
 	})
 
-	It("asks peers that it hears of too, and forgets those that are lost", func() {
-		exchange = directory.NewPeerFetcher[string](machine, timing, nil, rand.New(rand.NewPCG(1, 1)))
+	It("fetches from peers known by digests and forgets lost ones", func() {
+		fetcher = directory.NewPeerFetcher[string](replica, timing, nil, rand.New(rand.NewPCG(1, 1)))
 		Expect(fetch(0)).To(BeEmpty())
-		exchange.ReceiveDigest(0, "peer", directory.Digest{})
+		fetcher.ReceiveDigest(0, "peer", directory.Digest{})
 		Expect(fetch(0)).To(Equal("peer"))
-		exchange.FetchFailed()
-		exchange.PeerLost("peer")
+		fetcher.FetchFailed()
+		fetcher.PeerLost("peer")
 		Expect(fetch(time.Minute)).To(BeEmpty())
 	})
 })
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -8,192 +8,193 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// Retention is how long an endpoint is remembered after its entry is gone, so
-// that its open flows can still be found. It is longer than a flow may last.
+// Retention is how long an endpoint is kept after its entry is deleted, so that its open flows
+// can still be found. It exceeds the longest lifetime of a flow.
 const Retention = 90 * time.Second
 
-// endpointRecord is what the machine keeps of one endpoint.
+// endpointRecord is the state that a Replica keeps of one endpoint.
 type endpointRecord struct {
-	// started is the incarnation.
+	// started identifies the incarnation, as EndpointID.Started does.
 	started  int64
 	revision Revision
 	endpoint Endpoint
 	warmAt   time.Duration
 	gone     bool
 	goneAt   time.Duration
-	// refused is set if it has gone since its entry became one that cannot be used.
+	// refused is set if the endpoint is gone because its entry became unusable.
 	refused bool
 }
 
-// Machine merges items of the store. It is not safe for concurrent use.
+// Replica is this process's copy of the directory, merged from items of the store and states of
+// other processes. It is not safe for concurrent use.
 type Replica struct {
 	configuration *Item
-	// endpoints are the latest incarnations, by name: those before hold no flow any more.
+	// endpoints holds the latest incarnation by name. Earlier incarnations hold no flows.
 	endpoints map[string]*endpointRecord
 	refusals  refusals
-	// complete is the revision up to which all changes are known.
-	complete Revision
-	// floor is the revision from which on all changes are remembered: a process that is behind it
-	// needs a whole state.
-	floor Revision
-	// latest is the highest revision that was taken from anybody, complete or not.
-	latest Revision
-	// refuted is the lowest revision that the store has shown to be false, zero if there is
-	// none, and refutations is how often it has.
-	refuted     Revision
-	refutations uint64
-	// former are the services that earlier configurations gave addresses.
-	former map[segment.Address][]string
-	// zones are those that are closed, or were lately.
+	// appliedRevision is the revision up to which all changes are known.
+	appliedRevision Revision
+	// historyFloor is the revision after which all changes are kept. A process with an older
+	// revision needs a full state.
+	historyFloor Revision
+	// latestSeen is the highest revision received from any source, including revisions above
+	// appliedRevision.
+	latestSeen Revision
+	// invalidFrom is the lowest revision that the store has shown to be false, or 0.
+	// invalidations counts how often the store has done so.
+	invalidFrom   Revision
+	invalidations uint64
+	// formerServices holds the services that earlier configurations assigned to addresses.
+	formerServices map[segment.Address][]string
+	// zones holds the zones that are closed or were closed recently.
 	zones map[string]zoneRecord
-	// since is when the knowledge of endpoints that leave begins, never if it has
-	// not begun.
-	since    time.Duration
-	snapshot *Snapshot
+	// departuresKnownSince is the start of the period for which all departures of endpoints are
+	// known, or never.
+	departuresKnownSince time.Duration
+	snapshot             *Snapshot
 }
 
-// formerServices bounds the services remembered of an address.
-const formerServices = 4
+// maxFormerServices limits the former services kept for one address.
+const maxFormerServices = 4
 
-// New returns a machine without a directory.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica {
 	return &Replica{
-		endpoints: make(map[string]*endpointRecord),
-		refusals:  newRefusals(),
-		zones:     make(map[string]zoneRecord),
-		since:     never,
-		snapshot:  newSnapshot(contents{since: never}),
+		endpoints:            make(map[string]*endpointRecord),
+		refusals:             newRefusals(),
+		zones:                make(map[string]zoneRecord),
+		departuresKnownSince: never,
+		snapshot:             newSnapshot(snapshotData{departuresKnownSince: never}),
 	}
 }
 
-// knownFor returns for how long endpoints that leave have been remembered.
-func (m *Replica) knownFor(now time.Duration) time.Duration {
-	return min(max(now-m.since, 0), Retention)
+// departureHistory returns how far back departures of endpoints are known.
+func (r *Replica) departureHistory(now time.Duration) time.Duration {
+	return min(max(now-r.departuresKnownSince, 0), Retention)
 }
 
-// reachBack notes that endpoints which have left since a time are known. It reports
-// whether that is news.
-func (m *Replica) reachBack(since time.Duration) bool {
-	if since >= m.since {
+// extendDepartureHistory records that all departures after since are known. It reports whether
+// that extends the known period.
+func (r *Replica) extendDepartureHistory(since time.Duration) bool {
+	if since >= r.departuresKnownSince {
 		return false
 	}
-	m.since = since
+	r.departuresKnownSince = since
 	return true
 }
 
 // Snapshot returns the current view.
-func (m *Replica) Snapshot() *Snapshot { return m.snapshot }
+func (r *Replica) Snapshot() *Snapshot { return r.snapshot }
 
-// Complete returns the revision up to which all changes are known, 0 before the
-// first listing.
-func (m *Replica) AppliedRevision() Revision { return m.complete }
+// AppliedRevision returns the revision up to which all changes are known, or 0 before the first
+// listing.
+func (r *Replica) AppliedRevision() Revision { return r.appliedRevision }
 
-// Known reports whether the endpoints are known, from a listing or from another process. There
-// may be no configuration yet when a whole fleet starts: it comes like any later change, and
-// nobody has to list the store for it.
-func (m *Replica) Loaded() bool { return m.complete > 0 }
+// Loaded reports whether the endpoints are known, from a listing or from another process.
+// During the first start of a fleet there may be no configuration yet. It arrives as an
+// ordinary change, without another listing.
+func (r *Replica) Loaded() bool { return r.appliedRevision > 0 }
 
-// Ready reports whether there is a configuration and the endpoints are known,
-// from a listing or from another process.
-func (m *Replica) Ready() bool {
-	return m.configuration != nil && m.complete > 0
+// Ready reports whether the replica has a configuration and the endpoints are known, from a
+// listing or from another process.
+func (r *Replica) Ready() bool {
+	return r.configuration != nil && r.appliedRevision > 0
 }
 
-// Listing merges a full listing of the store that was begun at a revision:
-// whatever was known before and is not in it has gone. It reports whether the
-// snapshot changed.
-func (m *Replica) ApplyListing(now time.Duration, items []Item, begun Revision) bool {
+// ApplyListing merges a full listing of the store that began at a revision. Endpoints and zones
+// that were known by then and are not listed count as deleted. It reports whether the snapshot
+// changed.
+func (r *Replica) ApplyListing(now time.Duration, items []Item, revision Revision) bool {
 	changed := false
 	listed := make(map[string]bool, len(items))
 	closed := make(map[string]bool)
-	m.refusals.forgetUnless(items)
+	r.refusals.removeUnlisted(items)
 	for _, item := range items {
 		listed[item.EndpointID.Name] = item.Endpoint != nil
 		closed[item.Zone] = item.ZoneClosed
-		changed = m.merge(now, item) || changed
+		changed = r.merge(now, item) || changed
 	}
-	changed = m.leaveUnless(now, listed, begun) || changed
-	changed = m.openUnless(now, closed, begun) || changed
-	changed = m.reachBack(now) || changed
-	m.floor = max(m.floor, begun)
-	m.reached(begun)
-	return m.advance(now, begun, changed)
+	changed = r.markUnlistedGone(now, listed, revision) || changed
+	changed = r.openUnlistedZones(now, closed, revision) || changed
+	changed = r.extendDepartureHistory(now) || changed
+	r.historyFloor = max(r.historyFloor, revision)
+	r.noteStoreRevision(revision)
+	return r.advance(now, revision, changed)
 }
 
-// leaveUnless notes that endpoints have gone which are not among those that were there
-// at a revision. It reports whether there are any.
-func (m *Replica) leaveUnless(now time.Duration, there map[string]bool, at Revision) bool {
-	left := false
-	for name, known := range m.endpoints {
-		if !known.gone && !there[name] && known.revision <= at {
-			known.leave(now, at)
-			left = true
+// markUnlistedGone marks endpoints as gone whose entry was not listed at a revision. It reports
+// whether it marked any.
+func (r *Replica) markUnlistedGone(now time.Duration, listed map[string]bool, revision Revision) bool {
+	marked := false
+	for name, record := range r.endpoints {
+		if !record.gone && !listed[name] && record.revision <= revision {
+			record.markGone(now, revision)
+			marked = true
 		}
 	}
-	return left
+	return marked
 }
 
-// Changes merges all changes up to a revision, given that the machine knows all
-// changes before them. It reports whether the snapshot changed.
-func (m *Replica) ApplyChanges(now time.Duration, items []Item, through Revision) bool {
-	m.reached(through)
-	if m.corrects() {
-		// The call was made before the refutation.
+// ApplyChanges merges all changes up to a revision. The replica must know all changes before
+// them. It reports whether the snapshot changed.
+func (r *Replica) ApplyChanges(now time.Duration, items []Item, through Revision) bool {
+	r.noteStoreRevision(through)
+	if r.needsFullState() {
+		// The call began before the directory was invalidated, so its changes may not connect.
 		return false
 	}
 	changed := false
 	for _, item := range items {
-		changed = m.merge(now, item) || changed
+		changed = r.merge(now, item) || changed
 	}
-	return m.advance(now, through, changed)
+	return r.advance(now, through, changed)
 }
 
-func (m *Replica) advance(now time.Duration, through Revision, changed bool) bool {
-	m.complete = max(m.complete, through)
-	m.latest = max(m.latest, m.complete)
-	if m.forget(now) || changed {
-		m.rebuild()
+func (r *Replica) advance(now time.Duration, through Revision, changed bool) bool {
+	r.appliedRevision = max(r.appliedRevision, through)
+	r.latestSeen = max(r.latestSeen, r.appliedRevision)
+	if r.expireRecords(now) || changed {
+		r.rebuildSnapshot()
 		return true
 	}
 	return false
 }
 
-func (m *Replica) merge(now time.Duration, item Item) bool {
-	m.refusals.note(item)
+func (r *Replica) merge(now time.Duration, item Item) bool {
+	r.refusals.note(item)
 	if item.Configuration != nil {
-		return m.mergeConfiguration(item)
+		return r.mergeConfiguration(item)
 	}
 	if item.EndpointID.Name != "" {
-		return m.mergeEndpoint(now, item)
+		return r.mergeEndpoint(now, item)
 	}
 	if item.Zone != "" {
-		return m.mergeZone(now, item)
+		return r.mergeZone(now, item)
 	}
 	return false
 }
 
-// mergeConfiguration never goes back to an older version.
-func (m *Replica) mergeConfiguration(item Item) bool {
-	current := m.configuration
+// mergeConfiguration accepts only a newer version of the configuration.
+func (r *Replica) mergeConfiguration(item Item) bool {
+	current := r.configuration
 	if current != nil && item.Configuration.Version <= current.Configuration.Version {
 		return false
 	}
 	if current != nil {
-		m.rememberServices(current.Configuration, item.Configuration)
+		r.recordFormerServices(current.Configuration, item.Configuration)
 	}
-	m.configuration = &item
+	r.configuration = &item
 	return true
 }
 
-// rememberServices keeps which services the addresses had that a configuration
-// changes or drops, so that their open flows can still be found. Snapshots share
-// the map, so it is replaced.
-func (m *Replica) rememberServices(before, after *Configuration) {
+// recordFormerServices keeps the services of addresses that a configuration changes or drops,
+// so that their open flows can still be found. It replaces the map, because snapshots share it.
+func (r *Replica) recordFormerServices(before, after *Configuration) {
 	present := make(map[segment.Address][]WeightedService, len(after.Routes))
 	for index := range after.Routes {
 		present[after.Routes[index].Address()] = after.Routes[index].WeightedServices
 	}
-	former := maps.Clone(m.former)
+	former := maps.Clone(r.formerServices)
 	if former == nil {
 		former = make(map[segment.Address][]string)
 	}
@@ -202,9 +203,9 @@
 		if slices.Equal(present[route.Address()], route.WeightedServices) {
 			continue
 		}
-		former[route.Address()] = withServices(former[route.Address()], servicesOf(route.WeightedServices))
+		former[route.Address()] = appendServices(former[route.Address()], servicesOf(route.WeightedServices))
 	}
-	m.former = former
+	r.formerServices = former
 }
 
 func servicesOf(shares []WeightedService) []string {
@@ -215,32 +216,32 @@
 	return services
 }
 
-// withServices returns the services with later ones at the end.
-func withServices(services, later []string) []string {
+// appendServices returns the services with the later ones moved to the end.
+func appendServices(services, later []string) []string {
 	merged := slices.Clone(services)
 	for _, service := range later {
-		merged = slices.DeleteFunc(merged, func(known string) bool { return known == service })
+		merged = slices.DeleteFunc(merged, func(existing string) bool { return existing == service })
 		merged = append(merged, service)
 	}
-	return merged[max(len(merged)-formerServices, 0):]
+	return merged[max(len(merged)-maxFormerServices, 0):]
 }
 
-// mergeEndpoint lets the later revision decide, whatever the starts: an endpoint's clock
-// may step back. What comes under the name of another incarnation replaces it.
-func (m *Replica) mergeEndpoint(now time.Duration, item Item) bool {
-	known, exists := m.endpoints[item.EndpointID.Name]
-	if exists && item.Revision <= known.revision {
+// mergeEndpoint accepts the higher revision and ignores the start times, because an endpoint's
+// clock may step back. An entry of another incarnation replaces the record.
+func (r *Replica) mergeEndpoint(now time.Duration, item Item) bool {
+	record, exists := r.endpoints[item.EndpointID.Name]
+	if exists && item.Revision <= record.revision {
 		return false
 	}
 	if item.Endpoint == nil {
-		if !exists || known.gone && !item.RefusalReason.Refused() {
+		if !exists || record.gone && !item.RefusalReason.Refused() {
 			return false
 		}
-		known.leave(now, item.Revision)
-		known.refused = item.RefusalReason.Refused()
+		record.markGone(now, item.Revision)
+		record.refused = item.RefusalReason.Refused()
 		return true
 	}
-	m.endpoints[item.EndpointID.Name] = &endpointRecord{
+	r.endpoints[item.EndpointID.Name] = &endpointRecord{
 		started:  item.EndpointID.Started,
 		revision: item.Revision,
 		endpoint: *item.Endpoint,
@@ -249,71 +250,71 @@
 	return true
 }
 
-func (r *endpointRecord) leave(now time.Duration, revision Revision) {
+func (r *endpointRecord) markGone(now time.Duration, revision Revision) {
 	r.gone = true
 	r.goneAt = now
 	r.revision = max(r.revision, revision)
 }
 
-func (m *Replica) forget(now time.Duration) bool {
-	m.forgetZones(now)
-	forgotten := false
-	for name, known := range m.endpoints {
-		if known.gone && now-known.goneAt > Retention {
-			m.floor = max(m.floor, known.revision)
-			delete(m.endpoints, name)
-			forgotten = true
+func (r *Replica) expireRecords(now time.Duration) bool {
+	r.expireZones(now)
+	removed := false
+	for name, record := range r.endpoints {
+		if record.gone && now-record.goneAt > Retention {
+			r.historyFloor = max(r.historyFloor, record.revision)
+			delete(r.endpoints, name)
+			removed = true
 		}
 	}
-	return forgotten
+	return removed
 }
 
-func (m *Replica) rebuild() {
-	built := contents{former: m.former, since: m.since, closed: m.closedZones()}
-	if m.configuration != nil {
-		built.configuration = m.configuration.Configuration
+func (r *Replica) rebuildSnapshot() {
+	data := snapshotData{formerServices: r.formerServices, departuresKnownSince: r.departuresKnownSince, closedZones: r.closedZones()}
+	if r.configuration != nil {
+		data.configuration = r.configuration.Configuration
 	}
-	starts := coldStartsOf(built.configuration)
-	services := m.knownServices()
-	foreign := make(map[string]Refusal)
-	latest := m.latestAt(services)
-	candidates := make([]Candidate, 0, len(m.endpoints))
-	for name, known := range m.endpoints {
-		if !services.has(known.endpoint.Service) {
-			if !known.gone {
-				foreign[name] = Refusal{name, known.revision, RefusedUnknownService}
+	coldStarts := coldStartsOf(data.configuration)
+	services := r.knownServices()
+	unknownService := make(map[string]Refusal)
+	latest := r.latestByIP(services)
+	candidates := make([]Candidate, 0, len(r.endpoints))
+	for name, record := range r.endpoints {
+		if !services.has(record.endpoint.Service) {
+			if !record.gone {
+				unknownService[name] = Refusal{name, record.revision, RefusedUnknownService}
 			}
 			continue
 		}
-		gone := known.gone || latest[known.endpoint.IP] != known
-		zone := m.zones[known.endpoint.Zone]
+		gone := record.gone || latest[record.endpoint.IP] != record
+		zone := r.zones[record.endpoint.Zone]
 		candidates = append(candidates, Candidate{
-			ID:             EndpointID{name, known.started},
-			Endpoint:       known.endpoint,
-			Leaving:        gone || known.endpoint.Draining,
+			ID:             EndpointID{name, record.started},
+			Endpoint:       record.endpoint,
+			Leaving:        gone || record.endpoint.Draining,
 			Gone:           gone,
-			Refused:        known.refused,
-			GoneAt:         known.goneAt,
-			WarmAt:         m.warmAt(known, starts),
-			WarmAtRevision: max(known.revision, zone.revision),
+			Refused:        record.refused,
+			GoneAt:         record.goneAt,
+			WarmAt:         r.warmAt(record, coldStarts),
+			WarmAtRevision: max(record.revision, zone.revision),
 			ZoneClosed:     zone.closed,
 		})
 	}
-	m.refusals.setForeign(foreign)
-	built.candidates = candidates
-	m.snapshot = newSnapshot(built)
+	r.refusals.setUnknownService(unknownService)
+	data.candidates = candidates
+	r.snapshot = newSnapshot(data)
 }
 
-// latestAt returns, by address, the entry that was written last of those that are there and
-// of a known service. An endpoint that has been started again has a new entry, while that
-// of the one before, which writes no more, takes some time to lapse.
-func (m *Replica) latestAt(services serviceSet) map[[4]byte]*endpointRecord {
-	latest := make(map[[4]byte]*endpointRecord, len(m.endpoints))
-	for _, known := range m.endpoints {
-		other := latest[known.endpoint.IP]
-		usable := !known.gone && services.has(known.endpoint.Service)
-		if usable && (other == nil || other.revision < known.revision) {
-			latest[known.endpoint.IP] = known
+// latestByIP returns, for each IP address, the most recently written entry among the existing
+// entries of known services. A restarted endpoint has a new entry while the entry of its
+// predecessor, which is no longer renewed, takes time to expire.
+func (r *Replica) latestByIP(services serviceSet) map[[4]byte]*endpointRecord {
+	latest := make(map[[4]byte]*endpointRecord, len(r.endpoints))
+	for _, record := range r.endpoints {
+		other := latest[record.endpoint.IP]
+		usable := !record.gone && services.has(record.endpoint.Service)
+		if usable && (other == nil || other.revision < record.revision) {
+			latest[record.endpoint.IP] = record
 		}
 	}
 	return latest
