--- a/internal/directory/replica_test.go
+++ b/internal/directory/replica_test.go
@@ -28,65 +28,65 @@
 	return directory.Item{Key: "configuration", Revision: revision, Configuration: &directory.Configuration{Version: version}}
 }
 
-var _ = Describe("Machine", func() {
-	var machine *directory.Replica
+var _ = Describe("Replica", func() {
+	var replica *directory.Replica
 
-	BeforeEach(func() { machine = directory.NewReplica() })
+	BeforeEach(func() { replica = directory.NewReplica() })
 
 	leaving := func(id string) bool {
-		candidate, exists := machine.Snapshot().Candidate(directory.NameOnlyID(id))
+		candidate, exists := replica.Snapshot().Candidate(directory.NameOnlyID(id))
 		Expect(exists).To(BeTrue(), id)
 		return candidate.Leaving
 	}
 
-	It("is ready once it has a configuration and a listing", func() {
-		machine.ApplyChanges(0, []directory.Item{configurationItem(1, 5)}, 0)
-		Expect(machine.Ready()).To(BeFalse())
-		machine.ApplyListing(0, nil, 6)
-		Expect(machine.Ready()).To(BeTrue())
+	It("is ready with a configuration and a listing", func() {
+		replica.ApplyChanges(0, []directory.Item{configurationItem(1, 5)}, 0)
+		Expect(replica.Ready()).To(BeFalse())
+		replica.ApplyListing(0, nil, 6)
+		Expect(replica.Ready()).To(BeTrue())
 	})
 
-	It("never goes back to an older configuration, whatever its revision", func() {
-		machine.ApplyChanges(0, []directory.Item{configurationItem(7, 10)}, 10)
-		Expect(machine.ApplyChanges(0, []directory.Item{configurationItem(6, 11)}, 11)).To(BeFalse())
-		machine.ApplyListing(0, []directory.Item{configurationItem(5, 12)}, 12)
-		Expect(machine.Snapshot().Version()).To(Equal(uint64(7)))
+	It("never returns to an older configuration version, whatever its revision", func() {
+		replica.ApplyChanges(0, []directory.Item{configurationItem(7, 10)}, 10)
+		Expect(replica.ApplyChanges(0, []directory.Item{configurationItem(6, 11)}, 11)).To(BeFalse())
+		replica.ApplyListing(0, []directory.Item{configurationItem(5, 12)}, 12)
+		Expect(replica.Snapshot().Version()).To(Equal(uint64(7)))
 	})
 
-	It("keeps the newest revision of an endpoint in whatever order items come", func() {
-		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 9, endpoint("s", true))}, 9)
-		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 4, endpoint("s", false))}, 0)
+	It("keeps the newest revision of an endpoint in any order of arrival", func() {
+		replica.ApplyChanges(0, []directory.Item{endpointItem("a", 9, endpoint("s", true))}, 9)
+		replica.ApplyChanges(0, []directory.Item{endpointItem("a", 4, endpoint("s", false))}, 0)
 		Expect(leaving("a")).To(BeTrue())
 	})
 
-	It("takes what a listing does not have for gone, unless it came later", func() {
-		machine.ApplyChanges(0, []directory.Item{
+	It("marks unlisted endpoints as gone unless their revision is later", func() {
+		replica.ApplyChanges(0, []directory.Item{
 			endpointItem("old", 3, endpoint("s", false)),
 			endpointItem("new", 30, endpoint("s", false)),
 		}, 3)
-		machine.ApplyListing(time.Second, nil, 20)
+		replica.ApplyListing(time.Second, nil, 20)
 		Expect(leaving("old")).To(BeTrue())
 		Expect(leaving("new")).To(BeFalse())
 	})
 
-	It("lets an endpoint whose entry had lapsed come back", func() {
-		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 3, endpoint("s", false))}, 3)
-		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
+	It("restores an endpoint whose entry had expired", func() {
+		replica.ApplyChanges(0, []directory.Item{endpointItem("a", 3, endpoint("s", false))}, 3)
+		replica.ApplyChanges(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
 		Expect(leaving("a")).To(BeTrue())
-		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 8, endpoint("s", false))}, 8)
+		replica.ApplyChanges(0, []directory.Item{endpointItem("a", 8, endpoint("s", false))}, 8)
 		Expect(leaving("a")).To(BeFalse())
 	})
 
-	It("remembers gone endpoints as long as their flows may last, then forgets them", func() {
-		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 3, endpoint("s", false))}, 3)
-		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
-		machine.ApplyChanges(directory.Retention, nil, 6)
-		Expect(machine.Snapshot().All()).To(HaveLen(1))
-		machine.ApplyChanges(directory.Retention+time.Second, nil, 7)
-		Expect(machine.Snapshot().All()).To(BeEmpty())
+	It("keeps gone endpoints for the retention time and then drops them", func() {
+		replica.ApplyChanges(0, []directory.Item{endpointItem("a", 3, endpoint("s", false))}, 3)
+		replica.ApplyChanges(0, []directory.Item{endpointItem("a", 5, nil)}, 5)
+		replica.ApplyChanges(directory.Retention, nil, 6)
+		Expect(replica.Snapshot().All()).To(HaveLen(1))
+		replica.ApplyChanges(directory.Retention+time.Second, nil, 7)
+		Expect(replica.Snapshot().All()).To(BeEmpty())
 	})
 
-	It("remembers the services that an address had, also of a route that was dropped", func() {
+	It("keeps the former services of an address, including a dropped route", func() {
 		address := segment.Address{IP: [4]byte{198, 51, 100, 1}, Port: 443}
 		configure := func(version uint64, services ...string) {
 			configuration := &directory.Configuration{Version: version}
@@ -95,44 +95,44 @@
 					IP: address.IP, Port: address.Port, WeightedServices: []directory.WeightedService{{Service: service, Weight: 1}},
 				})
 			}
-			machine.ApplyChanges(0, []directory.Item{{Configuration: configuration}}, directory.Revision(version))
+			replica.ApplyChanges(0, []directory.Item{{Configuration: configuration}}, directory.Revision(version))
 		}
 		configure(1, "a")
 		configure(2, "a")
-		Expect(machine.Snapshot().FormerServices(address)).To(BeEmpty())
-		before := machine.Snapshot()
+		Expect(replica.Snapshot().FormerServices(address)).To(BeEmpty())
+		before := replica.Snapshot()
 		configure(3, "b")
 		configure(4)
-		Expect(machine.Snapshot().FormerServices(address)).To(Equal([]string{"a", "b"}))
+		Expect(replica.Snapshot().FormerServices(address)).To(Equal([]string{"a", "b"}))
 		Expect(before.FormerServices(address)).To(BeEmpty(), "snapshots do not change")
 	})
 
-	It("finds the endpoint at an address, that which is there before one that has gone", func() {
-		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 1, endpoint("s", false))}, 1)
-		machine.ApplyChanges(0, []directory.Item{endpointItem("a", 2, nil), endpointItem("b", 3, endpoint("t", false))}, 3)
-		found, exists := machine.Snapshot().CandidateAt([4]byte{10, 0, 0, 1})
+	It("finds the existing endpoint at an address rather than a gone one", func() {
+		replica.ApplyChanges(0, []directory.Item{endpointItem("a", 1, endpoint("s", false))}, 1)
+		replica.ApplyChanges(0, []directory.Item{endpointItem("a", 2, nil), endpointItem("b", 3, endpoint("t", false))}, 3)
+		found, exists := replica.Snapshot().CandidateAt([4]byte{10, 0, 0, 1})
 		Expect(exists).To(BeTrue())
 		Expect(found.ID).To(Equal(directory.NameOnlyID("b")))
 	})
 
-	It("tells how long a lapsed entry is gone, but never of an endpoint that drained", func() {
-		machine.ApplyChanges(0, []directory.Item{
+	It("reports how long an expired entry has been gone, but not for a drained endpoint", func() {
+		replica.ApplyChanges(0, []directory.Item{
 			endpointItem("lapsed", 3, endpoint("s", false)), endpointItem("drained", 3, endpoint("s", true)),
 		}, 3)
-		machine.ApplyChanges(time.Second, []directory.Item{endpointItem("lapsed", 5, nil), endpointItem("drained", 5, nil)}, 5)
-		lapsed, _ := machine.Snapshot().Candidate(directory.NameOnlyID("lapsed"))
-		drained, _ := machine.Snapshot().Candidate(directory.NameOnlyID("drained"))
+		replica.ApplyChanges(time.Second, []directory.Item{endpointItem("lapsed", 5, nil), endpointItem("drained", 5, nil)}, 5)
+		lapsed, _ := replica.Snapshot().Candidate(directory.NameOnlyID("lapsed"))
+		drained, _ := replica.Snapshot().Candidate(directory.NameOnlyID("drained"))
 		Expect(lapsed.ExpiredFor(3 * time.Second)).To(Equal(2 * time.Second))
 		Expect(drained.ExpiredFor(3 * time.Second)).To(BeNumerically(">", time.Hour))
 	})
 
-	It("gives another machine everything it knows, endpoints that have left included", func() {
-		machine.ApplyChanges(0, []directory.Item{
+	It("transfers its whole content to another replica, including gone endpoints", func() {
+		replica.ApplyChanges(0, []directory.Item{
 			configurationItem(4, 2), endpointItem("a", 3, endpoint("s", true)), endpointItem("b", 4, endpoint("s", false)),
 		}, 4)
-		machine.ApplyChanges(time.Second, []directory.Item{endpointItem("b", 5, nil)}, 5)
+		replica.ApplyChanges(time.Second, []directory.Item{endpointItem("b", 5, nil)}, 5)
 		other := directory.NewReplica()
-		Expect(other.ApplyState(time.Minute, machine.FullState(3*time.Second))).To(BeTrue())
+		Expect(other.ApplyState(time.Minute, replica.FullState(3*time.Second))).To(BeTrue())
 		Expect(other.Ready()).To(BeTrue())
 		Expect(other.Snapshot().Version()).To(Equal(uint64(4)))
 		drained, _ := other.Snapshot().Candidate(directory.NameOnlyID("a"))
@@ -141,95 +141,95 @@
 		Expect(gone.ExpiredFor(time.Minute)).To(Equal(2 * time.Second))
 	})
 
-	It("does not take an endpoint that has gone for one that is there, since another has not heard", func() {
+	It("does not restore a gone endpoint from a stale peer", func() {
 		stale := directory.NewReplica()
 		stale.ApplyChanges(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 50, endpoint("s", false))}, 80)
-		machine.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
-		machine.ApplyState(time.Second, stale.FullState(time.Second))
-		Expect(leaving("a")).To(BeTrue(), "its flows can be found, but it gets no new ones")
+		replica.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
+		replica.ApplyState(time.Second, stale.FullState(time.Second))
+		Expect(leaving("a")).To(BeTrue(), "its flows can be found but it receives no new ones")
 	})
 
-	It("takes an endpoint from another that has heard of it first", func() {
+	It("learns an endpoint from a peer that is ahead", func() {
 		informed := directory.NewReplica()
 		informed.ApplyChanges(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 120, endpoint("s", false))}, 120)
-		machine.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
-		machine.ApplyState(time.Second, informed.FullState(time.Second))
+		replica.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
+		replica.ApplyState(time.Second, informed.FullState(time.Second))
 		Expect(leaving("a")).To(BeFalse())
 	})
 
-	It("knows of endpoints that have left since its first listing, or since that of another which told it", func() {
-		Expect(machine.Snapshot().DeparturesKnownSince()).To(BeNumerically(">", time.Hour))
+	It("knows departures since its first listing, or since that of a peer whose state it applied", func() {
+		Expect(replica.Snapshot().DeparturesKnownSince()).To(BeNumerically(">", time.Hour))
 		older := directory.NewReplica()
 		older.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 10)
-		machine.ApplyListing(20*time.Second, []directory.Item{configurationItem(4, 2)}, 10)
-		Expect(machine.Snapshot().DeparturesKnownSince()).To(Equal(20 * time.Second))
-		Expect(machine.ApplyState(21*time.Second, older.FullState(21*time.Second))).To(BeTrue())
-		Expect(machine.Snapshot().DeparturesKnownSince()).To(BeZero())
-		Expect(older.FullState(time.Hour).DepartureHistory).To(Equal(directory.Retention), "it forgets them then")
+		replica.ApplyListing(20*time.Second, []directory.Item{configurationItem(4, 2)}, 10)
+		Expect(replica.Snapshot().DeparturesKnownSince()).To(Equal(20 * time.Second))
+		Expect(replica.ApplyState(21*time.Second, older.FullState(21*time.Second))).To(BeTrue())
+		Expect(replica.Snapshot().DeparturesKnownSince()).To(BeZero())
+		Expect(older.FullState(time.Hour).DepartureHistory).To(Equal(directory.Retention), "older departures are dropped")
 	})
 
-	It("learns from another which has not heard for long what has left meanwhile", func() {
+	It("learns from a stale peer which endpoints have left since", func() {
 		stale := directory.NewReplica()
 		stale.ApplyListing(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 5, endpoint("s", false))}, 10)
-		machine.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
-		machine.ApplyState(time.Second, stale.StateAfter(time.Second, machine.Digest()))
+		replica.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
+		replica.ApplyState(time.Second, stale.StateAfter(time.Second, replica.Digest()))
 		Expect(leaving("a")).To(BeTrue(), "its flows can be found")
 	})
 
-	It("learns from another which services addresses have had", func() {
+	It("learns the former services of addresses from a peer", func() {
 		route := directory.Route{IP: [4]byte{198, 51, 100, 1}, Port: 443, WeightedServices: []directory.WeightedService{{Service: "before", Weight: 1}}}
 		older := directory.NewReplica()
 		older.ApplyChanges(0, []directory.Item{{Revision: 1, Configuration: &directory.Configuration{Version: 1, Routes: []directory.Route{route}}}}, 1)
 		older.ApplyChanges(0, []directory.Item{{Revision: 2, Configuration: &directory.Configuration{Version: 2}}}, 2)
-		Expect(machine.ApplyState(0, older.FullState(0))).To(BeTrue())
-		Expect(machine.Snapshot().FormerServices(route.Address())).To(Equal([]string{"before"}))
+		Expect(replica.ApplyState(0, older.FullState(0))).To(BeTrue())
+		Expect(replica.Snapshot().FormerServices(route.Address())).To(Equal([]string{"before"}))
 	})
 
-	It("takes an endpoint for gone once another has come to its address, though its entry has not lapsed", func() {
-		machine.ApplyChanges(0, []directory.Item{endpointItem("z-first", 1, endpoint("s", false)), endpointItem("a-second", 2, endpoint("s", false))}, 2)
+	It("marks an endpoint as gone once another uses its address, before its entry expires", func() {
+		replica.ApplyChanges(0, []directory.Item{endpointItem("z-first", 1, endpoint("s", false)), endpointItem("a-second", 2, endpoint("s", false))}, 2)
 		Expect(leaving("z-first")).To(BeTrue())
 		Expect(leaving("a-second")).To(BeFalse())
-		machine.ApplyChanges(0, []directory.Item{endpointItem("m-third", 3, endpoint("s", false))}, 3)
+		replica.ApplyChanges(0, []directory.Item{endpointItem("m-third", 3, endpoint("s", false))}, 3)
 		Expect(leaving("a-second")).To(BeTrue())
-		found, _ := machine.Snapshot().CandidateAt([4]byte{10, 0, 0, 1})
+		found, _ := replica.Snapshot().CandidateAt([4]byte{10, 0, 0, 1})
 		Expect(found.ID).To(Equal(directory.NameOnlyID("m-third")))
 	})
 
-	It("keeps what it knows better than the other", func() {
-		machine.ApplyChanges(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 9, endpoint("s", true))}, 9)
+	It("keeps its newer entries when a stale state is applied", func() {
+		replica.ApplyChanges(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 9, endpoint("s", true))}, 9)
 		stale := directory.NewReplica()
 		stale.ApplyChanges(0, []directory.Item{configurationItem(3, 1), endpointItem("a", 5, endpoint("s", false))}, 5)
-		Expect(machine.ApplyState(0, stale.FullState(0))).To(BeFalse())
+		Expect(replica.ApplyState(0, stale.FullState(0))).To(BeFalse())
 		Expect(leaving("a")).To(BeTrue())
-		Expect(machine.Snapshot().Version()).To(Equal(uint64(4)))
+		Expect(replica.Snapshot().Version()).To(Equal(uint64(4)))
 	})
 })
 
-// timing is that of the tests.
+// timing is the timing of the tests.
 var timing = directory.Timing{ApplyTimeout: 3 * time.Second}
 
-// duty is a duty as a test wants it.
+// fakePolicy is a WatchPolicy with fixed results.
 type fakePolicy struct {
-	watching, alone bool
-	pollAt, toldBy  time.Duration
+	watching, alone          bool
+	pollAt, snapshotDeadline time.Duration
 }
 
-func (d *fakePolicy) Watching() bool                  { return d.watching }
-func (d *fakePolicy) Alone() bool                     { return d.alone }
-func (d *fakePolicy) PollAt() time.Duration           { return d.pollAt }
-func (d *fakePolicy) SnapshotDeadline() time.Duration { return d.toldBy }
+func (p *fakePolicy) Watching() bool                  { return p.watching }
+func (p *fakePolicy) Alone() bool                     { return p.alone }
+func (p *fakePolicy) PollAt() time.Duration           { return p.pollAt }
+func (p *fakePolicy) SnapshotDeadline() time.Duration { return p.snapshotDeadline }
 
 var _ = Describe("Follower", func() {
 	var (
-		machine  *directory.Replica
+		replica  *directory.Replica
 		follower *directory.Follower
-		given    *fakePolicy
+		policy   *fakePolicy
 	)
 
 	BeforeEach(func() {
-		machine = directory.NewReplica()
-		given = &fakePolicy{watching: true, alone: true}
-		follower = directory.NewFollower(machine, timing, given)
+		replica = directory.NewReplica()
+		policy = &fakePolicy{watching: true, alone: true}
+		follower = directory.NewFollower(replica, timing, policy)
 	})
 
 	fail := func(reason directory.StoreFailure) {
@@ -244,26 +244,26 @@
 		return max(at-now, 0)
 	}
 
-	It("lists page by page, then watches from where the listing began", func() {
+	It("lists page by page, then watches from the revision at which the listing began", func() {
 		Expect(next()).To(HaveField("Listing", true))
 		follower.HandlePage(0, directory.Page{Items: []directory.Item{endpointItem("a", 3, endpoint("s", false))}, LastKey: "a", More: true, Revision: 5})
 		Expect(next()).To(And(HaveField("Listing", true), HaveField("AfterKey", "a")))
 		follower.HandlePage(0, directory.Page{Items: []directory.Item{endpointItem("b", 9, endpoint("s", false))}, LastKey: "b", Revision: 9})
 		Expect(next()).To(And(HaveField("Listing", false), HaveField("AfterRevision", directory.Revision(5))))
-		Expect(machine.Snapshot().All()).To(HaveLen(2))
+		Expect(replica.Snapshot().All()).To(HaveLen(2))
 	})
 
-	It("lists anew when history is lost, without delay, and finds what left in the gap", func() {
+	It("lists again without delay when the history is compacted, and detects departures in the gap", func() {
 		follower.HandlePage(0, directory.Page{Items: []directory.Item{endpointItem("a", 3, endpoint("s", false))}, Revision: 5})
 		fail(directory.StoreCompacted)
 		Expect(next()).To(And(HaveField("Listing", true), HaveField("AfterKey", "")))
 		Expect(delay(0)).To(BeZero())
 		follower.HandlePage(0, directory.Page{Revision: 9})
-		candidate, _ := machine.Snapshot().Candidate(directory.NameOnlyID("a"))
+		candidate, _ := replica.Snapshot().Candidate(directory.NameOnlyID("a"))
 		Expect(candidate.Leaving).To(BeTrue())
 	})
 
-	It("backs off with jitter after failures and calls at once after an answer", func() {
+	It("backs off with jitter after failures and calls at once after a response", func() {
 		var delays []time.Duration
 		for range 6 {
 			fail(directory.StoreUnavailable)
@@ -277,7 +277,7 @@
 		Expect(delay(0)).To(BeZero())
 	})
 
-	It("leaves time after changes by its share of the store's rate, and none without changes", func() {
+	It("spaces calls after changes by its share of the store's rate, and not without changes", func() {
 		follower.SetStoreRate(1100, 2000)
 		follower.HandlePage(0, directory.Page{Revision: 5})
 		Expect(delay(0)).To(BeZero())
@@ -291,35 +291,35 @@
 		Expect(delay(later)).To(Equal(10 * time.Millisecond))
 	})
 
-	It("lets a watch that hangs be noticed soon after the time in which a change has to be in force", func() {
+	It("bounds the time of a hanging watch by the apply timeout", func() {
 		follower.HandlePage(0, directory.Page{Revision: 5})
 		Expect(next()).To(And(HaveField("Wait", 2500*time.Millisecond), HaveField("Timeout", 3400*time.Millisecond)))
-		follower = directory.NewFollower(machine, directory.Timing{ApplyTimeout: 5 * time.Second}, given)
+		follower = directory.NewFollower(replica, directory.Timing{ApplyTimeout: 5 * time.Second}, policy)
 		Expect(next().Wait).To(Equal(4500 * time.Millisecond))
-		follower = directory.NewFollower(machine, directory.Timing{ApplyTimeout: 100 * time.Millisecond}, given)
+		follower = directory.NewFollower(replica, directory.Timing{ApplyTimeout: 100 * time.Millisecond}, policy)
 		Expect(next().Wait).To(Equal(500 * time.Millisecond))
 	})
 
-	It("gives up a watch whose connection has gone silent within half of the time to be in touch", func() {
+	It("ends a watch on a silent connection within half of the contact timeout", func() {
 		bounded := directory.Timing{ApplyTimeout: 5 * time.Second, ContactTimeout: 5 * time.Second}
-		follower = directory.NewFollower(machine, bounded, given)
+		follower = directory.NewFollower(replica, bounded, policy)
 		follower.HandlePage(0, directory.Page{Revision: 5})
 		for _, alone := range []bool{true, false} {
-			given.alone = alone
+			policy.alone = alone
 			Expect(next()).To(And(HaveField("Wait", 1600*time.Millisecond), HaveField("Timeout", 2500*time.Millisecond)))
 		}
-		follower = directory.NewFollower(machine, directory.Timing{ApplyTimeout: 5 * time.Second, ContactTimeout: time.Second}, given)
+		follower = directory.NewFollower(replica, directory.Timing{ApplyTimeout: 5 * time.Second, ContactTimeout: time.Second}, policy)
 		Expect(next().Wait).To(Equal(500 * time.Millisecond))
 	})
 
-	It("asks for a long burst of changes at a bounded rate, and for the next change after it at once", func() {
+	It("limits the call rate during a long burst of changes and calls at once for a later change", func() {
 		follower.HandlePage(0, directory.Page{Revision: 5})
 		var now time.Duration
 		calls := 0
 		for revision := directory.Revision(6); now < 6*time.Second; revision++ {
 			item := endpointItem("a", revision, endpoint("s", revision%2 == 0))
 			follower.HandleChanges(now, directory.Changes{Items: []directory.Item{item}, Through: revision}, 0)
-			Expect(delay(now)).To(BeNumerically("<=", 600*time.Millisecond), "news are late by no more")
+			Expect(delay(now)).To(BeNumerically("<=", 600*time.Millisecond), "changes are delayed by no more")
 			now += max(delay(now), 5*time.Millisecond)
 			calls++
 		}
@@ -329,15 +329,15 @@
 		Expect(delay(now)).To(BeZero())
 	})
 
-	It("watches for a shorter time if others depend on it, so that they hear often that nothing is new", func() {
+	It("watches for a shorter time if other balancers depend on its confirmations", func() {
 		follower.HandlePage(0, directory.Page{Revision: 5})
-		given.alone = false
+		policy.alone = false
 		Expect(next()).To(And(HaveField("Wait", 1200*time.Millisecond), HaveField("Timeout", 2100*time.Millisecond)))
 	})
 
-	It("asks only what there is, and when it has to, if others watch", func() {
+	It("polls at the time of the policy if others watch", func() {
 		follower.HandlePage(0, directory.Page{Revision: 5})
-		*given = fakePolicy{pollAt: 7 * time.Second}
+		*policy = fakePolicy{pollAt: 7 * time.Second}
 		call, at := follower.Next(time.Second)
 		Expect(at).To(Equal(7 * time.Second))
 		Expect(call).To(Equal(directory.Call{AfterRevision: 5, Wait: time.Millisecond, Timeout: 901 * time.Millisecond}))
@@ -347,33 +347,33 @@
 		Expect(delay(7 * time.Second)).To(Equal(time.Second))
 	})
 
-	It("leaves the first listing to others for a while, and drops its own once they have told", func() {
+	It("leaves the first listing to others for a while, and abandons its own when a state arrives", func() {
 		slow := timing
 		slow.ListingDelay = 200 * time.Millisecond
-		follower = directory.NewFollower(machine, slow, given)
+		follower = directory.NewFollower(replica, slow, policy)
 		Expect(delay(time.Second)).To(Equal(200 * time.Millisecond))
-		given.toldBy = 1400 * time.Millisecond
-		Expect(delay(1200*time.Millisecond)).To(Equal(200*time.Millisecond), "somebody is about to")
-		given.toldBy = 0
+		policy.snapshotDeadline = 1400 * time.Millisecond
+		Expect(delay(1200*time.Millisecond)).To(Equal(200*time.Millisecond), "a snapshot is expected")
+		policy.snapshotDeadline = 0
 		Expect(delay(1200 * time.Millisecond)).To(BeZero())
 		follower.HandlePage(1200*time.Millisecond, directory.Page{LastKey: "k", More: true, Revision: 5})
 		informed := directory.NewReplica()
 		informed.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 6)
-		machine.ApplyState(1300*time.Millisecond, informed.FullState(0))
+		replica.ApplyState(1300*time.Millisecond, informed.FullState(0))
 		Expect(next()).To(And(HaveField("Listing", false), HaveField("AfterRevision", directory.Revision(6))))
 	})
 
-	It("takes a last page for the end of its listing though others have told it the directory meanwhile", func() {
+	It("treats the last page as the end of its listing although a peer's state arrived meanwhile", func() {
 		first, second := endpointItem("a", 3, endpoint("s", false)), endpointItem("b", 4, endpoint("s", false))
 		second.Endpoint.IP = [4]byte{10, 0, 0, 2}
 		follower.HandlePage(0, directory.Page{Items: []directory.Item{first}, LastKey: "a", More: true, Revision: 5})
 		Expect(next()).To(HaveField("AfterKey", "a"))
 		informed := directory.NewReplica()
 		informed.ApplyListing(0, []directory.Item{configurationItem(1, 1), first, second}, 5)
-		machine.ApplyState(0, informed.FullState(0))
+		replica.ApplyState(0, informed.FullState(0))
 		next()
 		follower.HandlePage(0, directory.Page{Items: []directory.Item{second}, LastKey: "b", Revision: 6})
-		for _, candidate := range machine.Snapshot().All() {
+		for _, candidate := range replica.Snapshot().All() {
 			Expect(candidate.Gone).To(BeFalse(), candidate.ID.Name)
 		}
 		Expect(next()).To(HaveField("Listing", false))
@@ -385,7 +385,7 @@
 		Expect(next().AfterKey).To(Equal("k"))
 	})
 
-	It("does not page forever if the store does not advance", func() {
+	It("ends a listing if the store returns the same key twice", func() {
 		follower.HandlePage(0, directory.Page{LastKey: "k", More: true, Revision: 5})
 		follower.HandlePage(0, directory.Page{LastKey: "k", More: true, Revision: 5})
 		Expect(next().Listing).To(BeFalse())
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -9,35 +9,35 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// Candidate is an endpoint as decisions see it.
+// Candidate is an endpoint together with the state that placement needs.
 type Candidate struct {
 	ID       EndpointID
 	Endpoint Endpoint
-	// Leaving is set if the endpoint must get no new flow.
+	// Leaving is set if the endpoint must receive no new flows.
 	Leaving bool
-	// Gone is set if its entry is gone.
+	// Gone is set if the entry was deleted or replaced.
 	Gone bool
-	// Refused is set if it has gone since its entry became one that cannot be used.
+	// Refused is set if the endpoint is gone because its entry became unusable.
 	Refused bool
-	// GoneAt is when its entry was found to be gone.
+	// GoneAt is when this process noticed that the entry was gone.
 	GoneAt time.Duration
-	// WarmAt is when it is no longer slow after its start.
+	// WarmAt is when the endpoint stops being cold.
 	WarmAt time.Duration
-	// Told is the revision of the entry that WarmAt is from.
+	// WarmAtRevision is the revision of the entry that determines WarmAt.
 	WarmAtRevision Revision
-	// Closed is set if its zone is closed: it must get no new flow, but may hold open
-	// ones for long.
+	// ZoneClosed is set if the endpoint's zone is closed. The endpoint must receive no new
+	// flows but may hold open ones for a long time.
 	ZoneClosed bool
 }
 
-// Draining reports whether the endpoint itself has announced its end.
+// Draining reports whether the endpoint has announced that it will stop.
 func (c Candidate) Draining() bool { return c.Endpoint.Draining }
 
 const never = time.Duration(math.MaxInt64)
 
-// LapsedSince returns how long the entry of an endpoint that did not announce
-// its end has been gone; it is the longest duration for all others, those whose entry
-// cannot be used among them.
+// ExpiredFor returns how long the entry has been gone of an endpoint that did not announce its
+// stop. It returns the longest duration for all other endpoints, including those whose entry
+// became unusable.
 func (c Candidate) ExpiredFor(now time.Duration) time.Duration {
 	if !c.Gone || c.Refused || c.Draining() {
 		return never
@@ -47,24 +47,24 @@
 
 // Snapshot is an immutable view of routes and endpoints.
 type Snapshot struct {
-	version  uint64
-	routes   map[segment.Address]*Route
-	services map[string][]Candidate
-	byID     map[EndpointID]Candidate
-	byIP     map[[4]byte]Candidate
-	all      []Candidate
-	former   map[segment.Address][]string
-	since    time.Duration
-	closed   []ClosedZone
-	starts   map[string]ColdStart
+	version              uint64
+	routes               map[segment.Address]*Route
+	services             map[string][]Candidate
+	byID                 map[EndpointID]Candidate
+	byIP                 map[[4]byte]Candidate
+	all                  []Candidate
+	formerServices       map[segment.Address][]string
+	departuresKnownSince time.Duration
+	closedZones          []ClosedZone
+	coldStarts           map[string]ColdStart
 }
 
-// Version returns the version of the configuration, 0 if there is none.
+// Version returns the version of the configuration, or 0 if there is none.
 func (s *Snapshot) Version() uint64 { return s.version }
 
-// Since returns when the knowledge of endpoints that leave begins: all that have left
-// later are known. It is the longest duration before the first listing.
-func (s *Snapshot) DeparturesKnownSince() time.Duration { return s.since }
+// DeparturesKnownSince returns the time after which all departures of endpoints are known. It
+// is the longest duration before the first listing.
+func (s *Snapshot) DeparturesKnownSince() time.Duration { return s.departuresKnownSince }
 
 // Route returns the route of an address that clients connect to.
 func (s *Snapshot) Route(address segment.Address) (*Route, bool) {
@@ -72,11 +72,11 @@
 	return route, exists
 }
 
-// Routes returns the number of routes.
+// RouteCount returns the number of routes.
 func (s *Snapshot) RouteCount() int { return len(s.routes) }
 
-// Candidates returns the endpoints of a service, leaving ones included, in the
-// order of their identifiers. The result must not be changed.
+// Candidates returns the endpoints of a service ordered by identifier, including leaving ones.
+// The caller must not modify the result.
 func (s *Snapshot) Candidates(service string) []Candidate { return s.services[service] }
 
 // Candidate returns the endpoint with an identifier.
@@ -85,80 +85,80 @@
 	return candidate, exists
 }
 
-// At returns the endpoint at an IP address. If several have had the address, it
-// is the one whose entry is there.
+// CandidateAt returns the endpoint at an IP address. If several endpoints have used the
+// address, it returns the one whose entry exists.
 func (s *Snapshot) CandidateAt(ip [4]byte) (Candidate, bool) {
 	candidate, exists := s.byIP[ip]
 	return candidate, exists
 }
 
-// FormerServices returns the services that earlier configurations gave an
-// address, the latest ones last.
-func (s *Snapshot) FormerServices(address segment.Address) []string { return s.former[address] }
+// FormerServices returns the services that earlier configurations assigned to an address, the
+// latest ones last.
+func (s *Snapshot) FormerServices(address segment.Address) []string { return s.formerServices[address] }
 
-// All returns all endpoints, leaving ones included, in the order of their
-// identifiers. The result must not be changed.
+// All returns all endpoints ordered by identifier, including leaving ones. The caller must not
+// modify the result.
 func (s *Snapshot) All() []Candidate { return s.all }
 
-// Closed returns the zones that are closed to new flows, in the order of their names. The
-// result must not be changed.
-func (s *Snapshot) ClosedZones() []ClosedZone { return s.closed }
+// ClosedZones returns the zones that are closed to new flows, ordered by name. The caller must
+// not modify the result.
+func (s *Snapshot) ClosedZones() []ClosedZone { return s.closedZones }
 
-// ColdStart returns what endpoints of a service carry after a start, false if there is no
-// limit.
+// ColdStart returns the load limit of a service's cold endpoints, or false if the service has
+// none.
 func (s *Snapshot) ColdStart(service string) (ColdStart, bool) {
-	start, limited := s.starts[service]
-	return start, limited
+	coldStart, limited := s.coldStarts[service]
+	return coldStart, limited
 }
 
 func coldStartsOf(configuration *Configuration) map[string]ColdStart {
-	starts := make(map[string]ColdStart)
+	coldStarts := make(map[string]ColdStart)
 	if configuration == nil {
-		return starts
+		return coldStarts
 	}
 	for _, start := range configuration.ColdStarts {
-		starts[start.Service] = start
+		coldStarts[start.Service] = start
 	}
-	return starts
+	return coldStarts
 }
 
-// contents is what a snapshot is built of.
-type contents struct {
-	configuration *Configuration
-	former        map[segment.Address][]string
-	candidates    []Candidate
-	closed        []ClosedZone
-	since         time.Duration
+// snapshotData holds the input of newSnapshot.
+type snapshotData struct {
+	configuration        *Configuration
+	formerServices       map[segment.Address][]string
+	candidates           []Candidate
+	closedZones          []ClosedZone
+	departuresKnownSince time.Duration
 }
 
-func newSnapshot(given contents) *Snapshot {
-	configuration, candidates := given.configuration, given.candidates
-	built := &Snapshot{
-		routes:   make(map[segment.Address]*Route),
-		services: make(map[string][]Candidate),
-		byID:     make(map[EndpointID]Candidate, len(candidates)),
-		byIP:     make(map[[4]byte]Candidate, len(candidates)),
-		all:      candidates,
-		former:   given.former,
-		since:    given.since,
-		closed:   given.closed,
-		starts:   coldStartsOf(configuration),
+func newSnapshot(data snapshotData) *Snapshot {
+	configuration, candidates := data.configuration, data.candidates
+	snapshot := &Snapshot{
+		routes:               make(map[segment.Address]*Route),
+		services:             make(map[string][]Candidate),
+		byID:                 make(map[EndpointID]Candidate, len(candidates)),
+		byIP:                 make(map[[4]byte]Candidate, len(candidates)),
+		all:                  candidates,
+		formerServices:       data.formerServices,
+		departuresKnownSince: data.departuresKnownSince,
+		closedZones:          data.closedZones,
+		coldStarts:           coldStartsOf(configuration),
 	}
 	if configuration != nil {
-		built.version = configuration.Version
+		snapshot.version = configuration.Version
 		for index := range configuration.Routes {
 			route := &configuration.Routes[index]
-			built.routes[route.Address()] = route
+			snapshot.routes[route.Address()] = route
 		}
 	}
 	slices.SortFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.ID.Name, b.ID.Name) })
 	for _, candidate := range candidates {
 		service := candidate.Endpoint.Service
-		built.services[service] = append(built.services[service], candidate)
-		built.byID[candidate.ID] = candidate
-		if other, taken := built.byIP[candidate.Endpoint.IP]; !taken || other.Gone {
-			built.byIP[candidate.Endpoint.IP] = candidate
+		snapshot.services[service] = append(snapshot.services[service], candidate)
+		snapshot.byID[candidate.ID] = candidate
+		if other, taken := snapshot.byIP[candidate.Endpoint.IP]; !taken || other.Gone {
+			snapshot.byIP[candidate.Endpoint.IP] = candidate
 		}
 	}
-	return built
+	return snapshot
 }
--- a/internal/directory/startup.go
+++ b/internal/directory/startup.go
@@ -1,5 +1,5 @@
-// This file implements what a Spread does while processes start: it meets them at the seeds
-// and names those to them that have a directory.
+// This file implements the part of Disseminator that serves starting processes. They contact
+// the seeds, and the seeds direct them to processes that have a directory.
 
 package directory
 
@@ -8,72 +8,74 @@
 	"time"
 )
 
-// fetchPatience is how long a process that starts waits for the directory of another
-// before it lists the store: some fetches on a slow link.
-const fetchPatience = 150 * time.Millisecond
+// snapshotWait is how long a starting process waits for a snapshot of another process before it
+// lists the store. It allows for several fetches on a slow link.
+const snapshotWait = 150 * time.Millisecond
 
-// SnapshotDue returns until when a snapshot of another may be expected, zero if there is no
-// source.
-func (s *Disseminator) SnapshotDeadline() time.Duration { return max(s.snapshotDue, s.patience) }
+// SnapshotDeadline returns until when a snapshot of another process may arrive, or 0 if no
+// source is known.
+func (d *Disseminator) SnapshotDeadline() time.Duration {
+	return max(d.snapshotDeadline, d.seedWaitDeadline)
+}
 
-// Question returns what a process that has been started sends a seed: until it knows the
-// directory and the seed does too.
-func (s *Disseminator) StartupRequest(now time.Duration) (Outgoing, bool) {
-	if len(s.seeds) == 0 || s.seedAdvertised && s.machine.Loaded() {
+// StartupRequest returns the request of a starting process to a seed. It returns false once
+// both this process and a seed have the directory.
+func (d *Disseminator) StartupRequest(now time.Duration) (Outgoing, bool) {
+	if len(d.seeds) == 0 || d.seedHasDirectory && d.replica.Loaded() {
 		return Outgoing{}, false
 	}
-	return Outgoing{To: s.seeds[s.random.IntN(len(s.seeds))], Update: Update{RequestsChanges: true, State: s.Summary(now)}}, true
+	return Outgoing{To: d.seeds[d.random.IntN(len(d.seeds))], Update: Update{RequestsChanges: true, State: d.Summary(now)}}, true
 }
 
-// advertise returns what announces to seeds that this process has a directory.
-func (s *Disseminator) advertise(now time.Duration, seeds []Peer) []Outgoing {
-	if s.advertised || !s.machine.Loaded() {
+// advertise tells seeds, once, that this process has a directory.
+func (d *Disseminator) advertise(now time.Duration, seeds []Peer) []Outgoing {
+	if d.advertisedToSeed || !d.replica.Loaded() {
 		return nil
 	}
-	s.advertised = true
-	return s.address([]Update{{RequestsChanges: true, State: s.Summary(now)}}, seeds)
+	d.advertisedToSeed = true
+	return d.addressTo([]Update{{RequestsChanges: true, State: d.Summary(now)}}, seeds)
 }
 
-// serveWaiting names sources to processes that know nothing and have waited for one.
-func (s *Disseminator) serveWaiting(now time.Duration) []Outgoing {
-	if s.machine.Loaded() {
-		s.sources.note(now, s.self.Peer)
+// assignSources returns the messages that direct waiting processes to a source.
+func (d *Disseminator) assignSources(now time.Duration) []Outgoing {
+	if d.replica.Loaded() {
+		d.sources.record(now, d.self.Peer)
 	}
 	var outgoing []Outgoing
-	for _, each := range s.sources.serve(now) {
-		outgoing = append(outgoing, Outgoing{To: each.to, Update: Update{State: s.Summary(now), Source: each.source}})
+	for _, assigned := range d.sources.assignWaiting(now) {
+		outgoing = append(outgoing, Outgoing{To: assigned.to, Update: Update{State: d.Summary(now), Source: assigned.source}})
 	}
 	return outgoing
 }
 
-// noteSources takes account of what an update shows of who has a directory, or is about to. It
-// returns what to send those that have waited for that.
-func (s *Disseminator) noteSources(now time.Duration, from Peer, update Update) []Outgoing {
-	isSeed := slices.Contains(s.seeds, from)
-	if update.ListingStore && s.patience == 0 && isSeed {
-		s.patience = now + fetchPatience + ListingDelay(s.random.Float64())
+// noteSources records which processes have a directory, or are about to have one, according to
+// an update. It returns the messages for processes that waited for a source.
+func (d *Disseminator) noteSources(now time.Duration, from Peer, update Update) []Outgoing {
+	isSeed := slices.Contains(d.seeds, from)
+	if update.ListingStore && d.seedWaitDeadline == 0 && isSeed {
+		d.seedWaitDeadline = now + snapshotWait + ListingDelay(d.random.Float64())
 	}
 	if update.State.Through == 0 && update.Source == 0 {
 		return nil
 	}
-	if !s.sources.others() {
-		s.snapshotDue = now + fetchPatience
+	if !d.sources.hasOthers() {
+		d.snapshotDeadline = now + snapshotWait
 	}
-	s.noteSource(now, update.SourceOrSender(from))
-	s.noteReferrer(from)
-	s.seedAdvertised = s.seedAdvertised || isSeed
-	return s.serveWaiting(now)
+	d.noteSource(now, update.SourceOrSender(from))
+	d.noteReferrer(from)
+	d.seedHasDirectory = d.seedHasDirectory || isSeed
+	return d.assignSources(now)
 }
 
-// noteReferrer remembers the seed that has named a source first.
-func (s *Disseminator) noteReferrer(from Peer) {
-	if s.referrer == 0 && slices.Contains(s.seeds, from) {
-		s.referrer = from
+// noteReferrer records the first seed that named a source.
+func (d *Disseminator) noteReferrer(from Peer) {
+	if d.referrer == 0 && slices.Contains(d.seeds, from) {
+		d.referrer = from
 	}
 }
 
-func (s *Disseminator) noteSource(now time.Duration, peer Peer) {
-	if peer != s.self.Peer {
-		s.sources.note(now, peer)
+func (d *Disseminator) noteSource(now time.Duration, peer Peer) {
+	if peer != d.self.Peer {
+		d.sources.record(now, peer)
 	}
 }
--- a/internal/directory/startup_test.go
+++ b/internal/directory/startup_test.go
@@ -9,90 +9,90 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-var _ = Describe("Spread, while processes start", func() {
-	It("has a process that starts told by a seed who knows the directory, though the seed does not", func() {
-		seed := newParticipant(directory.Member{Peer: 1})
-		fast := newParticipant(directory.Member{Peer: 2}, 1)
-		slow := newParticipant(directory.Member{Peer: 3}, 1)
-		ask := func(now time.Duration, asking *participant, from directory.Peer) []directory.Outgoing {
-			question, exists := asking.spread.StartupRequest(now)
+var _ = Describe("Disseminator, while processes start", func() {
+	It("is directed to a source by a seed that has no directory itself", func() {
+		seed := newTestBalancer(directory.Member{Peer: 1})
+		fast := newTestBalancer(directory.Member{Peer: 2}, 1)
+		slow := newTestBalancer(directory.Member{Peer: 3}, 1)
+		ask := func(now time.Duration, asking *testBalancer, from directory.Peer) []directory.Outgoing {
+			request, exists := asking.disseminator.StartupRequest(now)
 			Expect(exists).To(BeTrue())
-			Expect(question.To).To(Equal(directory.Peer(1)))
-			_, _, answers := seed.spread.Receive(now, from, question.Update)
+			Expect(request.To).To(Equal(directory.Peer(1)))
+			_, _, answers := seed.disseminator.Receive(now, from, request.Update)
 			return answers
 		}
 		unknown := ask(0, slow, 3)
 		Expect(unknown).To(HaveLen(1))
-		Expect(unknown[0].Update).To(And(HaveField("Source", BeZero()), HaveField("ListingStore", true)), "nobody knows")
+		Expect(unknown[0].Update).To(And(HaveField("Source", BeZero()), HaveField("ListingStore", true)), "no source is known")
 		listed := fast.list(40*millisecond, 5)
-		Expect(listed).To(HaveLen(1), "it tells its seed at once")
-		_, _, answers := seed.spread.Receive(41*millisecond, 2, listed[0].Update)
-		Expect(answers).To(HaveLen(1), "who tells the one that waits at once")
+		Expect(listed).To(HaveLen(1), "it advertises to its seed at once")
+		_, _, answers := seed.disseminator.Receive(41*millisecond, 2, listed[0].Update)
+		Expect(answers).To(HaveLen(1), "the seed directs the waiting process at once")
 		Expect(answers[0].To).To(Equal(directory.Peer(3)))
-		_, lacks, _ := slow.spread.Receive(42*millisecond, 1, answers[0].Update)
-		Expect(lacks).To(BeTrue())
+		_, incomplete, _ := slow.disseminator.Receive(42*millisecond, 1, answers[0].Update)
+		Expect(incomplete).To(BeTrue())
 		Expect(answers[0].Update.SourceOrSender(1)).To(Equal(directory.Peer(2)))
 		again := ask(150*millisecond, slow, 3)
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].To).To(Equal(directory.Peer(3)))
 		Expect(again[0].Update.SourceOrSender(1)).To(Equal(directory.Peer(2)))
-		Expect(ask(3*time.Second, slow, 3)).To(BeEmpty(), "that was long ago")
+		Expect(ask(3*time.Second, slow, 3)).To(BeEmpty(), "the source has expired")
 	})
 
-	It("waits for a seed that is about to know the directory, for a time and only for a seed", func() {
-		asked := newParticipant(directory.Member{Peer: 2}, 1)
-		asked.spread.Receive(0, 7, directory.Update{ListingStore: true})
-		Expect(asked.spread.SnapshotDeadline()).To(BeZero())
-		asked.spread.Receive(0, 1, directory.Update{ListingStore: true})
-		patience := asked.spread.SnapshotDeadline()
+	It("waits for a seed that is listing the store, for a limited time and only for a seed", func() {
+		asked := newTestBalancer(directory.Member{Peer: 2}, 1)
+		asked.disseminator.Receive(0, 7, directory.Update{ListingStore: true})
+		Expect(asked.disseminator.SnapshotDeadline()).To(BeZero())
+		asked.disseminator.Receive(0, 1, directory.Update{ListingStore: true})
+		patience := asked.disseminator.SnapshotDeadline()
 		Expect(patience).To(And(BeNumerically(">", 150*millisecond), BeNumerically("<", 450*millisecond)))
-		asked.spread.Receive(100*millisecond, 1, directory.Update{ListingStore: true})
-		Expect(asked.spread.SnapshotDeadline()).To(Equal(patience), "the store may turn the seed away")
+		asked.disseminator.Receive(100*millisecond, 1, directory.Update{ListingStore: true})
+		Expect(asked.disseminator.SnapshotDeadline()).To(Equal(patience), "the store may reject the seed's calls")
 	})
 
-	It("names one source to no more processes at once than it can serve, and those that it has served to the next", func() {
-		seed := newParticipant(directory.Member{Peer: 1})
-		question := directory.Update{RequestsChanges: true}
+	It("assigns a source no more processes at once than it can serve, and served ones as further sources", func() {
+		seed := newTestBalancer(directory.Member{Peer: 1})
+		request := directory.Update{RequestsChanges: true}
 		for peer := directory.Peer(10); peer < 30; peer++ {
-			_, _, answers := seed.spread.Receive(0, peer, question)
+			_, _, answers := seed.disseminator.Receive(0, peer, request)
 			for _, each := range answers {
 				Expect(each.Update.Source).To(BeZero())
 			}
 		}
-		named := make(map[directory.Peer]int)
-		told := make(map[directory.Peer]bool)
-		take := func(outgoing []directory.Outgoing) int {
+		assignments := make(map[directory.Peer]int)
+		assigned := make(map[directory.Peer]bool)
+		countAssignments := func(outgoing []directory.Outgoing) int {
 			count := 0
 			for _, each := range outgoing {
 				if each.Update.Source != 0 {
-					named[each.Update.Source]++
-					told[each.To] = true
+					assignments[each.Update.Source]++
+					assigned[each.To] = true
 					count++
 				}
 			}
 			return count
 		}
-		Expect(take(seed.list(50*millisecond, 5))).To(Equal(4))
+		Expect(countAssignments(seed.list(50*millisecond, 5))).To(Equal(4))
 		for peer := directory.Peer(10); peer < 14; peer++ {
-			Expect(told).To(HaveKey(peer), "first come, first served")
-			_, _, answers := seed.spread.Receive(70*millisecond, peer, directory.Update{RequestsChanges: true, State: seed.spread.Summary(70 * millisecond)})
-			Expect(take(answers)).To(BeNumerically(">=", 4))
+			Expect(assigned).To(HaveKey(peer), "processes are served in order of their requests")
+			_, _, answers := seed.disseminator.Receive(70*millisecond, peer, directory.Update{RequestsChanges: true, State: seed.disseminator.Summary(70 * millisecond)})
+			Expect(countAssignments(answers)).To(BeNumerically(">=", 4))
 		}
-		Expect(told).To(HaveLen(20))
-		Expect(named).To(Equal(map[directory.Peer]int{1: 4, 10: 4, 11: 4, 12: 4, 13: 4}))
+		Expect(assigned).To(HaveLen(20))
+		Expect(assignments).To(Equal(map[directory.Peer]int{1: 4, 10: 4, 11: 4, 12: 4, 13: 4}))
 	})
 
-	It("asks no seed any more once both know the directory", func() {
-		seed := newParticipant(directory.Member{Peer: 1})
+	It("stops requests to seeds once both sides have the directory", func() {
+		seed := newTestBalancer(directory.Member{Peer: 1})
 		seed.list(0, 5)
-		starting := newParticipant(directory.Member{Peer: 2}, 1)
-		question, _ := starting.spread.StartupRequest(0)
-		_, _, answers := seed.spread.Receive(0, 2, question.Update)
-		starting.spread.Receive(0, 1, answers[0].Update)
-		_, asks := starting.spread.StartupRequest(0)
-		Expect(asks).To(BeTrue(), "it knows nothing yet")
-		starting.machine.ApplyState(0, seed.spread.State(0, directory.Digest{}))
-		_, asks = starting.spread.StartupRequest(0)
+		starting := newTestBalancer(directory.Member{Peer: 2}, 1)
+		request, _ := starting.disseminator.StartupRequest(0)
+		_, _, answers := seed.disseminator.Receive(0, 2, request.Update)
+		starting.disseminator.Receive(0, 1, answers[0].Update)
+		_, asks := starting.disseminator.StartupRequest(0)
+		Expect(asks).To(BeTrue(), "it has no directory yet")
+		starting.replica.ApplyState(0, seed.disseminator.State(0, directory.Digest{}))
+		_, asks = starting.disseminator.StartupRequest(0)
 		Expect(asks).To(BeFalse())
 	})
 })
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -14,48 +14,48 @@
 //msgp:tuple Digest State EndpointState FormerRoute ZoneState
 //msgp:ignore zoneRecord ClosedZone contents serviceSet
 
-// Digest is the version and the revision of a directory. It is small enough to travel with
-// every message between balancers.
+// Digest holds the versions of a directory. It is small enough to accompany every message
+// between balancers.
 type Digest struct {
 	ConfigurationVersion uint64
 	Revision             Revision
 }
 
-// ahead reports whether a digest shows something that other does not have.
-func (d Digest) ahead(other Digest) bool {
+// isAheadOf reports whether a digest covers a change that other lacks.
+func (d Digest) isAheadOf(other Digest) bool {
 	return d.ConfigurationVersion > other.ConfigurationVersion || d.Revision > other.Revision
 }
 
-// State is the delta between two directories, or a whole one.
+// State is a full directory or the difference between two directories.
 type State struct {
-	// Complete is the revision up to which all changes are in it, given what the
-	// other knew: all changes after From or, if Whole is set, everything.
+	// Through is the revision up to which the state covers all changes: those after From, or
+	// everything if Whole is set.
 	Through Revision
 	From    Revision
 	Whole   bool
-	// Confirmed is set if the store has confirmed Complete to somebody, Age ago at the
-	// most.
+	// Confirmed is set if the store confirmed the revision Through to some balancer, at most
+	// Age ago.
 	Confirmed bool
 	Age       time.Duration
-	// Version is that of the newest configuration known.
+	// ConfigurationVersion is the newest version known to the sender.
 	ConfigurationVersion uint64
-	// Configuration is nil if the other has that version, or none is known.
+	// Configuration is nil if the receiver has that version or the sender has none.
 	Configuration *Configuration
 	// ConfigurationRevision is the revision of Configuration.
 	ConfigurationRevision Revision
 	Endpoints             []EndpointState
-	// Former are the services that addresses had in earlier configurations.
+	// FormerRoutes holds the services that earlier configurations assigned to addresses.
 	FormerRoutes []FormerRoute
-	// KnownFor is how far back it reaches: endpoints that have left since are in
-	// it.
+	// DepartureHistory is the period before the sending of the state for which all departures
+	// of endpoints are included.
 	DepartureHistory time.Duration
-	// Zones are those that were closed or opened since.
+	// Zones holds the zones that were closed or opened after From.
 	Zones []ZoneState
-	// Members is how many balancers the membership of its sender has.
+	// MemberCount is the number of balancers in the sender's membership.
 	MemberCount uint32
 }
 
-// FormerRoute lists the services that an address had in earlier configurations, the latest
+// FormerRoute lists the services that earlier configurations assigned to an address, the latest
 // ones last.
 type FormerRoute struct {
 	IP       [4]byte
@@ -63,13 +63,13 @@
 	Services []string
 }
 
-// ZoneState is the state of the entry that closes a zone to new flows. One that has gone is
-// remembered, so that nothing older closes the zone again.
+// ZoneState is the state of the entry that closes a zone to new flows. It is kept after the
+// entry is deleted, so that no older state closes the zone again.
 type ZoneState struct {
 	Zone     string
 	Revision Revision
 	Closed   bool
-	// For is how long it has been closed or open.
+	// Age is how long the zone has been closed or open.
 	Age time.Duration
 }
 
@@ -78,63 +78,62 @@
 	ID       EndpointID
 	Revision Revision
 	Endpoint Endpoint
-	// Gone is set if its entry is gone, for as long as GoneFor.
+	// Gone is set if the entry was deleted GoneFor ago.
 	Gone    bool
 	GoneFor time.Duration
-	// Refused is set if it has gone since its entry became one that cannot be used.
+	// Refused is set if the endpoint is gone because its entry became unusable.
 	Refused bool
 }
 
-// Digest returns how much is known.
-func (m *Replica) Digest() Digest { return Digest{m.snapshot.Version(), m.complete} }
+// Digest returns the versions of the replica.
+func (r *Replica) Digest() Digest { return Digest{r.snapshot.Version(), r.appliedRevision} }
 
-// State returns everything that is known.
-func (m *Replica) FullState(now time.Duration) State { return m.StateAfter(now, Digest{}) }
+// FullState returns the whole content of the replica.
+func (r *Replica) FullState(now time.Duration) State { return r.StateAfter(now, Digest{}) }
 
-// StateAfter returns what is known beyond what a digest shows, to be adopted by the process
-// whose digest it is. Endpoints that have gone are always in it, since the store shows them
-// only when they go. So are, if the other is ahead, those that are there: they may be stale.
-// If the other has not followed the changes that are remembered here, it is everything.
-func (m *Replica) StateAfter(now time.Duration, known Digest) State {
-	state := m.stateFrom(known.Revision)
-	state.FormerRoutes = describeFormer(m.former)
-	state.DepartureHistory = m.knownFor(now)
-	// Those that are closed are always in it, as the other may have seen that they were
-	// opened.
-	state.Zones = m.zonesAfter(now, 0)
-	if m.configuration != nil && state.ConfigurationVersion > known.ConfigurationVersion {
-		state.Configuration = m.configuration.Configuration
-		state.ConfigurationRevision = m.configuration.Revision
+// StateAfter returns the content that the process with peerDigest lacks. It always includes
+// endpoints that are gone, because the store reports them only once. If the peer is ahead, it
+// also includes all existing endpoints, since the local entries may be stale. It is a full
+// state if the peer's revision is older than the kept history.
+func (r *Replica) StateAfter(now time.Duration, peerDigest Digest) State {
+	state := r.stateHeader(peerDigest.Revision)
+	state.FormerRoutes = formerRoutesOf(r.formerServices)
+	state.DepartureHistory = r.departureHistory(now)
+	// Include every recorded zone, because the peer may not have seen that one was opened.
+	state.Zones = r.zonesAfter(now, 0)
+	if r.configuration != nil && state.ConfigurationVersion > peerDigest.ConfigurationVersion {
+		state.Configuration = r.configuration.Configuration
+		state.ConfigurationRevision = r.configuration.Revision
 	}
-	for name, each := range m.endpoints {
-		behind := state.Through < known.Revision
-		if state.Whole || behind || each.gone || each.revision > known.Revision {
-			state.Endpoints = append(state.Endpoints, each.describe(now, name))
+	for name, record := range r.endpoints {
+		peerAhead := state.Through < peerDigest.Revision
+		if state.Whole || peerAhead || record.gone || record.revision > peerDigest.Revision {
+			state.Endpoints = append(state.Endpoints, record.toState(now, name))
 		}
 	}
 	return state
 }
 
-// stateFrom returns the head of a state for a process that knows all changes up to a
+// stateHeader returns a state without content for a process that knows all changes up to a
 // revision.
-func (m *Replica) stateFrom(known Revision) State {
+func (r *Replica) stateHeader(after Revision) State {
 	return State{
-		Through: m.complete, From: known, Whole: known == 0 || known < m.floor, ConfigurationVersion: m.snapshot.Version(),
+		Through: r.appliedRevision, From: after, Whole: after == 0 || after < r.historyFloor, ConfigurationVersion: r.snapshot.Version(),
 	}
 }
 
-// ChangesAfter returns the changes of endpoints after a revision, in the order of
-// revisions and without what goes with a new configuration. It is whole if changes since
-// then are not remembered, and has no endpoints then.
-func (m *Replica) ChangesAfter(now time.Duration, known Revision) State {
-	state := m.stateFrom(known)
+// ChangesAfter returns the changes of endpoints and zones after a revision, ordered by
+// revision, without configuration data. If that history is no longer kept, the state has Whole
+// set and no content.
+func (r *Replica) ChangesAfter(now time.Duration, after Revision) State {
+	state := r.stateHeader(after)
 	if state.Whole {
 		return state
 	}
-	state.Zones = m.zonesAfter(now, known)
-	for name, each := range m.endpoints {
-		if each.revision > known {
-			state.Endpoints = append(state.Endpoints, each.describe(now, name))
+	state.Zones = r.zonesAfter(now, after)
+	for name, record := range r.endpoints {
+		if record.revision > after {
+			state.Endpoints = append(state.Endpoints, record.toState(now, name))
 		}
 	}
 	slices.SortFunc(state.Endpoints, func(a, b EndpointState) int {
@@ -143,54 +142,55 @@
 	return state
 }
 
-func (r *endpointRecord) describe(now time.Duration, name string) EndpointState {
-	described := EndpointState{
+func (r *endpointRecord) toState(now time.Duration, name string) EndpointState {
+	state := EndpointState{
 		ID: EndpointID{name, r.started}, Revision: r.revision, Endpoint: r.endpoint, Gone: r.gone, Refused: r.refused,
 	}
-	described.Endpoint.ColdRemaining = max(r.warmAt-now, 0)
+	state.Endpoint.ColdRemaining = max(r.warmAt-now, 0)
 	if r.gone {
-		described.GoneFor = now - r.goneAt
+		state.GoneFor = now - r.goneAt
 	}
-	return described
+	return state
 }
 
-// Adopt merges a state of another process. It reports whether the snapshot changed.
-func (m *Replica) ApplyState(now time.Duration, state State) bool {
-	if m.refutes(state.Through) {
+// ApplyState merges a state received from another process. It reports whether the snapshot
+// changed.
+func (r *Replica) ApplyState(now time.Duration, state State) bool {
+	if r.isInvalid(state.Through) {
 		return false
 	}
 	changed := false
 	if state.Configuration != nil {
-		changed = m.mergeConfiguration(Item{Revision: state.ConfigurationRevision, Configuration: state.Configuration})
+		changed = r.mergeConfiguration(Item{Revision: state.ConfigurationRevision, Configuration: state.Configuration})
 	}
-	follows := m.CompletesWith(state)
-	for _, described := range state.Endpoints {
-		changed = m.adoptEndpoint(now, described) || changed
+	complete := r.CompletesWith(state)
+	for _, received := range state.Endpoints {
+		changed = r.applyEndpointState(now, received) || changed
 	}
-	for _, described := range state.Zones {
-		changed = m.adoptZone(now, described) || changed
+	for _, received := range state.Zones {
+		changed = r.applyZoneState(now, received) || changed
 	}
-	changed = m.adoptFormer(state.FormerRoutes) || changed
+	changed = r.applyFormerRoutes(state.FormerRoutes) || changed
 	if state.DepartureHistory > 0 {
-		changed = m.reachBack(now-state.DepartureHistory) || changed
+		changed = r.extendDepartureHistory(now-state.DepartureHistory) || changed
 	}
-	if !follows {
-		return m.advance(now, 0, changed)
+	if !complete {
+		return r.advance(now, 0, changed)
 	}
 	if state.Whole {
-		changed = m.leaveMissing(now, state) || changed
-		changed = m.openMissing(now, state) || changed
-		m.floor = max(m.floor, state.Through)
+		changed = r.markMissingGone(now, state) || changed
+		changed = r.openMissingZones(now, state) || changed
+		r.historyFloor = max(r.historyFloor, state.Through)
 	}
-	return m.advance(now, state.Through, changed)
+	return r.advance(now, state.Through, changed)
 }
 
-// Follows reports whether the machine knows all changes up to the state's Complete once
-// it has adopted it.
-func (m *Replica) CompletesWith(state State) bool {
+// CompletesWith reports whether the replica knows all changes up to state.Through once it has
+// applied the state.
+func (r *Replica) CompletesWith(state State) bool {
 	version := uint64(0)
-	if m.configuration != nil {
-		version = m.configuration.Configuration.Version
+	if r.configuration != nil {
+		version = r.configuration.Configuration.Version
 	}
 	if state.Configuration != nil {
 		version = max(version, state.Configuration.Version)
@@ -198,67 +198,67 @@
 	if version < state.ConfigurationVersion {
 		return false
 	}
-	return state.Through >= m.complete && (state.Whole || state.From <= m.complete)
+	return state.Through >= r.appliedRevision && (state.Whole || state.From <= r.appliedRevision)
 }
 
-// leaveMissing notes that endpoints have gone which are not there in a whole state. One that
-// has gone in it may have come back and gone again, which its sender has missed.
-func (m *Replica) leaveMissing(now time.Duration, state State) bool {
-	there := make(map[string]bool, len(state.Endpoints))
-	for _, described := range state.Endpoints {
-		there[described.ID.Name] = !described.Gone
+// markMissingGone marks endpoints as gone that a full state does not contain as existing. An
+// endpoint that is gone in the state may have returned and gone again unnoticed by the sender.
+func (r *Replica) markMissingGone(now time.Duration, state State) bool {
+	present := make(map[string]bool, len(state.Endpoints))
+	for _, received := range state.Endpoints {
+		present[received.ID.Name] = !received.Gone
 	}
-	return m.leaveUnless(now, there, state.Through)
+	return r.markUnlistedGone(now, present, state.Through)
 }
 
-// adoptFormer merges the former services of another process. It reports whether there are new
-// ones. Snapshots share the map, so it is replaced.
-func (m *Replica) adoptFormer(described []FormerRoute) bool {
-	merged := maps.Clone(m.former)
+// applyFormerRoutes merges the former services of another process. It reports whether any are
+// new. It replaces the map, because snapshots share it.
+func (r *Replica) applyFormerRoutes(routes []FormerRoute) bool {
+	merged := maps.Clone(r.formerServices)
 	if merged == nil {
 		merged = make(map[segment.Address][]string)
 	}
-	for _, route := range described {
+	for _, route := range routes {
 		address := segment.Address{IP: route.IP, Port: route.Port}
-		merged[address] = withServices(route.Services, merged[address])
+		merged[address] = appendServices(route.Services, merged[address])
 	}
-	if maps.EqualFunc(merged, m.former, slices.Equal) {
+	if maps.EqualFunc(merged, r.formerServices, slices.Equal) {
 		return false
 	}
-	m.former = merged
+	r.formerServices = merged
 	return true
 }
 
-func describeFormer(former map[segment.Address][]string) []FormerRoute {
-	var described []FormerRoute
+func formerRoutesOf(former map[segment.Address][]string) []FormerRoute {
+	var routes []FormerRoute
 	for address, services := range former {
-		described = append(described, FormerRoute{IP: address.IP, Port: address.Port, Services: services})
+		routes = append(routes, FormerRoute{IP: address.IP, Port: address.Port, Services: services})
 	}
-	return described
+	return routes
 }
 
-// adoptEndpoint takes the state of an endpoint's entry if it is newer. An entry that this
-// process does not have, though it has all changes since it was written, has gone: the other
-// is stale. The same endpoint may have had one before. One that cannot be used, as a fault of
-// the other may bring, is left out.
-func (m *Replica) adoptEndpoint(now time.Duration, described EndpointState) bool {
-	known, exists := m.endpoints[described.ID.Name]
-	if exists && described.Revision <= known.revision || !described.usable() {
+// applyEndpointState accepts a newer state of an endpoint's entry. If this process already
+// knows all changes up to that revision, an entry that it lacks has since been deleted and the
+// sender is stale. That also holds if an older entry of the endpoint is recorded. Invalid
+// states, which a faulty sender may produce, are skipped.
+func (r *Replica) applyEndpointState(now time.Duration, received EndpointState) bool {
+	record, exists := r.endpoints[received.ID.Name]
+	if exists && received.Revision <= record.revision || !received.valid() {
 		return false
 	}
-	adopted := &endpointRecord{
-		started:  described.ID.Started,
-		revision: described.Revision,
-		endpoint: described.Endpoint,
-		warmAt:   now + described.Endpoint.ColdRemaining,
-		gone:     described.Gone,
-		goneAt:   now - described.GoneFor,
-		refused:  described.Refused,
+	updated := &endpointRecord{
+		started:  received.ID.Started,
+		revision: received.Revision,
+		endpoint: received.Endpoint,
+		warmAt:   now + received.Endpoint.ColdRemaining,
+		gone:     received.Gone,
+		goneAt:   now - received.GoneFor,
+		refused:  received.Refused,
 	}
-	if !described.Gone && described.Revision <= m.complete {
-		adopted.leave(now, m.complete)
+	if !received.Gone && received.Revision <= r.appliedRevision {
+		updated.markGone(now, r.appliedRevision)
 	}
-	m.endpoints[described.ID.Name] = adopted
-	m.latest = max(m.latest, described.Revision)
+	r.endpoints[received.ID.Name] = updated
+	r.latestSeen = max(r.latestSeen, received.Revision)
 	return true
 }
--- a/internal/directory/store.go
+++ b/internal/directory/store.go
@@ -7,60 +7,58 @@
 	"github.com/vanetiller/vanetiller/internal/label"
 )
 
-// Page is one answer to a listing.
+// Page is one response to a listing.
 type Page struct {
 	Items []Item
-	// Last is the last key of the page, and More is set if others follow it.
+	// LastKey is the last key of the page. More is set if further keys follow it.
 	LastKey string
 	More    bool
-	// At is the revision of the store when it answered.
+	// Revision is the revision of the store when it responded.
 	Revision Revision
 }
 
-// Changes is one answer to a watch: all changes after the revision asked for,
-// up to Through.
+// Changes is one response to a watch: all changes after the requested revision, up to Through.
 type Changes struct {
 	Items   []Item
 	Through Revision
 }
 
-// Store is the platform's store of items. Both calls return a *StoreError if
-// they fail.
+// Store is the platform's metadata store. Both methods return a *StoreError on failure.
 type Store interface {
-	// List returns a page of items whose keys come after a key.
+	// List returns a page of items whose keys sort after a key.
 	List(ctx context.Context, after string) (Page, error)
-	// Watch waits for changes after a revision, for as long as given. The
-	// answer is empty if there were none.
+	// Watch waits up to the given time for changes after a revision. The result is empty if
+	// there were none.
 	Watch(ctx context.Context, after Revision, wait time.Duration) (Changes, error)
 }
 
-// StoreFailure is the reason why a call of the store failed.
+// StoreFailure is the reason for which a call to the store failed.
 type StoreFailure uint8
 
-// The reasons why a call fails.
+// The reasons for which a call fails.
 const (
-	// StoreUnreachable: no whole answer came in time.
+	// StoreUnreachable means that no complete response arrived in time.
 	StoreUnreachable StoreFailure = iota
-	// StoreUnavailable: the store answered that it cannot serve now.
+	// StoreUnavailable means that the store responded that it cannot serve the call.
 	StoreUnavailable
-	// StoreThrottled: too many calls were made.
+	// StoreThrottled means that the store rejected the call because of its rate limit.
 	StoreThrottled
-	// StoreCompacted: the changes asked for are no longer known.
+	// StoreCompacted means that the store no longer keeps the requested changes.
 	StoreCompacted
-	// StoreBadContent: the answer could not be understood.
+	// StoreBadContent means that the response could not be decoded.
 	StoreBadContent
 	storeFailureCount
 )
 
-// StoreFailures lists every reason, for counters that are kept by reason.
+// StoreFailures lists every reason, for counters labelled by reason.
 func StoreFailures() []StoreFailure { return label.All(storeFailureCount) }
 
 var storeFailureNames = []string{"unreachable", "unavailable", "throttled", "compacted", "bad_content"}
 
-// String returns the reason in the form used as a metric label.
+// String returns the reason as a metric label value.
 func (f StoreFailure) String() string { return label.Of(storeFailureNames, f) }
 
-// StoreError tells why a call of the store failed.
+// StoreError describes a failed call to the store.
 type StoreError struct {
 	Failure StoreFailure
 	Detail  string
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -5,64 +5,65 @@
 //msgp:tuple Update
 //msgp:ignore ConfirmationRequest ConfirmationQueue
 
-// Update is an announcement of the directory among balancers, in one datagram.
+// Update announces directory changes between balancers in one datagram.
 type Update struct {
-	// Asks wants an Update in return with what the sender lacks beyond State.
+	// RequestsChanges asks for an Update with the changes that the sender lacks beyond State.
 	RequestsChanges bool
-	// Confirms wants the store to be asked first, and Number names the question. Both
-	// are the same in the answer.
+	// Confirmation asks the receiver to confirm with the store first. RequestID identifies the
+	// request. The reply repeats both.
 	Confirmation bool
 	RequestID    uint32
 	State        State
-	// Source is who can be asked for what State shows, the sender if it is zero.
+	// Source is the process to fetch the content of State from, or 0 for the sender.
 	Source Peer
-	// Waits is set while the sender is listing the store, so that the receiver need not.
+	// ListingStore is set while the sender is listing the store, so that the receiver need not
+	// list it.
 	ListingStore bool
 }
 
-// Peer names a balancer.
+// Peer identifies a balancer.
 type Peer uint64
 
 const (
-	// MaximumUpdate bounds an encoded Update in bytes: one packet of an Ethernet.
+	// MaxUpdateSize is the largest encoded Update in bytes. It fits into one Ethernet packet.
 	MaxUpdateSize = 1400
-	// updateHead is room for all but the endpoints of an Update, and endpointRoom for one
-	// beside its texts, in bytes.
-	updateHead   = 100
-	endpointRoom = 64
-	// zoneRoom is room for one zone beside its name, in bytes.
-	zoneRoom = 32
-	// updateParts bounds the datagrams of one delta. More changes are announced without their
-	// content, and fetched by a stream.
-	updateParts = 4
+	// updateHeaderSize is the space for everything in an Update except endpoints and zones, and
+	// endpointOverhead for one endpoint without its strings, in bytes.
+	updateHeaderSize = 100
+	endpointOverhead = 64
+	// zoneOverhead is the space for one zone without its name, in bytes.
+	zoneOverhead = 32
+	// maxUpdateParts limits the datagrams of one difference. Larger differences are announced
+	// without content and fetched over a stream.
+	maxUpdateParts = 4
 )
 
-// size returns how much room an endpoint takes in an Update, in bytes.
+// size returns the space reserved for the endpoint in an Update, in bytes.
 func (e *EndpointState) size() int {
-	return endpointRoom + len(e.ID.Name) + len(e.Endpoint.Service) + len(e.Endpoint.Zone)
+	return endpointOverhead + len(e.ID.Name) + len(e.Endpoint.Service) + len(e.Endpoint.Zone)
 }
 
-// updatesOf divides changes of endpoints, which are in the order of their revisions, into
-// updates that fit into datagrams. Each leads from the revision of the one before to its own.
-// If there are too many, one update announces them without their content.
-func updatesOf(changes State) []Update {
+// splitUpdates divides changes of endpoints, ordered by revision, into updates that fit into
+// datagrams. Each update covers the changes from the revision of the previous one to its own.
+// If there are too many, it returns a single update without content.
+func splitUpdates(changes State) []Update {
 	if changes.Whole {
 		return []Update{announcement(changes)}
 	}
 	part := changes
 	part.Endpoints = nil
-	room := MaxUpdateSize - updateHead
+	room := MaxUpdateSize - updateHeaderSize
 	for _, zone := range changes.Zones {
-		room -= zoneRoom + len(zone.Zone)
+		room -= zoneOverhead + len(zone.Zone)
 	}
 	if room < 0 {
 		return []Update{announcement(changes)}
 	}
 	var parts []Update
-	for _, each := range changes.Endpoints {
+	for _, endpoint := range changes.Endpoints {
 		last := len(part.Endpoints) - 1
-		splits := last >= 0 && part.Endpoints[last].Revision != each.Revision
-		if room < each.size() && splits {
+		splits := last >= 0 && part.Endpoints[last].Revision != endpoint.Revision
+		if room < endpoint.size() && splits {
 			part.Through = part.Endpoints[last].Revision
 			part.Confirmed = false
 			parts = append(parts, Update{State: part})
@@ -70,13 +71,13 @@
 			part.Zones = nil
 			part.From = parts[len(parts)-1].State.Through
 			part.Endpoints = nil
-			room = MaxUpdateSize - updateHead
+			room = MaxUpdateSize - updateHeaderSize
 		}
-		part.Endpoints = append(part.Endpoints, each)
-		room -= each.size()
+		part.Endpoints = append(part.Endpoints, endpoint)
+		room -= endpoint.size()
 	}
 	parts = append(parts, Update{State: part})
-	if len(parts) > updateParts || room < 0 {
+	if len(parts) > maxUpdateParts || room < 0 {
 		return []Update{announcement(changes)}
 	}
 	return parts
--- a/internal/directory/zone.go
+++ b/internal/directory/zone.go
@@ -7,64 +7,66 @@
 	"time"
 )
 
-// zoneRecord is what the machine keeps of one zone that is closed or was.
+// zoneRecord is the state that a Replica keeps of a zone that is or was closed.
 type zoneRecord struct {
 	revision Revision
 	closed   bool
-	// since is when this process learned that it was closed or opened.
+	// since is when this process learned that the zone was closed or opened.
 	since time.Duration
 }
 
-// ClosedZone is a zone whose endpoints must get no new flow.
+// ClosedZone is a zone whose endpoints must receive no new flows.
 type ClosedZone struct {
 	Zone string
-	// Revision is that of the entry which closes it.
+	// Revision is the revision of the entry that closes the zone.
 	Revision Revision
-	// Since is when this process learned of it.
+	// Since is when this process learned of the closing.
 	Since time.Duration
 }
 
-// mergeZone merges an entry that closes a zone, or its end. It reports whether that is news.
-func (m *Replica) mergeZone(now time.Duration, item Item) bool {
-	known, exists := m.zones[item.Zone]
-	if exists && item.Revision <= known.revision {
+// mergeZone merges an entry that closes a zone, or its deletion. It reports whether the zone is
+// or was closed.
+func (r *Replica) mergeZone(now time.Duration, item Item) bool {
+	record, exists := r.zones[item.Zone]
+	if exists && item.Revision <= record.revision {
 		return false
 	}
-	m.zones[item.Zone] = zoneRecord{revision: item.Revision, closed: item.ZoneClosed, since: now}
-	return item.ZoneClosed || known.closed
+	r.zones[item.Zone] = zoneRecord{revision: item.Revision, closed: item.ZoneClosed, since: now}
+	return item.ZoneClosed || record.closed
 }
 
-// openUnless notes that zones have been opened whose entries are not among those that
-// were there at a revision. It reports whether there are any.
-func (m *Replica) openUnless(now time.Duration, there map[string]bool, at Revision) bool {
+// openUnlistedZones opens zones whose entry was not listed at a revision. It reports whether it
+// opened any.
+func (r *Replica) openUnlistedZones(now time.Duration, listed map[string]bool, revision Revision) bool {
 	opened := false
-	for zone, known := range m.zones {
-		if known.closed && !there[zone] && known.revision <= at {
-			m.zones[zone] = zoneRecord{revision: at, since: now}
+	for zone, record := range r.zones {
+		if record.closed && !listed[zone] && record.revision <= revision {
+			r.zones[zone] = zoneRecord{revision: revision, since: now}
 			opened = true
 		}
 	}
 	return opened
 }
 
-// forgetZones forgets zones that have long been open: nobody is as stale by then.
-func (m *Replica) forgetZones(now time.Duration) {
-	maps.DeleteFunc(m.zones, func(_ string, known zoneRecord) bool {
-		forgotten := !known.closed && now-known.since > Retention
-		if forgotten {
-			m.floor = max(m.floor, known.revision)
+// expireZones drops zones that have been open for Retention. No process has an older state by
+// then.
+func (r *Replica) expireZones(now time.Duration) {
+	maps.DeleteFunc(r.zones, func(_ string, record zoneRecord) bool {
+		expired := !record.closed && now-record.since > Retention
+		if expired {
+			r.historyFloor = max(r.historyFloor, record.revision)
 		}
-		return forgotten
+		return expired
 	})
 }
 
-// zonesAfter returns the zones that were closed or opened after a revision, in the order
-// of revisions.
-func (m *Replica) zonesAfter(now time.Duration, known Revision) []ZoneState {
+// zonesAfter returns the zones that were closed or opened after a revision, ordered by
+// revision.
+func (r *Replica) zonesAfter(now time.Duration, after Revision) []ZoneState {
 	var zones []ZoneState
-	for zone, each := range m.zones {
-		if each.revision > known {
-			zones = append(zones, ZoneState{Zone: zone, Revision: each.revision, Closed: each.closed, Age: now - each.since})
+	for zone, record := range r.zones {
+		if record.revision > after {
+			zones = append(zones, ZoneState{Zone: zone, Revision: record.revision, Closed: record.closed, Age: now - record.since})
 		}
 	}
 	slices.SortFunc(zones, func(a, b ZoneState) int {
@@ -73,50 +75,51 @@
 	return zones
 }
 
-// adoptZone takes the state of a zone's entry if it is newer. An entry that this process does
-// not have, though it has all changes since it was written, has gone.
-func (m *Replica) adoptZone(now time.Duration, described ZoneState) bool {
-	known, exists := m.zones[described.Zone]
-	if exists && described.Revision <= known.revision || described.Zone == "" {
+// applyZoneState accepts a newer state of a zone's entry. If this process already knows all
+// changes up to that revision, a closing entry that it lacks has since been deleted.
+func (r *Replica) applyZoneState(now time.Duration, received ZoneState) bool {
+	record, exists := r.zones[received.Zone]
+	if exists && received.Revision <= record.revision || received.Zone == "" {
 		return false
 	}
-	adopted := zoneRecord{revision: described.Revision, closed: described.Closed, since: now - max(described.Age, 0)}
-	if described.Closed && described.Revision <= m.complete {
-		adopted = zoneRecord{revision: m.complete, since: now}
+	updated := zoneRecord{revision: received.Revision, closed: received.Closed, since: now - max(received.Age, 0)}
+	if received.Closed && received.Revision <= r.appliedRevision {
+		updated = zoneRecord{revision: r.appliedRevision, since: now}
 	}
-	m.zones[described.Zone] = adopted
-	m.latest = max(m.latest, described.Revision)
-	return adopted.closed || known.closed
+	r.zones[received.Zone] = updated
+	r.latestSeen = max(r.latestSeen, received.Revision)
+	return updated.closed || record.closed
 }
 
-// openMissing notes that zones are open which a whole state does not show as closed.
-func (m *Replica) openMissing(now time.Duration, state State) bool {
+// openMissingZones opens zones that a full state does not contain as closed.
+func (r *Replica) openMissingZones(now time.Duration, state State) bool {
 	closed := make(map[string]bool, len(state.Zones))
-	for _, described := range state.Zones {
-		closed[described.Zone] = described.Closed
+	for _, received := range state.Zones {
+		closed[received.Zone] = received.Closed
 	}
-	return m.openUnless(now, closed, state.Through)
+	return r.openUnlistedZones(now, closed, state.Through)
 }
 
-// closedZones returns the zones that are closed, in the order of their names.
-func (m *Replica) closedZones() []ClosedZone {
+// closedZones returns the closed zones, ordered by name.
+func (r *Replica) closedZones() []ClosedZone {
 	var closed []ClosedZone
-	for zone, known := range m.zones {
-		if known.closed {
-			closed = append(closed, ClosedZone{Zone: zone, Revision: known.revision, Since: known.since})
+	for zone, record := range r.zones {
+		if record.closed {
+			closed = append(closed, ClosedZone{Zone: zone, Revision: record.revision, Since: record.since})
 		}
 	}
 	slices.SortFunc(closed, func(a, b ClosedZone) int { return cmp.Compare(a.Zone, b.Zone) })
 	return closed
 }
 
-// warmAt returns when an endpoint is no longer cold: as it has announced or, since it may
-// not have announced it yet, some time after its zone was opened again.
-func (m *Replica) warmAt(known *endpointRecord, starts map[string]ColdStart) time.Duration {
-	zone, exists := m.zones[known.endpoint.Zone]
-	start, cold := starts[known.endpoint.Service]
-	if !exists || zone.closed || !cold {
-		return known.warmAt
+// warmAt returns when an endpoint stops being cold: at the time it announced or, if its zone
+// was opened again, after the cold start of its service counted from the opening. The endpoint
+// may not have announced that cold period yet.
+func (r *Replica) warmAt(record *endpointRecord, coldStarts map[string]ColdStart) time.Duration {
+	zone, exists := r.zones[record.endpoint.Zone]
+	coldStart, limited := coldStarts[record.endpoint.Service]
+	if !exists || zone.closed || !limited {
+		return record.warmAt
 	}
-	return max(known.warmAt, zone.since+start.Duration)
+	return max(record.warmAt, zone.since+coldStart.Duration)
 }
