--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -8,25 +8,24 @@
 	"github.com/pkg/errors"
 )
 
-// DefaultTimeout bounds one request, from dialling to the end of the body. A
-// daemon takes itself for paused after no less than this time, so an answer
-// that is accepted was never held up by a pause of the process.
+// DefaultTimeout limits one request, from dialling to the end of the body. A daemon considers
+// itself to have been paused only after at least this time, so no accepted response was delayed
+// by a pause of the process.
 const DefaultTimeout = time.Second
 
 // ClientConfig is the configuration of a Client.
 type ClientConfig struct {
 	ConfigurationURL string
 	MachinesURL      string
-	// Timeout bounds one request; 0 means DefaultTimeout.
+	// Timeout limits one request. 0 means DefaultTimeout.
 	Timeout time.Duration
-	// Now is the clock; nil means time.Now.
+	// Now returns the current time. Nil means time.Now.
 	Now func() time.Time
 }
 
-// Client reads from the services of the platform. It is safe for concurrent
-// use. Its requests are conditional if the service gives entity tags: an answer
-// that has not changed costs a few hundred bytes, and is the same value as
-// before, which must not be changed.
+// Client reads from the services of the platform. It is safe for concurrent use. Its requests
+// are conditional if the service sends entity tags. An unchanged response then costs a few
+// hundred bytes, and the client returns the previous value, which the caller must not modify.
 type Client struct {
 	configuration *resource[Configuration]
 	machines      *resource[Machines]
@@ -44,8 +43,8 @@
 	if now == nil {
 		now = time.Now
 	}
-	// The platform is reached directly by IP number, so proxy settings of the
-	// environment do not apply.
+	// The platform is reached directly by IP address, so the proxy settings of the environment
+	// must not apply.
 	client := &http.Client{Timeout: timeout, Transport: &http.Transport{}}
 	configuration, err := newResource(client, config.ConfigurationURL, decodeConfiguration)
 	if err != nil {
@@ -58,31 +57,29 @@
 	return &Client{configuration, machines, timeout, now}, nil
 }
 
-// Configuration requests the current configuration. Errors are of type
-// FetchError.
+// Configuration requests the current configuration. Errors are of type FetchError.
 func (c *Client) Configuration(ctx context.Context) (Configuration, error) {
 	return fetch[Configuration](ctx, c, c.configuration)
 }
 
-// Machines requests the current list of machines. Errors are of type
-// FetchError.
+// Machines requests the current list of machines. Errors are of type FetchError.
 func (c *Client) Machines(ctx context.Context) (Machines, error) {
 	return fetch[Machines](ctx, c, c.machines)
 }
 
-// errLate is the cause for an answer that came after the timeout. The HTTP
-// client alone does not ensure this: a process that was paused may read an
-// answer that waited in the socket before its timer fires.
-var errLate = errors.New("answer came after the timeout")
+// errLateResponse reports a response that arrived after the timeout. The timeout of the HTTP
+// client does not cover this: a process that was paused may read a response from the socket
+// before its timer fires.
+var errLateResponse = errors.New("response arrived after the timeout")
 
-// fetch refuses an answer that came late. The resource holds it nevertheless:
-// if it is still current at the next request, the service says so then.
-func fetch[Answer any](ctx context.Context, client *Client, source *resource[Answer]) (Answer, error) {
+// fetch rejects a late response. The resource still caches it: if it is current at the next
+// request, the service confirms that then.
+func fetch[Response any](ctx context.Context, client *Client, source *resource[Response]) (Response, error) {
 	started := client.now()
-	answer, err := source.fetch(ctx)
+	response, err := source.fetch(ctx)
 	if err == nil && client.now().Sub(started) > client.timeout {
-		var none Answer
-		return none, FetchError{"", Unreachable, errLate}
+		var none Response
+		return none, FetchError{"", Unreachable, errLateResponse}
 	}
-	return answer, err
+	return response, err
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -32,19 +32,19 @@
 	}
 }
 
-// breakOff promises more bytes than it sends.
-func breakOff(writer http.ResponseWriter, _ *http.Request) {
+// truncateBody announces more bytes than it sends.
+func truncateBody(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Length", "1000")
 	_, _ = writer.Write([]byte(`{"revision": 3,`))
 }
 
-// hang holds the request until the client gives up.
-func hang(_ http.ResponseWriter, request *http.Request) {
+// neverRespond blocks until the client gives up.
+func neverRespond(_ http.ResponseWriter, request *http.Request) {
 	<-request.Context().Done()
 }
 
-// trickle sends the header and then holds the body back.
-func trickle(writer http.ResponseWriter, request *http.Request) {
+// stallBody sends the header and the first byte, and then blocks.
+func stallBody(writer http.ResponseWriter, request *http.Request) {
 	_, _ = writer.Write([]byte(`{`))
 	writer.(http.Flusher).Flush()
 	<-request.Context().Done()
@@ -70,20 +70,20 @@
 	return client
 }
 
-// patient is a timeout that no working request reaches, and impatient one
-// that only ends requests which are never answered.
+// longTimeout is never reached by a working request. shortTimeout only ends requests that never
+// complete.
 const (
-	patient   = time.Minute
-	impatient = 50 * time.Millisecond
+	longTimeout  = time.Minute
+	shortTimeout = 50 * time.Millisecond
 )
 
 var _ = Describe("Client", func() {
-	It("returns the revision beside the table and its own version", func(ctx context.Context) {
+	It("returns the revision and the table with its own version", func(ctx context.Context) {
 		client := newClient(func(writer http.ResponseWriter, request *http.Request) {
 			Expect(request.Method).To(Equal(http.MethodGet))
 			Expect(request.URL.Path).To(Equal("/v1/configuration"))
 			_, _ = fmt.Fprintf(writer, `{"revision": 31, "added_later": true, "table": %s}`, validTable)
-		}, patient)
+		}, longTimeout)
 		configuration, err := client.Configuration(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(configuration.Revision).To(Equal(platform.Revision(31)))
@@ -92,7 +92,7 @@
 	})
 
 	It("returns the list of machines", func(ctx context.Context) {
-		client := newClient(respond(http.StatusOK, `{"revision": 2, "machines": `+validMachines+`}`), patient)
+		client := newClient(respond(http.StatusOK, `{"revision": 2, "machines": `+validMachines+`}`), longTimeout)
 		machines, err := client.Machines(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(machines).To(Equal(platform.Machines{Revision: 2, Machines: []platform.Machine{
@@ -101,44 +101,44 @@
 		}}))
 	})
 
-	DescribeTable("refuses a faulty configuration",
+	DescribeTable("rejects an invalid configuration",
 		func(ctx context.Context, handler http.HandlerFunc, timeout time.Duration, reason platform.FetchReason, cause string) {
 			_, err := newClient(handler, timeout).Configuration(ctx)
-			var failed platform.FetchError
-			Expect(errors.As(err, &failed)).To(BeTrue(), "%v", err)
-			Expect(failed.Reason).To(Equal(reason), "%v", err)
-			Expect(failed.URL).To(HaveSuffix("/v1/configuration"))
-			Expect(failed.Cause.Error()).To(ContainSubstring(cause))
+			var fetchError platform.FetchError
+			Expect(errors.As(err, &fetchError)).To(BeTrue(), "%v", err)
+			Expect(fetchError.Reason).To(Equal(reason), "%v", err)
+			Expect(fetchError.URL).To(HaveSuffix("/v1/configuration"))
+			Expect(fetchError.Cause.Error()).To(ContainSubstring(cause))
 		},
-		Entry("server error", respond(http.StatusServiceUnavailable, "{}"), patient, platform.BadStatus, "503"),
-		Entry("no content", respond(http.StatusNoContent, ""), patient, platform.BadStatus, "204"),
-		Entry("never answered", http.HandlerFunc(hang), impatient, platform.Unreachable, "deadline exceeded"),
-		Entry("body held back", http.HandlerFunc(trickle), impatient, platform.Unreachable, "deadline exceeded"),
-		Entry("body broken off", http.HandlerFunc(breakOff), patient, platform.Unreachable, "unexpected EOF"),
-		Entry("body too large", http.HandlerFunc(oversized), patient, platform.BadContent, "larger than"),
-		Entry("not JSON", respond(http.StatusOK, "<html>"), patient, platform.BadContent, "invalid character"),
-		Entry("empty", respond(http.StatusOK, ""), patient, platform.BadContent, "unexpected end"),
-		Entry("text after the answer", respond(http.StatusOK, `{"revision": 1, "table": `+validTable+`} x`),
-			patient, platform.BadContent, "after top-level value"),
-		Entry("no revision", respond(http.StatusOK, `{"table": `+validTable+`}`), patient, platform.BadContent, "no revision"),
+		Entry("server error", respond(http.StatusServiceUnavailable, "{}"), longTimeout, platform.BadStatus, "503"),
+		Entry("no content", respond(http.StatusNoContent, ""), longTimeout, platform.BadStatus, "204"),
+		Entry("no response", http.HandlerFunc(neverRespond), shortTimeout, platform.Unreachable, "deadline exceeded"),
+		Entry("stalled body", http.HandlerFunc(stallBody), shortTimeout, platform.Unreachable, "deadline exceeded"),
+		Entry("truncated body", http.HandlerFunc(truncateBody), longTimeout, platform.Unreachable, "unexpected EOF"),
+		Entry("body too large", http.HandlerFunc(oversized), longTimeout, platform.BadContent, "larger than"),
+		Entry("not JSON", respond(http.StatusOK, "<html>"), longTimeout, platform.BadContent, "invalid character"),
+		Entry("empty", respond(http.StatusOK, ""), longTimeout, platform.BadContent, "unexpected end"),
+		Entry("text after the response", respond(http.StatusOK, `{"revision": 1, "table": `+validTable+`} x`),
+			longTimeout, platform.BadContent, "after top-level value"),
+		Entry("no revision", respond(http.StatusOK, `{"table": `+validTable+`}`), longTimeout, platform.BadContent, "no revision"),
 		Entry("negative revision", respond(http.StatusOK, `{"revision": -1, "table": `+validTable+`}`),
-			patient, platform.BadContent, "revision"),
-		Entry("no table", respond(http.StatusOK, `{"revision": 1}`), patient, platform.BadContent, "no table"),
-		Entry("null table", respond(http.StatusOK, `{"revision": 1, "table": null}`), patient, platform.BadContent, "version"),
+			longTimeout, platform.BadContent, "revision"),
+		Entry("no table", respond(http.StatusOK, `{"revision": 1}`), longTimeout, platform.BadContent, "no table"),
+		Entry("null table", respond(http.StatusOK, `{"revision": 1, "table": null}`), longTimeout, platform.BadContent, "version"),
 		Entry("unknown column", respond(http.StatusOK, `{"revision": 1, "table": {"version": 1, "rows": []}}`),
-			patient, platform.BadContent, `unknown field "rows"`),
-		Entry("broken cell", respond(http.StatusOK,
+			longTimeout, platform.BadContent, `unknown field "rows"`),
+		Entry("invalid cell", respond(http.StatusOK,
 			`{"revision": 1, "table": `+strings.Replace(validTable, `"weight": 10`, `"weight": 10001`, 1)+`}`),
-			patient, platform.BadContent, "column weight: must be at most 10000"),
+			longTimeout, platform.BadContent, "column weight: must be at most 10000"),
 	)
 
-	DescribeTable("refuses a faulty list of machines",
+	DescribeTable("rejects an invalid list of machines",
 		func(ctx context.Context, body, cause string) {
-			_, err := newClient(respond(http.StatusOK, body), patient).Machines(ctx)
-			var failed platform.FetchError
-			Expect(errors.As(err, &failed)).To(BeTrue(), "%v", err)
-			Expect(failed.Reason).To(Equal(platform.BadContent))
-			Expect(failed.Cause.Error()).To(ContainSubstring(cause))
+			_, err := newClient(respond(http.StatusOK, body), longTimeout).Machines(ctx)
+			var fetchError platform.FetchError
+			Expect(errors.As(err, &fetchError)).To(BeTrue(), "%v", err)
+			Expect(fetchError.Reason).To(Equal(platform.BadContent))
+			Expect(fetchError.Cause.Error()).To(ContainSubstring(cause))
 		},
 		Entry("no revision", `{"machines": []}`, "no revision"),
 		Entry("no machines", `{"revision": 1}`, "no machines"),
@@ -148,27 +148,27 @@
 		Entry("unknown state", `{"revision": 1, "machines": [{"name": "a", "address": "192.0.2.1:1", "role": "agent", "state": "x"}]}`, "unknown state"),
 	)
 
-	It("reports a service that is down", func(ctx context.Context) {
+	It("reports an unavailable service", func(ctx context.Context) {
 		server := httptest.NewServer(respond(http.StatusOK, ""))
 		server.Close()
 		client, err := platform.NewClient(platform.ClientConfig{ConfigurationURL: server.URL, MachinesURL: server.URL})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = client.Machines(ctx)
-		var failed platform.FetchError
-		Expect(errors.As(err, &failed)).To(BeTrue())
-		Expect(failed.Reason).To(Equal(platform.Unreachable))
+		var fetchError platform.FetchError
+		Expect(errors.As(err, &fetchError)).To(BeTrue())
+		Expect(fetchError.Reason).To(Equal(platform.Unreachable))
 	})
 
-	It("refuses an answer that was read after the timeout, as by a paused process", func(ctx context.Context) {
+	It("rejects a response that was read after the timeout, as by a paused process", func(ctx context.Context) {
 		server := httptest.NewServer(respond(http.StatusOK, `{"revision": 2, "machines": []}`))
 		DeferCleanup(server.Close)
 		var clock time.Time
 		client, err := platform.NewClient(platform.ClientConfig{
 			ConfigurationURL: server.URL,
 			MachinesURL:      server.URL,
-			Timeout:          patient,
+			Timeout:          longTimeout,
 			Now: func() time.Time {
-				clock = clock.Add(patient + time.Nanosecond)
+				clock = clock.Add(longTimeout + time.Nanosecond)
 				return clock
 			},
 		})
@@ -177,7 +177,7 @@
 		Expect(err).To(MatchError(ContainSubstring("after the timeout")))
 	})
 
-	It("refuses a URL that cannot be parsed", func() {
+	It("rejects a URL that cannot be parsed", func() {
 		_, err := platform.NewClient(platform.ClientConfig{ConfigurationURL: "http://[::1"})
 		Expect(err).To(HaveOccurred())
 	})
--- a/internal/platform/decider.go
+++ b/internal/platform/decider.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Result is what came of one request, as seen without the revision history.
+// Result is the result of one request, without regard to earlier revisions.
 type Result uint8
 
 // The results of a request.
 const (
-	// Answered means a whole, valid answer.
+	// Succeeded means a complete, valid response.
 	Succeeded Result = iota
-	// Failed means no answer.
+	// Failed means no response.
 	Failed
-	// Invalid means an answer that breaks a rule.
+	// Invalid means a response that violates a rule.
 	Invalid
 )
 
-// Outcome tells what a poller makes of a result.
+// Outcome is the result of a poll compared with the revisions delivered before.
 type Outcome uint8
 
 // The outcomes of one poll.
@@ -24,16 +24,16 @@
 	OutcomeNew Outcome = iota
 	// OutcomeUnchanged means the revision delivered last.
 	OutcomeUnchanged
-	// OutcomeStale means an older revision than one delivered before, as a
-	// lagging replica of the service may give.
+	// OutcomeStale means an older revision than one delivered before, for example from a
+	// lagging replica of the service.
 	OutcomeStale
-	// OutcomeFailed means no answer.
+	// OutcomeFailed means no response.
 	OutcomeFailed
-	// OutcomeInvalid means an answer that breaks a rule.
+	// OutcomeInvalid means a response that violates a rule.
 	OutcomeInvalid
 )
 
-// String returns the outcome in the form used as a metric label.
+// String returns the outcome as a metric label value.
 func (o Outcome) String() string {
 	names := [...]string{"new", "unchanged", "stale", "failed", "invalid"}
 	if int(o) < len(names) {
@@ -42,34 +42,32 @@
 	return "unknown"
 }
 
-// Step is what a poller does after a request.
+// Decision is what a poller does after a request.
 type Decision struct {
 	Outcome Outcome
 	// Delay is the time until the next request.
 	Delay time.Duration
 }
 
-// MaxBackoff bounds the delay while the service is failing. It is short enough
-// that an accepted change is in force seconds after the service is back.
+// MaxBackoff limits the delay while the service is failing. It is short enough for an accepted
+// change to take effect within seconds after the service has recovered.
 const MaxBackoff = 5 * time.Second
 
-// Decider decides which answers a poller delivers and when it asks again. It
-// keeps the newest revision delivered and the number of failures in a row.
+// Decider decides which responses a poller delivers and when it sends the next request. It
+// keeps the newest revision delivered and the number of consecutive failures.
 type Decider struct {
 	interval time.Duration
 	newest   Revision
 	failures int
 }
 
-// NewDecider returns a decider that asks every interval while the service
-// answers.
+// NewDecider returns a decider that polls at the interval while requests succeed.
 func NewDecider(interval time.Duration) *Decider {
 	return &Decider{interval: interval}
 }
 
-// Decide takes the result of a request, the revision if it was answered, and
-// a random number from 0 to below 1 that spreads the requests of many
-// processes.
+// Decide takes the result of a request, the revision if it succeeded, and a random number in
+// [0, 1) that spreads the requests of many processes.
 func (d *Decider) Decide(result Result, revision Revision, random float64) Decision {
 	outcome := d.outcome(result, revision)
 	if result == Succeeded {
@@ -95,9 +93,9 @@
 	return OutcomeNew
 }
 
-// delay returns the interval, doubled for each failure in a row up to
-// MaxBackoff or the interval if that is longer. Jitter takes off up to half of
-// a backoff and up to a tenth of a regular interval.
+// delay returns the interval, doubled for each consecutive failure up to MaxBackoff, or up to
+// the interval if that is longer. Jitter subtracts up to half of a backoff and up to a tenth of
+// a regular interval.
 func (d *Decider) delay(random float64) time.Duration {
 	longest := max(MaxBackoff, d.interval)
 	delay := d.interval
--- a/internal/platform/fetch_error.go
+++ b/internal/platform/fetch_error.go
@@ -6,21 +6,20 @@
 	"github.com/pkg/errors"
 )
 
-// FetchReason tells what went wrong with a request.
+// FetchReason is the reason for which a request failed.
 type FetchReason uint8
 
 // The reasons for a failed request.
 const (
-	// Unreachable means that no whole answer came in time.
+	// Unreachable means that no complete response arrived in time.
 	Unreachable FetchReason = iota
 	// BadStatus means an HTTP status other than 200.
 	BadStatus
-	// BadContent means an answer that breaks a rule, such as a table that is
-	// not valid.
+	// BadContent means a response that violates a rule, for example an invalid table.
 	BadContent
 )
 
-// String returns the reason in words.
+// String returns the reason as text for error messages.
 func (r FetchReason) String() string {
 	switch r {
 	case Unreachable:
@@ -35,10 +34,10 @@
 
 // FetchError is a failed request to the platform.
 type FetchError struct {
-	// URL is empty if the failure has to do with no single URL.
+	// URL is empty if the failure does not concern a single URL.
 	URL    string
 	Reason FetchReason
-	// Cause is the error below, such as a table.CellError.
+	// Cause is the underlying error, for example a table.CellError.
 	Cause error
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,9 +1,9 @@
-// Package platform implements the read-only client of the platform's
-// configuration service and of its list of machines.
+// Package platform is a read-only client of two services of the hosting platform: the
+// configuration service, which holds the table of services and back ends, and the list of
+// machines. It polls them for the daemons and delivers each new revision.
 //
-// A Client makes single requests. A Poller repeats one of them and delivers
-// only what is newer than all it has delivered before; Decider holds its
-// decisions and does no I/O.
+// A Client makes single requests. A Poller repeats one of them and delivers only revisions
+// newer than all delivered before. Decider makes the decisions of a Poller and performs no I/O.
 package platform
 
 import (
@@ -14,22 +14,21 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Revision numbers the states of one service of the platform, starting at 1.
-// It grows with every change the platform knows of and has nothing to do with
-// the version of a table.
+// Revision numbers the states of one service of the platform, starting at 1. It increases with
+// every change known to the platform and is unrelated to the version of a table.
 type Revision uint64
 
-// Configuration is one answer of the configuration service.
+// Configuration is one response of the configuration service.
 type Configuration struct {
 	Revision Revision
-	// Table has been checked by table.Parse.
+	// Table has been validated by table.Parse.
 	Table *table.Table
 }
 
-// CurrentRevision implements Snapshot.
+// CurrentRevision implements Revisioned.
 func (c Configuration) CurrentRevision() Revision { return c.Revision }
 
-// Role is what a machine does.
+// Role is the function of a machine.
 type Role string
 
 // The roles of machines.
@@ -38,11 +37,11 @@
 	RoleAgent    Role = "agent"
 )
 
-// Roles lists every role, for metrics that are kept by role.
+// Roles lists every role, for metrics labelled by role.
 func Roles() []Role { return []Role{RoleBalancer, RoleAgent} }
 
-// MachineState is what the platform believes about a machine. The list lags
-// behind reality.
+// MachineState is the state of a machine according to the platform. The list lags behind the
+// actual state.
 type MachineState string
 
 // The states of machines.
@@ -51,7 +50,7 @@
 	StateLeaving MachineState = "leaving"
 )
 
-// MachineStates lists every state, for metrics that are kept by state.
+// MachineStates lists every state, for metrics labelled by state.
 func MachineStates() []MachineState { return []MachineState{StateLive, StateLeaving} }
 
 // Machine is one row of the platform's list of machines.
@@ -62,7 +61,7 @@
 	State   MachineState   `json:"state"`
 }
 
-// Machines is one answer of the machine list.
+// Machines is one response of the list of machines.
 type Machines struct {
 	Revision Revision
 	Machines []Machine
@@ -79,12 +78,12 @@
 	return count
 }
 
-// CurrentRevision implements Snapshot.
+// CurrentRevision implements Revisioned.
 func (m Machines) CurrentRevision() Revision { return m.Revision }
 
 func (m Machine) validate() error {
 	if m.Name == "" {
-		return errors.New("machine without a name")
+		return errors.New("list of machines contains a machine without a name")
 	}
 	if !m.Address.AddrPort().Addr().Is4() {
 		return errors.Errorf("machine %q: address %q is not an IPv4 address and a port", m.Name, m.Address)
--- a/internal/platform/poll_bench_test.go
+++ b/internal/platform/poll_bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// The size of the table at the target.
+// The size of the table at the scale that the product targets.
 const (
 	targetServices       = 1500
 	targetRowsPerService = 8
@@ -52,7 +52,7 @@
 	return encoded
 }
 
-// countingListener counts the bytes of all its connections, both ways.
+// countingListener counts the bytes of all its connections in both directions.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -83,9 +83,8 @@
 	return count, err
 }
 
-// BenchmarkUnchangedPoll measures a poll of an unchanged configuration at the
-// target size, from a platform with entity tags and from one without. The time
-// includes the server's side.
+// BenchmarkUnchangedPoll measures a poll of an unchanged configuration at the target size, from
+// a platform with entity tags and from one without. The time includes the server's work.
 func BenchmarkUnchangedPoll(b *testing.B) {
 	body := targetConfiguration(b)
 	for _, tag := range []string{"", `"7"`} {
@@ -108,7 +107,7 @@
 	server.Listener = countingListener{server.Listener, &bytesMoved}
 	server.Start()
 	defer server.Close()
-	client, err := platform.NewClient(platform.ClientConfig{ConfigurationURL: server.URL, MachinesURL: server.URL, Timeout: patient})
+	client, err := platform.NewClient(platform.ClientConfig{ConfigurationURL: server.URL, MachinesURL: server.URL, Timeout: longTimeout})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/platform/poller.go
+++ b/internal/platform/poller.go
@@ -11,17 +11,16 @@
 	"github.com/pkg/errors"
 )
 
-// Snapshot is an answer that a poller can order.
+// Revisioned is a response that a poller can order by revision.
 type Revisioned interface {
-	// CurrentRevision returns the platform's revision of the answer.
+	// CurrentRevision returns the platform's revision of the response.
 	CurrentRevision() Revision
 }
 
-// OutcomeLabel is the label of PollerMetrics.Polls; its values are those of
-// Outcome.String.
+// OutcomeLabel is the label of PollerMetrics.Polls. Its values are those of Outcome.String.
 const OutcomeLabel = "outcome"
 
-// PollerMetrics are the metrics of a poller. Nil ones are discarded.
+// PollerMetrics holds the metrics of a poller. Nil metrics are discarded.
 type PollerMetrics struct {
 	// Polls counts requests by OutcomeLabel.
 	Polls metrics.Counter
@@ -30,37 +29,35 @@
 }
 
 // PollerConfig is the configuration of a Poller.
-type PollerConfig[Answer Revisioned] struct {
+type PollerConfig[Response Revisioned] struct {
 	// Fetch makes one request, such as Client.Configuration.
-	Fetch func(context.Context) (Answer, error)
-	// Deliver receives answers in order of rising revisions, one at a time.
-	Deliver func(Answer)
-	// Confirm is called when the service gives the revision that was
-	// delivered last once more. It may be nil.
+	Fetch func(context.Context) (Response, error)
+	// Deliver receives responses in order of increasing revisions, one at a time.
+	Deliver func(Response)
+	// OnUnchanged is called when the service returns the revision delivered last again. It may
+	// be nil.
 	OnUnchanged func()
-	// Interval is the time from one answer to the next request.
+	// Interval is the time from one response to the next request.
 	Interval time.Duration
 	Logger   *log.Logger
 	Metrics  PollerMetrics
-	// Wait pauses for a duration or until ctx ends, when it returns the
-	// error of ctx. Nil means by the system's clock.
+	// Sleep waits for a duration or until ctx ends, and then returns the error of ctx. Nil
+	// means to wait by the system clock.
 	Sleep func(ctx context.Context, duration time.Duration) error
-	// Random returns numbers from 0 to below 1. Nil means the generator of
-	// math/rand/v2.
+	// Random returns numbers in [0, 1). Nil means the generator of math/rand/v2.
 	Random func() float64
 }
 
-// Poller asks a service of the platform again and again and delivers the
-// answers that are newer than all before. A service that is down, slow, stale
-// or wrong only delays it.
-type Poller[Answer Revisioned] struct {
-	config  PollerConfig[Answer]
-	decider *Decider
-	last    Outcome
+// Poller polls a service of the platform and delivers the responses that are newer than all
+// earlier ones. A service that is unavailable, slow, stale or faulty only delays it.
+type Poller[Response Revisioned] struct {
+	config      PollerConfig[Response]
+	decider     *Decider
+	lastOutcome Outcome
 }
 
-// NewPoller returns a poller that starts with Run.
-func NewPoller[Answer Revisioned](config PollerConfig[Answer]) *Poller[Answer] {
+// NewPoller returns a poller. Run starts it.
+func NewPoller[Response Revisioned](config PollerConfig[Response]) *Poller[Response] {
 	if config.Sleep == nil {
 		config.Sleep = wait
 	}
@@ -76,11 +73,11 @@
 	if config.Metrics.Revision == nil {
 		config.Metrics.Revision = discard.NewGauge()
 	}
-	return &Poller[Answer]{config: config, decider: NewDecider(config.Interval)}
+	return &Poller[Response]{config: config, decider: NewDecider(config.Interval)}
 }
 
 // Run polls until ctx ends and then returns nil.
-func (p *Poller[Answer]) Run(ctx context.Context) error {
+func (p *Poller[Response]) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		delay := p.poll(ctx)
 		if err := p.config.Sleep(ctx, delay); err != nil {
@@ -90,34 +87,34 @@
 	return nil
 }
 
-func (p *Poller[Answer]) poll(ctx context.Context) time.Duration {
-	answer, err := p.config.Fetch(ctx)
+func (p *Poller[Response]) poll(ctx context.Context) time.Duration {
+	response, err := p.config.Fetch(ctx)
 	if ctx.Err() != nil {
 		return 0
 	}
 	var revision Revision
 	if err == nil {
-		revision = answer.CurrentRevision()
+		revision = response.CurrentRevision()
 	}
-	step := p.decider.Decide(resultOf(err), revision, p.config.Random())
-	p.config.Metrics.Polls.With(OutcomeLabel, step.Outcome.String()).Add(1)
-	p.report(step, revision, err)
-	switch step.Outcome {
+	decision := p.decider.Decide(resultOf(err), revision, p.config.Random())
+	p.config.Metrics.Polls.With(OutcomeLabel, decision.Outcome.String()).Add(1)
+	p.report(decision, revision, err)
+	switch decision.Outcome {
 	case OutcomeNew:
 		p.config.Metrics.Revision.Set(float64(revision))
-		p.config.Deliver(answer)
+		p.config.Deliver(response)
 	case OutcomeUnchanged:
 		p.config.OnUnchanged()
 	}
-	return step.Delay
+	return decision.Delay
 }
 
-// report logs changes of the outcome only, since a service may fail for hours.
-func (p *Poller[Answer]) report(step Decision, revision Revision, err error) {
-	changed := step.Outcome != p.last
-	failedBefore := p.last == OutcomeFailed || p.last == OutcomeInvalid
-	p.last = step.Outcome
-	switch step.Outcome {
+// report logs only changes of the outcome, since a service may fail for hours.
+func (p *Poller[Response]) report(decision Decision, revision Revision, err error) {
+	changed := decision.Outcome != p.lastOutcome
+	failedBefore := p.lastOutcome == OutcomeFailed || p.lastOutcome == OutcomeInvalid
+	p.lastOutcome = decision.Outcome
+	switch decision.Outcome {
 	case OutcomeNew:
 		p.config.Logger.Info("platform revision received", "revision", uint64(revision))
 	case OutcomeUnchanged:
@@ -130,7 +127,7 @@
 		}
 	case OutcomeFailed, OutcomeInvalid:
 		if changed {
-			p.config.Logger.Warn("platform gives no usable answer", "outcome", step.Outcome, "error", err)
+			p.config.Logger.Warn("platform gives no usable answer", "outcome", decision.Outcome, "error", err)
 		}
 	}
 }
--- a/internal/platform/resource.go
+++ b/internal/platform/resource.go
@@ -1,6 +1,5 @@
-// This file implements conditional requests (RFC 9110, section 13) for one
-// service of the platform: an answer that has not changed since is neither sent
-// nor parsed again.
+// This file implements conditional requests (RFC 9110, section 13) for one service of the
+// platform. An unchanged response is neither sent nor parsed again.
 
 package platform
 
@@ -17,138 +16,137 @@
 	"github.com/pkg/errors"
 )
 
-// resource is one URL of the platform together with the answer that it gave
-// last. It is safe for concurrent use.
-type resource[Answer any] struct {
+// resource is one URL of the platform with its last response. It is safe for concurrent use.
+type resource[Response any] struct {
 	target  string
-	decode  func(io.Reader) (Answer, error)
+	decode  func(io.Reader) (Response, error)
 	request endpoint.Endpoint
 
-	// mutex guards held, which is replaced but never changed.
-	mutex sync.Mutex
-	held  *heldAnswer[Answer]
+	// mutex guards cached, which is replaced but never modified.
+	mutex  sync.Mutex
+	cached *cachedResponse[Response]
 }
 
-// heldAnswer is a whole, valid answer and the tag by which the service
-// recognizes it.
-type heldAnswer[Answer any] struct {
-	tag    string
-	answer Answer
+// cachedResponse is a complete, valid response and its entity tag.
+type cachedResponse[Response any] struct {
+	tag     string
+	content Response
 }
 
-// reply is what came back over HTTP: a whole answer, or, if notModified is
-// set, the statement that the held one is current.
-type reply[Answer any] struct {
+// decodedResponse is a decoded HTTP response: complete content or, if notModified is set, the
+// confirmation that the cached response is current.
+type decodedResponse[Response any] struct {
 	notModified bool
 	tag         string
-	answer      Answer
+	content     Response
 }
 
 const (
 	headerTag         = "ETag"
 	headerIfNoneMatch = "If-None-Match"
-	// weakTagPrefix marks a tag that stands for equivalent answers.
+	// weakTagPrefix marks a weak entity tag, which identifies equivalent responses.
 	weakTagPrefix = "W/"
 )
 
-// newResource fails if the URL cannot be parsed.
-func newResource[Answer any](client *http.Client, target string, decode func(io.Reader) (Answer, error)) (*resource[Answer], error) {
+// newResource returns a resource without a cached response. It fails if the URL cannot be
+// parsed.
+func newResource[Response any](client *http.Client, target string, decode func(io.Reader) (Response, error)) (*resource[Response], error) {
 	parsed, err := url.Parse(target)
 	if err != nil {
 		return nil, errors.Wrap(err, "platform")
 	}
-	created := &resource[Answer]{target: target, decode: decode}
+	created := &resource[Response]{target: target, decode: decode}
 	created.request = kithttp.NewClient(http.MethodGet, parsed,
-		encodeCondition, created.decodeReply, kithttp.SetClient(client)).Endpoint()
+		setIfNoneMatch, created.decodeResponse, kithttp.SetClient(client)).Endpoint()
 	return created, nil
 }
 
-// fetch requests the current answer. The one it returns may be shared with
-// earlier calls and must not be changed.
-func (r *resource[Answer]) fetch(ctx context.Context) (Answer, error) {
-	held := r.current()
-	response, err := r.request(ctx, held.condition())
+// fetch requests the current response. The result may be shared with earlier calls and must not
+// be modified.
+func (r *resource[Response]) fetch(ctx context.Context) (Response, error) {
+	cached := r.load()
+	response, err := r.request(ctx, cached.ifNoneMatch())
 	if err != nil {
-		var none Answer
+		var none Response
 		return none, asFetchError(err)
 	}
-	replied := response.(reply[Answer])
-	if replied.notModified {
-		return r.confirm(held, replied.tag)
+	decoded := response.(decodedResponse[Response])
+	if decoded.notModified {
+		return r.revalidate(cached, decoded.tag)
 	}
-	r.keep(replied)
-	return replied.answer, nil
+	r.store(decoded)
+	return decoded.content, nil
 }
 
-// condition is the tag to be sent with a request, empty for an unconditional
-// one.
-func (h *heldAnswer[Answer]) condition() string {
-	if h == nil {
+// ifNoneMatch returns the entity tag to send with a request, or an empty string for an
+// unconditional request.
+func (c *cachedResponse[Response]) ifNoneMatch() string {
+	if c == nil {
 		return ""
 	}
-	return h.tag
+	return c.tag
 }
 
-func (r *resource[Answer]) current() *heldAnswer[Answer] {
+func (r *resource[Response]) load() *cachedResponse[Response] {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.held
+	return r.cached
 }
 
-// keep holds the answer received last, even if its revision is older than that
-// of one before: a service that is stale for hours then costs no more than one
-// that is current.
-func (r *resource[Answer]) keep(replied reply[Answer]) {
-	var held *heldAnswer[Answer]
-	if replied.tag != "" {
-		held = &heldAnswer[Answer]{replied.tag, replied.answer}
+// store caches the last response even if its revision is older than that of an earlier one. A
+// service that is stale for hours then costs no more than one that is current.
+func (r *resource[Response]) store(decoded decodedResponse[Response]) {
+	var cached *cachedResponse[Response]
+	if decoded.tag != "" {
+		cached = &cachedResponse[Response]{decoded.tag, decoded.content}
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.held = held
+	r.cached = cached
 }
 
-// confirm returns the held answer, unless the service speaks of another one.
-// The next request is then unconditional, so that the fault ends by itself.
-func (r *resource[Answer]) confirm(held *heldAnswer[Answer], tag string) (Answer, error) {
-	if held != nil && (tag == "" || sameTag(tag, held.tag)) {
-		return held.answer, nil
+// revalidate returns the cached response unless the service named a different tag. In that case
+// it clears the cache, so that the next request is unconditional and the fault does not
+// persist.
+func (r *resource[Response]) revalidate(cached *cachedResponse[Response], tag string) (Response, error) {
+	if cached != nil && (tag == "" || tagsMatch(tag, cached.tag)) {
+		return cached.content, nil
 	}
-	r.keep(reply[Answer]{})
-	var none Answer
-	return none, FetchError{r.target, BadStatus, errors.Errorf("status 304 for tag %q instead of %q", tag, held.condition())}
+	r.store(decodedResponse[Response]{})
+	var none Response
+	return none, FetchError{r.target, BadStatus, errors.Errorf("status 304 names entity tag %q instead of %q", tag, cached.ifNoneMatch())}
 }
 
-// sameTag is the weak comparison of RFC 9110, section 8.8.3.2, which applies to
+// tagsMatch is the weak comparison of RFC 9110, section 8.8.3.2, which applies to
 // If-None-Match.
-func sameTag(a, b string) bool {
+func tagsMatch(a, b string) bool {
 	return strings.TrimPrefix(a, weakTagPrefix) == strings.TrimPrefix(b, weakTagPrefix)
 }
 
-func encodeCondition(_ context.Context, request *http.Request, condition any) error {
+func setIfNoneMatch(_ context.Context, request *http.Request, condition any) error {
 	if tag := condition.(string); tag != "" {
 		request.Header.Set(headerIfNoneMatch, tag)
 	}
 	return nil
 }
 
-func (r *resource[Answer]) decodeReply(_ context.Context, response *http.Response) (any, error) {
+func (r *resource[Response]) decodeResponse(_ context.Context, response *http.Response) (any, error) {
 	tag := response.Header.Get(headerTag)
 	switch response.StatusCode {
 	case http.StatusOK:
-		return r.decodeWhole(tag, response.Body)
+		return r.decodeContent(tag, response.Body)
 	case http.StatusNotModified:
-		return reply[Answer]{notModified: true, tag: tag}, nil
+		return decodedResponse[Response]{notModified: true, tag: tag}, nil
 	}
 	return nil, FetchError{r.target, BadStatus, errors.Errorf("status %s", response.Status)}
 }
 
-func (r *resource[Answer]) decodeWhole(tag string, body io.Reader) (any, error) {
-	answer, err := r.decode(body)
+func (r *resource[Response]) decodeContent(tag string, body io.Reader) (any, error) {
+	content, err := r.decode(body)
 	if err == nil {
-		return reply[Answer]{tag: tag, answer: answer}, nil
+		return decodedResponse[Response]{tag: tag, content: content}, nil
 	}
-	if errors.As(err, &unreadable{}) {
+	if errors.As(err, &incompleteBody{}) {
 		return nil, FetchError{r.target, Unreachable, err}
 	}
 	return nil, FetchError{r.target, BadContent, err}
--- a/internal/platform/resource_test.go
+++ b/internal/platform/resource_test.go
@@ -16,24 +16,23 @@
 	"github.com/vanetiller/vanetiller/internal/platform"
 )
 
-// exchange is one scripted answer of a service with entity tags. Statuses other
-// than 200 have no body.
-type exchange struct {
+// scriptedResponse is one response of a service with entity tags. Only status 200 has a body.
+type scriptedResponse struct {
 	status   int
 	tag      string
 	revision platform.Revision
 	body     string
 }
 
-// script answers the requests in turn and notes their conditions.
-type script struct {
-	exchanges  []exchange
-	conditions []string
+// scriptedService sends its responses in turn and records the tags of the requests.
+type scriptedService struct {
+	responses    []scriptedResponse
+	receivedTags []string
 }
 
-func (s *script) serve(writer http.ResponseWriter, request *http.Request) {
-	next := s.exchanges[len(s.conditions)]
-	s.conditions = append(s.conditions, request.Header.Get("If-None-Match"))
+func (s *scriptedService) serve(writer http.ResponseWriter, request *http.Request) {
+	next := s.responses[len(s.receivedTags)]
+	s.receivedTags = append(s.receivedTags, request.Header.Get("If-None-Match"))
 	if next.tag != "" {
 		writer.Header().Set("ETag", next.tag)
 	}
@@ -50,77 +49,76 @@
 
 const failedFetch platform.Revision = 0
 
-// fetchAll returns the revision of each fetch, failedFetch for those that were
-// refused, and the reasons of the latter.
-func fetchAll(ctx context.Context, service *script) ([]platform.Revision, []platform.FetchReason) {
-	client := newClient(service.serve, patient)
+// fetchAll returns the revision of each fetch, or failedFetch, and the reasons of the failures.
+func fetchAll(ctx context.Context, service *scriptedService) ([]platform.Revision, []platform.FetchReason) {
+	client := newClient(service.serve, longTimeout)
 	var revisions []platform.Revision
 	reasons := []platform.FetchReason{}
-	for range service.exchanges {
+	for range service.responses {
 		configuration, err := client.Configuration(ctx)
-		var failed platform.FetchError
-		if errors.As(err, &failed) {
-			reasons = append(reasons, failed.Reason)
+		var fetchError platform.FetchError
+		if errors.As(err, &fetchError) {
+			reasons = append(reasons, fetchError.Reason)
 		}
 		revisions = append(revisions, configuration.Revision)
 	}
 	return revisions, reasons
 }
 
-var _ = Describe("conditional requests", func() {
+var _ = Describe("Conditional requests", func() {
 	const ok, notModified = http.StatusOK, http.StatusNotModified
 
-	DescribeTable("ask only for what has changed",
-		func(ctx context.Context, exchanges []exchange, conditions []string, revisions []platform.Revision, reasons ...platform.FetchReason) {
-			service := &script{exchanges: exchanges}
-			answered, refused := fetchAll(ctx, service)
-			Expect(service.conditions).To(Equal(conditions))
-			Expect(answered).To(Equal(revisions))
-			Expect(refused).To(Equal(reasons))
+	DescribeTable("transfer only changed content",
+		func(ctx context.Context, responses []scriptedResponse, receivedTags []string, revisions []platform.Revision, reasons ...platform.FetchReason) {
+			service := &scriptedService{responses: responses}
+			returned, failures := fetchAll(ctx, service)
+			Expect(service.receivedTags).To(Equal(receivedTags))
+			Expect(returned).To(Equal(revisions))
+			Expect(failures).To(Equal(reasons))
 		},
 		Entry("unchanged",
-			[]exchange{{ok, `"4"`, 4, ""}, {notModified, `"4"`, 0, ""}, {notModified, "", 0, ""}, {ok, `"5"`, 5, ""}, {notModified, `"5"`, 0, ""}},
+			[]scriptedResponse{{ok, `"4"`, 4, ""}, {notModified, `"4"`, 0, ""}, {notModified, "", 0, ""}, {ok, `"5"`, 5, ""}, {notModified, `"5"`, 0, ""}},
 			[]string{"", `"4"`, `"4"`, `"4"`, `"5"`},
 			[]platform.Revision{4, 4, 4, 5, 5}),
-		Entry("a weak tag is the same as the strong one",
-			[]exchange{{ok, `W/"4"`, 4, ""}, {notModified, `"4"`, 0, ""}},
+		Entry("a weak tag matches the strong one",
+			[]scriptedResponse{{ok, `W/"4"`, 4, ""}, {notModified, `"4"`, 0, ""}},
 			[]string{"", `W/"4"`},
 			[]platform.Revision{4, 4}),
 		Entry("a platform without tags",
-			[]exchange{{ok, "", 4, ""}, {ok, "", 4, ""}},
+			[]scriptedResponse{{ok, "", 4, ""}, {ok, "", 4, ""}},
 			[]string{"", ""},
 			[]platform.Revision{4, 4}),
-		Entry("a platform that stops giving tags",
-			[]exchange{{ok, `"4"`, 4, ""}, {ok, "", 5, ""}, {ok, "", 5, ""}},
+		Entry("a platform that stops sending tags",
+			[]scriptedResponse{{ok, `"4"`, 4, ""}, {ok, "", 5, ""}, {ok, "", 5, ""}},
 			[]string{"", `"4"`, ""},
 			[]platform.Revision{4, 5, 5}),
 		Entry("a platform that ignores the condition",
-			[]exchange{{ok, `"4"`, 4, ""}, {ok, `"4"`, 4, ""}},
+			[]scriptedResponse{{ok, `"4"`, 4, ""}, {ok, `"4"`, 4, ""}},
 			[]string{"", `"4"`},
 			[]platform.Revision{4, 4}),
-		Entry("another tag with an older revision, which stays old while it is confirmed",
-			[]exchange{{ok, `"9"`, 9, ""}, {ok, `"8"`, 8, ""}, {notModified, `"8"`, 0, ""}, {ok, `"9"`, 9, ""}},
+		Entry("another tag with an older revision, which is returned while it is confirmed",
+			[]scriptedResponse{{ok, `"9"`, 9, ""}, {ok, `"8"`, 8, ""}, {notModified, `"8"`, 0, ""}, {ok, `"9"`, 9, ""}},
 			[]string{"", `"9"`, `"8"`, `"8"`},
 			[]platform.Revision{9, 8, 8, 9}),
-		Entry("304 without a known revision",
-			[]exchange{{notModified, `"4"`, 0, ""}, {ok, `"4"`, 4, ""}},
+		Entry("304 without a cached response",
+			[]scriptedResponse{{notModified, `"4"`, 0, ""}, {ok, `"4"`, 4, ""}},
 			[]string{"", ""},
 			[]platform.Revision{failedFetch, 4}, platform.BadStatus),
-		Entry("304 for another revision than the known one",
-			[]exchange{{ok, `"4"`, 4, ""}, {notModified, `"5"`, 0, ""}, {ok, `"5"`, 5, ""}},
+		Entry("304 with a tag other than the cached one",
+			[]scriptedResponse{{ok, `"4"`, 4, ""}, {notModified, `"5"`, 0, ""}, {ok, `"5"`, 5, ""}},
 			[]string{"", `"4"`, ""},
 			[]platform.Revision{4, failedFetch, 5}, platform.BadStatus),
-		Entry("an outage keeps what is known",
-			[]exchange{{ok, `"4"`, 4, ""}, {http.StatusServiceUnavailable, "", 0, ""}, {notModified, `"4"`, 0, ""}},
+		Entry("a failure keeps the cached response",
+			[]scriptedResponse{{ok, `"4"`, 4, ""}, {http.StatusServiceUnavailable, "", 0, ""}, {notModified, `"4"`, 0, ""}},
 			[]string{"", `"4"`, `"4"`},
 			[]platform.Revision{4, failedFetch, 4}, platform.BadStatus),
-		Entry("an invalid answer is not taken for known",
-			[]exchange{{ok, `"4"`, 4, ""}, {ok, `"5"`, 0, `{"revision": 5, "table": {}}`}, {notModified, `"4"`, 0, ""}},
+		Entry("an invalid response is not cached",
+			[]scriptedResponse{{ok, `"4"`, 4, ""}, {ok, `"5"`, 0, `{"revision": 5, "table": {}}`}, {notModified, `"4"`, 0, ""}},
 			[]string{"", `"4"`, `"4"`},
 			[]platform.Revision{4, failedFetch, 4}, platform.BadContent),
 	)
 
-	It("agrees with the HTTP library's own handling of conditions", func(ctx context.Context) {
+	It("interoperates with the conditional requests of net/http", func(ctx context.Context) {
 		body := `{"revision": 3, "machines": ` + validMachines + `}`
 		var statuses []int
 		client := newClient(func(writer http.ResponseWriter, request *http.Request) {
@@ -131,7 +129,7 @@
 			maps.Copy(writer.Header(), recorder.Header())
 			writer.WriteHeader(recorder.Code)
 			_, _ = writer.Write(recorder.Body.Bytes())
-		}, patient)
+		}, longTimeout)
 		first, err := client.Machines(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		second, err := client.Machines(ctx)
@@ -141,14 +139,14 @@
 		Expect(statuses).To(Equal([]int{ok, notModified}))
 	})
 
-	It("confirms with a poller and delivers once", func(ctx context.Context) {
-		service := &script{}
+	It("let a poller deliver once and then report the revision as unchanged", func(ctx context.Context) {
+		service := &scriptedService{}
 		for range 3 {
-			service.exchanges = append(service.exchanges, exchange{notModified, `"6"`, 0, ""})
+			service.responses = append(service.responses, scriptedResponse{notModified, `"6"`, 0, ""})
 		}
-		service.exchanges[0] = exchange{ok, `"6"`, 6, ""}
-		observed := playClient(ctx, newClient(service.serve, patient), len(service.exchanges))
-		Expect(observed.delivered).To(Equal([]platform.Revision{6}))
-		Expect(observed.confirmed).To(Equal(2))
+		service.responses[0] = scriptedResponse{ok, `"6"`, 6, ""}
+		result := pollClient(ctx, newClient(service.serve, longTimeout), len(service.responses))
+		Expect(result.delivered).To(Equal([]platform.Revision{6}))
+		Expect(result.unchanged).To(Equal(2))
 	})
 })
