--- a/internal/directory/announce.go
+++ b/internal/directory/announce.go
@@ -110,7 +110,7 @@
 // Summary returns the versions and the age of the directory without its content.
 func (d *Disseminator) Summary(now time.Duration) State {
 	state := d.replica.stateHeader(d.replica.AppliedRevision())
-	state.Whole = false
+	state.Full = false
 	return d.withAge(now, state)
 }
 
--- a/internal/directory/disseminator.go
+++ b/internal/directory/disseminator.go
@@ -105,7 +105,7 @@
 	// members that it knows.
 	minMembershipShare = 0.5
 	// advertisedMembersLifetime is how long an advertised number of members counts. A process
-	// without confirmations polls before it ends.
+	// without confirmations polls the store before that time ends.
 	advertisedMembersLifetime = 5 * time.Second
 )
 
@@ -184,7 +184,7 @@
 }
 
 // Receive handles an update of another balancer. It reports whether the snapshot changed and
-// whether this process still lacks announced changes.
+// whether this process still lacks announced changes. It returns the updates to send.
 func (d *Disseminator) Receive(now time.Duration, from Peer, update Update) (changed, incomplete bool, replies []Outgoing) {
 	if d.replica.isInvalid(update.State.Through) {
 		return false, false, nil
@@ -226,8 +226,9 @@
 	return sender
 }
 
-// shouldForward reports whether this process announces to its zone what it received from
-// another zone.
+// shouldForward reports whether this process, as the head of its zone, announces to the zone
+// what it received from another zone. It forwards changes, and confirmations at most every half
+// watch wait.
 func (d *Disseminator) shouldForward(now time.Duration, from Peer, before Digest) bool {
 	if !d.isZoneHead || slices.Contains(d.zonePeers, from) {
 		return false
--- a/internal/directory/model_test.go
+++ b/internal/directory/model_test.go
@@ -125,9 +125,9 @@
 			}
 		}
 		state.Endpoints = kept
-	case p == omitsZones && update, p == fullStateOmitsZones && state.Whole:
+	case p == omitsZones && update, p == fullStateOmitsZones && state.Full:
 		state.Zones = nil
-	case p == omitsOpened && !state.Whole:
+	case p == omitsOpened && !state.Full:
 		var kept []directory.ZoneState
 		for _, described := range state.Zones {
 			if described.Closed {
--- a/internal/directory/startup.go
+++ b/internal/directory/startup.go
@@ -12,8 +12,8 @@
 // lists the store. It allows for several fetches on a slow link.
 const snapshotWait = 150 * time.Millisecond
 
-// SnapshotDeadline returns until when a snapshot of another process may arrive, or 0 if no
-// source is known.
+// SnapshotDeadline returns until when a snapshot of another process may arrive, or 0 if neither
+// a source nor a seed that is listing the store is known.
 func (d *Disseminator) SnapshotDeadline() time.Duration {
 	return max(d.snapshotDeadline, d.seedWaitDeadline)
 }
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -12,7 +12,7 @@
 //go:generate go tool msgp -tests=false
 //msgp:limit arrays:65536
 //msgp:tuple Digest State EndpointState FormerRoute ZoneState
-//msgp:ignore zoneRecord ClosedZone contents serviceSet
+//msgp:ignore zoneRecord ClosedZone snapshotData serviceSet
 
 // Digest holds the versions of a directory. It is small enough to accompany every message
 // between balancers.
@@ -29,10 +29,10 @@
 // State is a full directory or the difference between two directories.
 type State struct {
 	// Through is the revision up to which the state covers all changes: those after From, or
-	// everything if Whole is set.
+	// everything if Full is set.
 	Through Revision
 	From    Revision
-	Whole   bool
+	Full    bool
 	// Confirmed is set if the store confirmed the revision Through to some balancer, at most
 	// Age ago.
 	Confirmed bool
@@ -49,7 +49,8 @@
 	// DepartureHistory is the period before the sending of the state for which all departures
 	// of endpoints are included.
 	DepartureHistory time.Duration
-	// Zones holds the zones that were closed or opened after From.
+	// Zones holds zones that are closed or were opened recently. A datagram contains only those
+	// that changed after From.
 	Zones []ZoneState
 	// MemberCount is the number of balancers in the sender's membership.
 	MemberCount uint32
@@ -107,7 +108,7 @@
 	}
 	for name, record := range r.endpoints {
 		peerAhead := state.Through < peerDigest.Revision
-		if state.Whole || peerAhead || record.gone || record.revision > peerDigest.Revision {
+		if state.Full || peerAhead || record.gone || record.revision > peerDigest.Revision {
 			state.Endpoints = append(state.Endpoints, record.toState(now, name))
 		}
 	}
@@ -118,16 +119,16 @@
 // revision.
 func (r *Replica) stateHeader(after Revision) State {
 	return State{
-		Through: r.appliedRevision, From: after, Whole: after == 0 || after < r.historyFloor, ConfigurationVersion: r.snapshot.Version(),
+		Through: r.appliedRevision, From: after, Full: after == 0 || after < r.historyFloor, ConfigurationVersion: r.snapshot.Version(),
 	}
 }
 
 // ChangesAfter returns the changes of endpoints and zones after a revision, ordered by
-// revision, without configuration data. If that history is no longer kept, the state has Whole
+// revision, without configuration data. If that history is no longer kept, the state has Full
 // set and no content.
 func (r *Replica) ChangesAfter(now time.Duration, after Revision) State {
 	state := r.stateHeader(after)
-	if state.Whole {
+	if state.Full {
 		return state
 	}
 	state.Zones = r.zonesAfter(now, after)
@@ -177,7 +178,7 @@
 	if !complete {
 		return r.advance(now, 0, changed)
 	}
-	if state.Whole {
+	if state.Full {
 		changed = r.markMissingGone(now, state) || changed
 		changed = r.openMissingZones(now, state) || changed
 		r.historyFloor = max(r.historyFloor, state.Through)
@@ -198,7 +199,7 @@
 	if version < state.ConfigurationVersion {
 		return false
 	}
-	return state.Through >= r.appliedRevision && (state.Whole || state.From <= r.appliedRevision)
+	return state.Through >= r.appliedRevision && (state.Full || state.From <= r.appliedRevision)
 }
 
 // markMissingGone marks endpoints as gone that a full state does not contain as existing. An
--- a/internal/directory/state_gen.go
+++ b/internal/directory/state_gen.go
@@ -453,9 +453,9 @@
 		err = msgp.WrapError(err, "From")
 		return
 	}
-	z.Whole, err = dc.ReadBool()
+	z.Full, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Full")
 		return
 	}
 	z.Confirmed, err = dc.ReadBool()
@@ -591,9 +591,9 @@
 		err = msgp.WrapError(err, "From")
 		return
 	}
-	err = en.WriteBool(z.Whole)
+	err = en.WriteBool(z.Full)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Full")
 		return
 	}
 	err = en.WriteBool(z.Confirmed)
@@ -692,7 +692,7 @@
 		err = msgp.WrapError(err, "From")
 		return
 	}
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Full)
 	o = msgp.AppendBool(o, z.Confirmed)
 	o = msgp.AppendDuration(o, z.Age)
 	o = msgp.AppendUint64(o, z.ConfigurationVersion)
@@ -761,9 +761,9 @@
 		err = msgp.WrapError(err, "From")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.Full, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Full")
 		return
 	}
 	z.Confirmed, bts, err = msgp.ReadBoolBytes(bts)
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -47,7 +47,7 @@
 // datagrams. Each update covers the changes from the revision of the previous one to its own.
 // If there are too many, it returns a single update without content.
 func splitUpdates(changes State) []Update {
-	if changes.Whole {
+	if changes.Full {
 		return []Update{announcement(changes)}
 	}
 	part := changes
@@ -87,7 +87,7 @@
 func announcement(changes State) Update {
 	changes.Endpoints = nil
 	changes.Zones = nil
-	changes.Whole = false
+	changes.Full = false
 	changes.From = changes.Through
 	return Update{State: changes}
 }
--- a/internal/directory/zone_test.go
+++ b/internal/directory/zone_test.go
@@ -117,7 +117,7 @@
 		Expect(replica.FullState(directory.Retention).Zones).To(HaveLen(1))
 		replica.ApplyChanges(directory.Retention+time.Second, nil, 6)
 		Expect(replica.FullState(directory.Retention + time.Second).Zones).To(BeEmpty())
-		Expect(replica.ChangesAfter(0, 3).Whole).To(BeTrue(), "a process that knows less needs a full state")
+		Expect(replica.ChangesAfter(0, 3).Full).To(BeTrue(), "a process that knows less needs a full state")
 	})
 
 	It("treats endpoints as cold after the opening only if their service has a limit by then", func() {
