--- a/bench/flownet/spread.go
+++ b/bench/flownet/spread.go
@@ -73,7 +73,7 @@
 	if lacks {
 		n.exchange.UpdateIncomplete(now, simnet.NodeID(update.SourceOrSender(directory.Peer(from))))
 	}
-	n.part.Confirm(n.spread.ConfirmedAt())
+	n.part.MarkConfirmed(n.spread.ConfirmedAt())
 	n.installIf(now, changed)
 	switch {
 	case update.Confirmation && update.RequestsChanges:
--- a/internal/balancer/decider.go
+++ b/internal/balancer/decider.go
@@ -66,7 +66,7 @@
 		return nil, reasonOfEncap[outcome]
 	}
 	if d.datagram.Control {
-		return nil, Control
+		return nil, ControlMessage
 	}
 	if d.datagram.HasRouting {
 		return nil, AlreadyRouted
@@ -80,6 +80,6 @@
 	if outcome := d.inner.DecodeInto(content, &d.summary); outcome != packet.Decoded {
 		return nil, reasonOfPacket[outcome]
 	}
-	target, outcome := table.Find(&d.summary.Flow)
+	target, outcome := table.FindTarget(&d.summary.Flow)
 	return target, reasonOfRoute[outcome]
 }
--- a/internal/relaydaemon/peerfetch.go
+++ b/internal/relaydaemon/peerfetch.go
@@ -79,7 +79,7 @@
 // nextFetch returns the fetch to make now. A balancer without a directory asks a seed for a
 // source.
 func (p *peers) nextFetch() (from membership.Address, asked directoryRequest, wanted bool) {
-	balancers := p.membership.Live()
+	balancers := p.membership.LiveCount()
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
 		from, wanted = p.exchange.Next(now)
 		asked.known = p.role.directory.Digest()
@@ -135,7 +135,7 @@
 		}
 		changed := p.exchange.Fetched(now, state)
 		p.role.updates.send(p.role.spread.StateFetched(now, at, directory.Peer(from), state))
-		p.role.balancer.Confirm(p.role.spread.ConfirmedAt())
+		p.role.balancer.MarkConfirmed(p.role.spread.ConfirmedAt())
 		p.role.executor.journal.logger.Info("directory fetched", "peer", from.String(), "changed", changed,
 			"took_ms", (now - at).Milliseconds(),
 			"endpoints", len(state.Endpoints), "revision", uint64(state.Through))
--- a/internal/relaydaemon/updates.go
+++ b/internal/relaydaemon/updates.go
@@ -75,7 +75,7 @@
 	if lacks {
 		role.peers.lacks(now, membership.Address(update.SourceOrSender(from)))
 	}
-	role.balancer.Confirm(role.spread.ConfirmedAt())
+	role.balancer.MarkConfirmed(role.spread.ConfirmedAt())
 	effects := role.installIf(changed, now)
 	switch {
 	case update.Confirmation && update.RequestsChanges:
