--- a/internal/directory/announce.go
+++ b/internal/directory/announce.go
@@ -17,8 +17,8 @@
 	// a confirmation before it asks a watcher. It must stay below the delay after which the
 	// process polls the store.
 	renewalFactor = 1.15
-	// announcementOverlap is the number of preceding updates whose changes each update repeats,
-	// so that losing a single update has no effect.
+	// announcementOverlap is how many announcements back the base revision of an update lies,
+	// so that the loss of a single update has no effect.
 	announcementOverlap = 2
 	// repeatDelay is the delay after which an update is sent again. Otherwise only the next
 	// update would make up for a lost one. It exceeds the time that a queue on a link takes to
@@ -57,12 +57,12 @@
 
 // Repeat returns the last updates once more after repeatDelay. Call it about that often.
 func (d *Disseminator) Repeat(now time.Duration) []Outgoing {
-	due := d.pendingRepeat
-	if len(due.to) == 0 || now < due.due {
+	pending := d.pendingRepeat
+	if len(pending.to) == 0 || now < pending.due {
 		return nil
 	}
 	d.pendingRepeat = repeatedUpdates{}
-	return d.addressTo(d.updates(now, due.after), due.to)
+	return d.addressTo(d.updates(now, pending.after), pending.to)
 }
 
 // RenewalRequest returns a request to a watcher for changes if no confirmation arrived in time.
@@ -82,7 +82,7 @@
 }
 
 // StateSent records that another process has received the directory.
-func (d *Disseminator) StateSent(now time.Duration, by Peer) { d.subscribe(now, by) }
+func (d *Disseminator) StateSent(now time.Duration, to Peer) { d.subscribe(now, to) }
 
 func (d *Disseminator) subscribe(now time.Duration, peer Peer) {
 	if _, exists := d.subscribers[peer]; exists || len(d.subscribers) < maxSubscribers {
--- a/internal/directory/confirmer.go
+++ b/internal/directory/confirmer.go
@@ -9,7 +9,8 @@
 const (
 	// minServingInterval is the shortest interval between two confirmations on behalf of other
 	// balancers. Each costs a call to the store. A client whose flow is dead waits for one
-	// before it is told, within a latency objective of several hundred milliseconds.
+	// before it is told, and that wait is part of a latency objective of several hundred
+	// milliseconds.
 	minServingInterval = 25 * time.Millisecond
 	// minOwnInterval is the shortest interval between two confirmations that serve only flow
 	// lookups of this balancer.
--- a/internal/directory/confirmer_test.go
+++ b/internal/directory/confirmer_test.go
@@ -156,14 +156,14 @@
 	It("limits the watcher requests of many balancers to what a watcher can answer", func() {
 		const balancers, watchers, period = 1100, 5, 10 * time.Second
 		confirmer.SetStoreRate(balancers, 2000)
-		asked := 0
+		requests := 0
 		for now := time.Duration(0); now < period; now += millisecond {
 			confirmer.Request()
 			if confirmer.BeginWithWatcher(now) {
-				asked++
+				requests++
 			}
 		}
-		perWatcher := float64(asked) * balancers / watchers / period.Seconds()
+		perWatcher := float64(requests) * balancers / watchers / period.Seconds()
 		Expect(perWatcher).To(BeNumerically("~", 1000, 50))
 	})
 
--- a/internal/directory/disseminator_test.go
+++ b/internal/directory/disseminator_test.go
@@ -35,10 +35,10 @@
 }
 
 // list makes the balancer list the store itself.
-func (p *testBalancer) list(now time.Duration, revision directory.Revision, items ...directory.Item) []directory.Outgoing {
-	p.replica.ApplyListing(now, append(items, configurationItem(1, 1)), revision)
-	p.disseminator.StoreListed()
-	return p.disseminator.StoreAnswered(now)
+func (b *testBalancer) list(now time.Duration, revision directory.Revision, items ...directory.Item) []directory.Outgoing {
+	b.replica.ApplyListing(now, append(items, configurationItem(1, 1)), revision)
+	b.disseminator.StoreListed()
+	return b.disseminator.StoreAnswered(now)
 }
 
 // sequentialEndpoints returns endpoints announced at consecutive revisions.
@@ -124,24 +124,24 @@
 
 	It("does not watch while others know far more balancers, until their advertisement expires", func() {
 		few := fleetOf(3, 1)
-		early := newTestBalancer(few[0])
-		early.list(0, 5)
+		reduced := newTestBalancer(few[0])
+		reduced.list(0, 5)
 		for _, each := range few {
 			seen := newTestBalancer(each)
 			seen.disseminator.SetMembers(few)
 			if seen.disseminator.Watching() {
-				early = seen
+				reduced = seen
 			}
 		}
-		Expect(early.disseminator.Watching()).To(BeTrue())
+		Expect(reduced.disseminator.Watching()).To(BeTrue())
 		informed := newTestBalancer(directory.Member{Peer: 9})
 		informed.list(0, 5)
 		informed.disseminator.SetMembers(fleetOf(300, 5))
-		early.disseminator.Receive(0, 9, directory.Update{State: informed.disseminator.Summary(0)})
-		Expect(early.disseminator.Watching()).To(BeFalse())
+		reduced.disseminator.Receive(0, 9, directory.Update{State: informed.disseminator.Summary(0)})
+		Expect(reduced.disseminator.Watching()).To(BeFalse())
 		informed.disseminator.SetMembers(fleetOf(2, 1))
-		early.disseminator.Receive(6*time.Second, 9, directory.Update{State: informed.disseminator.Summary(6 * time.Second)})
-		Expect(early.disseminator.Watching()).To(BeTrue(), "the fleet has shrunk")
+		reduced.disseminator.Receive(6*time.Second, 9, directory.Update{State: informed.disseminator.Summary(6 * time.Second)})
+		Expect(reduced.disseminator.Watching()).To(BeTrue(), "the fleet has shrunk")
 	})
 
 	It("watches while it knows no other balancer, unless another has announced a directory", func() {
@@ -246,9 +246,9 @@
 		Expect(asking.disseminator.RenewalRequest(1500*millisecond)).To(BeEmpty(), "the reply is pending")
 		watcher.disseminator.SetMembers(fleetOf(2, 1))
 		watcher.disseminator.StoreAnswered(1300 * millisecond)
-		_, _, answers := watcher.disseminator.Receive(1401*millisecond, 77, due[0].Update)
-		Expect(answers).To(HaveLen(1))
-		asking.disseminator.Receive(1402*millisecond, due[0].To, answers[0].Update)
+		_, _, replies := watcher.disseminator.Receive(1401*millisecond, 77, due[0].Update)
+		Expect(replies).To(HaveLen(1))
+		asking.disseminator.Receive(1402*millisecond, due[0].To, replies[0].Update)
 		Expect(asking.disseminator.RenewalRequest(2500 * millisecond)).To(BeEmpty())
 		Expect(receiversOf(watcher.disseminator.StoreAnswered(20 * time.Second))).To(HaveKey(directory.Peer(77)))
 	})
@@ -325,30 +325,30 @@
 
 	It("asks the same few watchers to confirm, and any other once one does not reply", func() {
 		all := fleet(91, 5)
-		asked := make(map[directory.Peer]int)
+		requests := make(map[directory.Peer]int)
 		var last *testBalancer
 		for range 20 {
 			for _, each := range all {
 				if watcher, exists := each.disseminator.ConfirmationWatcher(0); exists {
-					asked[watcher]++
+					requests[watcher]++
 					last = each
 				}
 			}
 		}
-		Expect(asked).To(HaveLen(2))
-		for watcher := range asked {
+		Expect(requests).To(HaveLen(2))
+		for watcher := range requests {
 			_, exists := all[watcher].disseminator.ConfirmationWatcher(0)
 			Expect(exists).To(BeFalse(), "it calls the store itself")
 		}
-		clear(asked)
+		clear(requests)
 		silent, _ := last.disseminator.ConfirmationWatcher(0)
 		last.disseminator.WatcherTimedOut(0, silent)
 		for range 200 {
 			watcher, _ := last.disseminator.ConfirmationWatcher(time.Second)
-			asked[watcher]++
+			requests[watcher]++
 		}
-		Expect(len(asked)).To(BeNumerically(">=", 2))
-		Expect(asked).NotTo(HaveKey(silent))
+		Expect(len(requests)).To(BeNumerically(">=", 2))
+		Expect(requests).NotTo(HaveKey(silent))
 	})
 
 	It("does not confirm itself while others know many more balancers", func() {
@@ -378,12 +378,12 @@
 		Expect(watching(all)).To(ContainElement(watcher))
 		all[watcher].replica.ApplyChanges(time.Second, sequentialEndpoints(6, 3), 8)
 		request := directory.Update{RequestsChanges: true, Confirmation: true, RequestID: 4, State: asking.disseminator.Summary(0)}
-		_, _, answers := all[watcher].disseminator.Receive(0, 1, request)
-		Expect(answers).To(BeEmpty(), "the store must be asked first")
-		answers = all[watcher].disseminator.ConfirmationReplies(time.Second, 1, request)
-		Expect(answers).To(HaveLen(1))
-		Expect(answers[0].Update).To(And(HaveField("Confirmation", true), HaveField("RequestID", uint32(4))))
-		_, incomplete, _ := asking.disseminator.Receive(time.Second, watcher, answers[0].Update)
+		_, _, replies := all[watcher].disseminator.Receive(0, 1, request)
+		Expect(replies).To(BeEmpty(), "the store must be asked first")
+		replies = all[watcher].disseminator.ConfirmationReplies(time.Second, 1, request)
+		Expect(replies).To(HaveLen(1))
+		Expect(replies[0].Update).To(And(HaveField("Confirmation", true), HaveField("RequestID", uint32(4))))
+		_, incomplete, _ := asking.disseminator.Receive(time.Second, watcher, replies[0].Update)
 		Expect(incomplete).To(BeFalse())
 		Expect(asking.replica.AppliedRevision()).To(Equal(directory.Revision(8)))
 		_, exists = all[watcher].disseminator.ConfirmationWatcher(0)
--- a/internal/directory/fleet_start_test.go
+++ b/internal/directory/fleet_start_test.go
@@ -14,12 +14,12 @@
 // The simulated fleet: 682 endpoints on four pages of a store that sends 1,000 Mbit/s, and a
 // state of about 40 KB that balancers send to each other over links of 20 to 200 Mbit/s.
 const (
-	startPages     = 4
-	startPageSize  = 66e3
-	startStateSize = 40e3
-	startDelay     = time.Millisecond
-	storeWork      = 4 * time.Millisecond
-	storeBandwidth = 1000e6 / 8
+	pageCount           = 4
+	pageSize            = 66e3
+	stateSize           = 40e3
+	networkDelay        = time.Millisecond
+	storeProcessingTime = 4 * time.Millisecond
+	storeBandwidth      = 1000e6 / 8
 	// startWithin is the period within which all balancers start.
 	startWithin = 200 * time.Millisecond
 )
@@ -27,13 +27,13 @@
 // link sends one item after the other.
 type link struct {
 	bandwidth float64
-	free      time.Duration
+	freeAt    time.Duration
 }
 
-// sends returns when an item of the given size has been sent completely.
-func (l *link) sends(now time.Duration, size float64) time.Duration {
-	l.free = max(l.free, now) + time.Duration(size/l.bandwidth*float64(time.Second))
-	return l.free
+// transmit returns when an item of the given size has been sent completely.
+func (l *link) transmit(now time.Duration, size float64) time.Duration {
+	l.freeAt = max(l.freeAt, now) + time.Duration(size/l.bandwidth*float64(time.Second))
+	return l.freeAt
 }
 
 type startEvent struct {
@@ -122,14 +122,14 @@
 				others = append(others, seed)
 			}
 		}
-		used := timing
-		used.ListingDelay = directory.FirstListingDelay(isSeed, scenario.firstStart, random.Float64())
+		balancerTiming := timing
+		balancerTiming.ListingDelay = directory.FirstListingDelay(isSeed, scenario.firstStart, random.Float64())
 		balancer := &startingBalancer{
 			testBalancer: *newTestBalancer(member, others...), peer: member.Peer,
 			link: link{bandwidth: (20 + 180*random.Float64()) * 1e6 / 8}, absent: isSeed && scenario.seedsAbsent,
 		}
-		balancer.follower = directory.NewFollower(balancer.replica, used, balancer.disseminator)
-		balancer.fetcher = directory.NewPeerFetcher(balancer.replica, used, others, random)
+		balancer.follower = directory.NewFollower(balancer.replica, balancerTiming, balancer.disseminator)
+		balancer.fetcher = directory.NewPeerFetcher(balancer.replica, balancerTiming, others, random)
 		created.fleet[member.Peer] = balancer
 		balancer.startsAt = time.Duration(random.Float64() * float64(startWithin))
 		if isSeed {
@@ -146,7 +146,7 @@
 func (f *startingFleet) tick(b *startingBalancer) {
 	f.follow(b)
 	f.fetch(b)
-	if request, asks := b.disseminator.StartupRequest(f.now); asks {
+	if request, needed := b.disseminator.StartupRequest(f.now); needed {
 		f.send(b, []directory.Outgoing{request})
 	}
 	f.schedule(50*millisecond, func() { f.tick(b) })
@@ -164,15 +164,15 @@
 	}
 	b.calling = true
 	f.calls++
-	f.schedule(startDelay, func() {
-		sent := f.store.sends(f.now+storeWork, startPageSize)
-		f.schedule(b.link.sends(sent, startPageSize)-f.now, func() { f.listed(b, call) })
+	f.schedule(networkDelay, func() {
+		sent := f.store.transmit(f.now+storeProcessingTime, pageSize)
+		f.schedule(b.link.transmit(sent, pageSize)-f.now, func() { f.listed(b, call) })
 	})
 }
 
 func (f *startingFleet) listed(b *startingBalancer, call directory.Call) {
 	b.calling = false
-	page := directory.Page{Revision: f.revision, More: len(call.AfterKey) < startPages-1, LastKey: call.AfterKey + "x"}
+	page := directory.Page{Revision: f.revision, More: len(call.AfterKey) < pageCount-1, LastKey: call.AfterKey + "x"}
 	if !page.More {
 		page.Items = f.items
 	}
@@ -197,10 +197,10 @@
 	}
 	f.fetches++
 	f.fetchesBySource[from]++
-	f.schedule(3*startDelay, func() {
+	f.schedule(3*networkDelay, func() {
 		source.disseminator.StateSent(f.now, b.peer)
 		state := source.disseminator.State(f.now, b.replica.Digest())
-		f.schedule(source.link.sends(f.now, startStateSize)-f.now, func() {
+		f.schedule(source.link.transmit(f.now, stateSize)-f.now, func() {
 			b.fetcher.Fetched(f.now, state)
 			f.send(b, b.disseminator.StateFetched(f.now, f.now, from, state))
 			f.noteReady(b)
@@ -211,12 +211,12 @@
 func (f *startingFleet) send(from *startingBalancer, outgoing []directory.Outgoing) {
 	for _, each := range outgoing {
 		to := f.fleet[each.To]
-		f.schedule(startDelay, func() {
+		f.schedule(networkDelay, func() {
 			if to.absent || f.now < to.startsAt {
 				return
 			}
-			_, incomplete, answers := to.disseminator.Receive(f.now, from.peer, each.Update)
-			f.send(to, answers)
+			_, incomplete, replies := to.disseminator.Receive(f.now, from.peer, each.Update)
+			f.send(to, replies)
 			if incomplete {
 				to.fetcher.UpdateIncomplete(f.now, each.Update.SourceOrSender(from.peer))
 				f.fetch(to)
@@ -263,13 +263,13 @@
 		GinkgoWriter.Printf("%+v: %d calls, %d fetches, %d from the busiest source, last ready after %v\n",
 			scenario, starting.calls, starting.fetches, most, starting.lastReady())
 		if scenario.seedsAbsent || scenario.seedsLate > 0 {
-			listings := time.Duration(float64(scenario.count) * startPages * startPageSize / storeBandwidth * float64(time.Second))
+			listings := time.Duration(float64(scenario.count) * pageCount * pageSize / storeBandwidth * float64(time.Second))
 			Expect(starting.lastReady()).To(BeNumerically("<=", 250*millisecond+listings))
 			return
 		}
 		Expect(starting.lastReady()).To(BeNumerically("<=", 500*millisecond))
 		if scenario.firstStart {
-			Expect(starting.calls).To(BeNumerically("<=", 30*startPages))
+			Expect(starting.calls).To(BeNumerically("<=", 30*pageCount))
 		}
 	},
 		Entry("first start of 20", startScenario{count: 20, firstStart: true}),
--- a/internal/directory/fuzz_test.go
+++ b/internal/directory/fuzz_test.go
@@ -49,8 +49,8 @@
 		receiver := newTestBalancer(directory.Member{Peer: 2})
 		receiver.list(0, 3)
 		for _, peer := range []directory.Peer{1, 1, 3} {
-			_, _, answers := receiver.disseminator.Receive(0, peer, update)
-			for _, answer := range answers {
+			_, _, replies := receiver.disseminator.Receive(0, peer, update)
+			for _, answer := range replies {
 				encoded, err := answer.Update.MarshalMsg(nil)
 				if err != nil || len(encoded) > directory.MaxUpdateSize {
 					t.Fatalf("reply has %d bytes, or encoding failed: %v", len(encoded), err)
--- a/internal/directory/invalidation_test.go
+++ b/internal/directory/invalidation_test.go
@@ -80,9 +80,9 @@
 		invalidate(follower)
 		follower.Next(time.Second)
 		follower.HandlePage(time.Second, directory.Page{Revision: 7, Items: []directory.Item{configurationItem(1, 1)}})
-		_, incomplete, answers := each.disseminator.Receive(time.Second, 2, forgedUpdate())
+		_, incomplete, replies := each.disseminator.Receive(time.Second, 2, forgedUpdate())
 		Expect(incomplete).To(BeFalse())
-		Expect(answers).To(BeEmpty())
+		Expect(replies).To(BeEmpty())
 		Expect(each.replica.ApplyState(time.Second, other.disseminator.State(time.Second, directory.Digest{}))).To(BeFalse())
 		Expect(each.disseminator.StateFetched(time.Second, time.Second, 2, other.disseminator.State(time.Second, directory.Digest{}))).To(BeEmpty())
 		fetcher := directory.NewPeerFetcher[directory.Peer](each.replica, timing, nil, rand.New(rand.NewPCG(1, 1)))
@@ -194,9 +194,9 @@
 	b.calling = true
 	if call.Listing {
 		f.listings++
-		f.schedule(startDelay, func() {
-			sent := f.store.sends(f.now+storeWork, startPageSize)
-			f.schedule(b.link.sends(sent, startPageSize)-f.now, func() { f.listed(b, call) })
+		f.schedule(networkDelay, func() {
+			sent := f.store.transmit(f.now+storeProcessingTime, pageSize)
+			f.schedule(b.link.transmit(sent, pageSize)-f.now, func() { f.listed(b, call) })
 		})
 		return
 	}
@@ -205,7 +205,7 @@
 	if call.AfterRevision < f.revision {
 		wait = 0
 	}
-	f.schedule(wait+2*startDelay, func() {
+	f.schedule(wait+2*networkDelay, func() {
 		b.calling = false
 		changes := directory.Changes{Through: f.revision}
 		for _, item := range f.items {
@@ -224,7 +224,7 @@
 // listed replaces the method of startingFleet, because the balancer continues with call.
 func (f *invalidatedFleet) listed(b *startingBalancer, call directory.Call) {
 	b.calling = false
-	page := directory.Page{Revision: f.revision, More: len(call.AfterKey) < startPages-1, LastKey: call.AfterKey + "x"}
+	page := directory.Page{Revision: f.revision, More: len(call.AfterKey) < pageCount-1, LastKey: call.AfterKey + "x"}
 	if !page.More {
 		page.Items = f.items
 	}
@@ -262,7 +262,7 @@
 		}
 		pages, watches := fleet.listings-listingsBefore, fleet.watches-watchesBefore
 		GinkgoWriter.Printf("%d balancers: corrected after %v, %d pages, %d watches and polls\n", count, last, pages, watches)
-		Expect(pages).To(BeNumerically("<=", listings*startPages))
+		Expect(pages).To(BeNumerically("<=", listings*pageCount))
 	},
 		Entry("with 4 balancers", 4, 4),
 		Entry("with 20 balancers", 20, 10),
--- a/internal/directory/model_test.go
+++ b/internal/directory/model_test.go
@@ -84,11 +84,11 @@
 
 // disseminationModel is a fleet whose updates are lost, duplicated and reordered.
 type disseminationModel struct {
-	store    storeModel
-	fleet    []*testBalancer
-	inFlight []delivery
-	now      time.Duration
-	next     int
+	store        storeModel
+	fleet        []*testBalancer
+	inFlight     []delivery
+	now          time.Duration
+	nextEndpoint int
 	// fault is injected into the balancers.
 	fault injectedFault
 }
@@ -110,28 +110,28 @@
 )
 
 // apply returns a state as balancers with the fault send it.
-func (p injectedFault) apply(state directory.State, update bool) directory.State {
+func (f injectedFault) apply(state directory.State, update bool) directory.State {
 	switch {
-	case p == omitsStart:
+	case f == omitsStart:
 		state.Endpoints = slices.Clone(state.Endpoints)
 		for index := range state.Endpoints {
 			state.Endpoints[index].ID.Started = 0
 		}
-	case p == omitsGone && update:
+	case f == omitsGone && update:
 		var kept []directory.EndpointState
-		for _, described := range state.Endpoints {
-			if !described.Gone {
-				kept = append(kept, described)
+		for _, record := range state.Endpoints {
+			if !record.Gone {
+				kept = append(kept, record)
 			}
 		}
 		state.Endpoints = kept
-	case p == omitsZones && update, p == fullStateOmitsZones && state.Full:
+	case f == omitsZones && update, f == fullStateOmitsZones && state.Full:
 		state.Zones = nil
-	case p == omitsOpened && !state.Full:
+	case f == omitsOpened && !state.Full:
 		var kept []directory.ZoneState
-		for _, described := range state.Zones {
-			if described.Closed {
-				kept = append(kept, described)
+		for _, record := range state.Zones {
+			if record.Closed {
+				kept = append(kept, record)
 			}
 		}
 		state.Zones = kept
@@ -166,10 +166,10 @@
 	chosen, peer := m.fleet[index], directory.Peer(index+1)
 	switch rapid.SampledFrom([]string{"write", "write", "restart endpoint", "leave", "refuse", "close", "open", "configure", "list", "watch", "watch", "deliver", "deliver", "deliver", "repeat", "double", "lose", "fetch", "restart"}).Draw(t, "step") {
 	case "write":
-		m.next++
+		m.nextEndpoint++
 		value := endpoint("s", rapid.Bool().Draw(t, "draining"))
-		value.IP = [4]byte{10, 0, 0, byte(m.next)}
-		m.store.write(endpointItem(fmt.Sprintf("e%d", rapid.IntRange(max(m.next-3, 1), m.next).Draw(t, "id")), 0, value))
+		value.IP = [4]byte{10, 0, 0, byte(m.nextEndpoint)}
+		m.store.write(endpointItem(fmt.Sprintf("e%d", rapid.IntRange(max(m.nextEndpoint-3, 1), m.nextEndpoint).Draw(t, "id")), 0, value))
 	case "restart endpoint":
 		// The endpoint's clock may have stepped back.
 		if item, exists := m.oldestEndpoint(); exists {
@@ -223,7 +223,7 @@
 // oldestEndpoint returns the entry of the endpoint that has existed the longest.
 func (m *disseminationModel) oldestEndpoint() (directory.Item, bool) {
 	entries, _ := m.store.at(m.store.revision())
-	for number := range m.next + 1 {
+	for number := range m.nextEndpoint + 1 {
 		if item, exists := entries[fmt.Sprintf("e%d", number)]; exists {
 			return item, true
 		}
@@ -241,8 +241,8 @@
 	if rapid.IntRange(0, 4).Draw(t, "fate") > 0 {
 		m.inFlight = append(m.inFlight[:index], m.inFlight[index+1:]...)
 	}
-	_, _, answers := m.fleet[arriving.To-1].disseminator.Receive(m.now, arriving.from, arriving.Update)
-	m.send(arriving.To, answers)
+	_, _, replies := m.fleet[arriving.To-1].disseminator.Receive(m.now, arriving.from, arriving.Update)
+	m.send(arriving.To, replies)
 }
 
 // mismatch describes where a balancer's directory differs from the store at the revision that
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -52,18 +52,18 @@
 	}
 	part := changes
 	part.Endpoints = nil
-	room := MaxUpdateSize - updateHeaderSize
+	remaining := MaxUpdateSize - updateHeaderSize
 	for _, zone := range changes.Zones {
-		room -= zoneOverhead + len(zone.Zone)
+		remaining -= zoneOverhead + len(zone.Zone)
 	}
-	if room < 0 {
+	if remaining < 0 {
 		return []Update{announcement(changes)}
 	}
 	var parts []Update
 	for _, endpoint := range changes.Endpoints {
 		last := len(part.Endpoints) - 1
-		splits := last >= 0 && part.Endpoints[last].Revision != endpoint.Revision
-		if room < endpoint.size() && splits {
+		canSplit := last >= 0 && part.Endpoints[last].Revision != endpoint.Revision
+		if remaining < endpoint.size() && canSplit {
 			part.Through = part.Endpoints[last].Revision
 			part.Confirmed = false
 			parts = append(parts, Update{State: part})
@@ -71,13 +71,13 @@
 			part.Zones = nil
 			part.From = parts[len(parts)-1].State.Through
 			part.Endpoints = nil
-			room = MaxUpdateSize - updateHeaderSize
+			remaining = MaxUpdateSize - updateHeaderSize
 		}
 		part.Endpoints = append(part.Endpoints, endpoint)
-		room -= endpoint.size()
+		remaining -= endpoint.size()
 	}
 	parts = append(parts, Update{State: part})
-	if len(parts) > maxUpdateParts || room < 0 {
+	if len(parts) > maxUpdateParts || remaining < 0 {
 		return []Update{announcement(changes)}
 	}
 	return parts
--- a/internal/directory/zone.go
+++ b/internal/directory/zone.go
@@ -24,8 +24,8 @@
 	Since time.Duration
 }
 
-// mergeZone merges an entry that closes a zone, or its deletion. It reports whether the zone is
-// or was closed.
+// mergeZone merges an entry that closes a zone, or its deletion. It reports whether the entry
+// is newer and the zone is or was closed.
 func (r *Replica) mergeZone(now time.Duration, item Item) bool {
 	record, exists := r.zones[item.Zone]
 	if exists && item.Revision <= record.revision {
