--- a/internal/directory/announce.go
+++ b/internal/directory/announce.go
@@ -14,15 +14,15 @@
 	// maxSubscribers limits the subscribers.
 	maxSubscribers = 256
 	// renewalFactor, times the interval between confirmations, is how long a process waits for
-	// a confirmation before it asks a watcher. It must stay below the delay after which the
-	// process polls the store.
+	// a confirmation before it asks a watcher. The product must stay below Timing.pollDelay,
+	// after which the process polls the store.
 	renewalFactor = 1.15
-	// announcementOverlap is how many announcements back the base revision of an update lies,
-	// so that the loss of a single update has no effect.
+	// announcementOverlap is how many announcements back an update begins, so that the loss of
+	// a single update has no effect.
 	announcementOverlap = 2
-	// repeatDelay is the delay after which an update is sent again. Otherwise only the next
-	// update would make up for a lost one. It exceeds the time that a queue on a link takes to
-	// drain.
+	// repeatDelay is the delay after which an update is sent again. Without that, a lost update
+	// is made up for only by the next one. The delay exceeds the time that a queue on a link
+	// takes to drain.
 	repeatDelay = 100 * time.Millisecond
 )
 
@@ -33,8 +33,8 @@
 	to    []Peer
 }
 
-// announce returns updates with all changes since the previous announcements, for every
-// receiver but one.
+// announce returns updates with all changes since the announcement before the last one,
+// addressed to the peers in to and all active subscribers, except for one peer.
 func (d *Disseminator) announce(now time.Duration, to []Peer, except Peer) []Outgoing {
 	if !d.replica.Loaded() {
 		return nil
@@ -42,7 +42,8 @@
 	receivers := slices.DeleteFunc(slices.Clone(to), func(peer Peer) bool { return peer == except })
 	receivers = append(receivers, d.activeSubscribers(now, receivers, except)...)
 	base := d.replica.AppliedRevision()
-	// No receiver can connect changes to revisions announced before an invalidation.
+	// Announced revisions above the applied one date from before an invalidation. No update can
+	// begin there.
 	d.announcedRevisions = slices.DeleteFunc(d.announcedRevisions, func(revision Revision) bool { return revision > base })
 	if len(d.announcedRevisions) > 0 {
 		base = d.announcedRevisions[0]
@@ -55,7 +56,8 @@
 	return d.addressTo(d.updates(now, base), receivers)
 }
 
-// Repeat returns the last updates once more after repeatDelay. Call it about that often.
+// Repeat returns the last updates once more when repeatDelay has passed. The caller must call
+// it about that often.
 func (d *Disseminator) Repeat(now time.Duration) []Outgoing {
 	pending := d.pendingRepeat
 	if len(pending.to) == 0 || now < pending.due {
@@ -81,7 +83,8 @@
 	return d.addressTo([]Update{{RequestsChanges: true, State: d.Summary(now)}}, []Peer{watcher})
 }
 
-// StateSent records that another process has received the directory.
+// StateSent records that another process has received the directory, and subscribes it to
+// updates.
 func (d *Disseminator) StateSent(now time.Duration, to Peer) { d.subscribe(now, to) }
 
 func (d *Disseminator) subscribe(now time.Duration, peer Peer) {
@@ -90,8 +93,8 @@
 	}
 }
 
-// activeSubscribers returns the subscribers whose subscription is current and who are not in
-// others, in order.
+// activeSubscribers returns, in order, the subscribers whose subscription has not expired,
+// without except and those in others.
 func (d *Disseminator) activeSubscribers(now time.Duration, others []Peer, except Peer) []Peer {
 	var peers []Peer
 	for peer, since := range d.subscribers {
--- a/internal/directory/confirmer.go
+++ b/internal/directory/confirmer.go
@@ -8,8 +8,8 @@
 
 const (
 	// minServingInterval is the shortest interval between two confirmations on behalf of other
-	// balancers. Each costs a call to the store. A client whose flow is dead waits for one
-	// before it is told, and that wait is part of a latency objective of several hundred
+	// balancers. Each costs a call to the store. A client whose flow is dead is notified only
+	// after a confirmation, and that wait is part of a latency objective of several hundred
 	// milliseconds.
 	minServingInterval = 25 * time.Millisecond
 	// minOwnInterval is the shortest interval between two confirmations that serve only flow
@@ -53,7 +53,7 @@
 	// nextWatcherRequest is when the next one may be sent.
 	watcherRequestInterval time.Duration
 	nextWatcherRequest     time.Duration
-	// begun is when the latest confirmation began: its only call, or the first of two.
+	// begun is when the latest confirmation began, that is when its first call was made.
 	begun time.Duration
 	// startRevision is the revision of the directory when the current listing began.
 	startRevision Revision
--- a/internal/directory/confirmer_test.go
+++ b/internal/directory/confirmer_test.go
@@ -132,7 +132,7 @@
 		Expect(wanted).To(BeTrue())
 	})
 
-	It("allows the next watcher request as soon as the watcher has replied", func() {
+	It("allows the next watcher request as soon as the watcher has replied, because the watcher limits the calls", func() {
 		confirmer.Request()
 		Expect(confirmer.BeginWithWatcher(0)).To(BeTrue())
 		Expect(confirmer.BeginWithWatcher(0)).To(BeFalse(), "no confirmation is requested any more")
@@ -148,9 +148,9 @@
 
 	It("confirms less often once the burst is used up", func() {
 		confirmer.SetServesOthers(true)
-		rush := callsIn(0, 2*time.Second)
+		burst := callsIn(0, 2*time.Second)
 		callsIn(2*time.Second, 10*time.Second)
-		Expect(callsIn(10*time.Second, 12*time.Second)).To(BeNumerically("<=", rush/3))
+		Expect(callsIn(10*time.Second, 12*time.Second)).To(BeNumerically("<=", burst/3))
 	})
 
 	It("limits the watcher requests of many balancers to what a watcher can answer", func() {
--- a/internal/directory/delta_test.go
+++ b/internal/directory/delta_test.go
@@ -22,11 +22,11 @@
 		state := informed.StateAfter(0, directory.Digest{ConfigurationVersion: 4, Revision: 7})
 		Expect(state.Configuration).To(BeNil())
 		Expect(state.Through).To(Equal(directory.Revision(9)))
-		var receiver []directory.EndpointID
+		var included []directory.EndpointID
 		for _, each := range state.Endpoints {
-			receiver = append(receiver, each.ID)
+			included = append(included, each.ID)
 		}
-		Expect(receiver).To(ConsistOf(directory.NameOnlyID("left"), directory.NameOnlyID("new")))
+		Expect(included).To(ConsistOf(directory.NameOnlyID("left"), directory.NameOnlyID("new")))
 	})
 
 	It("does not make a process without a configuration ready", func() {
--- a/internal/directory/disseminator.go
+++ b/internal/directory/disseminator.go
@@ -32,8 +32,7 @@
 	// confirmations.
 	confirmsForOthers bool
 	// zoneHeads holds the first balancer of each other zone and zonePeers the other balancers
-	// of the own zone. zoneRank is the relative position of this process in its zone, from 0.
-	// isZoneHead is set if it is the first.
+	// of the own zone.
 	zoneHeads []Peer
 	zonePeers []Peer
 	watchers  []Peer
@@ -41,8 +40,10 @@
 	// other watcher may be asked.
 	unresponsiveWatcher Peer
 	avoidWatcherUntil   time.Duration
-	zoneRank            float64
-	isZoneHead          bool
+	// zoneRank is the relative position of this process in its zone, from 0. isZoneHead is set
+	// if it is the first.
+	zoneRank   float64
+	isZoneHead bool
 	// memberCount is the number of balancers in the membership. advertisedMembers is the
 	// highest number that others advertised recently, at advertisedAt.
 	memberCount       uint32
@@ -74,7 +75,7 @@
 	// seedWaitDeadline is until when this process waits for a seed without a directory, or 0 if
 	// none has replied.
 	seedWaitDeadline time.Duration
-	// advertisedToSeed is set once this process has told a seed that it has a directory.
+	// advertisedToSeed is set once this process has advertised its directory to a seed.
 	advertisedToSeed bool
 }
 
@@ -146,7 +147,7 @@
 }
 
 // ConfirmationWatcher returns the watcher to ask for a confirmation, or false if this process
-// confirms itself or no responsive watcher is known.
+// confirms the directory itself or no responsive watcher is known.
 func (d *Disseminator) ConfirmationWatcher(now time.Duration) (Peer, bool) {
 	if d.confirmsForOthers && d.Watching() {
 		return 0, false
@@ -263,8 +264,9 @@
 }
 
 // StateFetched records that this process has applied a state that it requested from a peer at
-// requestedAt. It returns the updates for its zone, since updates never contain a new
-// configuration.
+// requestedAt. It returns the updates to send. If this process is the head of its zone, it
+// announces a new configuration to the zone: updates never contain one, so the zone has to
+// fetch it.
 func (d *Disseminator) StateFetched(now, requestedAt time.Duration, from Peer, state State) []Outgoing {
 	if d.replica.isInvalid(state.Through) {
 		return nil
--- a/internal/directory/disseminator_test.go
+++ b/internal/directory/disseminator_test.go
@@ -103,9 +103,9 @@
 		all := fleet(91, 5)
 		before := watching(all)
 		members := fleetOf(91, 5)
-		left := append(members[:before[0]-1:before[0]-1], members[before[0]:]...)
+		remaining := append(members[:before[0]-1:before[0]-1], members[before[0]:]...)
 		for _, each := range all {
-			each.disseminator.SetMembers(left)
+			each.disseminator.SetMembers(remaining)
 		}
 		after := watching(all)
 		Expect(after).To(ContainElements(before[1:]))
@@ -127,10 +127,10 @@
 		reduced := newTestBalancer(few[0])
 		reduced.list(0, 5)
 		for _, each := range few {
-			seen := newTestBalancer(each)
-			seen.disseminator.SetMembers(few)
-			if seen.disseminator.Watching() {
-				reduced = seen
+			candidate := newTestBalancer(each)
+			candidate.disseminator.SetMembers(few)
+			if candidate.disseminator.Watching() {
+				reduced = candidate
 			}
 		}
 		Expect(reduced.disseminator.Watching()).To(BeTrue())
@@ -266,10 +266,10 @@
 		Expect(changed).To(BeTrue())
 		Expect(incomplete).To(BeFalse())
 		Expect(sender.disseminator.Repeat(time.Second + 200*millisecond)).To(BeEmpty())
-		changed, incomplete, passed := receiver.disseminator.Receive(time.Second+201*millisecond, 1, repeated[0].Update)
+		changed, incomplete, forwarded := receiver.disseminator.Receive(time.Second+201*millisecond, 1, repeated[0].Update)
 		Expect(changed).To(BeFalse())
 		Expect(incomplete).To(BeFalse())
-		Expect(passed).To(BeEmpty(), "it was forwarded already")
+		Expect(forwarded).To(BeEmpty(), "it was forwarded already")
 	})
 
 	It("overlaps updates, so that one lost update is made up for, and detects larger gaps", func() {
@@ -294,7 +294,7 @@
 			all := fleet(2, 1)
 			all[1].replica.ApplyChanges(time.Second, sequentialEndpoints(6, count), directory.Revision(5+count))
 			parts := all[1].disseminator.StoreAnswered(time.Second)
-			lacking := false
+			missingChanges := false
 			for _, part := range parts {
 				encoded, err := part.Update.MarshalMsg(nil)
 				Expect(err).NotTo(HaveOccurred())
@@ -302,14 +302,14 @@
 				before := len(all[2].replica.Snapshot().All())
 				_, incomplete, _ := all[2].disseminator.Receive(time.Second, 1, part.Update)
 				Expect(len(all[2].replica.Snapshot().All())).To(Equal(before + len(part.Update.State.Endpoints)))
-				lacking = incomplete
+				missingChanges = incomplete
 			}
 			if count < 300 {
-				Expect(lacking).To(BeFalse())
+				Expect(missingChanges).To(BeFalse())
 				Expect(all[2].replica.Snapshot().All()).To(HaveLen(count))
 			} else {
 				Expect(parts).To(HaveLen(1))
-				Expect(lacking).To(BeTrue())
+				Expect(missingChanges).To(BeTrue())
 			}
 		}
 	})
@@ -341,14 +341,14 @@
 			Expect(exists).To(BeFalse(), "it calls the store itself")
 		}
 		clear(requests)
-		silent, _ := last.disseminator.ConfirmationWatcher(0)
-		last.disseminator.WatcherTimedOut(0, silent)
+		unresponsive, _ := last.disseminator.ConfirmationWatcher(0)
+		last.disseminator.WatcherTimedOut(0, unresponsive)
 		for range 200 {
 			watcher, _ := last.disseminator.ConfirmationWatcher(time.Second)
 			requests[watcher]++
 		}
 		Expect(len(requests)).To(BeNumerically(">=", 2))
-		Expect(requests).NotTo(HaveKey(silent))
+		Expect(requests).NotTo(HaveKey(unresponsive))
 	})
 
 	It("does not confirm itself while others know many more balancers", func() {
--- a/internal/directory/fleet_start_test.go
+++ b/internal/directory/fleet_start_test.go
@@ -253,7 +253,7 @@
 	// Every balancer must be ready half a second after its start, for any fleet size. While a
 	// seed replies, few balancers list the store. Without seeds every balancer has to list it,
 	// and the store's link then needs the time of all listings.
-	DescribeTable("is ready in time and lists the store few times", func(scenario startScenario) {
+	DescribeTable("is ready in time and lists the store only a few times", func(scenario startScenario) {
 		starting := newStartingFleet(scenario)
 		starting.runUntil(2 * time.Second)
 		most := 0
--- a/internal/directory/follower.go
+++ b/internal/directory/follower.go
@@ -75,7 +75,7 @@
 func (t Timing) changeInterval() time.Duration { return t.ApplyTimeout / 5 }
 
 // fetchDelay returns how long a process that is behind waits for updates before it fetches from
-// a peer. It exceeds the interval between watches.
+// a peer. It exceeds changeInterval.
 func (t Timing) fetchDelay() time.Duration { return t.ApplyTimeout / 3 }
 
 // Call describes one call to the store.
@@ -209,8 +209,7 @@
 	return changed
 }
 
-// abandonListing ends a listing that is no longer needed because a snapshot of a peer has
-// arrived.
+// abandonListing ends a listing if a snapshot of a peer has arrived and made it unnecessary.
 func (f *Follower) abandonListing() {
 	if f.replica.AppliedRevision() > 0 && !f.relist {
 		f.nextKey = ""
@@ -264,8 +263,8 @@
 // HandleFailure handles a failed call. If the store has compacted its history, a new listing
 // follows.
 func (f *Follower) HandleFailure(now time.Duration, err error, random float64) {
-	var failed *StoreError
-	if errors.As(err, &failed) && failed.Failure == StoreCompacted {
+	var storeError *StoreError
+	if errors.As(err, &storeError) && storeError.Failure == StoreCompacted {
 		f.Relist()
 		return
 	}
--- a/internal/directory/fuzz_test.go
+++ b/internal/directory/fuzz_test.go
@@ -50,10 +50,10 @@
 		receiver.list(0, 3)
 		for _, peer := range []directory.Peer{1, 1, 3} {
 			_, _, replies := receiver.disseminator.Receive(0, peer, update)
-			for _, answer := range replies {
-				encoded, err := answer.Update.MarshalMsg(nil)
+			for _, reply := range replies {
+				encoded, err := reply.Update.MarshalMsg(nil)
 				if err != nil || len(encoded) > directory.MaxUpdateSize {
-					t.Fatalf("reply has %d bytes, or encoding failed: %v", len(encoded), err)
+					t.Fatalf("reply of %d bytes exceeds the limit or cannot be encoded: %v", len(encoded), err)
 				}
 			}
 		}
--- a/internal/directory/invalidation.go
+++ b/internal/directory/invalidation.go
@@ -3,8 +3,8 @@
 
 package directory
 
-// Invalidate handles that the store was only at storeRevision when it was asked for changes
-// after a later revision, requested. The merged items can no longer be ordered, so a full
+// Invalidate handles a false revision: the store was asked for changes after requested but was
+// only at the lower storeRevision. The merged items can no longer be ordered, so a full
 // directory is needed, from the store or from a peer. The snapshot stays in use until then.
 // States of peers at the false revision or later are ignored until the store has reached it.
 func (r *Replica) Invalidate(requested, storeRevision Revision) {
--- a/internal/directory/invalidation_test.go
+++ b/internal/directory/invalidation_test.go
@@ -50,10 +50,10 @@
 	}
 
 	It("is listed again and then contains the changes that the forged revision hid", func() {
-		each, follower := withFalseRevision()
+		balancer, follower := withFalseRevision()
 		invalidate(follower)
 		Expect(follower.InSync()).To(BeFalse())
-		Expect(each.replica.Snapshot().All()).To(HaveLen(4), "the snapshot stays in use until then")
+		Expect(balancer.replica.Snapshot().All()).To(HaveLen(4), "the snapshot stays in use until then")
 		call, at := follower.Next(time.Second)
 		Expect(call.Listing).To(BeTrue())
 		Expect(at).To(BeNumerically("<=", time.Second))
@@ -62,56 +62,56 @@
 		late.IP = [4]byte{10, 0, 7, 7}
 		items = append(items, endpointItem("late", 7, late))
 		Expect(follower.HandlePage(time.Second, directory.Page{Revision: 7, Items: items})).To(BeTrue())
-		Expect(each.replica.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 1, Revision: 7}))
+		Expect(balancer.replica.Digest()).To(Equal(directory.Digest{ConfigurationVersion: 1, Revision: 7}))
 		for name, gone := range map[string]bool{"endpoint-001": false, "endpoint-002": true, "late": false, "forged": true} {
-			candidate, exists := each.replica.Snapshot().Candidate(directory.NameOnlyID(name))
+			candidate, exists := balancer.replica.Snapshot().Candidate(directory.NameOnlyID(name))
 			Expect(exists).To(BeTrue())
 			Expect(candidate.Gone).To(Equal(gone), name)
 		}
 		Expect(follower.InSync()).To(BeTrue())
-		Expect(each.replica.Invalidations()).To(Equal(uint64(1)))
+		Expect(balancer.replica.Invalidations()).To(Equal(uint64(1)))
 	})
 
 	It("rejects the false revision in updates, states and digests until the store has reached it", func() {
-		each, follower := withFalseRevision()
+		balancer, follower := withFalseRevision()
 		other := newTestBalancer(directory.Member{Peer: 2})
 		other.list(0, 5)
 		other.disseminator.Receive(0, 3, forgedUpdate())
 		invalidate(follower)
 		follower.Next(time.Second)
 		follower.HandlePage(time.Second, directory.Page{Revision: 7, Items: []directory.Item{configurationItem(1, 1)}})
-		_, incomplete, replies := each.disseminator.Receive(time.Second, 2, forgedUpdate())
+		_, incomplete, replies := balancer.disseminator.Receive(time.Second, 2, forgedUpdate())
 		Expect(incomplete).To(BeFalse())
 		Expect(replies).To(BeEmpty())
-		Expect(each.replica.ApplyState(time.Second, other.disseminator.State(time.Second, directory.Digest{}))).To(BeFalse())
-		Expect(each.disseminator.StateFetched(time.Second, time.Second, 2, other.disseminator.State(time.Second, directory.Digest{}))).To(BeEmpty())
-		fetcher := directory.NewPeerFetcher[directory.Peer](each.replica, timing, nil, rand.New(rand.NewPCG(1, 1)))
+		Expect(balancer.replica.ApplyState(time.Second, other.disseminator.State(time.Second, directory.Digest{}))).To(BeFalse())
+		Expect(balancer.disseminator.StateFetched(time.Second, time.Second, 2, other.disseminator.State(time.Second, directory.Digest{}))).To(BeEmpty())
+		fetcher := directory.NewPeerFetcher[directory.Peer](balancer.replica, timing, nil, rand.New(rand.NewPCG(1, 1)))
 		fetcher.ReceiveDigest(time.Second, 2, other.replica.Digest())
 		fetcher.Fetched(time.Second, directory.State{})
 		_, wanted := fetcher.Next(time.Minute)
 		Expect(wanted).To(BeFalse())
-		Expect(each.replica.AppliedRevision()).To(Equal(directory.Revision(7)))
+		Expect(balancer.replica.AppliedRevision()).To(Equal(directory.Revision(7)))
 		follower.Next(time.Second)
 		follower.HandleChanges(time.Second, directory.Changes{Through: forgedRevision}, 0)
 		follower.Next(time.Second)
 		ahead := other.disseminator.Summary(time.Second)
 		ahead.Through, ahead.From = forgedRevision+1, forgedRevision
-		each.disseminator.Receive(time.Second, 2, directory.Update{State: ahead})
-		Expect(each.replica.AppliedRevision()).To(Equal(directory.Revision(forgedRevision + 1)))
+		balancer.disseminator.Receive(time.Second, 2, directory.Update{State: ahead})
+		Expect(balancer.replica.AppliedRevision()).To(Equal(directory.Revision(forgedRevision + 1)))
 	})
 
 	It("is not confirmed by a balancer that is behind it", func() {
-		each, _ := withFalseRevision()
+		balancer, _ := withFalseRevision()
 		honest := newTestBalancer(directory.Member{Peer: 2})
 		honest.list(0, 5)
 		honest.replica.ApplyChanges(time.Second, nil, 7)
 		honest.disseminator.StoreAnswered(time.Second)
-		each.disseminator.Receive(time.Second, 2, directory.Update{State: honest.disseminator.Summary(time.Second)})
-		Expect(each.disseminator.ConfirmedAt()).To(BeZero())
+		balancer.disseminator.Receive(time.Second, 2, directory.Update{State: honest.disseminator.Summary(time.Second)})
+		Expect(balancer.disseminator.ConfirmedAt()).To(BeZero())
 	})
 
 	It("is verified at once if the store reports less than a peer, without a listing if the peer is right", func() {
-		each, follower := withFalseRevision()
+		balancer, follower := withFalseRevision()
 		follower.HandleChanges(time.Second, directory.Changes{Through: 6}, 0)
 		Expect(follower.InSync()).To(BeFalse(), "the response confirms only the store's revision")
 		call, at := follower.Next(time.Second)
@@ -119,30 +119,30 @@
 		Expect(at).To(BeNumerically("<=", 1200*millisecond))
 		follower.HandleChanges(1200*millisecond, directory.Changes{Through: forgedRevision}, 0)
 		Expect(follower.InSync()).To(BeTrue())
-		Expect(each.replica.Invalidations()).To(BeZero())
+		Expect(balancer.replica.Invalidations()).To(BeZero())
 	})
 
 	It("is invalidated by the revision of a single entry as well", func() {
-		each, follower := withFalseRevision()
+		balancer, follower := withFalseRevision()
 		invalidate(follower)
 		follower.Next(time.Second)
 		follower.HandlePage(time.Second, directory.Page{Revision: 7, Items: []directory.Item{configurationItem(1, 1)}})
 		gap := forgedUpdate()
 		gap.State.Through, gap.State.From = 900, 800
-		each.disseminator.Receive(time.Second, 2, gap)
-		Expect(each.replica.AppliedRevision()).To(Equal(directory.Revision(7)), "the update does not connect to the known revision")
+		balancer.disseminator.Receive(time.Second, 2, gap)
+		Expect(balancer.replica.AppliedRevision()).To(Equal(directory.Revision(7)), "the update does not connect to the known revision")
 		invalidate(follower)
-		Expect(each.replica.Invalidations()).To(Equal(uint64(2)))
+		Expect(balancer.replica.Invalidations()).To(Equal(uint64(2)))
 	})
 
 	It("is replaced by the state of a peer instead of a listing when many are invalidated", func() {
-		each, _ := withFalseRevision()
-		each.replica.Invalidate(forgedRevision, 7)
+		balancer, _ := withFalseRevision()
+		balancer.replica.Invalidate(forgedRevision, 7)
 		honest := newTestBalancer(directory.Member{Peer: 2})
 		honest.list(0, 7, sequentialEndpoints(2, 3)...)
-		each.replica.ApplyState(time.Second, honest.disseminator.State(time.Second, each.replica.Digest()))
-		Expect(each.replica.AppliedRevision()).To(Equal(directory.Revision(7)))
-		candidate, _ := each.replica.Snapshot().Candidate(directory.NameOnlyID("forged"))
+		balancer.replica.ApplyState(time.Second, honest.disseminator.State(time.Second, balancer.replica.Digest()))
+		Expect(balancer.replica.AppliedRevision()).To(Equal(directory.Revision(7)))
+		candidate, _ := balancer.replica.Snapshot().Candidate(directory.NameOnlyID("forged"))
 		Expect(candidate.Gone).To(BeTrue())
 	})
 })
@@ -237,7 +237,7 @@
 }
 
 var _ = Describe("A fleet that is ahead of the store because of a forged revision", func() {
-	DescribeTable("is corrected in time and lists the store few times", func(count, listings int) {
+	DescribeTable("is corrected in time and lists the store only a few times", func(count, listings int) {
 		fleet := newInvalidatedFleet(count)
 		fleet.runUntil(10 * time.Second)
 		watchesBefore, listingsBefore := fleet.watches, fleet.listings
--- a/internal/directory/membership.go
+++ b/internal/directory/membership.go
@@ -14,9 +14,9 @@
 	Zone int
 }
 
-// rank orders members by highest random weight (rendezvous hashing: Thaler and Ravishankar,
-// 1998). Every process computes the same order, and few positions change when a member joins or
-// leaves.
+// rank returns the hash that orders members by random weight (rendezvous hashing, or highest
+// random weight: Thaler and Ravishankar, 1998). Every process computes the same order, and few
+// positions change when a member joins or leaves.
 func (m Member) rank() uint64 {
 	var encoded [8]byte
 	for index := range encoded {
@@ -29,8 +29,8 @@
 	return cmp.Or(cmp.Compare(a.rank(), b.rank()), cmp.Compare(a.Peer, b.Peer))
 }
 
-// SetMembers replaces the live members, including this process. With an incomplete membership,
-// more processes consider themselves watchers.
+// SetMembers replaces the live members, including this process. While memberships are
+// incomplete, more processes than intended may be watchers.
 func (d *Disseminator) SetMembers(members []Member) {
 	ordered := slices.Clone(members)
 	slices.SortFunc(ordered, compareRanks)
--- a/internal/directory/model_test.go
+++ b/internal/directory/model_test.go
@@ -19,7 +19,7 @@
 
 func (s *storeModel) revision() directory.Revision { return directory.Revision(len(s.history)) }
 
-// write appends one change.
+// write appends one change and assigns its revision.
 func (s *storeModel) write(item directory.Item) {
 	item.Revision = s.revision() + 1
 	s.history = append(s.history, item)
@@ -181,8 +181,8 @@
 			m.store.write(endpointItem(gone.EndpointID.Name, 0, nil))
 		}
 	case "refuse":
-		if spoiled, exists := m.oldestEndpoint(); exists {
-			item := endpointItem(spoiled.EndpointID.Name, 0, nil)
+		if existing, exists := m.oldestEndpoint(); exists {
+			item := endpointItem(existing.EndpointID.Name, 0, nil)
 			item.RefusalReason = directory.RefusedUnreadable
 			m.store.write(item)
 		}
@@ -248,15 +248,15 @@
 // mismatch describes where a balancer's directory differs from the store at the revision that
 // the balancer claims. It is empty if nothing differs.
 func (m *disseminationModel) mismatch(each *testBalancer) string {
-	complete := each.replica.AppliedRevision()
-	if complete == 0 {
+	applied := each.replica.AppliedRevision()
+	if applied == 0 {
 		return ""
 	}
-	entries, version := m.store.at(complete)
+	entries, version := m.store.at(applied)
 	if known := each.replica.Snapshot().Version(); known < version {
-		return fmt.Sprintf("version is %d, want %d at revision %d", known, version, complete)
+		return fmt.Sprintf("version is %d, want %d at revision %d", known, version, applied)
 	}
-	if mismatch := m.zoneMismatch(each, complete); mismatch != "" {
+	if mismatch := m.zoneMismatch(each, applied); mismatch != "" {
 		return mismatch
 	}
 	newest, _ := m.store.at(m.store.revision())
@@ -268,13 +268,13 @@
 		candidate, exists := known[name]
 		current := newest[name].Revision == entry.Revision
 		if !exists || current && (candidate.Gone || candidate.ID != entry.EndpointID) {
-			return fmt.Sprintf("existing endpoint %s is missing at revision %d", entry.EndpointID, complete)
+			return fmt.Sprintf("existing endpoint %s is missing at revision %d", entry.EndpointID, applied)
 		}
 	}
 	for _, candidate := range each.replica.Snapshot().All() {
-		there := entries[candidate.ID.Name].EndpointID == candidate.ID
-		if !there && !candidate.Gone && !m.changedAfter(candidate.ID.Name, complete) {
-			return fmt.Sprintf("deleted endpoint %s exists at revision %d", candidate.ID, complete)
+		existsInStore := entries[candidate.ID.Name].EndpointID == candidate.ID
+		if !existsInStore && !candidate.Gone && !m.changedAfter(candidate.ID.Name, applied) {
+			return fmt.Sprintf("deleted endpoint %s exists at revision %d", candidate.ID, applied)
 		}
 	}
 	return ""
@@ -282,16 +282,16 @@
 
 // zoneMismatch describes a zone whose state in a balancer's directory is wrong. The balancer
 // may know changes after the revision that it claims.
-func (m *disseminationModel) zoneMismatch(each *testBalancer, complete directory.Revision) string {
-	believed := make(map[string]bool)
+func (m *disseminationModel) zoneMismatch(each *testBalancer, applied directory.Revision) string {
+	closedInReplica := make(map[string]bool)
 	for _, zone := range each.replica.Snapshot().ClosedZones() {
-		believed[zone.Zone] = true
+		closedInReplica[zone.Zone] = true
 	}
-	closed := m.store.closedAt(complete)
+	closed := m.store.closedAt(applied)
 	for _, zone := range []string{"z1", "z2"} {
-		_, there := closed[zone]
-		if believed[zone] != there && !m.zoneChangedAfter(zone, complete) {
-			return fmt.Sprintf("zone %s: closed is %t in the store but %t in the replica at revision %d", zone, there, believed[zone], complete)
+		_, closedInStore := closed[zone]
+		if closedInReplica[zone] != closedInStore && !m.zoneChangedAfter(zone, applied) {
+			return fmt.Sprintf("zone %s: closed is %t in the store but %t in the replica at revision %d", zone, closedInStore, closedInReplica[zone], applied)
 		}
 	}
 	return ""
@@ -320,7 +320,7 @@
 // seed makes the test deterministic. Use -rapid.checks and another seed for further runs.
 const seed = "20261202"
 
-func seeded(t *testing.T) {
+func setSeed(t *testing.T) {
 	if err := flag.Set("rapid.seed", seed); err != nil {
 		t.Fatal(err)
 	}
@@ -329,7 +329,7 @@
 // TestDisseminationModel checks that a balancer knows the store as of the revision that it
 // claims, whichever updates are lost, duplicated or reordered.
 func TestDisseminationModel(t *testing.T) {
-	seeded(t)
+	setSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		model := newDisseminationModel(5)
 		for range 60 {
@@ -348,7 +348,7 @@
 func TestDisseminationModelDetectsFaults(t *testing.T) {
 	for _, fault := range []injectedFault{omitsGone, omitsZones, omitsOpened, fullStateOmitsZones, omitsStart} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
-			seeded(t)
+			setSeed(t)
 			found := false
 			rapid.Check(t, func(t *rapid.T) {
 				model := newDisseminationModel(5)
--- a/internal/directory/peer_fetcher_test.go
+++ b/internal/directory/peer_fetcher_test.go
@@ -42,7 +42,7 @@
 		Expect(fetch(time.Minute)).To(BeEmpty())
 	})
 
-	It("fetches from a peer that is ahead after a delay for the store's own changes", func() {
+	It("waits for updates for a while before it fetches from a peer that is ahead", func() {
 		fetch(0)
 		fetcher.Fetched(0, directory.State{})
 		fetcher.ReceiveDigest(time.Second, "peer", newer)
--- a/internal/directory/refusal.go
+++ b/internal/directory/refusal.go
@@ -185,8 +185,8 @@
 		services[service] = true
 	}
 	for _, route := range r.configuration.Configuration.Routes {
-		for _, share := range route.WeightedServices {
-			services[share.Service] = true
+		for _, weighted := range route.WeightedServices {
+			services[weighted.Service] = true
 		}
 	}
 	for _, former := range r.formerServices {
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -208,10 +208,10 @@
 	r.formerServices = former
 }
 
-func servicesOf(shares []WeightedService) []string {
-	services := make([]string, 0, len(shares))
-	for _, share := range shares {
-		services = append(services, share.Service)
+func servicesOf(weightedServices []WeightedService) []string {
+	services := make([]string, 0, len(weightedServices))
+	for _, weighted := range weightedServices {
+		services = append(services, weighted.Service)
 	}
 	return services
 }
--- a/internal/directory/replica_test.go
+++ b/internal/directory/replica_test.go
@@ -117,12 +117,12 @@
 
 	It("reports how long an expired entry has been gone, but not for a drained endpoint", func() {
 		replica.ApplyChanges(0, []directory.Item{
-			endpointItem("lapsed", 3, endpoint("s", false)), endpointItem("drained", 3, endpoint("s", true)),
+			endpointItem("expired", 3, endpoint("s", false)), endpointItem("drained", 3, endpoint("s", true)),
 		}, 3)
-		replica.ApplyChanges(time.Second, []directory.Item{endpointItem("lapsed", 5, nil), endpointItem("drained", 5, nil)}, 5)
-		lapsed, _ := replica.Snapshot().Candidate(directory.NameOnlyID("lapsed"))
+		replica.ApplyChanges(time.Second, []directory.Item{endpointItem("expired", 5, nil), endpointItem("drained", 5, nil)}, 5)
+		expired, _ := replica.Snapshot().Candidate(directory.NameOnlyID("expired"))
 		drained, _ := replica.Snapshot().Candidate(directory.NameOnlyID("drained"))
-		Expect(lapsed.ExpiredFor(3 * time.Second)).To(Equal(2 * time.Second))
+		Expect(expired.ExpiredFor(3 * time.Second)).To(Equal(2 * time.Second))
 		Expect(drained.ExpiredFor(3 * time.Second)).To(BeNumerically(">", time.Hour))
 	})
 
@@ -291,7 +291,7 @@
 		Expect(delay(later)).To(Equal(10 * time.Millisecond))
 	})
 
-	It("bounds the time of a hanging watch by the apply timeout", func() {
+	It("ends a hanging watch soon after the apply timeout if no other balancer is known", func() {
 		follower.HandlePage(0, directory.Page{Revision: 5})
 		Expect(next()).To(And(HaveField("Wait", 2500*time.Millisecond), HaveField("Timeout", 3400*time.Millisecond)))
 		follower = directory.NewFollower(replica, directory.Timing{ApplyTimeout: 5 * time.Second}, policy)
@@ -319,7 +319,7 @@
 		for revision := directory.Revision(6); now < 6*time.Second; revision++ {
 			item := endpointItem("a", revision, endpoint("s", revision%2 == 0))
 			follower.HandleChanges(now, directory.Changes{Items: []directory.Item{item}, Through: revision}, 0)
-			Expect(delay(now)).To(BeNumerically("<=", 600*time.Millisecond), "changes are delayed by no more")
+			Expect(delay(now)).To(BeNumerically("<=", 600*time.Millisecond), "a change is delayed by at most the change interval")
 			now += max(delay(now), 5*time.Millisecond)
 			calls++
 		}
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -15,7 +15,8 @@
 	Endpoint Endpoint
 	// Leaving is set if the endpoint must receive no new flows.
 	Leaving bool
-	// Gone is set if the entry was deleted or replaced.
+	// Gone is set if the entry was deleted, became unusable, or is older than another one with
+	// the same IP address.
 	Gone bool
 	// Refused is set if the endpoint is gone because its entry became unusable.
 	Refused bool
--- a/internal/directory/startup.go
+++ b/internal/directory/startup.go
@@ -27,7 +27,8 @@
 	return Outgoing{To: d.seeds[d.random.IntN(len(d.seeds))], Update: Update{RequestsChanges: true, State: d.Summary(now)}}, true
 }
 
-// advertise tells seeds, once, that this process has a directory.
+// advertise returns messages which advertise to seeds that this process has a directory. It
+// does so only once.
 func (d *Disseminator) advertise(now time.Duration, seeds []Peer) []Outgoing {
 	if d.advertisedToSeed || !d.replica.Loaded() {
 		return nil
--- a/internal/directory/startup_test.go
+++ b/internal/directory/startup_test.go
@@ -21,9 +21,9 @@
 			_, _, replies := seed.disseminator.Receive(now, from, request.Update)
 			return replies
 		}
-		unknown := requestFromSeed(0, slow, 3)
-		Expect(unknown).To(HaveLen(1))
-		Expect(unknown[0].Update).To(And(HaveField("Source", BeZero()), HaveField("ListingStore", true)), "no source is known")
+		withoutSource := requestFromSeed(0, slow, 3)
+		Expect(withoutSource).To(HaveLen(1))
+		Expect(withoutSource[0].Update).To(And(HaveField("Source", BeZero()), HaveField("ListingStore", true)), "no source is known")
 		listed := fast.list(40*millisecond, 5)
 		Expect(listed).To(HaveLen(1), "it advertises to its seed at once")
 		_, _, replies := seed.disseminator.Receive(41*millisecond, 2, listed[0].Update)
@@ -50,7 +50,7 @@
 		Expect(starting.disseminator.SnapshotDeadline()).To(Equal(deadline), "the store may reject the seed's calls")
 	})
 
-	It("assigns a source no more processes at once than it can serve, and served ones as further sources", func() {
+	It("assigns a source no more processes at once than it can serve, and then uses the served ones as sources", func() {
 		seed := newTestBalancer(directory.Member{Peer: 1})
 		request := directory.Update{RequestsChanges: true}
 		for peer := directory.Peer(10); peer < 30; peer++ {
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -79,7 +79,7 @@
 	ID       EndpointID
 	Revision Revision
 	Endpoint Endpoint
-	// Gone is set if the entry was deleted GoneFor ago.
+	// Gone is set if the entry was deleted or became unusable, GoneFor ago.
 	Gone    bool
 	GoneFor time.Duration
 	// Refused is set if the endpoint is gone because its entry became unusable.
@@ -100,7 +100,8 @@
 	state := r.stateHeader(peerDigest.Revision)
 	state.FormerRoutes = formerRoutesOf(r.formerServices)
 	state.DepartureHistory = r.departureHistory(now)
-	// Include every recorded zone, because the peer may not have seen that one was opened.
+	// Include every recorded zone. If the peer is ahead, a zone that is closed here may have
+	// been opened since, and the peer then records the opening.
 	state.Zones = r.zonesAfter(now, 0)
 	if r.configuration != nil && state.ConfigurationVersion > peerDigest.ConfigurationVersion {
 		state.Configuration = r.configuration.Configuration
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -9,8 +9,8 @@
 type Update struct {
 	// RequestsChanges asks for an Update with the changes that the sender lacks beyond State.
 	RequestsChanges bool
-	// Confirmation asks the receiver to confirm with the store first. RequestID identifies the
-	// request. The reply repeats both.
+	// Confirmation asks the receiver to confirm its directory with the store before it replies.
+	// RequestID identifies the request. The reply repeats both.
 	Confirmation bool
 	RequestID    uint32
 	State        State
@@ -25,7 +25,7 @@
 type Peer uint64
 
 const (
-	// MaxUpdateSize is the largest encoded Update in bytes. It fits into one Ethernet packet.
+	// MaxUpdateSize is the largest encoded Update in bytes. It fits into one Ethernet frame.
 	MaxUpdateSize = 1400
 	// updateHeaderSize is the space for everything in an Update except endpoints and zones, and
 	// endpointOverhead for one endpoint without its strings, in bytes.
--- a/internal/directory/zone_test.go
+++ b/internal/directory/zone_test.go
@@ -72,7 +72,7 @@
 		Expect(closed(directory.NameOnlyID("a"))).To(BeTrue())
 	})
 
-	It("is not closed again by older entries or states", func() {
+	It("does not close a zone again by older entries or states", func() {
 		replica.ApplyChanges(0, []directory.Item{zoneItem(closedZone, 3, true)}, 3)
 		before := replica.FullState(0)
 		replica.ApplyChanges(0, []directory.Item{zoneItem(closedZone, 4, false)}, 4)
@@ -82,7 +82,7 @@
 		Expect(closedZones(replica)).To(BeEmpty())
 	})
 
-	It("is not closed by a stale peer in a process that knows of the opening", func() {
+	It("does not close a zone by the state of a stale peer if it knows of the opening", func() {
 		replica.ApplyChanges(0, []directory.Item{zoneItem(closedZone, 3, true)}, 3)
 		stale := replica.FullState(0)
 		late := directory.NewReplica()
@@ -102,7 +102,7 @@
 		Expect(closedZones(behind)).To(Equal([]string{closedZone}))
 	})
 
-	It("is opened by a full state that does not contain it as closed", func() {
+	It("opens a zone that a full state does not contain as closed", func() {
 		replica.ApplyChanges(0, []directory.Item{zoneItem(closedZone, 3, true)}, 3)
 		other := directory.NewReplica()
 		other.ApplyListing(0, []directory.Item{configurationItem(1, 1)}, 9)
@@ -117,7 +117,7 @@
 		Expect(replica.FullState(directory.Retention).Zones).To(HaveLen(1))
 		replica.ApplyChanges(directory.Retention+time.Second, nil, 6)
 		Expect(replica.FullState(directory.Retention + time.Second).Zones).To(BeEmpty())
-		Expect(replica.ChangesAfter(0, 3).Full).To(BeTrue(), "a process that knows less needs a full state")
+		Expect(replica.ChangesAfter(0, 3).Full).To(BeTrue(), "a process at an older revision needs a full state")
 	})
 
 	It("treats endpoints as cold after the opening only if their service has a limit by then", func() {
@@ -152,14 +152,14 @@
 			revision := directory.Revision(4 + zone)
 			sender.replica.ApplyChanges(0, []directory.Item{zoneItem(name, revision, true)}, revision)
 		}
-		lacking := false
+		missingChanges := false
 		for _, outgoing := range sender.disseminator.StoreAnswered(2 * millisecond) {
 			encoded, err := outgoing.Update.MarshalMsg(nil)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(len(encoded)).To(BeNumerically("<=", directory.MaxUpdateSize))
 			_, incomplete, _ := receiver.disseminator.Receive(2*millisecond, 1, outgoing.Update)
-			lacking = lacking || incomplete
+			missingChanges = missingChanges || incomplete
 		}
-		Expect(lacking).To(BeTrue())
+		Expect(missingChanges).To(BeTrue())
 	})
 })
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// DefaultTimeout limits one request, from dialling to the end of the body. A daemon considers
-// itself to have been paused only after at least this time, so no accepted response was delayed
-// by a pause of the process.
+// DefaultTimeout limits one request, from dialling to the end of the body. The daemons treat
+// only interruptions of at least this time as a pause of their process, so no accepted response
+// was delayed by such a pause.
 const DefaultTimeout = time.Second
 
 // ClientConfig is the configuration of a Client.
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -38,7 +38,7 @@
 	_, _ = writer.Write([]byte(`{"revision": 3,`))
 }
 
-// neverRespond blocks until the client gives up.
+// neverRespond blocks until the client cancels the request.
 func neverRespond(_ http.ResponseWriter, request *http.Request) {
 	<-request.Context().Done()
 }
--- a/internal/platform/decider.go
+++ b/internal/platform/decider.go
@@ -22,7 +22,7 @@
 const (
 	// OutcomeNew means a newer revision, which is delivered.
 	OutcomeNew Outcome = iota
-	// OutcomeUnchanged means the revision delivered last.
+	// OutcomeUnchanged means the revision delivered last, returned again.
 	OutcomeUnchanged
 	// OutcomeStale means an older revision than one delivered before, for example from a
 	// lagging replica of the service.
@@ -66,8 +66,8 @@
 	return &Decider{interval: interval}
 }
 
-// Decide takes the result of a request, the revision if it succeeded, and a random number in
-// [0, 1) that spreads the requests of many processes.
+// Decide returns what to do after a request, given its result and, if it succeeded, the
+// revision. random, in [0, 1), spreads the requests of many processes.
 func (d *Decider) Decide(result Result, revision Revision, random float64) Decision {
 	outcome := d.outcome(result, revision)
 	if result == Succeeded {
--- a/internal/platform/fetch_error.go
+++ b/internal/platform/fetch_error.go
@@ -50,13 +50,13 @@
 func (e FetchError) Unwrap() error { return e.Cause }
 
 func asFetchError(err error) error {
-	var known FetchError
-	if errors.As(err, &known) {
-		return known
+	var fetchError FetchError
+	if errors.As(err, &fetchError) {
+		return fetchError
 	}
-	var failed *url.Error
-	if errors.As(err, &failed) {
-		return FetchError{failed.URL, Unreachable, failed.Err}
+	var urlError *url.Error
+	if errors.As(err, &urlError) {
+		return FetchError{urlError.URL, Unreachable, urlError.Err}
 	}
 	return FetchError{"", Unreachable, err}
 }
--- a/internal/platform/poller.go
+++ b/internal/platform/poller.go
@@ -41,8 +41,8 @@
 	Interval time.Duration
 	Logger   *log.Logger
 	Metrics  PollerMetrics
-	// Sleep waits for a duration or until ctx ends, and then returns the error of ctx. Nil
-	// means to wait by the system clock.
+	// Sleep waits for a duration. If ctx ends first, it returns the error of ctx. Nil means to
+	// wait by the system clock.
 	Sleep func(ctx context.Context, duration time.Duration) error
 	// Random returns numbers in [0, 1). Nil means the generator of math/rand/v2.
 	Random func() float64
@@ -59,7 +59,7 @@
 // NewPoller returns a poller. Run starts it.
 func NewPoller[Response Revisioned](config PollerConfig[Response]) *Poller[Response] {
 	if config.Sleep == nil {
-		config.Sleep = wait
+		config.Sleep = sleep
 	}
 	if config.Random == nil {
 		config.Random = rand.Float64
@@ -109,7 +109,8 @@
 	return decision.Delay
 }
 
-// report logs only changes of the outcome, since a service may fail for hours.
+// report logs each new revision. It logs failures, stale revisions and recoveries only when the
+// outcome changes, since a service may fail for hours.
 func (p *Poller[Response]) report(decision Decision, revision Revision, err error) {
 	changed := decision.Outcome != p.lastOutcome
 	failedBefore := p.lastOutcome == OutcomeFailed || p.lastOutcome == OutcomeInvalid
@@ -136,14 +137,14 @@
 	if err == nil {
 		return Succeeded
 	}
-	var failed FetchError
-	if errors.As(err, &failed) && failed.Reason == BadContent {
+	var fetchError FetchError
+	if errors.As(err, &fetchError) && fetchError.Reason == BadContent {
 		return Invalid
 	}
 	return Failed
 }
 
-func wait(ctx context.Context, duration time.Duration) error {
+func sleep(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/platform/resource.go
+++ b/internal/platform/resource.go
@@ -105,9 +105,9 @@
 	r.cached = cached
 }
 
-// revalidate returns the cached response unless the service named a different tag. In that case
-// it clears the cache, so that the next request is unconditional and the fault does not
-// persist.
+// revalidate returns the cached response after status 304. It fails if there is none or if the
+// service named a different tag. It then clears the cache, so that the next request is
+// unconditional and the fault does not persist.
 func (r *resource[Response]) revalidate(cached *cachedResponse[Response], tag string) (Response, error) {
 	if cached != nil && (tag == "" || tagsMatch(tag, cached.tag)) {
 		return cached.content, nil
--- a/internal/platform/resource_test.go
+++ b/internal/platform/resource_test.go
@@ -118,7 +118,7 @@
 			[]platform.Revision{4, failedFetch, 4}, platform.BadContent),
 	)
 
-	It("interoperates with the conditional requests of net/http", func(ctx context.Context) {
+	It("interoperate with the implementation in net/http", func(ctx context.Context) {
 		body := `{"revision": 3, "machines": ` + validMachines + `}`
 		var statuses []int
 		client := newClient(func(writer http.ResponseWriter, request *http.Request) {
