--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// warmingFactor is how many times as long as usual an endpoint takes while it is slow
-	// after its start.
-	warmingFactor = 1.6
-	// detour is what the way to another zone and back counts, in usual answers. It is more
-	// than packets take, so that the own zone is used while callers hardly wait there.
-	detour = 1.0
-	// resolution is the step in which expected times are compared, in usual answers. Less
-	// is no difference that a caller notices, and would give all flows to one of equals.
-	resolution = 0.02
-	// draws is how many candidates are compared, and localDraws how many of them may be
-	// in the chooser's zone.
-	draws      = 5
-	localDraws = 4
+	// warmUpSlowness is the slowness of an endpoint while it warms up after its start.
+	warmUpSlowness = 1.6
+	// crossZonePenalty is the cost of placing a flow in another zone, in typical processing
+	// times. It exceeds the actual round trip, so that the local zone is used while callers
+	// hardly wait there.
+	crossZonePenalty = 1.0
+	// timeResolution is the step in which expected times are compared, in typical processing
+	// times. Callers do not notice smaller differences, and an exact comparison would give
+	// all flows to one of several equal endpoints.
+	timeResolution = 0.02
+	// sampleSize is the number of candidates that are compared, and localSampleSize the
+	// largest number of them in the chooser's zone.
+	sampleSize      = 5
+	localSampleSize = 4
 )
 
-// Candidate is an endpoint that may get a new flow, with what the chooser knows of it.
+// Candidate is an endpoint that may get a new flow, as the chooser knows it.
 type Candidate struct {
-	// Slots is the number of requests that the endpoint works on at the same time; 0 means
-	// that this is not known.
+	// Slots is the number of requests that the endpoint processes concurrently; 0 means
+	// unknown.
 	Slots uint32
-	// Outstanding is the number of flows with a request that the chooser has placed there.
+	// Outstanding is the number of flows of the chooser that wait for an answer there.
 	Outstanding int
-	// IdleFlowSlots is the number of slots that the other flows which it has placed there take on
-	// average.
+	// IdleFlowSlots is the mean number of slots that the chooser's other flows there occupy.
 	IdleFlowSlots float64
-	// SlotsUsedByOthers is the number of slots that what others have placed there is believed to take.
+	// SlotsUsedByOthers is the estimated number of slots that flows of other choosers occupy.
 	SlotsUsedByOthers float64
-	// Slowness is how many times as long as usual the endpoint takes for an answer, 1 if
-	// that is not known.
+	// Slowness is the processing time of the endpoint relative to the typical one of its
+	// service, 1 if unknown.
 	Slowness float64
 	// Warming is set while the endpoint is slow after its start.
 	Warming bool
@@ -43,85 +43,88 @@
 	Local bool
 }
 
-// expected is the time to an answer that a new flow can expect, in usual answers.
-func (c Candidate) expected() float64 {
+// expectedTime returns the expected time from opening a flow to its answer, in typical
+// processing times.
+func (c Candidate) expectedTime() float64 {
 	slowness := c.Slowness
 	if c.Warming {
-		slowness = max(slowness, warmingFactor)
+		slowness = max(slowness, warmUpSlowness)
 	}
-	expected := slowness * (1 + c.wait())
+	expected := slowness * (1 + c.expectedWait())
 	if !c.Local {
-		expected += detour
+		expected += crossZonePenalty
 	}
 	return expected
 }
 
-// wait is for how many answers a new request is expected to wait. What is known is never
-// exact: below full use it is the chance that the request comes when all slots and one more
-// are taken, above it grows as steeply as it does there.
-func (c Candidate) wait() float64 {
+// expectedWait returns the expected wait of a new request for a slot, in processing times of
+// the endpoint. The utilization is only an estimate. Up to full utilization the wait is the
+// probability that a request arrives while all slots and one more are taken; above, it
+// continues with the slope at full utilization.
+func (c Candidate) expectedWait() float64 {
 	slots := float64(max(c.Slots, 1))
-	utilization := c.given() + c.SlotsUsedByOthers/slots
+	utilization := c.ownUtilization() + c.SlotsUsedByOthers/slots
 	if utilization <= 1 {
 		return math.Pow(utilization, slots+1)
 	}
 	return 1 + (slots+1)*(utilization-1)
 }
 
-// Best returns the index of the candidate with the least expected time to an answer, among
-// equals of the one to which the chooser has given the least, the first of these. It returns
-// false if there is no candidate.
+// Best returns the index of the candidate with the shortest expected time to an answer. Ties
+// go to the candidate with the least utilization by the chooser, then to the first. It
+// returns false if there is no candidate.
 func Best(candidates []Candidate) (best int, found bool) {
 	for index, candidate := range candidates {
-		if !found || candidate.before(candidates[best]) {
+		if !found || candidate.betterThan(candidates[best]) {
 			best, found = index, true
 		}
 	}
 	return best, found
 }
 
-// before reports whether a flow is better placed here than at another candidate.
-func (c Candidate) before(other Candidate) bool {
-	order := cmp.Compare(math.Round(c.expected()/resolution), math.Round(other.expected()/resolution))
-	return cmp.Or(order, cmp.Compare(c.given(), other.given())) < 0
+// betterThan reports whether a flow is better placed at c than at other.
+func (c Candidate) betterThan(other Candidate) bool {
+	order := cmp.Compare(math.Round(c.expectedTime()/timeResolution), math.Round(other.expectedTime()/timeResolution))
+	return cmp.Or(order, cmp.Compare(c.ownUtilization(), other.ownUtilization())) < 0
 }
 
-// given is the share of the slots which what the chooser has placed there takes.
-func (c Candidate) given() float64 {
+// ownUtilization returns the share of the slots that the chooser's own flows occupy.
+func (c Candidate) ownUtilization() float64 {
 	return (float64(c.Outstanding) + c.IdleFlowSlots) / float64(max(c.Slots, 1))
 }
 
-// Sample returns the indices of a few candidates in random order, most of them in the
-// chooser's zone; local tells of each candidate whether it is. The best of those gets the
-// flow.
+// Sample returns the indices of a few random candidates in random order, most of them in the
+// chooser's zone. local holds, for each candidate, whether it is in that zone. The caller
+// gives the flow to the best candidate of the sample.
 //
-// Choosers with the same news draw different candidates, so that no endpoint gets more than
-// a few times its share (the power of two choices: Mitzenmacher, 2001). The best of all
-// would get the flows of all choosers until they know better.
+// Choosers with the same information draw different samples, so that no endpoint gets more
+// than a few times its share (the power of two choices: Mitzenmacher, 2001). If each chooser
+// compared all candidates, one endpoint would get the flows of all choosers until they
+// learned of its load.
 func Sample(local []bool, random *rand.Rand) []int {
-	drawn := make([]int, 0, draws)
-	drawn = appendDrawn(drawn, local, true, localDraws, random)
-	drawn = appendDrawn(drawn, local, false, draws-len(drawn), random)
-	random.Shuffle(len(drawn), func(a, b int) { drawn[a], drawn[b] = drawn[b], drawn[a] })
-	return drawn
+	sample := make([]int, 0, sampleSize)
+	sample = appendSample(sample, local, true, localSampleSize, random)
+	sample = appendSample(sample, local, false, sampleSize-len(sample), random)
+	random.Shuffle(len(sample), func(a, b int) { sample[a], sample[b] = sample[b], sample[a] })
+	return sample
 }
 
-// appendDrawn draws up to a number of candidates of the chooser's zone, or of the others, by
-// reservoir sampling (Vitter, 1985).
-func appendDrawn(drawn []int, local []bool, wanted bool, number int, random *rand.Rand) []int {
-	first, seen := len(drawn), 0
-	for index, each := range local {
-		if each != wanted {
+// appendSample appends the indices of up to count random candidates whose locality is
+// wanted, by reservoir sampling (Vitter, 1985).
+func appendSample(sample []int, local []bool, wanted bool, count int, random *rand.Rand) []int {
+	first, seen := len(sample), 0
+	for index, isLocal := range local {
+		if isLocal != wanted {
 			continue
 		}
 		seen++
-		if seen <= number {
-			drawn = append(drawn, index)
+		if seen <= count {
+			sample = append(sample, index)
 			continue
 		}
-		if place := random.IntN(seen); place < number {
-			drawn[first+place] = index
+		if position := random.IntN(seen); position < count {
+			sample[first+position] = index
 		}
 	}
-	return drawn
+	return sample
 }
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -17,7 +17,7 @@
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// best returns the index of the candidate that is chosen.
+// best returns the index of the best candidate, and fails if there is none.
 func best(candidates ...placement.Candidate) int {
 	GinkgoHelper()
 	index, found := placement.Best(candidates)
@@ -27,19 +27,19 @@
 
 var _ = Describe("Best", func() {
 	idle := placement.Candidate{Slots: 4, Slowness: 1, Local: true}
-	// used is a candidate some of whose slots are taken.
+	// used returns an idle candidate with some of its slots used by others.
 	used := func(slots float64) placement.Candidate {
 		candidate := idle
 		candidate.SlotsUsedByOthers = slots
 		return candidate
 	}
 
-	It("finds nothing among no candidates", func() {
+	It("returns false without candidates", func() {
 		_, found := placement.Best(nil)
 		Expect(found).To(BeFalse())
 	})
 
-	It("prefers the endpoint with the fewer requests for its slots, whoever has placed them", func() {
+	It("prefers the endpoint with less utilization, whether by the chooser or by others", func() {
 		own, kept, large := idle, idle, used(3)
 		own.Outstanding, kept.IdleFlowSlots, large.Slots = 3, 3, 12
 		for _, busy := range []placement.Candidate{own, kept, used(3)} {
@@ -48,24 +48,24 @@
 		}
 	})
 
-	It("prefers the faster, the warm and the near endpoint among equals", func() {
+	It("prefers a fast, warm and local endpoint if the utilization is equal", func() {
 		slow, warming, far := idle, idle, idle
 		slow.Slowness = 2
 		warming.Warming = true
 		far.Local = false
-		for _, other := range []placement.Candidate{slow, warming, far} {
-			Expect(best(other, idle)).To(Equal(1))
+		for _, worse := range []placement.Candidate{slow, warming, far} {
+			Expect(best(worse, idle)).To(Equal(1))
 		}
 	})
 
-	It("takes a slow endpoint with room rather than a fast one at which a request waits for longer", func() {
+	It("prefers an idle slow endpoint to a fast one if the wait for the fast one is longer", func() {
 		slow := idle
 		slow.Slowness = 2
-		Expect(best(slow, used(3.5))).To(Equal(1), "a slot is free soon")
+		Expect(best(slow, used(3.5))).To(Equal(1), "the wait for the fast endpoint is short")
 		Expect(best(used(5), slow)).To(Equal(1))
 	})
 
-	It("leaves the own zone once its endpoints have no room", func() {
+	It("leaves the local zone once its endpoints are fully used", func() {
 		far := idle
 		far.Local = false
 		Expect(best(far, used(3.5))).To(Equal(1))
@@ -73,8 +73,8 @@
 	})
 })
 
-var _ = Describe("Draw", func() {
-	It("draws each candidate of a zone as often, and no candidate twice", func() {
+var _ = Describe("Sample", func() {
+	It("draws candidates of the same zone equally often", func() {
 		random := newRandom()
 		local := make([]bool, 30)
 		for index := range 10 {
@@ -82,9 +82,9 @@
 		}
 		counts := make([]int, len(local))
 		for range 6000 {
-			drawn := placement.Sample(local, random)
-			Expect(drawn).To(HaveLen(5))
-			for _, index := range drawn {
+			sample := placement.Sample(local, random)
+			Expect(sample).To(HaveLen(5))
+			for _, index := range sample {
 				counts[index]++
 			}
 		}
@@ -92,7 +92,7 @@
 		Expect(counts[10:]).To(HaveEach(BeNumerically("~", 300, 60)))
 	})
 
-	It("draws from other zones what the own has not", func() {
+	It("fills the sample from other zones if the local zone has too few candidates", func() {
 		Expect(placement.Sample([]bool{false, true, false, false, false, false, false}, newRandom())).To(And(HaveLen(5), ContainElement(1)))
 		Expect(placement.Sample([]bool{false, false, true}, newRandom())).To(ConsistOf(0, 1, 2))
 		Expect(placement.Sample(nil, newRandom())).To(BeEmpty())
--- a/internal/placement/choosers_test.go
+++ b/internal/placement/choosers_test.go
@@ -8,39 +8,40 @@
 	"github.com/vanetiller/vanetiller/internal/placement"
 )
 
-// usualPace is the median of what is known, 0 if nothing is.
-func usualPace(views []*view) time.Duration {
-	var paces []time.Duration
+// typicalProcessingTime returns the median of the known processing times, 0 without any.
+func typicalProcessingTime(views []*view) time.Duration {
+	var known []time.Duration
 	for _, each := range views {
-		if each.pace > 0 {
-			paces = append(paces, each.pace)
+		if each.processingTime > 0 {
+			known = append(known, each.processingTime)
 		}
 	}
-	if len(paces) == 0 {
+	if len(known) == 0 {
 		return 0
 	}
-	slices.Sort(paces)
-	return paces[(len(paces)-1)/2]
+	slices.Sort(known)
+	return known[(len(known)-1)/2]
 }
 
-// slowness is how many times as long as usual an endpoint takes, 1 within chance.
-func (v *view) slowness(usual time.Duration) float64 {
-	if usual == 0 || float64(v.pace) < 1.5*float64(usual) {
+// slowness returns the processing time of the endpoint relative to the typical one. Less than
+// 1.5 counts as 1, since it may be chance.
+func (v *view) slowness(typical time.Duration) float64 {
+	if typical == 0 || float64(v.processingTime) < 1.5*float64(typical) {
 		return 1
 	}
-	return float64(v.pace) / float64(usual)
+	return float64(v.processingTime) / float64(typical)
 }
 
-// byUtilization chooses the endpoint with the least utilisation by what the chooser has
-// placed itself, as balancers did before they knew more.
-type byUtilization struct{}
+// leastUtilization chooses the endpoint with the least utilization by the chooser's own flows.
+// Balancers used it before agents reported their load.
+type leastUtilization struct{}
 
-func (byUtilization) choose(_ time.Duration, views []*view, random *rand.Rand) *view {
+func (leastUtilization) choose(_ time.Duration, views []*view, random *rand.Rand) *view {
 	var best *view
 	least, ties := 0.0, 0
-	usual := usualPace(views)
+	typical := typicalProcessingTime(views)
 	for _, each := range views {
-		score := each.slowness(usual) * float64(each.outstanding+1) / slotsEach
+		score := each.slowness(typical) * float64(each.outstanding+1) / slotsEach
 		if each.local {
 			score -= 0.01
 		}
@@ -57,56 +58,58 @@
 	return best
 }
 
-func (byUtilization) told(time.Duration, *view, int, []*view) {}
+func (leastUtilization) observe(time.Duration, *view, int, []*view) {}
 
-// byTime chooses by the expected time to an answer.
-type byTime struct {
-	levels map[levelKey]*placement.GroupUtilization
+// shortestTime chooses the endpoint with the shortest expected time to an answer.
+type shortestTime struct {
+	groups map[groupKey]*placement.GroupUtilization
 }
 
-// levelKey is a group of endpoints as one balancer knows it.
-type levelKey struct {
+// groupKey identifies a group of endpoints as one balancer knows it.
+type groupKey struct {
 	balancer int
 	zone     int
 	slow     bool
 }
 
-func newByTime() *byTime { return &byTime{levels: make(map[levelKey]*placement.GroupUtilization)} }
+func newShortestTime() *shortestTime {
+	return &shortestTime{groups: make(map[groupKey]*placement.GroupUtilization)}
+}
 
-func (b *byTime) levelOf(of *view, slowness float64) *placement.GroupUtilization {
-	key := levelKey{of.balancer, of.endpoint.zone, slowness > 1}
-	if b.levels[key] == nil {
-		b.levels[key] = &placement.GroupUtilization{}
+func (s *shortestTime) groupOf(viewed *view, slowness float64) *placement.GroupUtilization {
+	key := groupKey{viewed.balancer, viewed.endpoint.zone, slowness > 1}
+	if s.groups[key] == nil {
+		s.groups[key] = &placement.GroupUtilization{}
 	}
-	return b.levels[key]
+	return s.groups[key]
 }
 
-func (b *byTime) choose(now time.Duration, views []*view, random *rand.Rand) *view {
+func (s *shortestTime) choose(now time.Duration, views []*view, random *rand.Rand) *view {
 	var local []bool
 	for _, each := range views {
 		local = append(local, each.local)
 	}
 	var candidates []placement.Candidate
-	usual := usualPace(views)
-	drawn := placement.Sample(local, random)
-	for _, index := range drawn {
-		candidates = append(candidates, b.candidate(now, views[index], usual))
+	typical := typicalProcessingTime(views)
+	sample := placement.Sample(local, random)
+	for _, index := range sample {
+		candidates = append(candidates, s.candidate(now, views[index], typical))
 	}
 	best, _ := placement.Best(candidates)
-	return views[drawn[best]]
+	return views[sample[best]]
 }
 
-func (b *byTime) candidate(now time.Duration, of *view, usual time.Duration) placement.Candidate {
-	slowness := of.slowness(usual)
-	level := b.levelOf(of, slowness).At(now) * slotsEach
+func (s *shortestTime) candidate(now time.Duration, viewed *view, typical time.Duration) placement.Candidate {
+	slowness := viewed.slowness(typical)
+	groupMean := s.groupOf(viewed, slowness).At(now) * slotsEach
 	return placement.Candidate{
-		Slots: slotsEach, Outstanding: of.outstanding, SlotsUsedByOthers: of.news.Estimate(now, of.pace, level),
-		Slowness: slowness, Local: of.local,
+		Slots: slotsEach, Outstanding: viewed.outstanding, SlotsUsedByOthers: viewed.report.Estimate(now, viewed.processingTime, groupMean),
+		Slowness: slowness, Local: viewed.local,
 	}
 }
 
-func (b *byTime) told(now time.Duration, told *view, own int, views []*view) {
-	others := float64(max(told.used-own, 0))
-	told.news = placement.LoadReport{UsedByOthers: others, ReceivedAt: now, Known: true}
-	b.levelOf(told, told.slowness(usualPace(views))).Observe(now, others/slotsEach)
+func (s *shortestTime) observe(now time.Duration, reporting *view, ownFlows int, views []*view) {
+	others := float64(max(reporting.used-ownFlows, 0))
+	reporting.report = placement.LoadReport{UsedByOthers: others, ReceivedAt: now, Known: true}
+	s.groupOf(reporting, reporting.slowness(typicalProcessingTime(views))).Observe(now, others/slotsEach)
 }
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,10 +1,14 @@
-// Package placement chooses the endpoint of a new flow.
+// Package placement chooses the endpoint that gets a new flow.
 //
-// The load that it answers: many balancers feed the same endpoints, and each knows few of
-// the requests that these work on. Endpoints differ in speed, the demand on them swings
-// within seconds and between zones, and single requests take several times as long as
-// others.
+// A balancer passes what it knows about each candidate endpoint: its slots, the flows that
+// the balancer itself has placed there, the load that the endpoint's agent reported, its
+// relative speed and its zone. The package returns the candidate with the shortest expected
+// time to an answer. It also provides the estimators behind these inputs: the processing
+// time of an endpoint and the slots that flows of other balancers occupy.
 //
-// The package is deterministic: what is known of each candidate goes in, a choice comes
-// out, and the caller passes the randomness.
+// Many balancers feed the same endpoints, and each of them sees only a few of the requests
+// that an endpoint works on. Endpoints differ in speed, demand changes within seconds and
+// differs between zones, and some requests take several times as long as others.
+//
+// The package is deterministic: the caller passes the time and the source of randomness.
 package placement
--- a/internal/placement/loadreport.go
+++ b/internal/placement/loadreport.go
@@ -6,62 +6,66 @@
 )
 
 const (
-	// shortestNews bounds from below how long news of an endpoint counts.
-	shortestNews = 10 * time.Millisecond
-	// defaultNews is how long it counts where the pace of the endpoint is not known.
-	defaultNews = 50 * time.Millisecond
-	// levelWeight is the least weight of news in the mean of a group, and levelMemory the
-	// time in which a mean loses most of its weight for news and for choices.
-	levelWeight = 0.05
-	levelMemory = 2 * time.Second
-	// mostShare bounds what the word of one agent can do to the mean of its group.
-	mostShare = 4.0
-	// levelLifetime is how long a mean without news is kept; nothing is left of it then.
-	levelLifetime = 30 * time.Second
+	// minReportDecay is the smallest time constant with which a load report decays.
+	minReportDecay = 10 * time.Millisecond
+	// defaultReportDecay is the time constant if the processing time is not known.
+	defaultReportDecay = 50 * time.Millisecond
+	// minObservationWeight is the smallest weight of an observation in the mean of a group.
+	minObservationWeight = 0.05
+	// groupDecay is the time constant with which the mean of a group decays, both against new
+	// observations and without any.
+	groupDecay = 2 * time.Second
+	// maxObservedUtilization caps a single observation, so that the report of one agent has a
+	// bounded effect on the mean of its group.
+	maxObservedUtilization = 4.0
+	// groupLifetime is how long a mean without observations is kept. It has decayed to almost
+	// nothing by then.
+	groupLifetime = 30 * time.Second
 )
 
-// LoadReport is what an agent has told last of its endpoint.
+// LoadReport is the latest load that an agent has reported for its endpoint.
 type LoadReport struct {
-	// UsedByOthers is the number of slots that others than the chooser take, told at the time At.
+	// UsedByOthers is the number of slots that flows of other choosers occupied at ReceivedAt.
 	UsedByOthers float64
 	ReceivedAt   time.Duration
-	// Known is set once anything was told.
+	// Known is set once a report has been received.
 	Known bool
 }
 
-// Estimate is how many slots others take now. News counts less as it ages: within the time
-// of an answer most of what it counted has been answered, and the endpoint is used as those
-// like it are.
-func (n LoadReport) Estimate(now, pace time.Duration, usual float64) float64 {
-	if !n.Known {
-		return usual
+// Estimate returns how many slots flows of other choosers occupy now. The report decays
+// towards the mean of the endpoint's group: within one processing time, most of the requests
+// that it counted have been answered.
+func (r LoadReport) Estimate(now, processingTime time.Duration, groupMean float64) float64 {
+	if !r.Known {
+		return groupMean
 	}
-	lasts := defaultNews
-	if pace > 0 {
-		lasts = max(pace, shortestNews)
+	decay := defaultReportDecay
+	if processingTime > 0 {
+		decay = max(processingTime, minReportDecay)
 	}
-	return usual + (n.UsedByOthers-usual)*math.Exp(-float64(now-n.ReceivedAt)/float64(lasts))
+	return groupMean + (r.UsedByOthers-groupMean)*math.Exp(-float64(now-r.ReceivedAt)/float64(decay))
 }
 
-// GroupUtilization is how far the endpoints of a group are used on average: their slots that others
-// than the chooser take, as a share of all slots.
+// GroupUtilization is the mean utilization of a group of endpoints by other choosers: the
+// slots that their flows occupy, as a share of all slots.
 type GroupUtilization struct {
 	mean float64
 	at   time.Duration
 }
 
-// Observe takes account of what was told of one endpoint of the group.
-func (l *GroupUtilization) Observe(now time.Duration, share float64) {
-	aged := 1 - math.Exp(-float64(now-l.at)/float64(levelMemory))
-	l.mean += max(levelWeight, aged) * (min(share, mostShare) - l.mean)
-	l.at = now
+// Observe adds the reported utilization of one endpoint of the group.
+func (g *GroupUtilization) Observe(now time.Duration, utilization float64) {
+	aged := 1 - math.Exp(-float64(now-g.at)/float64(groupDecay))
+	g.mean += max(minObservationWeight, aged) * (min(utilization, maxObservedUtilization) - g.mean)
+	g.at = now
 }
 
-// Expired reports whether the group has had no news for so long that it can be forgotten.
-func (l *GroupUtilization) Expired(now time.Duration) bool { return now-l.at > levelLifetime }
+// Expired reports whether the group has had no observation for so long that it can be
+// dropped.
+func (g *GroupUtilization) Expired(now time.Duration) bool { return now-g.at > groupLifetime }
 
-// At returns the mean. Without news it falls, so that a group that was found full is tried
-// again.
-func (l *GroupUtilization) At(now time.Duration) float64 {
-	return l.mean * math.Exp(-float64(now-l.at)/float64(levelMemory))
+// At returns the mean at a time. It decays without observations, so that a group that was
+// full is tried again.
+func (g *GroupUtilization) At(now time.Duration) float64 {
+	return g.mean * math.Exp(-float64(now-g.at)/float64(groupDecay))
 }
--- a/internal/placement/processingtime.go
+++ b/internal/placement/processingtime.go
@@ -9,94 +9,96 @@
 )
 
 const (
-	// windowLength is the number of answers of a route whose median counts: single requests
-	// that take far longer do not move it.
+	// windowLength is the number of latest answers per route that the median is taken of.
+	// The median ignores single requests that take far longer than the others.
 	windowLength = 9
-	// mixWeight is the weight of a new answer in the shares that routes have in the pace.
-	mixWeight = 1.0 / 64
-	// routeLimit bounds the routes that are remembered. Further ones replace those that are
-	// asked for least.
-	routeLimit = 16
+	// smoothingFactor is the weight of a new answer in the moving average of each route's
+	// share of the requests.
+	smoothingFactor = 1.0 / 64
+	// maxRoutes bounds the number of routes that are tracked. A further route replaces the
+	// one with the smallest share.
+	maxRoutes = 16
 )
 
-// ProcessingTimeEstimator measures the pace of an endpoint: how long it usually takes for an answer. Routes
-// ask for unlike work, so that each has a median of its own; the pace is the geometric mean
-// of these, weighted by what is asked for. An endpoint of half the speed has twice the pace
-// whatever its latest answers were about.
+// ProcessingTimeEstimator estimates how long an endpoint typically takes for a request.
+// Routes differ in the work that they ask for, so the estimator keeps one median per route.
+// The estimate is the geometric mean of the medians, weighted by each route's share of the
+// requests. An endpoint of half the speed therefore has twice the estimate, whatever routes
+// its latest requests belonged to.
 type ProcessingTimeEstimator struct {
-	routes []window
-	pace   time.Duration
+	routes   []routeWindow
+	estimate time.Duration
 }
 
-// window holds the latest answers of a route.
-type window struct {
-	route  segment.Address
-	weight float64
-	took   []time.Duration
-	next   int
-	median time.Duration
+// routeWindow holds the processing times of the latest answers of a route.
+type routeWindow struct {
+	route     segment.Address
+	weight    float64
+	durations []time.Duration
+	next      int
+	median    time.Duration
 }
 
-// Observe notes how long the endpoint has worked on a request of a route.
-func (m *ProcessingTimeEstimator) Observe(route segment.Address, took time.Duration) {
-	for index := range m.routes {
-		m.routes[index].weight *= 1 - mixWeight
+// Observe records how long the endpoint has worked on a request of a route.
+func (e *ProcessingTimeEstimator) Observe(route segment.Address, duration time.Duration) {
+	for index := range e.routes {
+		e.routes[index].weight *= 1 - smoothingFactor
 	}
-	measured := m.of(route)
-	measured.weight += mixWeight
-	measured.add(max(took, time.Microsecond))
-	m.pace = m.mean()
+	observed := e.windowOf(route)
+	observed.weight += smoothingFactor
+	observed.add(max(duration, time.Microsecond))
+	e.estimate = e.geometricMean()
 }
 
-// Estimate is how long the endpoint usually takes, 0 if that is not known.
-func (m *ProcessingTimeEstimator) Estimate() time.Duration { return m.pace }
+// Estimate returns the typical processing time, 0 before the first observation.
+func (e *ProcessingTimeEstimator) Estimate() time.Duration { return e.estimate }
 
-// mean returns the geometric mean of the medians of all routes.
-func (m *ProcessingTimeEstimator) mean() time.Duration {
+// geometricMean returns the weighted geometric mean of the medians of all routes.
+func (e *ProcessingTimeEstimator) geometricMean() time.Duration {
 	total, sum := 0.0, 0.0
-	for index := range m.routes {
-		total += m.routes[index].weight
-		sum += m.routes[index].weight * math.Log(float64(m.routes[index].median))
+	for index := range e.routes {
+		total += e.routes[index].weight
+		sum += e.routes[index].weight * math.Log(float64(e.routes[index].median))
 	}
 	return time.Duration(math.Round(math.Exp(sum / total)))
 }
 
-// of returns the window of a route.
-func (m *ProcessingTimeEstimator) of(route segment.Address) *window {
-	index := slices.IndexFunc(m.routes, func(each window) bool { return each.route == route })
+// windowOf returns the window of a route and creates it if necessary.
+func (e *ProcessingTimeEstimator) windowOf(route segment.Address) *routeWindow {
+	index := slices.IndexFunc(e.routes, func(window routeWindow) bool { return window.route == route })
 	if index >= 0 {
-		return &m.routes[index]
+		return &e.routes[index]
 	}
-	if len(m.routes) < routeLimit {
-		m.routes = append(m.routes, window{})
-		index = len(m.routes) - 1
+	if len(e.routes) < maxRoutes {
+		e.routes = append(e.routes, routeWindow{})
+		index = len(e.routes) - 1
 	} else {
-		index = m.least()
+		index = e.leastRequested()
 	}
-	m.routes[index] = window{route: route}
-	return &m.routes[index]
+	e.routes[index] = routeWindow{route: route}
+	return &e.routes[index]
 }
 
-// least returns the index of the route that is asked for least.
-func (m *ProcessingTimeEstimator) least() int {
+// leastRequested returns the index of the route with the smallest share of the requests.
+func (e *ProcessingTimeEstimator) leastRequested() int {
 	least := 0
-	for index := range m.routes {
-		if m.routes[index].weight < m.routes[least].weight {
+	for index := range e.routes {
+		if e.routes[index].weight < e.routes[least].weight {
 			least = index
 		}
 	}
 	return least
 }
 
-func (w *window) add(took time.Duration) {
-	if len(w.took) < windowLength {
-		w.took = append(w.took, took)
+func (w *routeWindow) add(duration time.Duration) {
+	if len(w.durations) < windowLength {
+		w.durations = append(w.durations, duration)
 	} else {
-		w.took[w.next] = took
+		w.durations[w.next] = duration
 		w.next = (w.next + 1) % windowLength
 	}
 	sorted := [windowLength]time.Duration{}
-	count := copy(sorted[:], w.took)
+	count := copy(sorted[:], w.durations)
 	slices.Sort(sorted[:count])
 	w.median = sorted[(count-1)/2]
 }
--- a/internal/placement/processingtime_test.go
+++ b/internal/placement/processingtime_test.go
@@ -10,68 +10,68 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-var _ = Describe("Meter", func() {
-	short := segment.Address{Port: 1}
-	long := segment.Address{Port: 2}
+var _ = Describe("ProcessingTimeEstimator", func() {
+	shortRoute := segment.Address{Port: 1}
+	longRoute := segment.Address{Port: 2}
 
-	It("knows nothing at first", func() {
-		meter := placement.ProcessingTimeEstimator{}
-		Expect(meter.Estimate()).To(BeZero())
+	It("estimates 0 before the first observation", func() {
+		estimator := placement.ProcessingTimeEstimator{}
+		Expect(estimator.Estimate()).To(BeZero())
 	})
 
-	It("is not moved by single requests that take far longer", func() {
-		meter := placement.ProcessingTimeEstimator{}
+	It("ignores single requests that take far longer", func() {
+		estimator := placement.ProcessingTimeEstimator{}
 		for number := range 100 {
-			took := 40 * time.Millisecond
+			duration := 40 * time.Millisecond
 			if number%20 == 0 {
-				took *= 7
+				duration *= 7
 			}
-			meter.Observe(short, took)
+			estimator.Observe(shortRoute, duration)
 		}
-		Expect(meter.Estimate()).To(BeNumerically("~", 40*time.Millisecond, time.Microsecond))
+		Expect(estimator.Estimate()).To(BeNumerically("~", 40*time.Millisecond, time.Microsecond))
 	})
 
-	It("notices a change of speed within a few answers", func() {
-		meter := placement.ProcessingTimeEstimator{}
+	It("follows a change of speed within five answers", func() {
+		estimator := placement.ProcessingTimeEstimator{}
 		for range 20 {
-			meter.Observe(short, 40*time.Millisecond)
+			estimator.Observe(shortRoute, 40*time.Millisecond)
 		}
 		for range 5 {
-			meter.Observe(short, 80*time.Millisecond)
+			estimator.Observe(shortRoute, 80*time.Millisecond)
 		}
-		Expect(meter.Estimate()).To(BeNumerically("~", 80*time.Millisecond, time.Microsecond))
+		Expect(estimator.Estimate()).To(BeNumerically("~", 80*time.Millisecond, time.Microsecond))
 	})
 
-	// measured is the pace of an endpoint that takes factor times as long as another, with
-	// each third request a long one, after a number of answers.
-	measured := func(factor float64, answers int) float64 {
-		meter := placement.ProcessingTimeEstimator{}
+	// estimateAfter returns the estimate in seconds after a number of answers, of which every
+	// third is of the long route. The endpoint takes factor times as long as a reference one.
+	estimateAfter := func(factor float64, answers int) float64 {
+		estimator := placement.ProcessingTimeEstimator{}
 		for number := range answers {
-			route, took := short, 10*time.Millisecond
+			route, duration := shortRoute, 10*time.Millisecond
 			if number%3 == 0 {
-				route, took = long, 100*time.Millisecond
+				route, duration = longRoute, 100*time.Millisecond
 			}
-			meter.Observe(route, time.Duration(factor*float64(took)))
+			estimator.Observe(route, time.Duration(factor*float64(duration)))
 		}
-		return meter.Estimate().Seconds()
+		return estimator.Estimate().Seconds()
 	}
 
-	It("tells speeds apart whatever was asked for last", func() {
-		usual := measured(1, 200)
+	It("reflects the speed of the endpoint whatever the routes of the latest answers", func() {
+		reference := estimateAfter(1, 200)
 		for answers := 200; answers < 206; answers++ {
-			Expect(measured(1, answers) / usual).To(BeNumerically("~", 1, 0.05))
-			Expect(measured(2, answers) / usual).To(BeNumerically("~", 2, 0.1))
+			Expect(estimateAfter(1, answers) / reference).To(BeNumerically("~", 1, 0.05))
+			Expect(estimateAfter(2, answers) / reference).To(BeNumerically("~", 2, 0.1))
 		}
 	})
 
-	It("remembers a bounded number of routes, those that are asked for", func() {
-		meter := placement.ProcessingTimeEstimator{}
+	It("keeps the route with most requests among more routes than it tracks", func() {
+		estimator := placement.ProcessingTimeEstimator{}
 		for number := range 200 {
-			meter.Observe(short, 40*time.Millisecond)
+			estimator.Observe(shortRoute, 40*time.Millisecond)
 			if number%10 == 0 {
-				meter.Observe(segment.Address{Port: uint16(100 + number)}, 40*time.Millisecond)
+				estimator.Observe(segment.Address{Port: uint16(100 + number)}, 40*time.Millisecond)
 			}
 		}
-		Expect(meter.Estimate()).To(BeNumerically("~", 40*time.Millisecond, time.Microsecond))
+		Expect(estimator.Estimate()).To(BeNumerically("~", 40*time.Millisecond, time.Microsecond))
 	})
 })
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -14,83 +14,84 @@
 const (
 	slotsEach = 4
 	zones     = 3
-	// One endpoint in slowEach has slowSpeed of the others' speed.
-	slowEach  = 4
-	slowSpeed = 0.46
-	// One request in tailEach takes tailTimes as long.
-	tailEach  = 33
-	tailTimes = 7
-	usualWork = 40 * time.Millisecond
-	// spread is the standard deviation of the logarithm of the work.
-	spread    = 0.47
-	objective = 300 * time.Millisecond
+	// One endpoint in slowInterval has slowSpeed, the others have speed 1.
+	slowInterval = 4
+	slowSpeed    = 0.46
+	// One request in tailInterval takes tailFactor times as long.
+	tailInterval = 33
+	tailFactor   = 7
+	meanWork     = 40 * time.Millisecond
+	// workSigma is the standard deviation of the logarithm of the work.
+	workSigma        = 0.47
+	latencyObjective = 300 * time.Millisecond
 
-	wayWithin   = 300 * time.Microsecond
-	wayBetween  = 1200 * time.Microsecond
-	wayOfClient = 1300 * time.Microsecond
-	// returnLimit is the number of returns after which an endpoint has to take a flow.
-	returnLimit = 3
-	warmUp      = time.Second
+	delayWithinZone   = 300 * time.Microsecond
+	delayBetweenZones = 1200 * time.Microsecond
+	clientDelay       = 1300 * time.Microsecond
+	// maxReturns is the number of returns after which an endpoint has to take a flow.
+	maxReturns = 3
+	warmUp     = time.Second
 )
 
-// load is what a replay brings about.
-type load struct {
+// workload is the input of a simulation.
+type workload struct {
 	endpoints, balancers int
-	// rate is the number of flows a second of a zone's clients.
+	// rate returns how many flows per second the clients of a zone open.
 	rate func(now time.Duration, zone int) float64
-	// closed tells which zone gets no flows, none if it is negative.
-	closed int
-	lasts  time.Duration
-	seed   uint64
+	// closed is the zone that gets no flows; a negative value means none.
+	closed   int
+	duration time.Duration
+	seed     uint64
 }
 
-// swinging is a demand that swings in all zones alike.
-func swinging(perSecond float64) func(time.Duration, int) float64 {
+// oscillating returns a rate that oscillates with the same phase in all zones.
+func oscillating(perSecond float64) func(time.Duration, int) float64 {
 	return func(now time.Duration, _ int) float64 {
 		return perSecond / zones * (1 + 0.55*math.Sin(2*math.Pi*now.Seconds()/15))
 	}
 }
 
-// view is what one balancer knows of one endpoint.
+// view is what one balancer knows about one endpoint.
 type view struct {
-	balancer    int
-	endpoint    *endpoint
-	local       bool
-	outstanding int
-	used        int
-	pace        time.Duration
-	news        placement.LoadReport
+	balancer       int
+	endpoint       *endpoint
+	local          bool
+	outstanding    int
+	used           int
+	processingTime time.Duration
+	report         placement.LoadReport
 }
 
-// chooser decides where a balancer places a flow.
+// chooser is a strategy by which balancers place flows.
 type chooser interface {
 	choose(now time.Duration, views []*view, random *rand.Rand) *view
-	// told is called with what an agent tells.
-	told(now time.Duration, told *view, own int, views []*view)
+	// observe is called for each load report of an agent; ownFlows is the number of flows
+	// that the balancer itself has there.
+	observe(now time.Duration, reporting *view, ownFlows int, views []*view)
 }
 
 type endpoint struct {
-	zone    int
-	speed   float64
-	working int
-	pending int
-	given   int
-	waiting []request
-	meter   placement.ProcessingTimeEstimator
+	zone      int
+	speed     float64
+	working   int
+	pending   int
+	received  int
+	waiting   []request
+	estimator placement.ProcessingTimeEstimator
 }
 
-// request waits at its endpoint.
+// request is a request that waits for a slot at its endpoint.
 type request struct {
-	began time.Duration
-	start func(now time.Duration)
+	startedAt time.Duration
+	start     func(now time.Duration)
 }
 
 // next removes and returns the request that is served next: the newest that can be answered
-// in time or, if there is none, the oldest.
+// within the objective, or the oldest if there is none.
 func (e *endpoint) next(now time.Duration) request {
 	chosen := 0
 	for index := len(e.waiting) - 1; index > 0; index-- {
-		if now-e.waiting[index].began+e.meter.Estimate() <= objective {
+		if now-e.waiting[index].startedAt+e.estimator.Estimate() <= latencyObjective {
 			chosen = index
 			break
 		}
@@ -120,195 +121,196 @@
 	return last
 }
 
-// outcome counts what became of the requests of a replay.
-type outcome struct {
-	requests, waited, waitedInVain, returned, forced, late, away int
-	// awayBy counts by clients' zone and quarter of a second how many flows were placed, and
-	// how many of them in other zones.
-	awayBy [zones]map[int][2]int
-	// busiest is the most that an endpoint got, in mean shares.
-	busiest float64
+// result counts what became of the requests of a simulation.
+type result struct {
+	requests, waited, waitedNeedlessly, returned, forced, late, crossZone int
+	// placements holds, by the clients' zone and quarter of a second, how many flows were
+	// placed and how many of these in other zones.
+	placements [zones]map[int][2]int
+	// peakLoad is the largest number of flows of an endpoint, relative to the mean.
+	peakLoad float64
 }
 
-func (o outcome) share(count int) float64 { return float64(count) / float64(o.requests) }
+func (r result) share(count int) float64 { return float64(count) / float64(r.requests) }
 
-type replay struct {
-	load      load
+type simulation struct {
+	workload  workload
 	chooser   chooser
 	random    *rand.Rand
 	queue     events
 	order     int
 	endpoints []*endpoint
 	views     [][]*view
-	outcome   outcome
+	result    result
 }
 
-// play replays a load with one way to choose.
-func play(given load, way chooser) outcome {
-	r := &replay{load: given, chooser: way, random: rand.New(rand.NewPCG(given.seed, 1))}
-	for number := range given.endpoints {
-		made := &endpoint{zone: number / slowEach % zones, speed: 1}
-		if number%slowEach == 0 {
-			made.speed = slowSpeed
+// simulate runs a workload with one strategy.
+func simulate(input workload, strategy chooser) result {
+	s := &simulation{workload: input, chooser: strategy, random: rand.New(rand.NewPCG(input.seed, 1))}
+	for number := range input.endpoints {
+		created := &endpoint{zone: number / slowInterval % zones, speed: 1}
+		if number%slowInterval == 0 {
+			created.speed = slowSpeed
 		}
-		r.endpoints = append(r.endpoints, made)
+		s.endpoints = append(s.endpoints, created)
 	}
-	for balancer := range given.balancers {
+	for balancer := range input.balancers {
 		var views []*view
-		for _, each := range r.endpoints {
+		for _, each := range s.endpoints {
 			views = append(views, &view{balancer: balancer, endpoint: each, local: each.zone == balancer%zones})
 		}
-		r.views = append(r.views, views)
+		s.views = append(s.views, views)
 	}
 	for zone := range zones {
-		r.outcome.awayBy[zone] = make(map[int][2]int)
-		r.after(0, 0, func(now time.Duration) { r.arrive(now, zone) })
+		s.result.placements[zone] = make(map[int][2]int)
+		s.after(0, 0, func(now time.Duration) { s.arrive(now, zone) })
 	}
-	for len(r.queue) > 0 {
-		next := heap.Pop(&r.queue).(event)
+	for len(s.queue) > 0 {
+		next := heap.Pop(&s.queue).(event)
 		next.run(next.at)
 	}
 	most, total := 0, 0
-	for _, each := range r.endpoints {
-		most, total = max(most, each.given), total+each.given
+	for _, each := range s.endpoints {
+		most, total = max(most, each.received), total+each.received
 	}
-	r.outcome.busiest = float64(most) * float64(given.endpoints) / float64(total)
-	return r.outcome
+	s.result.peakLoad = float64(most) * float64(input.endpoints) / float64(total)
+	return s.result
 }
 
-func (r *replay) after(now, wait time.Duration, run func(now time.Duration)) {
-	r.order++
-	heap.Push(&r.queue, event{now + wait, r.order, run})
+func (s *simulation) after(now, wait time.Duration, run func(now time.Duration)) {
+	s.order++
+	heap.Push(&s.queue, event{now + wait, s.order, run})
 }
 
-// arrive lets a client of a zone open a flow, through a balancer of its zone at random.
-func (r *replay) arrive(now time.Duration, zone int) {
-	if now > r.load.lasts {
+// arrive opens a flow of a client of a zone through a random balancer of that zone, and
+// schedules the next arrival.
+func (s *simulation) arrive(now time.Duration, zone int) {
+	if now > s.workload.duration {
 		return
 	}
-	gap := r.random.ExpFloat64() / r.load.rate(now, zone)
-	r.after(now, time.Duration(gap*float64(time.Second)), func(now time.Duration) { r.arrive(now, zone) })
-	opened := &flow{began: now, zone: zone, counted: now >= warmUp, work: r.work()}
-	opened.balancer = zone + zones*r.random.IntN((r.load.balancers-zone+zones-1)/zones)
+	gap := s.random.ExpFloat64() / s.workload.rate(now, zone)
+	s.after(now, time.Duration(gap*float64(time.Second)), func(now time.Duration) { s.arrive(now, zone) })
+	opened := &flow{startedAt: now, zone: zone, counted: now >= warmUp, work: s.work()}
+	opened.balancer = zone + zones*s.random.IntN((s.workload.balancers-zone+zones-1)/zones)
 	if opened.counted {
-		r.outcome.requests++
+		s.result.requests++
 	}
-	r.offer(now, opened)
+	s.offer(now, opened)
 }
 
-func (r *replay) work() time.Duration {
-	work := float64(usualWork) * math.Exp(spread*r.random.NormFloat64()-spread*spread/2)
-	if r.random.IntN(tailEach) == 0 {
-		work *= tailTimes
+func (s *simulation) work() time.Duration {
+	work := float64(meanWork) * math.Exp(workSigma*s.random.NormFloat64()-workSigma*workSigma/2)
+	if s.random.IntN(tailInterval) == 0 {
+		work *= tailFactor
 	}
 	return time.Duration(work)
 }
 
 type flow struct {
-	began    time.Duration
-	zone     int
-	balancer int
-	work     time.Duration
-	counted  bool
-	tried    []*view
+	startedAt time.Duration
+	zone      int
+	balancer  int
+	work      time.Duration
+	counted   bool
+	tried     []*view
 }
 
-func (r *replay) offer(now time.Duration, opened *flow) {
-	views := r.views[opened.balancer]
-	forced := len(opened.tried) >= returnLimit
+func (s *simulation) offer(now time.Duration, opened *flow) {
+	views := s.views[opened.balancer]
+	forced := len(opened.tried) >= maxReturns
 	var chosen *view
 	if forced {
 		chosen = slices.MinFunc(opened.tried, func(a, b *view) int { return a.used - b.used })
 	} else {
 		untried := slices.DeleteFunc(slices.Clone(views), func(v *view) bool {
-			return slices.Contains(opened.tried, v) || v.endpoint.zone == r.load.closed
+			return slices.Contains(opened.tried, v) || v.endpoint.zone == s.workload.closed
 		})
-		chosen = r.chooser.choose(now, untried, r.random)
+		chosen = s.chooser.choose(now, untried, s.random)
 	}
 	chosen.outstanding++
-	r.after(now, chosen.way(), func(now time.Duration) {
+	s.after(now, chosen.delay(), func(now time.Duration) {
 		if chosen.endpoint.pending <= slotsEach || forced {
-			r.accept(now, opened, chosen, forced)
+			s.accept(now, opened, chosen, forced)
 			return
 		}
-		r.outcome.returned += opened.one()
-		used, pace := chosen.endpoint.pending, chosen.endpoint.meter.Estimate()
-		r.after(now, chosen.way(), func(now time.Duration) {
+		s.result.returned += opened.weight()
+		used, processingTime := chosen.endpoint.pending, chosen.endpoint.estimator.Estimate()
+		s.after(now, chosen.delay(), func(now time.Duration) {
 			chosen.outstanding--
-			r.tell(now, opened.balancer, chosen, used, pace)
+			s.deliverReport(now, opened.balancer, chosen, used, processingTime)
 			opened.tried = append(opened.tried, chosen)
-			r.offer(now, opened)
+			s.offer(now, opened)
 		})
 	})
 }
 
-// one is what a flow counts: nothing while the replay warms up.
-func (f *flow) one() int {
+// weight is 1 for a counted flow and 0 for one that arrived during the warm-up.
+func (f *flow) weight() int {
 	if f.counted {
 		return 1
 	}
 	return 0
 }
 
-func (v *view) way() time.Duration {
+func (v *view) delay() time.Duration {
 	if v.local {
-		return wayWithin
+		return delayWithinZone
 	}
-	return wayBetween
+	return delayBetweenZones
 }
 
-func (r *replay) tell(now time.Duration, balancer int, of *view, used int, pace time.Duration) {
-	of.used, of.pace = used, pace
-	r.chooser.told(now, of, of.outstanding, r.views[balancer])
+func (s *simulation) deliverReport(now time.Duration, balancer int, reporting *view, used int, processingTime time.Duration) {
+	reporting.used, reporting.processingTime = used, processingTime
+	s.chooser.observe(now, reporting, reporting.outstanding, s.views[balancer])
 }
 
-func (r *replay) accept(now time.Duration, opened *flow, chosen *view, forced bool) {
+func (s *simulation) accept(now time.Duration, opened *flow, chosen *view, forced bool) {
 	at := chosen.endpoint
 	at.pending++
-	at.given += opened.one()
-	used, pace := at.pending, at.meter.Estimate()
-	r.after(now, chosen.way(), func(now time.Duration) { r.tell(now, opened.balancer, chosen, used, pace) })
-	counts := r.outcome.awayBy[opened.zone][int(now/(250*time.Millisecond))]
+	at.received += opened.weight()
+	used, processingTime := at.pending, at.estimator.Estimate()
+	s.after(now, chosen.delay(), func(now time.Duration) { s.deliverReport(now, opened.balancer, chosen, used, processingTime) })
+	counts := s.result.placements[opened.zone][int(now/(250*time.Millisecond))]
 	counts[0]++
 	if !chosen.local {
 		counts[1]++
-		r.outcome.away += opened.one()
+		s.result.crossZone += opened.weight()
 	}
-	r.outcome.awayBy[opened.zone][int(now/(250*time.Millisecond))] = counts
+	s.result.placements[opened.zone][int(now/(250*time.Millisecond))] = counts
 	if forced {
-		r.outcome.forced += opened.one()
+		s.result.forced += opened.weight()
 	}
-	r.after(now, 2*wayOfClient+chosen.way(), func(now time.Duration) { r.ask(now, opened, chosen) })
+	s.after(now, 2*clientDelay+chosen.delay(), func(now time.Duration) { s.deliverRequest(now, opened, chosen) })
 }
 
-// ask lets the request of a flow come to its endpoint.
-func (r *replay) ask(now time.Duration, opened *flow, chosen *view) {
+// deliverRequest delivers the request of a flow to its endpoint.
+func (s *simulation) deliverRequest(now time.Duration, opened *flow, chosen *view) {
 	at := chosen.endpoint
 	start := func(now time.Duration) {
 		at.working++
 		took := time.Duration(float64(opened.work) / at.speed)
-		r.after(now, took, func(now time.Duration) { r.answer(now, opened, chosen, took) })
+		s.after(now, took, func(now time.Duration) { s.answer(now, opened, chosen, took) })
 	}
 	if at.working < slotsEach {
 		start(now)
 		return
 	}
-	r.outcome.waited += opened.one()
-	if slices.ContainsFunc(r.endpoints, func(other *endpoint) bool { return other.pending < slotsEach }) {
-		r.outcome.waitedInVain += opened.one()
+	s.result.waited += opened.weight()
+	if slices.ContainsFunc(s.endpoints, func(other *endpoint) bool { return other.pending < slotsEach }) {
+		s.result.waitedNeedlessly += opened.weight()
 	}
-	at.waiting = append(at.waiting, request{opened.began, start})
+	at.waiting = append(at.waiting, request{opened.startedAt, start})
 }
 
-func (r *replay) answer(now time.Duration, opened *flow, chosen *view, took time.Duration) {
+func (s *simulation) answer(now time.Duration, opened *flow, chosen *view, took time.Duration) {
 	at := chosen.endpoint
 	at.working--
 	at.pending--
-	at.meter.Observe(segment.Address{}, took)
-	if now+wayOfClient-opened.began > objective {
-		r.outcome.late += opened.one()
+	at.estimator.Observe(segment.Address{}, took)
+	if now+clientDelay-opened.startedAt > latencyObjective {
+		s.result.late += opened.weight()
 	}
-	r.after(now, 2*wayOfClient, func(time.Duration) { chosen.outstanding-- })
+	s.after(now, 2*clientDelay, func(time.Duration) { chosen.outstanding-- })
 	if len(at.waiting) > 0 {
 		at.next(now).start(now)
 	}
