--- a/internal/requestqueue/comparison_test.go
+++ b/internal/requestqueue/comparison_test.go
@@ -13,32 +13,32 @@
 	"github.com/vanetiller/vanetiller/internal/requestqueue"
 )
 
-// earliestDeadline serves by when the client gives up, whatever can be in time.
+// earliestDeadline serves by the time at which the client gives up and ignores objectives.
 type earliestDeadline struct{}
 
 func (earliestDeadline) Next(_ time.Duration, _ requestqueue.Capacity, waiting []requestqueue.Request) requestqueue.Choice {
-	index := least(waiting, func(request requestqueue.Request) time.Duration { return request.StartedAt + request.Timeout })
+	index := indexOfEarliest(waiting, func(request requestqueue.Request) time.Duration { return request.StartedAt + request.Timeout })
 	return requestqueue.Choice{Index: index, Reason: requestqueue.ReasonLate}
 }
 
-// least returns the index of the request with the least time.
-func least(waiting []requestqueue.Request, of func(requestqueue.Request) time.Duration) int {
+// indexOfEarliest returns the index of the request with the earliest time.
+func indexOfEarliest(waiting []requestqueue.Request, timeOf func(requestqueue.Request) time.Duration) int {
 	index := 0
 	for other := range waiting {
-		if of(waiting[other]) < of(waiting[index]) {
+		if timeOf(waiting[other]) < timeOf(waiting[index]) {
 			index = other
 		}
 	}
 	return index
 }
 
-// slackFirst serves what can be in time by slack, whatever its priority, while all of it
-// can be, and newest first once it cannot. If lateFirst is set, a late request whose client
-// is about to give up goes first while all others stay in time after it.
+// slackFirst serves requests by slack and ignores their priority while all that can be in
+// time fit, and newest first once they do not. If lateFirst is set, a late request whose
+// client is about to give up goes first while the others stay in time after it.
 type slackFirst struct{ lateFirst bool }
 
-// reserved is how many requests that are yet to come leave those in time enough slack.
-const reserved = 4
+// reservedSlots is the number of future requests for which slackFirst leaves slack.
+const reservedSlots = 4
 
 func (s slackFirst) Next(now time.Duration, capacity requestqueue.Capacity, waiting []requestqueue.Request) requestqueue.Choice {
 	due := func(request requestqueue.Request) time.Duration { return request.StartedAt + request.Objective }
@@ -53,8 +53,8 @@
 	slices.SortFunc(inTime, func(a, b requestqueue.Request) int { return cmp.Compare(due(a), due(b)) })
 	feasible := len(inTime) > 0
 	for position, request := range inTime {
-		begun := now + time.Duration(position+reserved)*capacity.ProcessingTime/time.Duration(capacity.Concurrency)
-		feasible = feasible && begun+capacity.ProcessingTime <= due(request)
+		start := now + time.Duration(position+reservedSlots)*capacity.ProcessingTime/time.Duration(capacity.Concurrency)
+		feasible = feasible && start+capacity.ProcessingTime <= due(request)
 	}
 	switch {
 	case !feasible:
@@ -68,8 +68,8 @@
 	return requestqueue.Choice{Index: slices.Index(waiting, inTime[0]), Reason: requestqueue.ReasonEarliestDue}
 }
 
-var _ = Describe("Orders on the same load", func() {
-	newOrders := map[string]func() requestqueue.Scheduler{
+var _ = Describe("Schedulers on the same workload", func() {
+	newSchedulers := map[string]func() requestqueue.Scheduler{
 		"newest first":           func() requestqueue.Scheduler { return requestqueue.NewestFirst{} },
 		"earliest deadline":      func() requestqueue.Scheduler { return earliestDeadline{} },
 		"slack":                  func() requestqueue.Scheduler { return slackFirst{} },
@@ -79,49 +79,49 @@
 		"earliest due, a fifth":  func() requestqueue.Scheduler { return requestqueue.NewFairShare(requestqueue.EarliestDue{}, 0.2) },
 		"earliest due, one half": func() requestqueue.Scheduler { return requestqueue.NewFairShare(requestqueue.EarliestDue{}, 0.5) },
 	}
-	loads := map[string]func(*rand.Rand) load{"power loss": afterPowerLoss, "overload": overload, "returning": returning}
+	workloads := map[string]func(*rand.Rand) workload{"power loss": afterPowerLoss, "overload": overload, "retries": retries}
 	results := map[string]map[string]summary{}
 
 	BeforeEach(func() {
 		if len(results) > 0 {
 			return
 		}
-		for name, newLoad := range loads {
+		for name, newWorkload := range workloads {
 			results[name] = map[string]summary{}
-			for order, newOrder := range newOrders {
-				results[name][order] = total(newOrder, newLoad)
+			for scheduler, newScheduler := range newSchedulers {
+				results[name][scheduler] = total(newScheduler, newWorkload)
 			}
 		}
 	})
 
-	It("accounts for every arrival exactly once in each order, and prints what becomes of the kinds", func() {
-		for _, name := range []string{"power loss", "overload", "returning"} {
-			for _, order := range slices.Sorted(maps.Keys(newOrders)) {
-				result := results[name][order]
-				kinds := result.kinds
-				GinkgoWriter.Printf("%-11s %-23s priority 1 %v priority 2 %v\n", name, order, kinds[1], kinds[2])
-				Expect(result.offered).To(BeNumerically(">", 10_000), "a load is replayed")
-				Expect(result.once).To(Equal(result.offered), order)
-				Expect(kinds[1].asked()+kinds[2].asked()).To(Equal(result.offered), order)
+	It("account for every arrival exactly once, with the results of both priorities printed", func() {
+		for _, name := range []string{"power loss", "overload", "retries"} {
+			for _, scheduler := range slices.Sorted(maps.Keys(newSchedulers)) {
+				result := results[name][scheduler]
+				byPriority := result.byPriority
+				GinkgoWriter.Printf("%-11s %-23s priority 1 %v priority 2 %v\n", name, scheduler, byPriority[1], byPriority[2])
+				Expect(result.offered).To(BeNumerically(">", 10_000), "the workload is not empty")
+				Expect(result.once).To(Equal(result.offered), scheduler)
+				Expect(byPriority[1].requests()+byPriority[2].requests()).To(Equal(result.offered), scheduler)
 			}
 		}
 	})
 
-	DescribeTable("has no fewer in time and no more failed of the urgent kind by earliest due than by newest first, and more and fewer of the other",
+	DescribeTable("answer more less urgent requests in time and fail fewer with earliest due than with newest first, and do no worse for urgent ones",
 		func(name string) {
-			newest, earliest := results[name]["newest first"].kinds, results[name]["earliest due"].kinds
+			newest, earliest := results[name]["newest first"].byPriority, results[name]["earliest due"].byPriority
 			Expect(earliest[1].inTime).To(BeNumerically(">=", newest[1].inTime))
 			Expect(earliest[2].inTime).To(BeNumerically(">", newest[2].inTime))
 			Expect(earliest[1].failed).To(BeNumerically("<=", newest[1].failed))
 			Expect(earliest[2].failed).To(BeNumerically("<", newest[2].failed))
 		},
-		Entry("after a loss of power", "power loss"),
+		Entry("after a power loss", "power loss"),
 		Entry("under overload", "overload"),
-		Entry("when late ones return", "returning"),
+		Entry("when late requests are retried", "retries"),
 	)
 
-	It("has fewer failed of the less urgent kind under overload with a fair share of one half than without", func() {
-		without, with := results["overload"]["earliest due"].kinds, results["overload"]["earliest due, one half"].kinds
+	It("fail fewer less urgent requests under overload with a fair share of one half than without", func() {
+		without, with := results["overload"]["earliest due"].byPriority, results["overload"]["earliest due, one half"].byPriority
 		Expect(with[2].failed).To(BeNumerically("<", without[2].failed))
 	})
 })
--- a/internal/requestqueue/doc.go
+++ b/internal/requestqueue/doc.go
@@ -1,11 +1,14 @@
 // Package requestqueue decides which of the requests that wait for an endpoint gets its next
 // free slot.
 //
-// It is made for the load under which that matters: more requests than slots; requests that
-// are late already beside fresh ones, as after a loss of power; kinds of requests whose
-// priority, latency objective and timeout differ. The order then decides which requests are
-// answered in time, which late and which not at all. While slots are free it plays no part.
+// An agent passes the waiting requests with their priority, start time, latency objective and
+// timeout, together with the capacity of the endpoint. A Scheduler returns the request that
+// is served next and the reason.
 //
-// The package is deterministic: requests, the time and the capacity come in, a choice comes
-// out. All times count from one start, which the caller chooses.
+// The choice matters only under overload, when there are more requests than slots, for
+// example after a power loss, when requests that are already late wait beside fresh ones.
+// It then decides which requests are answered in time, late or not at all.
+//
+// The package is deterministic: the caller passes the time, and all times count from one
+// start that the caller chooses.
 package requestqueue
--- a/internal/requestqueue/fairshare.go
+++ b/internal/requestqueue/fairshare.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// FairShare gives less urgent priorities a share of the slots, at least, while requests of
-// them wait beside more urgent ones. The share is divided equally among them; what one does not
-// need is left to the order (deficit round robin: Shreedhar and Varghese, 1995).
+// FairShare guarantees the less urgent priorities a share of the slots while their requests
+// wait beside more urgent ones. The share is divided equally among the waiting priorities. All
+// other slots are left to the wrapped scheduler (deficit round robin: Shreedhar and Varghese,
+// 1995).
 type FairShare struct {
-	order Scheduler
-	share float64
-	// credit is, by priority, what part of a slot is owed. Only priorities that wait and
-	// are less urgent than another have one.
+	scheduler Scheduler
+	share     float64
+	// credit is the number of slots that each priority is owed. Only priorities that wait
+	// beside a more urgent one have an entry.
 	credit map[uint8]float64
 }
 
-// NewFairShare returns a fair share of the slots, from 0 to MaxFairShare, below an order that
-// keeps no state.
-func NewFairShare(order Scheduler, share float64) *FairShare {
-	return &FairShare{order: order, share: share, credit: make(map[uint8]float64)}
+// NewFairShare adds a fair share, from 0 to MaxFairShare of the slots, to a scheduler. That
+// scheduler must be stateless, since some of its choices are not used.
+func NewFairShare(scheduler Scheduler, share float64) *FairShare {
+	return &FairShare{scheduler: scheduler, share: share, credit: make(map[uint8]float64)}
 }
 
-// Next implements Order.
+// Next implements Scheduler.
 func (f *FairShare) Next(now time.Duration, capacity Capacity, waiting []Request) Choice {
 	lessUrgent := prioritiesOf(waiting)[1:]
 	f.grant(lessUrgent)
@@ -31,14 +32,14 @@
 	return choice
 }
 
-// choose prefers a priority that is owed a slot to what the order alone would choose.
+// choose prefers a priority that is owed a slot to the choice of the wrapped scheduler.
 func (f *FairShare) choose(now time.Duration, capacity Capacity, waiting []Request, lessUrgent []uint8) Choice {
-	choice := f.order.Next(now, capacity, waiting)
+	choice := f.scheduler.Next(now, capacity, waiting)
 	for _, priority := range lessUrgent {
 		if f.credit[priority] < 1 {
 			continue
 		}
-		owed := among(f.order, now, capacity, waiting, indicesOf(waiting, priority)).Index
+		owed := nextAmong(f.scheduler, now, capacity, waiting, indicesOf(waiting, priority)).Index
 		if owed == choice.Index {
 			return choice
 		}
@@ -47,7 +48,7 @@
 	return choice
 }
 
-// grant adds to what is owed to the less urgent priorities that wait, and forgets the others.
+// grant adds credit to the less urgent priorities that wait and drops that of all others.
 func (f *FairShare) grant(lessUrgent []uint8) {
 	for priority := range f.credit {
 		if !slices.Contains(lessUrgent, priority) {
@@ -59,14 +60,14 @@
 	}
 }
 
-// charge takes a slot from what is owed to a priority, if anything is.
+// charge deducts one slot from the credit of a priority, if it has any.
 func (f *FairShare) charge(priority uint8) {
 	if owed, exists := f.credit[priority]; exists {
 		f.credit[priority] = max(owed-1, 0)
 	}
 }
 
-// indicesOf returns the indices of the requests of a priority.
+// indicesOf returns the indices of the requests with a priority.
 func indicesOf(waiting []Request, priority uint8) []int {
 	var indices []int
 	for index, request := range waiting {
@@ -77,7 +78,7 @@
 	return indices
 }
 
-// prioritiesOf returns the priorities of requests, the most urgent first.
+// prioritiesOf returns the distinct priorities of requests, the most urgent first.
 func prioritiesOf(waiting []Request) []uint8 {
 	var priorities []uint8
 	for _, request := range waiting {
@@ -89,12 +90,12 @@
 	return priorities
 }
 
-// among lets an order choose among some of the requests, given by their indices.
-func among(order Scheduler, now time.Duration, capacity Capacity, waiting []Request, indices []int) Choice {
+// nextAmong returns the choice of a scheduler among the requests with the given indices.
+func nextAmong(scheduler Scheduler, now time.Duration, capacity Capacity, waiting []Request, indices []int) Choice {
 	requests := make([]Request, len(indices))
 	for position, index := range indices {
 		requests[position] = waiting[index]
 	}
-	choice := order.Next(now, capacity, requests)
+	choice := scheduler.Next(now, capacity, requests)
 	return Choice{indices[choice.Index], choice.Reason}
 }
--- a/internal/requestqueue/policy.go
+++ b/internal/requestqueue/policy.go
@@ -2,46 +2,47 @@
 
 import "github.com/vanetiller/vanetiller/internal/label"
 
-// Discipline names an Order.
+// Discipline is a queue discipline, which names a Scheduler.
 type Discipline uint8
 
 // The disciplines.
 const (
-	// DisciplineNewestFirst is NewestFirst.
+	// DisciplineNewestFirst selects NewestFirst.
 	DisciplineNewestFirst Discipline = iota
-	// DisciplineEarliestDue is EarliestDue.
+	// DisciplineEarliestDue selects EarliestDue.
 	DisciplineEarliestDue
 	disciplineCount
 )
 
 var disciplineNames = []string{"newest_first", "earliest_due"}
 
-// String returns the discipline in the form used in settings.
+// String returns the discipline as it is written in the settings.
 func (d Discipline) String() string { return label.Of(disciplineNames, d) }
 
-// Disciplines lists every discipline.
+// Disciplines returns all disciplines.
 func Disciplines() []Discipline { return label.All(disciplineCount) }
 
-// MaxFairShare leaves the most urgent priority half of the slots at least.
+// MaxFairShare leaves at least half of the slots to the most urgent priority.
 const MaxFairShare = 0.5
 
 // Policy holds the settings of a queue. The zero value is newest first without a fair
 // share.
 type Policy struct {
 	Discipline Discipline
-	// FairShare is the share of the slots that requests of less urgent priorities get at
-	// least, together, while they wait, from 0 to MaxFairShare; 0 means none.
+	// FairShare is the minimum share of the slots for all less urgent priorities together
+	// while their requests wait, from 0 to MaxFairShare; 0 means none.
 	FairShare float64
 }
 
-// NewScheduler returns the order of a queue. It must not be shared between queues.
+// NewScheduler returns the scheduler of one queue. It must not be shared between queues, as it
+// may keep state.
 func (p Policy) NewScheduler() Scheduler {
-	var order Scheduler = NewestFirst{}
+	var scheduler Scheduler = NewestFirst{}
 	if p.Discipline == DisciplineEarliestDue {
-		order = EarliestDue{}
+		scheduler = EarliestDue{}
 	}
 	if p.FairShare > 0 {
-		order = NewFairShare(order, p.FairShare)
+		scheduler = NewFairShare(scheduler, p.FairShare)
 	}
-	return order
+	return scheduler
 }
--- a/internal/requestqueue/request.go
+++ b/internal/requestqueue/request.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// Request is a request that waits.
+// Request is a waiting request.
 type Request struct {
-	// Priority orders kinds of requests; 0 is the most urgent.
+	// Priority is the urgency of the request; 0 is the most urgent.
 	Priority uint8
-	// StartedAt is when the client began with the request, as far as is known.
+	// StartedAt is when the client started the request, as far as is known.
 	StartedAt time.Duration
-	// Objective is the time from Began in which the client should have the answer.
+	// Objective is the latency objective: the time from StartedAt to the answer.
 	Objective time.Duration
-	// Timeout is the time from Began after which the client gives up; 0 means that it
-	// never does.
+	// Timeout is the time from StartedAt after which the client gives up; 0 means never.
 	Timeout time.Duration
 }
 
-// due is when the request has to be answered to meet its objective.
+// due returns the latest time of an answer that meets the objective.
 func (r Request) due() time.Duration { return r.StartedAt + r.Objective }
 
-// deadline is when the client gives up, the latest time if it never does.
+// deadline returns when the client gives up, or the maximum time if it never does.
 func (r Request) deadline() time.Duration {
 	if r.Timeout == 0 {
 		return math.MaxInt64
@@ -29,23 +28,23 @@
 	return r.StartedAt + r.Timeout
 }
 
-// Timeliness is what a request can still achieve.
+// Timeliness tells how timely the answer to a request can still be.
 type Timeliness uint8
 
-// The outlooks, the best first.
+// The degrees of timeliness, best first.
 const (
-	// InTime: it can be answered within its objective.
+	// InTime: the answer can meet the latency objective.
 	InTime Timeliness = iota
-	// Late: it can be answered before its client gives up.
+	// Late: the answer can still arrive before the client gives up.
 	Late
-	// Expired: its client has given up or will before the answer.
+	// Expired: the client gives up before the answer.
 	Expired
 )
 
-// Timeliness returns what the request can achieve if it is begun now and takes as long as
-// work.
-func (r Request) Timeliness(now, work time.Duration) Timeliness {
-	answered := now + work
+// Timeliness returns how timely the answer is if the request is started now and takes the
+// given processing time.
+func (r Request) Timeliness(now, processingTime time.Duration) Timeliness {
+	answered := now + processingTime
 	switch {
 	case answered <= r.due():
 		return InTime
--- a/internal/requestqueue/scheduler.go
+++ b/internal/requestqueue/scheduler.go
@@ -6,35 +6,38 @@
 	"time"
 )
 
-// Capacity is what the endpoint can do.
+// Capacity describes how fast an endpoint processes requests.
 type Capacity struct {
-	// Concurrency is how many requests it is given at the same time, at least one.
+	// Concurrency is the number of requests that the endpoint is given at a time, at least
+	// one.
 	Concurrency uint32
-	// ProcessingTime is the mean time from a request to its answer.
+	// ProcessingTime is the mean time from giving it a request to the answer.
 	ProcessingTime time.Duration
 }
 
-// interval is the mean time between two answers of an endpoint all of whose slots are busy.
-func (c Capacity) interval() time.Duration { return c.ProcessingTime / time.Duration(c.Concurrency) }
+// answerInterval is the mean time between two answers while all slots are busy.
+func (c Capacity) answerInterval() time.Duration {
+	return c.ProcessingTime / time.Duration(c.Concurrency)
+}
 
-// Scheduler decides which request is served first.
+// Scheduler decides which waiting request is served next.
 type Scheduler interface {
-	// Next chooses the request that gets a slot now. There is at least one.
+	// Next chooses the request that gets a slot now. There must be at least one.
 	Next(now time.Duration, capacity Capacity, waiting []Request) Choice
 }
 
-// NewestFirst serves requests that can be in time before others, by priority and then the
-// newest first: serving the oldest first makes all late under overload (adaptive LIFO:
-// Maurer, "Fail at Scale", ACM Queue 2015). The others follow by priority and then in the
-// order in which their clients give up.
+// NewestFirst serves requests that can be in time before all others, by priority and then the
+// newest first. Serving the oldest first would make all requests late under overload (adaptive
+// LIFO: Maurer, "Fail at Scale", ACM Queue 2015). The other requests follow by priority and
+// then by the time at which their clients give up.
 type NewestFirst struct{}
 
-// Next implements Order.
+// Next implements Scheduler.
 func (NewestFirst) Next(now time.Duration, capacity Capacity, waiting []Request) Choice {
-	index := first(waiting, func(a, b Request) int {
-		outlook := a.Timeliness(now, capacity.ProcessingTime)
-		order := cmp.Or(cmp.Compare(outlook, b.Timeliness(now, capacity.ProcessingTime)), cmp.Compare(a.Priority, b.Priority))
-		if outlook == InTime {
+	index := minIndex(waiting, func(a, b Request) int {
+		timeliness := a.Timeliness(now, capacity.ProcessingTime)
+		order := cmp.Or(cmp.Compare(timeliness, b.Timeliness(now, capacity.ProcessingTime)), cmp.Compare(a.Priority, b.Priority))
+		if timeliness == InTime {
 			return cmp.Or(order, cmp.Compare(b.StartedAt, a.StartedAt))
 		}
 		return cmp.Or(order, cmp.Compare(a.deadline(), b.deadline()))
@@ -45,63 +48,69 @@
 	return Choice{index, ReasonLate}
 }
 
-// The times by which EarliestDue decides, as multiples of the expected work.
+// The thresholds of EarliestDue, as multiples of the processing time.
 const (
-	// lastChance: a late request whose client gives up in less may be lost if it is not begun
-	// now. The next slot is free sooner than that, but work varies, and so does the wait.
+	// lastChance: a late request whose client gives up within this time may be lost unless it
+	// is started now. The next slot usually becomes free earlier, but processing times and
+	// waits vary.
 	lastChance = 2
-	// safeSlack is what requests in time must have left for all to count as in time: others
-	// follow, and work varies.
+	// safeSlack is the slack that all requests in time must have to be served by due date.
+	// It covers requests that are yet to arrive and varying processing times.
 	safeSlack = 0.5
-	// ampleSlack is the same for a late request to go before them: what follows must still
-	// be in time.
+	// ampleSlack is the slack that they must have for a late request to be served before
+	// them, so that they are still in time after it.
 	ampleSlack = 2
 )
 
-// EarliestDue serves requests by priority. Of one priority, those that can be in time go by
-// when their objective ends while all of them can be (earliest due date: Jackson, 1955), so
-// that none becomes late for one that could have waited, and the newest first once they
-// cannot. Late ones whose clients are about to give up go before them while they have ample
-// slack (slack stealing: Lehoczky and Ramos-Thuel, 1992), else after them. Other late
-// requests, whatever their priority, wait for all of these.
+// EarliestDue serves requests by priority, and within one priority as follows:
+//
+// While all requests that can be in time fit, they are served by due date (earliest due date:
+// Jackson, 1955), so that none becomes late because of one that could have waited. Once they
+// do not fit, the newest is served first.
+//
+// Late requests whose clients are about to give up go before them if these have ample slack
+// (slack stealing: Lehoczky and Ramos-Thuel, 1992), and otherwise after them.
+//
+// All other late requests, whatever their priority, are served last.
 type EarliestDue struct{}
 
-// Next implements Order.
+// Next implements Scheduler.
 func (EarliestDue) Next(now time.Duration, capacity Capacity, waiting []Request) Choice {
-	inTime, giveUp := mostUrgent(now, capacity, waiting)
+	inTime, givingUp := mostUrgent(now, capacity, waiting)
 	slices.SortStableFunc(inTime, func(a, b int) int { return cmp.Compare(waiting[a].due(), waiting[b].due()) })
 	switch {
-	case len(giveUp) > 0 && allInTime(now+ampleSlack*capacity.ProcessingTime, capacity, waiting, inTime):
-		index := slices.MinFunc(giveUp, func(a, b int) int { return cmp.Compare(waiting[a].deadline(), waiting[b].deadline()) })
+	case len(givingUp) > 0 && allInTime(now+ampleSlack*capacity.ProcessingTime, capacity, waiting, inTime):
+		index := slices.MinFunc(givingUp, func(a, b int) int { return cmp.Compare(waiting[a].deadline(), waiting[b].deadline()) })
 		return Choice{index, ReasonLastChance}
 	case len(inTime) == 0:
 		return NewestFirst{}.Next(now, capacity, waiting)
-	case allInTime(now+scaled(capacity.ProcessingTime, safeSlack), capacity, waiting, inTime):
+	case allInTime(now+scale(capacity.ProcessingTime, safeSlack), capacity, waiting, inTime):
 		return Choice{inTime[0], ReasonEarliestDue}
 	}
 	newest := slices.MaxFunc(inTime, func(a, b int) int { return cmp.Compare(waiting[a].StartedAt, waiting[b].StartedAt) })
 	return Choice{newest, ReasonNewest}
 }
 
-func scaled(work time.Duration, factor float64) time.Duration {
-	return time.Duration(factor * float64(work))
+func scale(processingTime time.Duration, factor float64) time.Duration {
+	return time.Duration(factor * float64(processingTime))
 }
 
-// allInTime reports whether requests, by their indices, are in time if they are begun in
-// this order from a time on.
-func allInTime(begun time.Duration, capacity Capacity, waiting []Request, indices []int) bool {
+// allInTime reports whether the requests with the given indices are in time if they are
+// started in this order, the first at start.
+func allInTime(start time.Duration, capacity Capacity, waiting []Request, indices []int) bool {
 	for _, index := range indices {
-		if waiting[index].Timeliness(begun, capacity.ProcessingTime) != InTime {
+		if waiting[index].Timeliness(start, capacity.ProcessingTime) != InTime {
 			return false
 		}
-		begun += capacity.interval()
+		start += capacity.answerInterval()
 	}
 	return true
 }
 
-// mostUrgent returns the indices of the requests that can be in time, and of the late ones
-// whose clients are about to give up, of the most urgent priority that has any.
-func mostUrgent(now time.Duration, capacity Capacity, waiting []Request) (inTime, giveUp []int) {
+// mostUrgent considers the requests that can be in time and the late ones whose clients are
+// about to give up. It returns the indices of both kinds for the most urgent priority among
+// them.
+func mostUrgent(now time.Duration, capacity Capacity, waiting []Request) (inTime, givingUp []int) {
 	urgent := -1
 	for index, request := range waiting {
 		isInTime := request.Timeliness(now, capacity.ProcessingTime) == InTime
@@ -110,21 +119,21 @@
 		}
 		if urgent < 0 || int(request.Priority) < urgent {
 			urgent = int(request.Priority)
-			inTime, giveUp = nil, nil
+			inTime, givingUp = nil, nil
 		}
 		switch {
 		case int(request.Priority) > urgent:
 		case isInTime:
 			inTime = append(inTime, index)
 		default:
-			giveUp = append(giveUp, index)
+			givingUp = append(givingUp, index)
 		}
 	}
-	return inTime, giveUp
+	return inTime, givingUp
 }
 
-// first returns the index of the least request, the first of equal ones.
-func first(waiting []Request, compare func(a, b Request) int) int {
+// minIndex returns the index of the smallest request, the first of equal ones.
+func minIndex(waiting []Request, compare func(a, b Request) int) int {
 	least := 0
 	for index := range waiting {
 		if compare(waiting[index], waiting[least]) < 0 {
