--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -5,234 +5,241 @@
 	"time"
 )
 
-// Config are the settings of a Detector.
+// Config holds the settings of a Detector.
 type Config struct {
-	// Window is the number of latest outcomes that count, and Failures how many of them
-	// eject an endpoint; 0 failures switch ejections for bad answers off.
+	// Window is the number of latest outcomes that count. FailureThreshold is the number of
+	// bad ones among them that ejects an endpoint; 0 disables ejections for bad answers.
 	Window           int
 	FailureThreshold int
-	// BaseEjectionTime is how long an endpoint that fails is left out at first. The time
-	// doubles up to LongestEjection while its trials fail.
+	// BaseEjectionTime is the length of the first ejection. It doubles with each trial that
+	// fails, up to MaxEjectionTime.
 	BaseEjectionTime time.Duration
 	MaxEjectionTime  time.Duration
 }
 
-// DefaultConfig returns limits for endpoints that answer some ten requests a second of each
-// zone: three of ten bad answers come by chance about once in a hundred windows where one
-// request in twenty fails, and within half a second where six in ten do.
+// DefaultConfig returns settings for endpoints that answer about ten requests per second and
+// zone. Three bad answers of ten occur by chance in about one of a hundred windows if one
+// request in twenty fails, and within half a second if six in ten fail.
 func DefaultConfig() Config {
 	return Config{Window: 10, FailureThreshold: 3, BaseEjectionTime: time.Second, MaxEjectionTime: 8 * time.Second}
 }
 
 const (
-	// zoneLimit bounds the zones that are told apart: balancers name them.
-	zoneLimit = 64
-	// openingPatience is how long opening packets may be without any word of the endpoint,
-	// which takes flows within a millisecond, and openingsLost how many must be.
-	openingPatience = 45 * time.Millisecond
-	openingsLost    = 2
+	// maxZones bounds the number of zones with a tracker of their own, since balancers can
+	// send any zone name.
+	maxZones = 64
+	// openingTimeout is how long the endpoint may send nothing after an opening packet; it
+	// usually accepts a flow within a millisecond. minUnansweredOpenings is the number of
+	// opening packets that must be unanswered, since a single one may be lost.
+	openingTimeout        = 45 * time.Millisecond
+	minUnansweredOpenings = 2
 )
 
-// StateChange is a change of an endpoint's state.
+// StateChange is a change of the state of an endpoint.
 type StateChange struct {
-	// Zone is that of the clients concerned, empty for all.
+	// Zone is the zone of the clients concerned, empty for all clients.
 	Zone  string
 	State State
-	// Reason is the class of the outcome that decided; it is Success for a restoration.
+	// Reason is the outcome that caused the change, Success if the endpoint is healthy again.
 	Reason Outcome
-	// Failures of Outcomes are the evidence, and Hold how long the state lasts at least.
+	// Failures is the number of bad ones among Outcomes latest outcomes. HoldTime is how long
+	// the endpoint gets no new flow.
 	Failures, Outcomes int
 	HoldTime           time.Duration
 }
 
 // Detector decides whether one endpoint gets new flows. It is not safe for concurrent use.
 type Detector struct {
-	limits Config
-	// shared is what holds for all clients; zones are the tracks of clients' zones, since
-	// an endpoint may fail for those of one zone alone.
-	shared  track
-	zones   []zoneTrack
+	config Config
+	// shared tracks the outcomes of all clients. zones holds one tracker per zone of clients,
+	// since an endpoint may fail for the clients of one zone only.
+	shared  tracker
+	zones   []zoneTracker
 	changes []StateChange
-	// unheard is the number of opening packets since the endpoint was last heard, and
-	// since when that is.
-	unheard int
-	since   time.Duration
+	// unanswered is the number of opening packets since the latest packet of the endpoint,
+	// and unansweredSince the time of the first of them.
+	unanswered      int
+	unansweredSince time.Duration
 }
 
-// zoneTrack is the track of the clients of one zone.
-type zoneTrack struct {
+// zoneTracker is the tracker of the clients of one zone.
+type zoneTracker struct {
 	zone string
-	*track
+	*tracker
 }
 
-// NewDetector returns the detector of an endpoint of which nothing is known.
-func NewDetector(limits Config) *Detector {
-	return &Detector{limits: limits, shared: track{limits: limits}}
+// NewDetector returns the detector of an endpoint without outcomes, which is healthy.
+func NewDetector(config Config) *Detector {
+	return &Detector{config: config, shared: tracker{config: config}}
 }
 
-// Reset forgets everything: the endpoint was started again.
+// Reset drops all outcomes and states after a restart of the endpoint.
 func (d *Detector) Reset() {
 	changes := d.changes
-	*d = *NewDetector(d.limits)
+	*d = *NewDetector(d.config)
 	d.changes = changes
 }
 
-// TakeChanges returns what has changed since it was called last.
+// TakeChanges returns the state changes since the previous call.
 func (d *Detector) TakeChanges() []StateChange {
 	changes := d.changes
 	d.changes = nil
 	return changes
 }
 
-// known returns the track of a zone, nil if there is none.
-func (d *Detector) known(zone string) *track {
+// existingTracker returns the tracker of a zone, nil if there is none.
+func (d *Detector) existingTracker(zone string) *tracker {
 	for _, each := range d.zones {
 		if each.zone == zone {
-			return each.track
+			return each.tracker
 		}
 	}
 	return nil
 }
 
-// zone returns the track of a zone. That of one too many is forgotten at once.
-func (d *Detector) zone(name string) *track {
-	if known := d.known(name); known != nil {
+// trackerOf returns the tracker of a zone and creates it if necessary. Beyond maxZones it
+// returns a new tracker that is not kept.
+func (d *Detector) trackerOf(name string) *tracker {
+	if known := d.existingTracker(name); known != nil {
 		return known
 	}
-	created := &track{limits: d.limits}
-	if len(d.zones) < zoneLimit {
-		d.zones = append(d.zones, zoneTrack{name, created})
+	created := &tracker{config: d.config}
+	if len(d.zones) < maxZones {
+		d.zones = append(d.zones, zoneTracker{name, created})
 	}
 	return created
 }
 
-// RecordOutcome notes what became of a request of a client's zone; wait is how long the endpoint
-// wants to be spared after a refusal.
-func (d *Detector) RecordOutcome(now time.Duration, zone string, class Outcome, wait time.Duration) {
+// RecordOutcome records the outcome of a request of a client in a zone. After a refusal,
+// retryAfter is the time for which the endpoint asks to get no requests.
+func (d *Detector) RecordOutcome(now time.Duration, zone string, outcome Outcome, retryAfter time.Duration) {
 	d.advance(now)
-	if class != Success && d.limits.FailureThreshold == 0 {
+	if outcome != Success && d.config.FailureThreshold == 0 {
 		return
 	}
-	own := d.zone(zone)
-	for _, each := range []*track{own, &d.shared} {
-		each.add(now, zone, class)
+	own := d.trackerOf(zone)
+	for _, each := range []*tracker{own, &d.shared} {
+		each.add(now, zone, outcome)
 	}
 	count, _ := own.failures()
-	enough := class != Success && (count >= d.limits.FailureThreshold || class == Refusal)
-	d.judge(now, zone, own, class, wait, enough)
-	all, zones := d.shared.failures()
-	enough = class != Success && all >= d.limits.FailureThreshold && zones > 1
-	d.judge(now, "", &d.shared, class, wait, enough)
+	ejects := outcome != Success && (count >= d.config.FailureThreshold || outcome == Refusal)
+	d.update(now, zone, own, outcome, retryAfter, ejects)
+	total, zones := d.shared.failures()
+	ejects = outcome != Success && total >= d.config.FailureThreshold && zones > 1
+	d.update(now, "", &d.shared, outcome, retryAfter, ejects)
 }
 
-// RecordHang notes that a request of any client takes far longer than others, again for as long
-// as it does.
-func (d *Detector) RecordHang(now time.Duration) { d.absentOrHung(now, Hang) }
+// RecordHang records that a request of any client takes far longer than others. The caller
+// repeats it while the request hangs, which extends the ejection.
+func (d *Detector) RecordHang(now time.Duration) { d.ejectNow(now, Hang) }
 
-// RecordReturn notes that the endpoint did not take an opening packet.
-func (d *Detector) RecordReturn(now time.Duration) { d.absentOrHung(now, PacketReturned) }
+// RecordReturn records that the endpoint returned an opening packet.
+func (d *Detector) RecordReturn(now time.Duration) { d.ejectNow(now, PacketReturned) }
 
-func (d *Detector) absentOrHung(now time.Duration, class Outcome) {
+func (d *Detector) ejectNow(now time.Duration, outcome Outcome) {
 	d.advance(now)
 	if d.shared.state == Ejected {
-		d.shared.prolong(now)
+		d.shared.extend(now)
 		return
 	}
-	d.judge(now, "", &d.shared, class, 0, true)
+	d.update(now, "", &d.shared, outcome, 0, true)
 }
 
-// RecordOpening notes that the endpoint was given an opening packet.
+// RecordOpening records that the endpoint was given an opening packet.
 func (d *Detector) RecordOpening(now time.Duration) {
-	if d.unheard == 0 {
-		d.since = now
+	if d.unanswered == 0 {
+		d.unansweredSince = now
 	}
-	d.unheard++
+	d.unanswered++
 }
 
-// RecordPacket notes that the endpoint has said something; took is set if it was that it takes a
-// flow.
-func (d *Detector) RecordPacket(now time.Duration, took bool) {
-	d.unheard = 0
-	if took && d.shared.state != Healthy && d.shared.reason.absent() {
+// RecordPacket records that the endpoint sent a packet; accepted is set if the packet accepts
+// a flow. An endpoint that was ejected as unreachable is then healthy at once.
+func (d *Detector) RecordPacket(now time.Duration, accepted bool) {
+	d.unanswered = 0
+	if accepted && d.shared.state != Healthy && d.shared.reason.unreachable() {
 		d.shared.restore()
-		d.changed(now, "", &d.shared)
+		d.recordChange(now, "", &d.shared)
 	}
 }
 
-// CheckDue returns when Check should be called at the latest, false if it need not be.
+// CheckDue returns when CheckOpenings should be called, false if no call is needed.
 func (d *Detector) CheckDue() (time.Duration, bool) {
-	return d.since + openingPatience, d.unheard >= d.openings()
+	return d.unansweredSince + openingTimeout, d.unanswered >= d.unansweredLimit()
 }
 
-// openings is how many opening packets must be without an answer; one that is on trial has
-// no other.
-func (d *Detector) openings() int {
+// unansweredLimit returns how many opening packets must be unanswered for an ejection. An
+// endpoint on probation gets only one.
+func (d *Detector) unansweredLimit() int {
 	if d.shared.state == Probation {
 		return 1
 	}
-	return openingsLost
+	return minUnansweredOpenings
 }
 
-// CheckOpenings notices that opening packets have got no answer.
+// CheckOpenings ejects the endpoint if it has not answered opening packets in time.
 func (d *Detector) CheckOpenings(now time.Duration) {
-	due, waits := d.CheckDue()
-	if !waits || now < due {
+	due, needed := d.CheckDue()
+	if !needed || now < due {
 		return
 	}
-	d.unheard = 0
-	d.absentOrHung(now, NoResponse)
+	d.unanswered = 0
+	d.ejectNow(now, NoResponse)
 }
 
-// Admit reports whether a new flow of a client's zone may come, and takes account of it.
+// Admit reports whether the endpoint may get a new flow of a client in a zone. On probation an
+// admitted flow counts as a trial.
 func (d *Detector) Admit(now time.Duration, zone string) bool {
 	d.advance(now)
-	own := d.zone(zone)
-	if !own.open(now) || !d.shared.open(now) {
+	own := d.trackerOf(zone)
+	if !own.acceptsFlow(now) || !d.shared.acceptsFlow(now) {
 		return false
 	}
-	own.try(now)
-	d.shared.try(now)
+	own.recordTrial(now)
+	d.shared.recordTrial(now)
 	return true
 }
 
-// Report returns what a balancer of a zone shall know.
+// Report returns the report for the balancers of a zone. It is about the clients of that zone
+// if their tracker has evidence of its own and the shared one is healthy, and otherwise about
+// all clients.
 func (d *Detector) Report(now time.Duration, zone string) Report {
 	d.advance(now)
-	judged := &d.shared
-	own := d.known(zone)
-	if own != nil && d.shared.state == Healthy && own.tells(d.limits.FailureThreshold) {
-		judged = own
+	source := &d.shared
+	own := d.existingTracker(zone)
+	if own != nil && d.shared.state == Healthy && own.hasEvidence(d.config.FailureThreshold) {
+		source = own
 	}
-	failures, _ := judged.failures()
+	failures, _ := source.failures()
 	return Report{
-		Outcomes:         uint8(min(len(judged.outcomes), math.MaxUint8)),
+		Outcomes:         uint8(min(len(source.outcomes), math.MaxUint8)),
 		Failures:         uint8(min(failures, math.MaxUint8)),
-		Reason:           judged.reason,
-		HoldMilliseconds: uint16(min(judged.hold(now).Milliseconds(), math.MaxUint16)),
+		Reason:           source.reason,
+		HoldMilliseconds: uint16(min(source.holdTime(now).Milliseconds(), math.MaxUint16)),
 	}
 }
 
 func (d *Detector) advance(now time.Duration) {
 	if d.shared.advance(now) {
-		d.changed(now, "", &d.shared)
+		d.recordChange(now, "", &d.shared)
 	}
 	for _, each := range d.zones {
 		if each.advance(now) {
-			d.changed(now, each.zone, each.track)
+			d.recordChange(now, each.zone, each.tracker)
 		}
 	}
 }
 
-func (d *Detector) judge(now time.Duration, zone string, judged *track, class Outcome, wait time.Duration, ejects bool) {
-	if judged.judge(now, class, wait, ejects) {
-		d.changed(now, zone, judged)
+func (d *Detector) update(now time.Duration, zone string, updated *tracker, outcome Outcome, retryAfter time.Duration, ejects bool) {
+	if updated.update(now, outcome, retryAfter, ejects) {
+		d.recordChange(now, zone, updated)
 	}
 }
 
-func (d *Detector) changed(now time.Duration, zone string, judged *track) {
-	failures, _ := judged.failures()
+func (d *Detector) recordChange(now time.Duration, zone string, changed *tracker) {
+	failures, _ := changed.failures()
 	d.changes = append(d.changes, StateChange{
-		Zone: zone, State: judged.state, Reason: judged.reason,
-		Failures: failures, Outcomes: len(judged.outcomes), HoldTime: judged.hold(now),
+		Zone: zone, State: changed.state, Reason: changed.reason,
+		Failures: failures, Outcomes: len(changed.outcomes), HoldTime: changed.holdTime(now),
 	})
 }
--- a/internal/outlier/outcome.go
+++ b/internal/outlier/outcome.go
@@ -2,62 +2,63 @@
 
 import "github.com/vanetiller/vanetiller/internal/label"
 
-// Outcome is what became of something that an endpoint was given.
+// Outcome is the result of a request or an opening packet that an endpoint was given.
 type Outcome uint8
 
-// The classes.
+// The outcomes.
 const (
-	// Success: a request was answered.
+	// Success: the request was answered.
 	Success Outcome = iota
-	// Failure: the answer says that the endpoint has failed.
+	// Failure: the answer reports a failure of the endpoint.
 	Failure
-	// Refusal: the answer says that the request has not run: load, not a fault.
+	// Refusal: the answer reports that the request was not executed. The cause is load, not
+	// a fault.
 	Refusal
-	// ConnectionReset: the endpoint has reset a flow on which a request was waiting.
+	// ConnectionReset: the endpoint reset a flow with a pending request.
 	ConnectionReset
-	// Hang: a request takes far longer than others.
+	// Hang: the request takes far longer than others.
 	Hang
-	// PacketReturned: an opening packet was not taken.
+	// PacketReturned: the endpoint returned an opening packet.
 	PacketReturned
-	// NoResponse: opening packets get no answer.
+	// NoResponse: the endpoint did not answer opening packets.
 	NoResponse
-	classCount
+	outcomeCount
 )
 
-var classNames = []string{"success", "failure", "refusal", "break", "hang", "return", "silence"}
+var outcomeNames = []string{"success", "failure", "refusal", "break", "hang", "return", "silence"}
 
-// String returns the class in the form used as a metric label.
-func (c Outcome) String() string { return label.Of(classNames, c) }
+// String returns the outcome as a metric label.
+func (o Outcome) String() string { return label.Of(outcomeNames, o) }
 
-// Outcomes lists every class, for counters that are kept by class.
-func Outcomes() []Outcome { return label.All(classCount) }
+// Outcomes returns all outcomes, for counters by outcome.
+func Outcomes() []Outcome { return label.All(outcomeCount) }
 
-// absent reports whether the class shows that nobody is there to run anything: to ask
-// another endpoint is right then, however many there are left.
-func (c Outcome) absent() bool { return c == PacketReturned || c == NoResponse }
+// unreachable reports whether the outcome shows that nothing runs at the endpoint. Its flows
+// then go to other endpoints, however few are left.
+func (o Outcome) unreachable() bool { return o == PacketReturned || o == NoResponse }
 
-// byItsNature reports whether requests may have such an outcome at every endpoint, so that
-// it says something only beside the others'.
-func (c Outcome) byItsNature() bool { return c == Failure || c == ConnectionReset }
+// needsComparison reports whether requests may have this outcome at every endpoint. It is
+// evidence against one endpoint only if the others have it less often.
+func (o Outcome) needsComparison() bool { return o == Failure || o == ConnectionReset }
 
-// State is how an endpoint is treated.
+// State tells which new flows an endpoint gets.
 type State uint8
 
 // The states.
 const (
-	// Healthy: it gets new flows.
+	// Healthy: the endpoint gets new flows.
 	Healthy State = iota
-	// Ejected: it gets none.
+	// Ejected: the endpoint gets no new flow.
 	Ejected
-	// Probation: it gets single ones, as trials.
+	// Probation: the endpoint gets single flows as trials.
 	Probation
 	stateCount
 )
 
 var stateNames = []string{"healthy", "ejected", "probation"}
 
-// String returns the state in the form used as a metric label.
+// String returns the state as a metric label.
 func (s State) String() string { return label.Of(stateNames, s) }
 
-// States lists every state.
+// States returns all states.
 func States() []State { return label.All(stateCount) }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -26,17 +26,17 @@
 
 	BeforeEach(func() { detector = outlier.NewDetector(outlier.DefaultConfig()) })
 
-	answers := func(at time.Duration, zone string, classes ...outlier.Outcome) {
-		for _, class := range classes {
-			detector.RecordOutcome(at, zone, class, 0)
+	record := func(at time.Duration, zone string, outcomes ...outlier.Outcome) {
+		for _, outcome := range outcomes {
+			detector.RecordOutcome(at, zone, outcome, 0)
 		}
 	}
-	repeated := func(class outlier.Outcome, count int) []outlier.Outcome {
-		classes := make([]outlier.Outcome, count)
-		for index := range classes {
-			classes[index] = class
+	repeat := func(outcome outlier.Outcome, count int) []outlier.Outcome {
+		outcomes := make([]outlier.Outcome, count)
+		for index := range outcomes {
+			outcomes[index] = outcome
 		}
-		return classes
+		return outcomes
 	}
 	states := func() []outlier.State {
 		var found []outlier.State
@@ -46,19 +46,19 @@
 		return found
 	}
 
-	It("trusts an endpoint of which nothing is known, or whose answers are good", func() {
+	It("admits flows to an endpoint without outcomes or with good ones only", func() {
 		Expect(detector.Admit(0, north)).To(BeTrue())
-		answers(0, north, repeated(outlier.Success, 50)...)
+		record(0, north, repeat(outlier.Success, 50)...)
 		Expect(detector.Admit(0, north)).To(BeTrue())
 		Expect(detector.Report(0, north)).To(Equal(outlier.Report{Outcomes: 10}))
 		Expect(detector.TakeChanges()).To(BeEmpty())
 	})
 
-	It("ejects an endpoint with three bad answers of ten, for clients of all zones if those of two saw them", func() {
-		answers(0, north, repeated(outlier.Success, 20)...)
-		answers(0, north, outlier.Failure, outlier.Failure)
-		Expect(detector.Admit(0, north)).To(BeTrue(), "two may be chance")
-		answers(0, south, outlier.ConnectionReset)
+	It("ejects an endpoint for all zones after three bad outcomes of ten in two zones", func() {
+		record(0, north, repeat(outlier.Success, 20)...)
+		record(0, north, outlier.Failure, outlier.Failure)
+		Expect(detector.Admit(0, north)).To(BeTrue(), "two bad outcomes may be chance")
+		record(0, south, outlier.ConnectionReset)
 		Expect(detector.Admit(0, north)).To(BeFalse())
 		Expect(detector.Admit(0, south)).To(BeFalse())
 		report := detector.Report(0, "elsewhere")
@@ -66,9 +66,9 @@
 		Expect(report.Valid()).To(BeTrue())
 	})
 
-	It("ejects an endpoint that fails for the clients of one zone for these alone", func() {
-		answers(0, south, repeated(outlier.Success, 8)...)
-		answers(0, north, repeated(outlier.Failure, 5)...)
+	It("ejects an endpoint only for the zone whose clients have all bad outcomes", func() {
+		record(0, south, repeat(outlier.Success, 8)...)
+		record(0, north, repeat(outlier.Failure, 5)...)
 		Expect(detector.Admit(0, north)).To(BeFalse())
 		Expect(detector.Admit(0, south)).To(BeTrue())
 		Expect(detector.Report(0, north).HoldMilliseconds).To(BeEquivalentTo(1000))
@@ -78,51 +78,51 @@
 		}}))
 	})
 
-	It("forgets what is more than five seconds old", func() {
-		answers(0, north, outlier.Failure, outlier.Failure)
-		answers(5100*millisecond, north, outlier.Failure, outlier.Success)
+	It("ignores outcomes that are more than five seconds old", func() {
+		record(0, north, outlier.Failure, outlier.Failure)
+		record(5100*millisecond, north, outlier.Failure, outlier.Success)
 		Expect(detector.Admit(5100*millisecond, north)).To(BeTrue())
 	})
 
-	It("lets an endpoint prove itself by single flows, and trusts it after five good answers", func() {
-		answers(0, north, repeated(outlier.Failure, 3)...)
+	It("admits single trial flows on probation, and restores the endpoint after five successes", func() {
+		record(0, north, repeat(outlier.Failure, 3)...)
 		Expect(detector.Admit(999*millisecond, north)).To(BeFalse())
 		Expect(detector.Admit(time.Second, north)).To(BeTrue())
-		Expect(detector.Admit(1199*millisecond, north)).To(BeFalse(), "one trial at a time")
+		Expect(detector.Admit(1199*millisecond, north)).To(BeFalse(), "trials are 200 ms apart")
 		Expect(detector.Report(1100*millisecond, north).HoldMilliseconds).To(BeEquivalentTo(100))
-		answers(1200*millisecond, north, repeated(outlier.Success, 4)...)
+		record(1200*millisecond, north, repeat(outlier.Success, 4)...)
 		Expect(states()).To(Equal([]outlier.State{outlier.Ejected, outlier.Probation}))
-		answers(1200*millisecond, north, outlier.Success)
+		record(1200*millisecond, north, outlier.Success)
 		Expect(states()).To(Equal([]outlier.State{outlier.Healthy}))
 		Expect(detector.Admit(1201*millisecond, north)).To(BeTrue())
 		Expect(detector.Admit(1202*millisecond, north)).To(BeTrue())
-		answers(1300*millisecond, north, outlier.Failure)
-		Expect(detector.Admit(1300*millisecond, north)).To(BeTrue(), "what was before does not count any more")
+		record(1300*millisecond, north, outlier.Failure)
+		Expect(detector.Admit(1300*millisecond, north)).To(BeTrue(), "earlier outcomes no longer count")
 	})
 
-	It("leaves an endpoint out for twice as long with each trial that fails, eight seconds at the most", func() {
+	It("doubles the ejection time with each trial that fails, up to eight seconds", func() {
 		now := time.Duration(0)
-		answers(now, north, repeated(outlier.Failure, 3)...)
+		record(now, north, repeat(outlier.Failure, 3)...)
 		for _, expected := range []time.Duration{1, 2, 4, 8, 8} {
 			Expect(detector.Report(now, north).HoldTime()).To(Equal(expected * time.Second))
 			now += expected * time.Second
 			Expect(detector.Admit(now, north)).To(BeTrue())
-			answers(now, north, outlier.Failure)
+			record(now, north, outlier.Failure)
 		}
 	})
 
-	It("spares an endpoint that has refused a request for as long as it asks, within bounds", func() {
-		for _, wait := range []struct{ asked, spared time.Duration }{
+	It("ejects an endpoint after a refusal for the time that it asks for, from 250 ms to 2 s", func() {
+		for _, refusal := range []struct{ asked, expected time.Duration }{
 			{0, 250 * millisecond}, {time.Second, time.Second}, {time.Minute, 2 * time.Second},
 		} {
 			detector.Reset()
-			detector.RecordOutcome(0, north, outlier.Refusal, wait.asked)
-			Expect(detector.Report(0, north).HoldTime()).To(Equal(wait.spared))
+			detector.RecordOutcome(0, north, outlier.Refusal, refusal.asked)
+			Expect(detector.Report(0, north).HoldTime()).To(Equal(refusal.expected))
 			Expect(detector.Admit(0, south)).To(BeTrue())
 		}
 	})
 
-	It("leaves an endpoint out that takes nothing, for a second at the most, and trusts it as soon as it takes a flow", func() {
+	It("ejects an endpoint that returns opening packets for up to one second, and restores it once it accepts a flow", func() {
 		now := time.Duration(0)
 		for _, expected := range []time.Duration{300, 600, 1000, 1000} {
 			Expect(detector.Admit(now, north)).To(BeTrue())
@@ -137,13 +137,13 @@
 		Expect(detector.Admit(now, north)).To(BeTrue())
 	})
 
-	It("leaves an endpoint out that does not answer two opening packets for 45 ms", func() {
+	It("ejects an endpoint that leaves two opening packets unanswered for 45 ms", func() {
 		detector.RecordOpening(0)
-		_, waits := detector.CheckDue()
-		Expect(waits).To(BeFalse(), "one may be lost")
+		_, needed := detector.CheckDue()
+		Expect(needed).To(BeFalse(), "a single packet may be lost")
 		detector.RecordOpening(10 * millisecond)
-		due, waits := detector.CheckDue()
-		Expect(waits).To(BeTrue())
+		due, needed := detector.CheckDue()
+		Expect(needed).To(BeTrue())
 		Expect(due).To(Equal(45 * millisecond))
 		detector.CheckOpenings(44 * millisecond)
 		Expect(detector.Admit(44*millisecond, north)).To(BeTrue())
@@ -153,10 +153,10 @@
 		Expect(detector.Admit(trial, north)).To(BeTrue())
 		detector.RecordOpening(trial)
 		detector.CheckOpenings(trial + 45*millisecond)
-		Expect(detector.Report(trial+45*millisecond, north).HoldTime()).To(Equal(600*millisecond), "one is enough on trial")
+		Expect(detector.Report(trial+45*millisecond, north).HoldTime()).To(Equal(600*millisecond), "one unanswered packet is enough on probation")
 	})
 
-	It("does not take an endpoint for silent that has answered meanwhile", func() {
+	It("does not eject an endpoint that sent a packet after the first opening", func() {
 		detector.RecordOpening(0)
 		detector.RecordPacket(millisecond, true)
 		detector.RecordOpening(40 * millisecond)
@@ -164,7 +164,7 @@
 		Expect(detector.Admit(50*millisecond, north)).To(BeTrue())
 	})
 
-	It("leaves an endpoint out for as long as a request hangs, and longer", func() {
+	It("ejects an endpoint while a request hangs, and for the ejection time after it", func() {
 		for now := time.Duration(0); now < 3*time.Second; now += 100 * millisecond {
 			detector.RecordHang(now)
 			Expect(detector.Admit(now, north)).To(BeFalse())
@@ -173,77 +173,77 @@
 		Expect(detector.Admit(3900*millisecond, north)).To(BeTrue())
 	})
 
-	It("holds nothing against an endpoint that was started again", func() {
-		answers(0, north, repeated(outlier.Failure, 3)...)
+	It("admits flows to an ejected endpoint after a restart", func() {
+		record(0, north, repeat(outlier.Failure, 3)...)
 		detector.RecordReturn(0)
 		detector.Reset()
 		Expect(detector.Admit(0, north)).To(BeTrue())
 	})
 
-	It("ejects for no answer, whatever it says, if that is switched off", func() {
+	It("ejects for hangs but for no answer if the failure threshold is 0", func() {
 		detector = outlier.NewDetector(outlier.Config{Window: 10, BaseEjectionTime: time.Second, MaxEjectionTime: time.Second})
-		answers(0, north, repeated(outlier.Failure, 20)...)
-		answers(0, south, outlier.Refusal)
+		record(0, north, repeat(outlier.Failure, 20)...)
+		record(0, south, outlier.Refusal)
 		Expect(detector.Admit(0, north)).To(BeTrue())
 		detector.RecordHang(0)
-		Expect(detector.Admit(time.Second, north)).To(BeTrue(), "a trial")
-		answers(time.Second, north, outlier.Failure)
+		Expect(detector.Admit(time.Second, north)).To(BeTrue(), "the first trial")
+		record(time.Second, north, outlier.Failure)
 		Expect(detector.Admit(1200*millisecond, north)).To(BeTrue(), "the next trial")
 	})
 
-	It("tells no more zones apart than a fleet has, whatever balancers say", func() {
+	It("admits flows of an unknown zone after more zone names than it tracks", func() {
 		for number := range 1000 {
-			answers(0, string(rune('a'+number)), outlier.Success)
+			record(0, string(rune('a'+number)), outlier.Success)
 		}
 		Expect(detector.Admit(0, "unknown")).To(BeTrue())
 	})
 })
 
-var _ = Describe("Panel", func() {
+var _ = Describe("ServiceHealth", func() {
 	const ejected = true
-	failing := outlier.Report{Outcomes: 10, Failures: 6, Reason: outlier.Failure, HoldMilliseconds: 1000}
-	well := outlier.Report{Outcomes: 10}
-	panelOf := func(wells, faileds int, report outlier.Report) *outlier.ServiceHealth {
-		compared := &outlier.ServiceHealth{}
-		for range wells {
-			compared.Add(well, !ejected)
+	failingReport := outlier.Report{Outcomes: 10, Failures: 6, Reason: outlier.Failure, HoldMilliseconds: 1000}
+	healthyReport := outlier.Report{Outcomes: 10}
+	healthOf := func(healthy, ejectedCount int, report outlier.Report) *outlier.ServiceHealth {
+		health := &outlier.ServiceHealth{}
+		for range healthy {
+			health.Add(healthyReport, !ejected)
 		}
-		for range faileds {
-			compared.Add(report, ejected)
+		for range ejectedCount {
+			health.Add(report, ejected)
 		}
-		return compared
+		return health
 	}
 
-	It("honors ejections of up to half of a service's endpoints", func() {
-		Expect(panelOf(2, 1, failing).ConfirmsEjection(failing)).To(BeTrue())
-		Expect(panelOf(5, 5, failing).ConfirmsEjection(failing)).To(BeTrue())
-		Expect(panelOf(4, 5, failing).ConfirmsEjection(failing)).To(BeFalse(), "the service is at fault")
-		Expect(panelOf(0, 1, failing).ConfirmsEjection(failing)).To(BeFalse())
+	It("confirms ejections of up to half of the endpoints of a service", func() {
+		Expect(healthOf(2, 1, failingReport).ConfirmsEjection(failingReport)).To(BeTrue())
+		Expect(healthOf(5, 5, failingReport).ConfirmsEjection(failingReport)).To(BeTrue())
+		Expect(healthOf(4, 5, failingReport).ConfirmsEjection(failingReport)).To(BeFalse(), "more than half are ejected, so the service is at fault")
+		Expect(healthOf(0, 1, failingReport).ConfirmsEjection(failingReport)).To(BeFalse())
 	})
 
-	It("never gives flows to endpoints that are not there, and does not count them", func() {
-		absent := outlier.Report{Reason: outlier.PacketReturned, HoldMilliseconds: 300}
-		compared := panelOf(2, 1, failing)
+	It("confirms the ejection of unreachable endpoints and does not count them for the panic threshold", func() {
+		unreachable := outlier.Report{Reason: outlier.PacketReturned, HoldMilliseconds: 300}
+		health := healthOf(2, 1, failingReport)
 		for range 20 {
-			compared.Add(absent, ejected)
+			health.Add(unreachable, ejected)
 		}
-		Expect(compared.ConfirmsEjection(absent)).To(BeTrue())
-		Expect(compared.ConfirmsEjection(failing)).To(BeTrue())
+		Expect(health.ConfirmsEjection(unreachable)).To(BeTrue())
+		Expect(health.ConfirmsEjection(failingReport)).To(BeTrue())
 	})
 
-	It("ejects nobody for failures that all have", func() {
-		compared := &outlier.ServiceHealth{}
+	It("does not confirm an ejection for failures that all endpoints have, but for a hang", func() {
+		health := &outlier.ServiceHealth{}
 		for range 6 {
-			compared.Add(outlier.Report{Outcomes: 10, Failures: 2}, !ejected)
+			health.Add(outlier.Report{Outcomes: 10, Failures: 2}, !ejected)
 		}
 		chance := outlier.Report{Outcomes: 10, Failures: 3, Reason: outlier.Failure, HoldMilliseconds: 1000}
-		compared.Add(chance, ejected)
-		Expect(compared.ConfirmsEjection(chance)).To(BeFalse())
-		Expect(compared.ConfirmsEjection(failing)).To(BeTrue())
-		Expect(compared.ConfirmsEjection(outlier.Report{Outcomes: 10, Failures: 3, Reason: outlier.Hang, HoldMilliseconds: 1000})).To(BeTrue())
+		health.Add(chance, ejected)
+		Expect(health.ConfirmsEjection(chance)).To(BeFalse())
+		Expect(health.ConfirmsEjection(failingReport)).To(BeTrue())
+		Expect(health.ConfirmsEjection(outlier.Report{Outcomes: 10, Failures: 3, Reason: outlier.Hang, HoldMilliseconds: 1000})).To(BeTrue())
 	})
 
-	It("does not take reports that no detector makes", func() {
+	It("rejects reports that no detector sends", func() {
 		Expect(outlier.Report{Outcomes: 3, Failures: 4}.Valid()).To(BeFalse())
 		Expect(outlier.Report{Reason: 200}.Valid()).To(BeFalse())
 	})
--- a/internal/outlier/report.go
+++ b/internal/outlier/report.go
@@ -7,25 +7,25 @@
 //msgp:shim Outcome as:uint8 using:uint8/Outcome
 //msgp:ignore Config StateChange Detector ServiceHealth
 
-// Report is what a detector tells a balancer of its endpoint, as the balancer's clients see
-// it.
+// Report is what a detector tells a balancer about its endpoint, from the outcomes of clients
+// in the balancer's zone or of all clients.
 type Report struct {
-	// Failures of the latest Outcomes were bad.
+	// Outcomes is the number of latest outcomes, and Failures the number of bad ones.
 	Outcomes uint8
 	Failures uint8
-	// Reason is why the endpoint was ejected, Success if it is healthy.
+	// Reason is the outcome that ejected the endpoint, Success if it is healthy.
 	Reason Outcome
-	// HoldMilliseconds is for how long it shall get no new flow, in milliseconds.
+	// HoldMilliseconds is how long the endpoint gets no new flow.
 	HoldMilliseconds uint16
 }
 
-// Valid reports whether a detector can have made the report.
-func (r Report) Valid() bool { return r.Failures <= r.Outcomes && r.Reason < classCount }
+// Valid reports whether a detector can have sent the report.
+func (r Report) Valid() bool { return r.Failures <= r.Outcomes && r.Reason < outcomeCount }
 
-// HoldTime returns for how long the endpoint shall get no new flow.
+// HoldTime returns how long the endpoint gets no new flow.
 func (r Report) HoldTime() time.Duration { return time.Duration(r.HoldMilliseconds) * time.Millisecond }
 
-func (r Report) ratio() float64 {
+func (r Report) failureRatio() float64 {
 	if r.Outcomes == 0 {
 		return 0
 	}
@@ -33,45 +33,45 @@
 }
 
 const (
-	// panicShare is the share of the endpoints that are there and may be ejected. If more
-	// are, the fault is the service's, and the others would fall over next (the panic
-	// threshold of Envoy's load balancing).
-	panicShare = 0.5
-	// excess is how much larger the share of bad outcomes has to be than that of the
-	// others: requests may fail by their nature, with every endpoint.
-	excess = 0.2
+	// panicThreshold is the largest share of the reachable endpoints that may be ejected. If
+	// more are, the service is at fault, and the remaining endpoints would be overloaded next
+	// (the panic threshold of Envoy's load balancing).
+	panicThreshold = 0.5
+	// minExcess is how much the failure ratio of an ejected endpoint must exceed that of the
+	// endpoints that are not ejected, since some requests fail at every endpoint.
+	minExcess = 0.2
 )
 
-// ServiceHealth compares the endpoints of one service.
+// ServiceHealth compares the endpoints of one service. Ejections hold only if it confirms them.
 type ServiceHealth struct {
-	present, ejected   int
+	reachable, ejected int
 	outcomes, failures int
 }
 
-// Add takes an endpoint into account; ejected tells whether its detector holds it back.
-func (p *ServiceHealth) Add(report Report, ejected bool) {
+// Add adds an endpoint with its report; ejected tells whether its detector ejects it.
+func (h *ServiceHealth) Add(report Report, ejected bool) {
 	switch {
-	case ejected && report.Reason.absent():
+	case ejected && report.Reason.unreachable():
 		return
 	case ejected:
-		p.ejected++
+		h.ejected++
 	default:
-		p.outcomes += int(report.Outcomes)
-		p.failures += int(report.Failures)
+		h.outcomes += int(report.Outcomes)
+		h.failures += int(report.Failures)
 	}
-	p.present++
+	h.reachable++
 }
 
-// ConfirmsEjection reports whether an endpoint that its detector holds back shall get no new flow.
-func (p *ServiceHealth) ConfirmsEjection(report Report) bool {
-	if report.Reason.absent() {
+// ConfirmsEjection reports whether an endpoint that its detector ejects gets no new flow.
+func (h *ServiceHealth) ConfirmsEjection(report Report) bool {
+	if report.Reason.unreachable() {
 		return true
 	}
-	if float64(p.ejected) > panicShare*float64(p.present) {
+	if float64(h.ejected) > panicThreshold*float64(h.reachable) {
 		return false
 	}
-	if !report.Reason.byItsNature() || p.outcomes == 0 {
+	if !report.Reason.needsComparison() || h.outcomes == 0 {
 		return true
 	}
-	return report.ratio() >= float64(p.failures)/float64(p.outcomes)+excess
+	return report.failureRatio() >= float64(h.failures)/float64(h.outcomes)+minExcess
 }
--- a/internal/outlier/tracker.go
+++ b/internal/outlier/tracker.go
@@ -6,56 +6,57 @@
 )
 
 const (
-	// outcomeLifetime is how long an outcome counts: a second of an endpoint's work has
-	// some ten for each zone, and what is older says little of now.
+	// outcomeLifetime is how long an outcome counts. An endpoint has about ten outcomes per
+	// second and zone, and older ones say little about its present state.
 	outcomeLifetime = 5 * time.Second
-	// trialInterval is the time between two new flows of an endpoint on probation, which
-	// ends after provenOutcomes successes in a row: a trial that fails costs a request.
-	trialInterval  = 200 * time.Millisecond
-	provenOutcomes = 5
-	// firstAbsence and longestAbsence bound how long an endpoint is left out that takes
-	// nothing. A trial costs no request then, only a round trip.
-	firstAbsence   = 300 * time.Millisecond
-	longestAbsence = time.Second
-	// shortestRefusal and longestRefusal bound how long an endpoint is left out that asks
-	// for it: what it carries at other times should not depend on one answer.
-	shortestRefusal = 250 * time.Millisecond
-	longestRefusal  = 2 * time.Second
+	// trialInterval is the time between two new flows of an endpoint on probation. Trials are
+	// rare since each one that fails costs a request. Probation ends after requiredSuccesses
+	// successes in a row.
+	trialInterval     = 200 * time.Millisecond
+	requiredSuccesses = 5
+	// baseUnreachableTime and maxUnreachableTime bound the ejection of an endpoint that is
+	// unreachable. They are short because a trial then costs no request, only a round trip.
+	baseUnreachableTime = 300 * time.Millisecond
+	maxUnreachableTime  = time.Second
+	// minRefusalTime and maxRefusalTime bound the ejection after a refusal, whatever time the
+	// endpoint asks for, so that its load does not depend on a single answer.
+	minRefusalTime = 250 * time.Millisecond
+	maxRefusalTime = 2 * time.Second
 )
 
-// outcome is one outcome, with the zone of the client.
-type outcome struct {
-	at   time.Duration
-	zone string
-	bad  bool
+// observation is the outcome of one request of a client in a zone.
+type observation struct {
+	at     time.Duration
+	zone   string
+	failed bool
 }
 
-// track is the state of an endpoint as clients of one zone, or of all, see it.
-type track struct {
-	limits   Config
+// tracker holds the state of an endpoint towards the clients of one zone or of all zones.
+type tracker struct {
+	config   Config
 	state    State
 	reason   Outcome
-	outcomes []outcome
-	// ejection is how long the endpoint was left out last, and ends until when.
-	ejection  time.Duration
-	ends      time.Duration
-	nextTrial time.Duration
-	proven    int
+	outcomes []observation
+	// ejectionTime is the length of the latest ejection, and ejectedUntil its end.
+	ejectionTime time.Duration
+	ejectedUntil time.Duration
+	nextTrial    time.Duration
+	successes    int
 }
 
-// add notes an outcome among the latest.
-func (t *track) add(now time.Duration, zone string, class Outcome) {
-	t.outcomes = slices.DeleteFunc(t.outcomes, func(o outcome) bool { return now-o.at > outcomeLifetime })
-	t.outcomes = append(t.outcomes, outcome{now, zone, class != Success})
-	t.outcomes = slices.Delete(t.outcomes, 0, max(len(t.outcomes)-t.limits.Window, 0))
+// add records an outcome and drops those that no longer count.
+func (t *tracker) add(now time.Duration, zone string, outcome Outcome) {
+	t.outcomes = slices.DeleteFunc(t.outcomes, func(observed observation) bool { return now-observed.at > outcomeLifetime })
+	t.outcomes = append(t.outcomes, observation{now, zone, outcome != Success})
+	t.outcomes = slices.Delete(t.outcomes, 0, max(len(t.outcomes)-t.config.Window, 0))
 }
 
-// failures returns the number of bad outcomes among the latest, and of the zones whose
-// clients saw them.
-func (t *track) failures() (count, zones int) {
+// failures returns the number of bad outcomes in the window, and the number of zones whose
+// clients had them.
+func (t *tracker) failures() (count, zones int) {
 	var seen []string
 	for _, each := range t.outcomes {
-		if !each.bad {
+		if !each.failed {
 			continue
 		}
 		count++
@@ -66,32 +67,35 @@
 	return count, len(seen)
 }
 
-// tells reports whether the track says more of its clients than what all of them saw.
-func (t *track) tells(outcomes int) bool { return t.state != Healthy || len(t.outcomes) >= outcomes }
+// hasEvidence reports whether the tracker of a zone says more about the clients of that zone
+// than the shared one. It does if the state is not healthy or there are enough outcomes.
+func (t *tracker) hasEvidence(outcomes int) bool {
+	return t.state != Healthy || len(t.outcomes) >= outcomes
+}
 
-// advance ends an ejection whose time is over.
-func (t *track) advance(now time.Duration) bool {
-	if t.state != Ejected || now < t.ends {
+// advance ends an ejection that is over and reports whether it did.
+func (t *tracker) advance(now time.Duration) bool {
+	if t.state != Ejected || now < t.ejectedUntil {
 		return false
 	}
 	t.state = Probation
-	t.proven = 0
+	t.successes = 0
 	return true
 }
 
-// judge takes an outcome into account; ejects tells whether it is enough for an ejection
-// of a healthy endpoint. It reports whether the state has changed.
-func (t *track) judge(now time.Duration, class Outcome, wait time.Duration, ejects bool) bool {
+// update changes the state after an outcome; ejects tells whether a healthy endpoint is to be
+// ejected. It reports whether the state has changed.
+func (t *tracker) update(now time.Duration, outcome Outcome, retryAfter time.Duration, ejects bool) bool {
 	switch {
 	case t.state == Healthy && ejects:
-		t.eject(now, class, wait)
+		t.eject(now, outcome, retryAfter)
 		return true
-	case t.state == Probation && class != Success:
-		t.eject(now, class, wait)
+	case t.state == Probation && outcome != Success:
+		t.eject(now, outcome, retryAfter)
 		return true
 	case t.state == Probation:
-		t.proven++
-		if t.proven >= provenOutcomes {
+		t.successes++
+		if t.successes >= requiredSuccesses {
 			t.restore()
 			return true
 		}
@@ -99,44 +103,45 @@
 	return false
 }
 
-// eject leaves the endpoint out, for longer each time.
-func (t *track) eject(now time.Duration, class Outcome, wait time.Duration) {
-	first, longest := t.limits.BaseEjectionTime, t.limits.MaxEjectionTime
+// eject ejects the endpoint for twice the time of the latest ejection, within bounds that
+// depend on the outcome.
+func (t *tracker) eject(now time.Duration, outcome Outcome, retryAfter time.Duration) {
+	base, longest := t.config.BaseEjectionTime, t.config.MaxEjectionTime
 	switch {
-	case class.absent():
-		first, longest = firstAbsence, longestAbsence
-	case class == Refusal:
-		first, longest = max(wait, shortestRefusal), longestRefusal
+	case outcome.unreachable():
+		base, longest = baseUnreachableTime, maxUnreachableTime
+	case outcome == Refusal:
+		base, longest = max(retryAfter, minRefusalTime), maxRefusalTime
 	}
-	t.ejection = min(max(2*t.ejection, first), longest)
+	t.ejectionTime = min(max(2*t.ejectionTime, base), longest)
 	t.state = Ejected
-	t.reason = class
-	t.ends = now + t.ejection
-	t.proven = 0
+	t.reason = outcome
+	t.ejectedUntil = now + t.ejectionTime
+	t.successes = 0
 }
 
-// prolong moves the end of an ejection along while its reason lasts.
-func (t *track) prolong(now time.Duration) { t.ends = max(t.ends, now+t.ejection) }
+// extend postpones the end of an ejection while its reason lasts.
+func (t *tracker) extend(now time.Duration) { t.ejectedUntil = max(t.ejectedUntil, now+t.ejectionTime) }
 
-// restore makes the endpoint healthy, with nothing held against it.
-func (t *track) restore() { *t = track{limits: t.limits} }
+// restore makes the endpoint healthy and drops all outcomes.
+func (t *tracker) restore() { *t = tracker{config: t.config} }
 
-// open reports whether a new flow may come now.
-func (t *track) open(now time.Duration) bool { return t.hold(now) == 0 }
+// acceptsFlow reports whether the endpoint may get a new flow now.
+func (t *tracker) acceptsFlow(now time.Duration) bool { return t.holdTime(now) == 0 }
 
-// hold returns how long no new flow may come.
-func (t *track) hold(now time.Duration) time.Duration {
+// holdTime returns how long the endpoint gets no new flow.
+func (t *tracker) holdTime(now time.Duration) time.Duration {
 	switch t.state {
 	case Ejected:
-		return max(t.ends-now, 0)
+		return max(t.ejectedUntil-now, 0)
 	case Probation:
 		return max(t.nextTrial-now, 0)
 	}
 	return 0
 }
 
-// try notes that a new flow comes.
-func (t *track) try(now time.Duration) {
+// recordTrial records that the endpoint gets a new flow.
+func (t *tracker) recordTrial(now time.Duration) {
 	if t.state == Probation {
 		t.nextTrial = now + trialInterval
 	}
