--- a/internal/lookup/lookup.go
+++ b/internal/lookup/lookup.go
@@ -1,9 +1,10 @@
-// Package lookup implements the balancer's choice of a back end row for a
-// packet: service by destination address, then hash slot, then primary row.
+// Package lookup chooses the back end row that a balancer sends a packet to. It finds
+// the service by the destination address, port and protocol of the flow, then the hash
+// slot of the flow, then the primary row of that slot.
 //
-// A Table is built from one version of the configuration and one view of
-// which rows are alive, and is immutable. Balancers keep no flow state; two
-// balancers with the same configuration and view choose the same row.
+// A Table is immutable. It is built from one version of the configuration and one view
+// of which rows are alive. Balancers keep no flow state: two balancers with the same
+// configuration and view choose the same row.
 package lookup
 
 import (
@@ -16,10 +17,10 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Liveness reports whether a row is believed to be alive.
+// Liveness reports whether a row is considered alive.
 type Liveness func(table.BackendID) bool
 
-// AllAlive is the liveness view that excludes no row.
+// AllAlive is the Liveness by which every row is alive.
 func AllAlive(table.BackendID) bool { return true }
 
 // Target is the row that a packet is sent to.
@@ -30,7 +31,7 @@
 	Agent       netip.AddrPort
 }
 
-// Outcome tells whether a packet has a target and, if not, why.
+// Outcome tells whether a flow has a target and, if not, why.
 type Outcome uint8
 
 // The outcomes of Route.
@@ -41,21 +42,22 @@
 	outcomeCount
 )
 
-// Outcomes lists every outcome, for counters that are kept by reason.
+// Outcomes returns all outcomes, for counters by outcome.
 func Outcomes() []Outcome {
 	return label.All(outcomeCount)
 }
 
 var outcomeNames = []string{"routed", "unknown_service", "no_backend"}
 
-// String returns the outcome in the form used as a metric label.
+// String returns the outcome as a metric label.
 func (o Outcome) String() string { return label.Of(outcomeNames, o) }
 
 // serviceKey is a service's IPv4 address, port and protocol in one word, which
 // a map hashes and compares faster than a netip.AddrPort.
 type serviceKey uint64
 
-// keyOf returns false for an address that is not IPv4, which no service has.
+// keyOf returns the key of a service. It returns false for an address that is not IPv4,
+// which no service has.
 func keyOf(address netip.AddrPort, protocol table.Protocol) (serviceKey, bool) {
 	if !address.Addr().Is4() {
 		return 0, false
@@ -67,39 +69,39 @@
 	return serviceKey(key), true
 }
 
-// serviceEntry is kept by value in the map of services, since a lookup costs
-// mostly the memory accesses that wait for each other.
+// serviceEntry holds the slots and targets of a service. It is kept by value in the map
+// of services, since the cost of a lookup is mostly that of dependent memory accesses.
 type serviceEntry struct {
-	slots   []int16 // index in targets, or NoCandidate
+	slots   []int16 // indices in targets, or NoCandidate
 	targets []Target
-	origin  *origin
+	inputs  *slotInputs
 }
 
-// origin is what the slots of a service were computed from.
-type origin struct {
+// slotInputs holds the values that the slots of a service were computed from.
+type slotInputs struct {
 	service    table.ServiceID
 	candidates []Candidate
 }
 
-func (o *origin) equal(other *origin) bool {
-	return o != nil && o.service == other.service && slices.Equal(o.candidates, other.candidates)
+func (i *slotInputs) equal(other *slotInputs) bool {
+	return i != nil && i.service == other.service && slices.Equal(i.candidates, other.candidates)
 }
 
-// Table answers lookups for one version and one liveness view. It is safe for
-// concurrent use.
+// Table answers lookups for one version of the configuration and one liveness view. It
+// is safe for concurrent use.
 type Table struct {
 	version  table.Version
 	services map[serviceKey]serviceEntry
 }
 
-// Build computes the lookup table.
+// Build returns the lookup table of a configuration.
 func Build(configuration *table.Table, alive Liveness) *Table {
 	return Rebuild(&Table{}, configuration, alive)
 }
 
-// Rebuild computes the same lookup table as Build, but takes over the slots of
-// services whose rows have the same weights and liveness as in previous, which
-// may have been built from any version and liveness view.
+// Rebuild returns the same lookup table as Build, but reuses the slots of services whose
+// rows have the same weights and liveness as in previous. That table may have been built
+// from any version and liveness view.
 func Rebuild(previous *Table, configuration *table.Table, alive Liveness) *Table {
 	built := &Table{
 		version:  configuration.Version,
@@ -119,18 +121,18 @@
 	return built
 }
 
-// buildService returns the entry of a service; previous is the last entry with
-// the same address, or empty.
+// buildService returns the entry of a service. previous is the entry with the same key
+// in the previous table, or empty.
 func buildService(previous serviceEntry, service table.ServiceID, rows []table.Backend, alive Liveness) serviceEntry {
 	entry := serviceEntry{
 		targets: targetsOf(rows),
-		origin:  &origin{service: service, candidates: candidatesOf(rows, alive)},
+		inputs:  &slotInputs{service: service, candidates: candidatesOf(rows, alive)},
 	}
-	if previous.origin.equal(entry.origin) {
+	if previous.inputs.equal(entry.inputs) {
 		entry.slots = previous.slots
 		return entry
 	}
-	entry.slots = assign(service, entry.origin.candidates)
+	entry.slots = assign(service, entry.inputs.candidates)
 	return entry
 }
 
@@ -147,10 +149,9 @@
 	return targets
 }
 
-// AssignSlots returns, for every slot of the service, the index in rows of its
-// primary, or NoCandidate. Rows that accept no new flows hold no slot, nor do
-// rows that are not alive; if no row is alive, liveness is ignored, since
-// sending nowhere cannot be better.
+// AssignSlots returns, for every slot of the service, the index in rows of its primary,
+// or NoCandidate. Rows that accept no new flows or are not alive get no slot. If no row
+// is alive, liveness is ignored, since dropping all packets cannot be better.
 func AssignSlots(service table.ServiceID, rows []table.Backend, alive Liveness) []int16 {
 	return assign(service, candidatesOf(rows, alive))
 }
@@ -163,17 +164,17 @@
 	return slots
 }
 
-// candidatesOf returns a candidate for each row; one that may hold no slot has
+// candidatesOf returns a candidate for each row. Candidates that may get no slot have
 // weight 0.
 func candidatesOf(rows []table.Backend, alive Liveness) []Candidate {
-	candidates := candidatesAlive(rows, alive)
-	if !anyWeight(candidates) {
-		return candidatesAlive(rows, AllAlive)
+	candidates := candidatesWith(rows, alive)
+	if !hasWeight(candidates) {
+		return candidatesWith(rows, AllAlive)
 	}
 	return candidates
 }
 
-func candidatesAlive(rows []table.Backend, alive Liveness) []Candidate {
+func candidatesWith(rows []table.Backend, alive Liveness) []Candidate {
 	candidates := make([]Candidate, len(rows))
 	for index, row := range rows {
 		candidates[index].Backend = row.ID
@@ -184,7 +185,7 @@
 	return candidates
 }
 
-func anyWeight(candidates []Candidate) bool {
+func hasWeight(candidates []Candidate) bool {
 	for _, candidate := range candidates {
 		if candidate.Weight > 0 {
 			return true
@@ -193,10 +194,10 @@
 	return false
 }
 
-// Version returns the version of the configuration the table was built from.
+// Version returns the version of the configuration that the table was built from.
 func (t *Table) Version() table.Version { return t.version }
 
-// Route returns the primary row for a flow.
+// Route returns the target of a flow.
 func (t *Table) Route(flow packet.Flow) (Target, Outcome) {
 	target, outcome := t.FindTarget(&flow)
 	if outcome != Routed {
@@ -205,8 +206,8 @@
 	return *target, Routed
 }
 
-// FindTarget is Route without copies. The target is shared and must not be changed;
-// it is nil unless the outcome is Routed.
+// FindTarget is like Route but copies neither the flow nor the target. The target is
+// shared and must not be modified. It is nil unless the outcome is Routed.
 func (t *Table) FindTarget(flow *packet.Flow) (*Target, Outcome) {
 	key, valid := keyOf(flow.Destination, flow.Protocol)
 	if !valid {
--- a/internal/lookup/lookup_bench_test.go
+++ b/internal/lookup/lookup_bench_test.go
@@ -17,7 +17,7 @@
 	benchmarkSeed     = 20
 )
 
-// randomFlows returns flows to the services of a fleet in random order.
+// randomFlows returns flows to random services of a configuration.
 func randomFlows(configuration *table.Table, count int) []packet.Flow {
 	random := rand.New(rand.NewPCG(benchmarkSeed, 0))
 	flows := make([]packet.Flow, count)
@@ -32,10 +32,10 @@
 	return flows
 }
 
-// BenchmarkRoute looks up random flows over all services, so that most
-// lookups find their service outside the nearest caches.
+// BenchmarkRoute looks up random flows to all services, so that most lookups miss the
+// first levels of the processor cache.
 func BenchmarkRoute(b *testing.B) {
-	configuration := fleet(benchmarkServices, benchmarkRows)
+	configuration := exampleTable(benchmarkServices, benchmarkRows)
 	built := lookup.Build(configuration, lookup.AllAlive)
 	const flowCount = 1 << 16
 	flows := randomFlows(configuration, flowCount)
@@ -48,7 +48,7 @@
 }
 
 func BenchmarkBuild(b *testing.B) {
-	configuration := fleet(benchmarkServices, benchmarkRows)
+	configuration := exampleTable(benchmarkServices, benchmarkRows)
 	heap := heapOfBuild(configuration)
 	for b.Loop() {
 		lookup.Build(configuration, lookup.AllAlive)
@@ -56,9 +56,9 @@
 	b.ReportMetric(heap/benchmarkServices, "heap-B/service")
 }
 
-// BenchmarkRebuildOneService changes one weight in turn.
+// BenchmarkRebuildOneService changes the weight of one row before each rebuild.
 func BenchmarkRebuildOneService(b *testing.B) {
-	configuration := fleet(benchmarkServices, benchmarkRows)
+	configuration := exampleTable(benchmarkServices, benchmarkRows)
 	built := lookup.Build(configuration, lookup.AllAlive)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -67,7 +67,7 @@
 	}
 }
 
-// heapOfBuild returns the bytes that stay reachable after a build.
+// heapOfBuild returns the number of bytes that are reachable after a build.
 func heapOfBuild(configuration *table.Table) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/lookup/lookup_suite_test.go
+++ b/internal/lookup/lookup_suite_test.go
@@ -15,9 +15,9 @@
 	RunSpecs(t, "lookup")
 }
 
-// fleet returns a valid table with the given number of services and of rows
-// of equal weight for each.
-func fleet(services, rows int) *table.Table {
+// exampleTable returns a valid table with the given number of services, each with the
+// given number of rows of equal weight.
+func exampleTable(services, rows int) *table.Table {
 	built := &table.Table{Version: 1}
 	for service := range services {
 		id := table.ServiceID(service + 1)
--- a/internal/lookup/lookup_test.go
+++ b/internal/lookup/lookup_test.go
@@ -20,7 +20,7 @@
 	return left
 }
 
-// backendsOf returns the row of each flow; every flow must have one.
+// backendsOf returns the row of each flow. It fails for a flow without a row.
 func backendsOf(built *lookup.Table, flows []packet.Flow) []table.BackendID {
 	chosen := make([]table.BackendID, len(flows))
 	for i, flow := range flows {
@@ -46,16 +46,16 @@
 }
 
 var _ = Describe("Table", func() {
-	configuration := fleet(3, 7)
+	configuration := exampleTable(3, 7)
 	flows := randomFlows(configuration, flowCount)
 
-	It("is the same for two balancers", func() {
+	It("routes flows to the same rows on two balancers", func() {
 		one := lookup.Build(configuration, lookup.AllAlive)
 		other := lookup.Build(configuration.Clone(), lookup.AllAlive)
 		Expect(backendsOf(one, flows)).To(Equal(backendsOf(other, flows)))
 	})
 
-	It("gives a flow only rows of its own service", func() {
+	It("routes a flow only to rows of its own service", func() {
 		built := lookup.Build(configuration, lookup.AllAlive)
 		for _, flow := range flows {
 			target, _ := built.Route(flow)
@@ -68,7 +68,7 @@
 		}
 	})
 
-	DescribeTable("moves only the flows of a row that goes",
+	DescribeTable("moves only the flows of a row that is taken out of service",
 		func(change func(removed table.BackendID) *lookup.Table) {
 			before := backendsOf(lookup.Build(configuration, lookup.AllAlive), flows)
 			for _, removed := range []table.BackendID{1, 10, 21} {
@@ -85,21 +85,21 @@
 			unweighted.Backends[removed-1].Weight = 0
 			return lookup.Build(unweighted, lookup.AllAlive)
 		}),
-		Entry("by death", func(removed table.BackendID) *lookup.Table {
+		Entry("by failure", func(removed table.BackendID) *lookup.Table {
 			return lookup.Build(configuration, func(id table.BackendID) bool { return id != removed })
 		}),
 		Entry("by deletion", func(removed table.BackendID) *lookup.Table {
-			// Seven rows and six have the same number of slots.
+			// Seven and six rows have the same number of slots.
 			return lookup.Build(without(configuration, removed), lookup.AllAlive)
 		}),
 	)
 
-	It("ignores liveness if no row is alive", func() {
+	It("routes flows as if all rows were alive if none is", func() {
 		dead := lookup.Build(configuration, func(table.BackendID) bool { return false })
 		Expect(backendsOf(dead, flows)).To(Equal(backendsOf(lookup.Build(configuration, lookup.AllAlive), flows)))
 	})
 
-	It("has no target where no row may be given flows", func() {
+	It("returns NoBackend if no row accepts new flows", func() {
 		drained := configuration.Clone()
 		for i := range drained.Backends {
 			drained.Backends[i].Drain = true
@@ -109,7 +109,7 @@
 		Expect(outcome).To(Equal(lookup.NoBackend))
 	})
 
-	It("knows a service by address, port and protocol together", func() {
+	It("returns UnknownService unless address, port and protocol match a service", func() {
 		built := lookup.Build(configuration, lookup.AllAlive)
 		other := flows[0]
 		other.Protocol = table.ProtocolUDP
@@ -120,13 +120,13 @@
 	})
 })
 
-var _ = Describe("Assign", func() {
-	DescribeTable("gives slots in proportion to weights",
+var _ = Describe("AssignSlots", func() {
+	DescribeTable("assigns slots in proportion to weights",
 		func(weights ...uint32) {
-			const services = 200 // enough slots that chance evens out
+			const services = 200 // enough slots for shares within 0.01 of the weights
 			held := make([]int, len(weights))
 			slots, total := 0, uint32(0)
-			rows := fleet(1, len(weights)).Backends
+			rows := exampleTable(1, len(weights)).Backends
 			for i, weight := range weights {
 				rows[i].Weight = weight
 				total += weight
@@ -144,13 +144,13 @@
 			}
 		},
 		Entry("equal", uint32(100), uint32(100), uint32(100)),
-		Entry("one, two and three", uint32(1), uint32(2), uint32(3)),
-		Entry("far apart", uint32(1), uint32(99)),
+		Entry("1, 2 and 3", uint32(1), uint32(2), uint32(3)),
+		Entry("1 and 99", uint32(1), uint32(99)),
 		Entry("largest", uint32(table.MaxWeight), uint32(table.MaxWeight/2), uint32(table.MaxWeight/4)),
-		Entry("with a zero", uint32(5), uint32(0), uint32(5)),
+		Entry("one weight of 0", uint32(5), uint32(0), uint32(5)),
 	)
 
-	It("marks slots that no row may hold", func() {
+	It("marks all slots with NoCandidate without rows", func() {
 		slots := lookup.AssignSlots(1, nil, lookup.AllAlive)
 		Expect(slots).To(HaveEach(int16(lookup.NoCandidate)))
 		Expect(slots).To(HaveLen(lookup.SlotCount(0)))
--- a/internal/lookup/rebuild_test.go
+++ b/internal/lookup/rebuild_test.go
@@ -10,8 +10,8 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// slowPrimary is Primary without shortcuts.
-func slowPrimary(service table.ServiceID, slot int, candidates []Candidate) int {
+// referencePrimary is Primary without cannotBeat.
+func referencePrimary(service table.ServiceID, slot int, candidates []Candidate) int {
 	best := NoCandidate
 	for index, candidate := range candidates {
 		if candidate.Weight == 0 {
@@ -31,7 +31,7 @@
 }
 
 func drawCandidates(t *rapid.T) []Candidate {
-	// Few distinct weights, so that equal ones are common.
+	// There are few distinct weights, so that equal ones are common.
 	weight := rapid.SampledFrom([]uint32{0, 1, 2, 3, 100, 101, table.MaxWeight})
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Candidate {
 		return Candidate{Backend: table.BackendID(rapid.Uint32().Draw(t, "backend")), Weight: weight.Draw(t, "weight")}
@@ -43,7 +43,7 @@
 		service := table.ServiceID(rapid.Uint32().Draw(t, "service"))
 		candidates := drawCandidates(t)
 		for slot := range minimumSlots {
-			if got, want := Primary(service, slot, candidates), slowPrimary(service, slot, candidates); got != want {
+			if got, want := Primary(service, slot, candidates), referencePrimary(service, slot, candidates); got != want {
 				t.Fatalf("slot %d: got candidate %d, want %d", slot, got, want)
 			}
 		}
@@ -80,8 +80,8 @@
 	})
 }
 
-// TestRebuildEqualsBuild edits a table step by step and compares the rebuilt
-// lookup table with one built from nothing.
+// TestRebuildEqualsBuild edits a table step by step and compares the rebuilt lookup table
+// with a new one. It guards against slots that are reused although their inputs changed.
 func TestRebuildEqualsBuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		configuration := &table.Table{Version: 1, Services: []table.Service{
@@ -99,10 +99,10 @@
 	})
 }
 
-// TestRebuildOfAnAddressWithAnotherService gives the address and the rows of
-// one service to another, whose slots are hashed differently.
+// TestRebuildOfAnAddressWithAnotherService gives the address and rows of one service to
+// another one. Slots must not be reused then, since the service is part of their hash.
 func TestRebuildOfAnAddressWithAnotherService(t *testing.T) {
-	owned := func(service table.ServiceID) *table.Table {
+	tableOf := func(service table.ServiceID) *table.Table {
 		return &table.Table{
 			Services: []table.Service{{ID: service, Address: "198.51.100.1:80", Protocol: table.ProtocolTCP}},
 			Backends: []table.Backend{
@@ -111,8 +111,8 @@
 			},
 		}
 	}
-	got := Rebuild(Build(owned(1), AllAlive), owned(2), AllAlive)
-	want := Build(owned(2), AllAlive)
+	got := Rebuild(Build(tableOf(1), AllAlive), tableOf(2), AllAlive)
+	want := Build(tableOf(2), AllAlive)
 	if !reflect.DeepEqual(got, want) {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
@@ -155,7 +155,7 @@
 	}
 	for key, entry := range want.services {
 		if !reflect.DeepEqual(entry, got.services[key]) {
-			t.Fatalf("service %d: got %+v, want %+v", entry.origin.service, got.services[key], entry)
+			t.Fatalf("service %d: got %+v, want %+v", entry.inputs.service, got.services[key], entry)
 		}
 	}
 }
--- a/internal/lookup/slots.go
+++ b/internal/lookup/slots.go
@@ -9,27 +9,28 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Candidate is a row that can be the primary of a slot.
+// Candidate is a row that can be the primary of a slot. A weight of 0 excludes it.
 type Candidate struct {
 	Backend table.BackendID
 	Weight  uint32
 }
 
-// NoCandidate marks a slot that has no primary.
+// NoCandidate marks a slot without a primary.
 const NoCandidate = -1
 
 const (
 	minimumSlots = 256
 	maximumSlots = 4096
-	// slotGrowth is the factor between possible slot counts.
+	// slotGrowth is the factor between consecutive slot counts.
 	slotGrowth = 4
-	// minimumSlotsPerRow is when the next larger slot count is used.
+	// minimumSlotsPerRow is the number of slots per row below which the next larger count
+	// is used.
 	minimumSlotsPerRow = 8
 )
 
-// SlotCount returns how many hash slots a service with that many rows has. It
-// is a power of two. A row that changes the count moves most of the slots, so
-// there are only three counts: up to 32 rows, up to 128 rows, and beyond.
+// SlotCount returns the number of hash slots of a service with the given number of rows.
+// It is a power of two. A change of the count moves most slots to other rows, so there are
+// only three counts: up to 32 rows, up to 128 rows, and beyond.
 func SlotCount(rows int) int {
 	count := minimumSlots
 	for count < rows*minimumSlotsPerRow && count < maximumSlots {
@@ -38,17 +39,16 @@
 	return count
 }
 
-// SlotOf returns the slot of a flow hash among count slots, count being a
-// power of two.
+// SlotOf returns the slot of a flow hash among count slots. count must be a power of two.
 func SlotOf(flowHash uint64, count int) int {
 	return int(flowHash>>32) & (count - 1)
 }
 
-// Primary returns the index of the candidate that holds the slot, by weighted
+// Primary returns the index of the candidate that is the primary of the slot, by weighted
 // rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to
 // increase hit rates", 1998; weights after Schindelhauer and Schomaker,
-// "Weighted distributed hash tables", 2005). Removing a candidate moves only
-// the slots it held. It returns NoCandidate if there is none with a weight.
+// "Weighted distributed hash tables", 2005). Removing a candidate moves only its own
+// slots. It returns NoCandidate if all weights are 0.
 func Primary(service table.ServiceID, slot int, candidates []Candidate) int {
 	best := NoCandidate
 	var leader contender
@@ -69,16 +69,16 @@
 	return best
 }
 
-// contender is a candidate for a slot.
+// contender is a candidate with its hash and score for one slot.
 type contender struct {
 	hash   uint64
 	weight uint32
 	score  uint64
 }
 
-// cannotBeat reports cases in which the score of c is not less than the
-// leader's, whatever the logarithm's fraction is. It spares computing most
-// logarithms and does not change the outcome.
+// cannotBeat reports cases in which the score of c is not less than that of the leader,
+// whatever the fraction of its logarithm is. It avoids computing most logarithms and does
+// not change the result.
 func (c contender) cannotBeat(leader contender) bool {
 	if c.weight == leader.weight {
 		return c.hash <= leader.hash
@@ -87,16 +87,15 @@
 	return !scoreLess(leastScore, c.weight, leader.score, leader.weight)
 }
 
-// scoreLess reports whether a/weightA < b/weightB. Integers keep the outcome
-// the same on every processor.
+// scoreLess reports whether a/weightA < b/weightB. Integer arithmetic gives the same
+// result on every processor.
 func scoreLess(a uint64, weightA uint32, b uint64, weightB uint32) bool {
 	return a*uint64(weightB) < b*uint64(weightA)
 }
 
 func rendezvousHash(service table.ServiceID, slot int, backend table.BackendID) uint64 {
 	var encoded [12]byte
-	// One store as wide as the first load of Sum64 keeps the processor from
-	// stalling.
+	// A single store as wide as the first load of Sum64 avoids a store-forwarding stall.
 	binary.BigEndian.PutUint64(encoded[0:], uint64(service)<<32|uint64(uint32(slot)))
 	binary.BigEndian.PutUint32(encoded[8:], uint32(backend))
 	return xxhash.Sum64(encoded[:])
@@ -111,10 +110,10 @@
 		value = 1
 	}
 	leading := bits.LeadingZeros64(value)
-	mantissa := value << leading // in [2^63, 2^64), stands for [1, 2)
+	mantissa := value << leading // in [2^63, 2^64), represents [1, 2)
 	var fraction uint64
 	for range logFractionBits {
-		high, low := bits.Mul64(mantissa, mantissa) // stands for [1, 4)
+		high, low := bits.Mul64(mantissa, mantissa) // represents [1, 4)
 		bit := high >> 63
 		fraction = fraction<<1 | bit
 		if bit == 0 {
--- a/internal/lookup/slots_test.go
+++ b/internal/lookup/slots_test.go
@@ -10,8 +10,8 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// rowsOf returns rows of equal weight.
-func rowsOf(count int) []table.Backend {
+// equalRows returns rows of equal weight.
+func equalRows(count int) []table.Backend {
 	rows := make([]table.Backend, count)
 	for index := range rows {
 		rows[index] = table.Backend{ID: table.BackendID(index + 1), Service: 1, Weight: 1}
@@ -19,11 +19,11 @@
 	return rows
 }
 
-var _ = Describe("slots", func() {
+var _ = Describe("Slots", func() {
 	DescribeTable("move only to a row that is added",
 		func(before int) {
-			smaller := lookup.AssignSlots(1, rowsOf(before), lookup.AllAlive)
-			larger := lookup.AssignSlots(1, rowsOf(before+1), lookup.AllAlive)
+			smaller := lookup.AssignSlots(1, equalRows(before), lookup.AllAlive)
+			larger := lookup.AssignSlots(1, equalRows(before+1), lookup.AllAlive)
 			Expect(larger).To(HaveLen(len(smaller)))
 			for slot := range smaller {
 				if larger[slot] != smaller[slot] {
@@ -38,7 +38,7 @@
 		Entry("to 64 rows", 64),
 	)
 
-	It("are enough for each row to have several", func() {
+	It("are at least eight per row for fewer than 512 rows", func() {
 		for rows := range 512 {
 			Expect(lookup.SlotCount(rows)).To(BeNumerically(">=", 8*rows))
 		}
