--- a/internal/table/csv.go
+++ b/internal/table/csv.go
@@ -1,5 +1,5 @@
-// This file implements the exchange of rows with spreadsheets as
-// comma-separated values (RFC 4180).
+// This file reads and writes rows as comma-separated values (RFC 4180) for spreadsheet
+// programs.
 
 package table
 
@@ -14,9 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// csvHeader is the first line of the exchange form. Services are written by
-// name; the other columns are those of a back end.
-// The last column is there only if a row has a zone.
+// csvHeader is the header line. Services are written by name; the other columns are those of
+// a back end. The last column is written only if any row has a zone.
 var csvHeader = []string{"service", "id", "name", "incarnation", "agent", "weight", "connection_limit", "drain", "zone"}
 
 // The positions of the columns of csvHeader.
@@ -32,8 +31,8 @@
 	csvZone
 )
 
-// WriteCSV writes the rows of a table as comma-separated values with a header
-// line, in order of their identifiers. Removed rows are left out.
+// WriteCSV writes the rows of a table as comma-separated values with a header line, in order
+// of their identifiers. It omits removed rows.
 func WriteCSV(output io.Writer, written *Table) error {
 	writer := csv.NewWriter(output)
 	columns := csvZone
@@ -41,48 +40,47 @@
 		columns = len(csvHeader)
 	}
 	if err := writer.Write(csvHeader[:columns]); err != nil {
-		return errors.Wrap(err, "CSV")
+		return errors.Wrap(err, "write CSV header")
 	}
 	sorted := written.Clone()
 	sorted.Sort()
-	for _, row := range visible(sorted.Backends) {
+	for _, row := range withoutRemoved(sorted.Backends) {
 		service, _ := written.Service(row.Service)
 		if err := writer.Write(csvRecord(service.Name, row)[:columns]); err != nil {
-			return errors.Wrap(err, "CSV")
+			return errors.Wrap(err, "write CSV row")
 		}
 	}
 	writer.Flush()
-	return errors.Wrap(writer.Error(), "CSV")
+	return errors.Wrap(writer.Error(), "write CSV")
 }
 
 func csvRecord(service string, row Backend) []string {
 	return []string{
 		csvService:     service,
-		csvID:          numberText(uint32(row.ID)),
+		csvID:          formatNumber(uint32(row.ID)),
 		csvName:        row.Name,
-		csvIncarnation: numberText(uint32(row.Incarnation)),
+		csvIncarnation: formatNumber(uint32(row.Incarnation)),
 		csvAgent:       string(row.Agent),
-		csvWeight:      numberText(row.Weight),
-		csvLimit:       numberText(row.ConnectionLimit),
+		csvWeight:      formatNumber(row.Weight),
+		csvLimit:       formatNumber(row.ConnectionLimit),
 		csvDrain:       strconv.FormatBool(row.Drain),
 		csvZone:        row.Zone,
 	}
 }
 
-// ReadCSV reads rows in the form of WriteCSV, with the names of services
-// looked up among services. The result is sorted. A broken cell is returned
-// as a CellError whose row is "line N"; the relations between rows are left
-// to Validate.
+// ReadCSV reads rows in the format of WriteCSV and sorts them. It looks up the names of
+// services in services. An invalid cell is returned as a CellError whose row is "line N".
+// ReadCSV does not check the relations between rows, which Validate does.
 func ReadCSV(input io.Reader, services []Service) ([]Backend, error) {
 	reader := csv.NewReader(input)
 	header, err := reader.Read()
 	if err != nil {
-		return nil, errors.Wrap(err, "CSV")
+		return nil, errors.Wrap(err, "read CSV header")
 	}
-	// Spreadsheet programs put a byte order mark in front.
+	// Spreadsheet programs write a byte order mark at the start.
 	header[0] = strings.TrimPrefix(header[0], "\ufeff")
 	if !slices.Equal(header, csvHeader) && !slices.Equal(header, csvHeader[:csvZone]) {
-		return nil, errors.Errorf("CSV: the first line must be %q, or end before zone", strings.Join(csvHeader, ","))
+		return nil, errors.Errorf("CSV: the first line must be %q, where the column zone may be missing", strings.Join(csvHeader, ","))
 	}
 	var rows []Backend
 	for {
@@ -91,7 +89,7 @@
 			break
 		}
 		if err != nil {
-			return nil, errors.Wrap(err, "CSV")
+			return nil, errors.Wrap(err, "read CSV row")
 		}
 		line, _ := reader.FieldPos(0)
 		row, err := parseCSVRecord(csvLine{line, record}, services)
@@ -111,14 +109,14 @@
 	fields []string
 }
 
-func (l csvLine) broken(column int, rule string) error {
+func (l csvLine) cellError(column int, rule string) error {
 	return CellError{fmt.Sprintf("line %d", l.number), csvHeader[column], rule}
 }
 
 func (l csvLine) integer(column int) (uint32, error) {
 	number, err := strconv.ParseUint(l.fields[column], 10, 32)
 	if err != nil {
-		return 0, l.broken(column, "must be a whole number from 0 to 4294967295")
+		return 0, l.cellError(column, "must be a whole number from 0 to 4294967295")
 	}
 	return uint32(number), nil
 }
@@ -134,9 +132,9 @@
 	}
 	position := slices.IndexFunc(services, func(s Service) bool { return s.Name == line.fields[csvService] })
 	if position < 0 {
-		return Backend{}, line.broken(csvService, "names no service of the table")
+		return Backend{}, line.cellError(csvService, "names no service of the table")
 	}
-	drain, err := parseCSVFlag(line)
+	drain, err := parseCSVDrain(line)
 	if err != nil {
 		return Backend{}, err
 	}
@@ -156,23 +154,24 @@
 	return row, line.validate(row)
 }
 
-// validate checks the single cells of a row and names the line.
+// validate checks the cells of a row. A CellError names the line.
 func (l csvLine) validate(row Backend) error {
-	var broken CellError
-	if errors.As(row.validate(), &broken) {
-		broken.Row = fmt.Sprintf("line %d", l.number)
-		return broken
+	var cellError CellError
+	if errors.As(row.validate(), &cellError) {
+		cellError.Row = fmt.Sprintf("line %d", l.number)
+		return cellError
 	}
 	return nil
 }
 
-// parseCSVFlag takes capitals too, since spreadsheet programs write TRUE.
-func parseCSVFlag(line csvLine) (bool, error) {
+// parseCSVDrain parses the drain flag. It ignores case, since spreadsheet programs write
+// TRUE.
+func parseCSVDrain(line csvLine) (bool, error) {
 	switch strings.ToLower(line.fields[csvDrain]) {
 	case "true", "yes":
 		return true, nil
 	case "false", "no":
 		return false, nil
 	}
-	return false, line.broken(csvDrain, "must be true or false")
+	return false, line.cellError(csvDrain, "must be true or false")
 }
--- a/internal/table/diff.go
+++ b/internal/table/diff.go
@@ -1,4 +1,4 @@
-// This file implements the comparison of two tables cell by cell.
+// This file compares two tables cell by cell.
 
 package table
 
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// DifferenceKind tells what happened to the row of a CellDifference.
+// DifferenceKind tells whether the row of a CellDifference was added, changed or deleted.
 type DifferenceKind string
 
 // The kinds of differences.
@@ -19,20 +19,20 @@
 	RowDeleted DifferenceKind = "deleted"
 )
 
-// CellDifference is one cell in which two tables differ. Exactly one of
-// Service and Backend is set; a difference of a back end's row sets Backend.
+// CellDifference is one cell in which two tables differ. Exactly one of Service and Backend
+// is set, depending on the kind of the row.
 type CellDifference struct {
 	Kind    DifferenceKind `json:"kind"`
 	Service ServiceID      `json:"service_id,omitempty"`
 	Backend BackendID      `json:"backend_id,omitempty"`
-	// Row names the row as a CellError does.
+	// Row is the name of the row, as in a CellError.
 	Row    string `json:"row"`
 	Column string `json:"column"`
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// column is a column of rows of one type, in text form.
+// column is a column of rows of one type, with its name and the text of a cell.
 type column[Row any] struct {
 	name string
 	text func(Row) string
@@ -46,39 +46,39 @@
 }
 
 var backendColumns = []column[Backend]{
-	{"service", func(b Backend) string { return numberText(uint32(b.Service)) }},
+	{"service", func(b Backend) string { return formatNumber(uint32(b.Service)) }},
 	{"name", func(b Backend) string { return b.Name }},
-	{"incarnation", func(b Backend) string { return numberText(uint32(b.Incarnation)) }},
+	{"incarnation", func(b Backend) string { return formatNumber(uint32(b.Incarnation)) }},
 	{"agent", func(b Backend) string { return string(b.Agent) }},
-	{"weight", func(b Backend) string { return numberText(b.Weight) }},
-	{"connection_limit", func(b Backend) string { return numberText(b.ConnectionLimit) }},
+	{"weight", func(b Backend) string { return formatNumber(b.Weight) }},
+	{"connection_limit", func(b Backend) string { return formatNumber(b.ConnectionLimit) }},
 	{"drain", func(b Backend) string { return strconv.FormatBool(b.Drain) }},
 	{"zone", func(b Backend) string { return b.Zone }},
 }
 
-func numberText(number uint32) string { return strconv.FormatUint(uint64(number), 10) }
+func formatNumber(number uint32) string { return strconv.FormatUint(uint64(number), 10) }
 
-// Diff lists the cells in which two tables differ: services first, then back
-// ends, each in order of their identifiers. A removed row counts as absent.
-// Identifiers and the version are not cells.
+// Diff returns the cells in which two tables differ: services first, then back ends, each
+// in order of their identifiers. A removed row counts as absent. Identifiers, the version
+// and closed zones are not compared.
 func Diff(before, after *Table) []CellDifference {
-	var found []CellDifference
+	var differences []CellDifference
 	earlier, later := before.Clone(), after.Clone()
 	earlier.Sort()
 	later.Sort()
 	mergeRows(earlier.Services, later.Services, serviceIdentifier, func(old, current *Service) {
-		found = append(found, compareServices(old, current)...)
+		differences = append(differences, compareServices(old, current)...)
 	})
-	mergeRows(visible(earlier.Backends), visible(later.Backends), backendIdentifier, func(old, current *Backend) {
-		found = append(found, compareBackends(old, current)...)
+	mergeRows(withoutRemoved(earlier.Backends), withoutRemoved(later.Backends), backendIdentifier, func(old, current *Backend) {
+		differences = append(differences, compareBackends(old, current)...)
 	})
-	return found
+	return differences
 }
 
 func serviceIdentifier(s Service) uint32 { return uint32(s.ID) }
 func backendIdentifier(b Backend) uint32 { return uint32(b.ID) }
 
-func visible(rows []Backend) []Backend {
+func withoutRemoved(rows []Backend) []Backend {
 	var kept []Backend
 	for _, row := range rows {
 		if !row.Removed {
@@ -88,8 +88,8 @@
 	return kept
 }
 
-// mergeRows walks two sorted lists and calls compare for each identifier, with
-// nil for a row that one of the lists lacks.
+// mergeRows iterates over two sorted lists and calls compare for each identifier, with nil
+// for a row that one of the lists lacks.
 func mergeRows[Row any](before, after []Row, identifier func(Row) uint32, compare func(old, current *Row)) {
 	for len(before) > 0 || len(after) > 0 {
 		switch {
@@ -126,32 +126,32 @@
 
 func compareCells[Row any](template CellDifference, columns []column[Row], old, current *Row) []CellDifference {
 	template.Kind = differenceKind(old == nil, current == nil)
-	var found []CellDifference
+	var differences []CellDifference
 	for _, compared := range columns {
 		cell := template
 		cell.Column = compared.name
-		cell.Before = textOf(compared, old)
-		cell.After = textOf(compared, current)
+		cell.Before = cellText(compared, old)
+		cell.After = cellText(compared, current)
 		if cell.Before != cell.After {
-			found = append(found, cell)
+			differences = append(differences, cell)
 		}
 	}
-	return found
+	return differences
 }
 
-func differenceKind(isNew, isGone bool) DifferenceKind {
+func differenceKind(isNew, isDeleted bool) DifferenceKind {
 	switch {
 	case isNew:
 		return RowAdded
-	case isGone:
+	case isDeleted:
 		return RowDeleted
 	}
 	return RowChanged
 }
 
-func textOf[Row any](shown column[Row], row *Row) string {
+func cellText[Row any](source column[Row], row *Row) string {
 	if row == nil {
 		return ""
 	}
-	return shown.text(*row)
+	return source.text(*row)
 }
--- a/internal/table/diff_test.go
+++ b/internal/table/diff_test.go
@@ -30,14 +30,14 @@
 }
 
 var _ = Describe("Diff", func() {
-	It("finds nothing between equal tables, whatever their order and version", func() {
+	It("returns nothing for tables that differ only in order and version", func() {
 		other := exampleTable()
 		other.Version = 9
 		other.Backends[0], other.Backends[1] = other.Backends[1], other.Backends[0]
 		Expect(table.Diff(exampleTable(), other)).To(BeEmpty())
 	})
 
-	It("names each changed cell with both values", func() {
+	It("returns each changed cell with both values", func() {
 		after := exampleTable()
 		after.Services[0].Owner = "other"
 		after.Backends[0].Weight = 6
@@ -49,7 +49,7 @@
 		}))
 	})
 
-	It("lists every cell of rows that are new, deleted, removed or back", func() {
+	It("returns every cell of rows that are added, deleted, removed or restored", func() {
 		after := exampleTable()
 		after.Backends[0].Removed = true
 		after.Backends[2].Removed = false
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,9 +1,9 @@
-// Package table implements the configuration table that operators edit: the
-// services, one row per back end, and a column per weight, connection limit
-// and drain flag.
+// Package table implements the configuration table that operators edit: the services, and
+// one row per back end with columns such as weight, connection limit and drain flag.
 //
-// A Table is a plain value. It carries a version, is checked as a whole by
-// Validate, and is never changed after it has been published.
+// A Table is a plain value with a version. Validate checks it as a whole. It is not
+// modified after it has been published. The package also reads and writes tables as JSON
+// and CSV, and compares two tables cell by cell.
 package table
 
 import (
@@ -16,28 +16,28 @@
 
 //go:generate go tool msgp -tests=false
 
-// A forged length must not make the decoder allocate more than a table needs.
+// The limit keeps a forged array length from making the decoder allocate more than a
+// table needs.
 //
 //msgp:limit arrays:65536
 
-// Version numbers the accepted states of the table, starting at 1. A larger
+// Version is the number of an accepted state of the table, starting at 1. A larger
 // version always supersedes a smaller one.
 type Version uint64
 
-// ServiceID identifies a service. It fits in the 24 bits of a Geneve virtual
-// network identifier and is never reused.
+// ServiceID identifies a service. It fits into a 24-bit Geneve virtual network
+// identifier and is never reused.
 type ServiceID uint32
 
 // BackendID identifies a back end row across the whole table. It is never
 // reused for another service.
 type BackendID uint32
 
-// Incarnation tells apart successive uses of one BackendID. A row that is
-// removed and created again gets a higher incarnation.
+// Incarnation distinguishes successive uses of one BackendID. A row that is removed and
+// created again gets a higher incarnation.
 type Incarnation uint32
 
-// Protocol is the transport protocol number of a service as in the IPv4
-// header.
+// Protocol is the transport protocol number of a service, as in the IPv4 header.
 type Protocol uint8
 
 // The transport protocols a service can use.
@@ -62,8 +62,7 @@
 	return []byte(p.String()), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It fails for any name
-// but tcp and udp.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts only tcp and udp.
 func (p *Protocol) UnmarshalText(text []byte) error {
 	switch string(text) {
 	case "tcp":
@@ -76,13 +75,12 @@
 	return nil
 }
 
-// Endpoint is an IPv4 address and port in text form, such as
-// "127.0.0.1:8080". The text form keeps rows readable in JSON and on the
-// wire; Validate guarantees that AddrPort succeeds.
+// Endpoint is an IPv4 address and port as text, such as "127.0.0.1:8080". Text keeps rows
+// readable in JSON and on the wire. Validate guarantees that AddrPort succeeds.
 type Endpoint string
 
-// AddrPort parses the endpoint. It returns the zero AddrPort for text that
-// Validate would have refused.
+// AddrPort parses the endpoint. It returns the zero AddrPort for text that Validate
+// rejects.
 func (e Endpoint) AddrPort() netip.AddrPort {
 	parsed, err := netip.ParseAddrPort(string(e))
 	if err != nil {
@@ -100,30 +98,28 @@
 	Owner    string    `json:"owner" msg:"owner"`
 }
 
-// Backend is one row of the table.
+// Backend is the row of one back end.
 type Backend struct {
 	ID          BackendID   `json:"id" msg:"id"`
 	Service     ServiceID   `json:"service" msg:"service"`
 	Name        string      `json:"name" msg:"name"`
 	Incarnation Incarnation `json:"incarnation" msg:"incarnation"`
-	// Agent is where the agent beside the back end receives encapsulated
-	// packets.
+	// Agent is the address at which the agent of the back end receives encapsulated packets.
 	Agent Endpoint `json:"agent" msg:"agent"`
-	// Weight is the share of new flows relative to the other rows of the
-	// service. Zero gives the row no new flows.
+	// Weight is the share of new flows relative to the other rows of the service. A row of
+	// weight 0 gets no new flows.
 	Weight uint32 `json:"weight" msg:"weight"`
-	// ConnectionLimit is the largest number of open flows; zero means no
-	// limit.
+	// ConnectionLimit is the largest number of open flows; 0 means no limit.
 	ConnectionLimit uint32 `json:"connection_limit" msg:"limit"`
 	// Drain stops new flows while established ones continue.
 	Drain bool `json:"drain" msg:"drain"`
-	// Removed marks a row that an operator has deleted. It is kept, hidden,
-	// so that its remaining flows can still be found.
+	// Removed marks a row that an operator has deleted. The row is kept but hidden, so that
+	// its remaining flows can still be found.
 	Removed bool `json:"removed,omitempty" msg:"removed"`
-	// Zone is where the back end is; it may be empty.
+	// Zone is the zone of the back end; it may be empty.
 	Zone string `json:"zone,omitempty" msg:"zone,omitempty"`
-	// Closed is set while Zone is closed to new flows. It follows from the zones of the
-	// table, and is here so that a row tells all that decides on its flows.
+	// Closed is set while Zone is closed to new flows. It is derived from ClosedZones of the
+	// table, so that a row alone tells whether it accepts new flows.
 	Closed bool `json:"closed,omitempty" msg:"closed,omitempty"`
 }
 
@@ -132,25 +128,25 @@
 	return b.Weight > 0 && !b.Drain && !b.Removed && !b.Closed
 }
 
-// ClosedZone is a zone whose rows get no new flows, whatever their own cells say. Rows
-// keep their weights and drain flags for when it is opened again.
+// ClosedZone is a zone whose rows get no new flows, whatever their weights and drain flags
+// are. Rows keep these for when the zone is opened again.
 type ClosedZone struct {
 	Zone string `json:"zone" msg:"zone"`
-	// Since is the version of the table that closed it.
+	// Since is the version of the table in which the zone was closed.
 	Since Version `json:"since" msg:"since"`
 }
 
-// Table is one accepted state of the configuration. Services and Backends are
-// sorted by identifier, ClosedZones by name.
+// Table is one accepted state of the configuration. Services and Backends are sorted by
+// identifier, ClosedZones by name.
 type Table struct {
 	Version  Version   `json:"version" msg:"version"`
 	Services []Service `json:"services" msg:"services"`
 	Backends []Backend `json:"backends" msg:"backends"`
-	// ClosedZones are the zones that get no new flows.
+	// ClosedZones are the zones that are closed to new flows.
 	ClosedZones []ClosedZone `json:"closed_zones,omitempty" msg:"closed_zones,omitempty"`
 }
 
-// Sort puts services and back ends into canonical order.
+// Sort sorts services and back ends by identifier.
 func (t *Table) Sort() {
 	slices.SortFunc(t.Services, func(a, b Service) int { return int(a.ID) - int(b.ID) })
 	slices.SortFunc(t.Backends, func(a, b Backend) int { return int(a.ID) - int(b.ID) })
@@ -198,8 +194,8 @@
 	return rows
 }
 
-// ForServices returns the part of the table that concerns the given services, at
-// the same version.
+// ForServices returns the part of the table that concerns the given services, with the
+// same version.
 func (t *Table) ForServices(services []ServiceID) *Table {
 	part := &Table{Version: t.Version}
 	for _, service := range t.Services {
@@ -220,9 +216,9 @@
 	return part
 }
 
-// Parse reads a table in its JSON form, checks it and sorts it. Which rows are closed
-// follows from the zones, whatever the rows say. It fails for unknown members and for any
-// rule that Validate names.
+// Parse reads a table from JSON, validates and sorts it. It sets Closed of each row by the
+// closed zones and ignores the value in the JSON text. It fails for unknown members and for
+// a table that Validate rejects.
 func Parse(data []byte) (*Table, error) {
 	var parsed Table
 	if err := decodeStrict(data, &parsed); err != nil {
--- a/internal/table/validate.go
+++ b/internal/table/validate.go
@@ -9,18 +9,17 @@
 	"github.com/pkg/errors"
 )
 
-// Limits that every cell is checked against.
+// Limits of cell values.
 const (
 	// MaxServiceID is the largest identifier that fits a 24-bit Geneve VNI.
 	MaxServiceID = 1<<24 - 1
-	// MaxWeight bounds a row's weight so that weighted comparisons cannot
-	// overflow.
+	// MaxWeight bounds the weight of a row so that weighted comparisons cannot overflow.
 	MaxWeight = 10_000
 	// MaxNameLength bounds service, back end and owner names, in bytes.
 	MaxNameLength = 64
 )
 
-// CellError names the row, the column and the rule that a cell breaks.
+// CellError reports a cell, by its row and column, and the rule that it violates.
 type CellError struct {
 	Row    string
 	Column string
@@ -32,8 +31,8 @@
 	return fmt.Sprintf("row %s, column %s: %s", e.Row, e.Column, e.Rule)
 }
 
-// Validate checks every cell and the relations between rows. The first broken
-// rule is returned as a CellError.
+// Validate checks every cell and the relations between rows. It returns the first
+// violation as a CellError.
 func (t *Table) Validate() error {
 	services := make(map[ServiceID]Protocol, len(t.Services))
 	names := make(map[string]bool, len(t.Services))
@@ -152,7 +151,7 @@
 		return err
 	}
 	if decoder.More() {
-		return errors.New("text after the closing brace")
+		return errors.New("unexpected text after the JSON object")
 	}
 	return nil
 }
--- a/internal/table/zone.go
+++ b/internal/table/zone.go
@@ -8,10 +8,10 @@
 
 func (z ClosedZone) rowName() string { return ZoneRowName(z.Zone) }
 
-// ZoneRowName names a zone in a CellError.
+// ZoneRowName returns the row name of a zone in a CellError.
 func ZoneRowName(zone string) string { return fmt.Sprintf("zone %q", zone) }
 
-// ClosedSince returns the version that closed a zone, false if the zone is open.
+// ClosedSince returns the version in which a zone was closed, false if the zone is open.
 func (t *Table) ClosedSince(zone string) (Version, bool) {
 	position := slices.IndexFunc(t.ClosedZones, func(closed ClosedZone) bool { return closed.Zone == zone })
 	if position < 0 {
@@ -20,7 +20,7 @@
 	return t.ClosedZones[position].Since, true
 }
 
-// SetZoneClosed closes a zone as of a version, or opens it again.
+// SetZoneClosed closes a zone, with since as the version of the change, or opens it.
 func (t *Table) SetZoneClosed(zone string, closed bool, since Version) {
 	t.ClosedZones = slices.DeleteFunc(t.ClosedZones, func(known ClosedZone) bool { return known.Zone == zone })
 	if closed {
@@ -30,7 +30,7 @@
 	t.ApplyClosedZones()
 }
 
-// ApplyClosedZones sets Closed of each row by the zones that are closed.
+// ApplyClosedZones sets Closed of each row according to ClosedZones.
 func (t *Table) ApplyClosedZones() {
 	for index := range t.Backends {
 		row := &t.Backends[index]
@@ -39,14 +39,14 @@
 	}
 }
 
-// HasZone reports whether a row that is not removed is in a zone.
+// HasZone reports whether any row that is not removed is in a zone.
 func (t *Table) HasZone(zone string) bool {
 	return slices.ContainsFunc(t.Backends, func(row Backend) bool { return !row.Removed && row.Zone == zone })
 }
 
-// UnavailableServices returns the services that have rows and none that gets new flows.
+// UnavailableServices returns the services that have rows, but none that accepts new flows.
 func (t *Table) UnavailableServices() []Service {
-	var stranded []Service
+	var unavailable []Service
 	for _, service := range t.Services {
 		rows, accepting := 0, 0
 		for _, row := range t.BackendsOf(service.ID) {
@@ -59,10 +59,10 @@
 			}
 		}
 		if rows > 0 && accepting == 0 {
-			stranded = append(stranded, service)
+			unavailable = append(unavailable, service)
 		}
 	}
-	return stranded
+	return unavailable
 }
 
 func (t *Table) validateZones() error {
@@ -78,7 +78,7 @@
 	}
 	for _, row := range t.Backends {
 		if row.Closed != (row.Zone != "" && seen[row.Zone]) {
-			return CellError{row.rowName(), "closed", "must tell whether the zone of the row is closed"}
+			return CellError{row.rowName(), "closed", "must be true exactly if the zone of the row is closed"}
 		}
 	}
 	return nil
--- a/internal/table/zone_test.go
+++ b/internal/table/zone_test.go
@@ -10,7 +10,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-var _ = Describe("Table, with zones", func() {
+var _ = Describe("Table with zones", func() {
 	zoned := func() *table.Table {
 		return &table.Table{
 			Version: 3,
@@ -36,7 +36,7 @@
 		return ids
 	}
 
-	It("gives the rows of a closed zone no new flows and leaves their cells alone", func() {
+	It("accepts no new flows for rows of a closed zone, and keeps their cells", func() {
 		closed := zoned()
 		closed.SetZoneClosed("north", true, 4)
 		Expect(accepting(closed)).To(Equal([]table.BackendID{2, 4}))
@@ -48,13 +48,13 @@
 		Expect(closed).To(Equal(func() *table.Table { open := zoned(); open.ClosedZones = []table.ClosedZone{}; return open }()))
 	})
 
-	It("keeps what is closed in copies, parts and on the wire", func() {
+	It("keeps closed zones in clones, in subsets of services and in both encodings", func() {
 		closed := zoned()
 		closed.SetZoneClosed("north", true, 4)
 		Expect(closed.Clone()).To(Equal(closed))
 		Expect(closed.ForServices([]table.ServiceID{2}).ClosedZones).To(HaveLen(1))
 		closed.SetZoneClosed("south", true, 5)
-		Expect(closed.ForServices([]table.ServiceID{2}).ClosedZones).To(HaveLen(1), "a zone without rows of the part")
+		Expect(closed.ForServices([]table.ServiceID{2}).ClosedZones).To(HaveLen(1), "the subset has no row in the second zone")
 		encoded, err := closed.MarshalMsg(nil)
 		Expect(err).NotTo(HaveOccurred())
 		var decoded table.Table
@@ -66,7 +66,7 @@
 		Expect(table.Parse(text)).To(Equal(closed))
 	})
 
-	It("takes from its JSON form which zones are closed, and need not be told of each row", func() {
+	It("derives the closed rows from the closed zones of the JSON text", func() {
 		text := `{"version":3,"services":[{"id":1,"name":"lookup","address":"198.51.100.1:80","protocol":"tcp","owner":""}],` +
 			`"backends":[{"id":1,"service":1,"name":"a","incarnation":1,"agent":"192.0.2.1:6081","weight":5,` +
 			`"connection_limit":0,"drain":false,"zone":"north"}],"closed_zones":[{"zone":"north","since":2}]}`
@@ -75,23 +75,23 @@
 		Expect(accepting(parsed)).To(BeEmpty())
 	})
 
-	DescribeTable("refuses zones that do not fit", func(change func(*table.Table), column, rule string) {
+	DescribeTable("rejects invalid zones", func(change func(*table.Table), column, rule string) {
 		broken := zoned()
 		change(broken)
 		Expect(broken.Validate()).To(MatchError(And(ContainSubstring("column "+column), ContainSubstring(rule))))
 	},
-		Entry("a row that is not marked", func(t *table.Table) {
+		Entry("a row of a closed zone that is not marked", func(t *table.Table) {
 			t.ClosedZones = []table.ClosedZone{{Zone: "north"}}
-		}, "closed", "must tell whether the zone of the row is closed"),
-		Entry("a row that is marked", func(t *table.Table) { t.Backends[3].Closed = true }, "closed", "must tell"),
-		Entry("a zone twice", func(t *table.Table) {
+		}, "closed", "must be true exactly if the zone of the row is closed"),
+		Entry("a marked row without a closed zone", func(t *table.Table) { t.Backends[3].Closed = true }, "closed", "must be true exactly if"),
+		Entry("a closed zone that is listed twice", func(t *table.Table) {
 			t.ClosedZones = []table.ClosedZone{{Zone: "east"}, {Zone: "east"}}
 		}, "zone", "must be unique"),
-		Entry("a zone without a name", func(t *table.Table) { t.ClosedZones = []table.ClosedZone{{}} }, "zone", "must have 1 to 64 bytes"),
-		Entry("a long name", func(t *table.Table) { t.Backends[0].Zone = strings.Repeat("z", 65) }, "zone", "must have at most 64 bytes"),
+		Entry("a closed zone without a name", func(t *table.Table) { t.ClosedZones = []table.ClosedZone{{}} }, "zone", "must have 1 to 64 bytes"),
+		Entry("a zone name that is too long", func(t *table.Table) { t.Backends[0].Zone = strings.Repeat("z", 65) }, "zone", "must have at most 64 bytes"),
 	)
 
-	It("is written with a column for zones, and read with or without", func() {
+	It("is written as CSV with a zone column, and read with or without it", func() {
 		var written bytes.Buffer
 		Expect(table.WriteCSV(&written, zoned())).To(Succeed())
 		Expect(written.String()).To(HavePrefix("service,id,name,incarnation,agent,weight,connection_limit,drain,zone\nlookup,1,"))
@@ -101,6 +101,6 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rows).To(ConsistOf(HaveField("Zone", "")))
 		_, err = table.ReadCSV(strings.NewReader(old+"lookup,2,lookup-2,0,192.0.2.2:6081,5,0,false,north\n"), zoned().Services)
-		Expect(err).To(HaveOccurred(), "a line with another number of columns")
+		Expect(err).To(HaveOccurred(), "the line has one column more than the header")
 	})
 })
