--- a/internal/encap/encap.go
+++ b/internal/encap/encap.go
@@ -1,9 +1,9 @@
-// Package encap carries IPv4 packets between fabric, balancers and agents, and
-// control messages between agents, in Geneve over UDP (RFC 8926).
+// Package encap encodes and decodes Geneve datagrams over UDP (RFC 8926). They carry IPv4
+// packets between fabric, balancers and agents, and control messages between agents.
 //
-// The virtual network identifier is the service. One option carries what the
-// receiving agent needs to check that it is the addressee and to settle
-// disagreement between table versions.
+// The virtual network identifier is the service identifier. An option carries the addressed
+// row and the table version of the sender. With it, the receiving agent checks that the
+// packet is meant for it, and resolves differences between table versions.
 package encap
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Routing is the content of the Geneve option that a balancer adds.
+// Routing is the content of the Geneve option that balancers add.
 type Routing struct {
 	// Version is the table version that the sender used.
 	Version table.Version
@@ -24,10 +24,10 @@
 	Backend table.BackendID
 	// Incarnation is the incarnation of the addressed row.
 	Incarnation table.Incarnation
-	// Hops counts how many agents have passed the packet along.
+	// Hops is the number of agents that have forwarded the packet.
 	Hops uint8
-	// HandedOver is set when the agent that owns the decision about a new
-	// flow has decided that the addressed agent shall open it.
+	// HandedOver is set if the agent that decides about a new flow has chosen the addressed
+	// agent to open it.
 	HandedOver bool
 }
 
@@ -37,12 +37,12 @@
 	routingSize      = 20
 	flagHandedOver   = 1
 	geneveHeaderSize = 8
-	// controlProtocol is the EtherType for local experiments (IEEE 802); it
-	// marks control messages, together with the control bit of Geneve.
+	// controlProtocol is the EtherType for local experiments (IEEE 802). Together with the
+	// control bit of Geneve it marks control messages.
 	controlProtocol  = layers.EthernetType(0x88b5)
 	optionHeaderSize = 4
-	// Overhead is the number of bytes that encapsulation with routing adds in
-	// front of an IPv4 packet, below UDP.
+	// Overhead is the number of bytes between the UDP header and an encapsulated IPv4 packet
+	// with routing.
 	Overhead = geneveHeaderSize + optionHeaderSize + routingSize
 )
 
@@ -65,16 +65,16 @@
 	return encoder
 }
 
-// AppendPlain appends a Geneve header without options and the packet to
-// destination, as the fabric sends it.
+// AppendPlain appends a Geneve header without options and the packet to destination. The
+// fabric sends packets in this form.
 func (e *Encoder) AppendPlain(destination, packet []byte) []byte {
 	e.header.VNI = 0
 	e.header.Options = nil
 	return e.append(destination, packet)
 }
 
-// AppendControl appends a Geneve header with the control bit and an encoded
-// control message to destination.
+// AppendControl appends a Geneve header with the control bit and an encoded control message
+// to destination.
 func (e *Encoder) AppendControl(destination []byte, service table.ServiceID, message []byte) []byte {
 	e.header.VNI = uint32(service)
 	e.header.Options = nil
@@ -86,8 +86,7 @@
 	return destination
 }
 
-// AppendRouted appends a Geneve header with routing and the packet to
-// destination.
+// AppendRouted appends a Geneve header with the routing option and the packet to destination.
 func (e *Encoder) AppendRouted(destination []byte, service table.ServiceID, routing Routing, packet []byte) []byte {
 	binary.BigEndian.PutUint64(e.data[0:], uint64(routing.Version))
 	binary.BigEndian.PutUint32(e.data[8:], uint32(routing.Backend))
@@ -126,18 +125,18 @@
 	outcomeCount
 )
 
-// Outcomes lists every outcome, for counters that are kept by reason.
+// Outcomes returns all outcomes, for counters by outcome.
 func Outcomes() []Outcome {
 	return label.All(outcomeCount)
 }
 
 var outcomeNames = []string{"decoded", "malformed", "wrong_version", "wrong_protocol", "unknown_critical_option"}
 
-// String returns the outcome in the form used as a metric label.
+// String returns the outcome as a metric label.
 func (o Outcome) String() string { return label.Of(outcomeNames, o) }
 
-// Datagram is a decoded Geneve datagram. Packet aliases the decoded bytes; it
-// is an IPv4 packet, or a control message if Control is set.
+// Datagram is a decoded Geneve datagram. Packet is a slice of the decoded bytes. It holds an
+// IPv4 packet, or a control message if Control is set.
 type Datagram struct {
 	Service    table.ServiceID
 	Control    bool
@@ -154,8 +153,7 @@
 // NewDecoder returns a decoder.
 func NewDecoder() *Decoder { return &Decoder{} }
 
-// Decode reads one UDP payload. A datagram without options costs no
-// allocation.
+// Decode decodes one UDP payload. It does not allocate for a datagram without options.
 func (d *Decoder) Decode(data []byte) (Datagram, Outcome) {
 	var datagram Datagram
 	if outcome := d.DecodeInto(data, &datagram); outcome != Decoded {
@@ -164,13 +162,13 @@
 	return datagram, Decoded
 }
 
-// DecodeInto is Decode for callers that reuse a datagram, which saves copying
-// it. The datagram is meaningful only when the outcome is Decoded.
+// DecodeInto is like Decode, for callers that reuse a datagram, which avoids copying it. The
+// datagram is valid only if the outcome is Decoded.
 func (d *Decoder) DecodeInto(data []byte, datagram *Datagram) Outcome {
 	if err := d.header.DecodeFromBytes(data, gopacket.NilDecodeFeedback); err != nil {
 		return Malformed
 	}
-	if !d.optionsFill() {
+	if !d.optionsLengthValid() {
 		return Malformed
 	}
 	if d.header.Version != 0 {
@@ -202,10 +200,10 @@
 	return Decoded
 }
 
-// optionsFill reports whether the options end where the header says. The
-// library reads an option that runs over the end as if the packet began behind
-// it, and counts the offset of the packet in 8 bits.
-func (d *Decoder) optionsFill() bool {
+// optionsLengthValid reports whether the options end where the length in the header says.
+// The library accepts an option that exceeds this length and takes the packet to start after
+// it. It also computes the offset of the packet in 8 bits, which can overflow.
+func (d *Decoder) optionsLengthValid() bool {
 	return len(d.header.Contents) == geneveHeaderSize+int(d.header.OptionsLength)
 }
 
--- a/internal/encap/encap_bench_test.go
+++ b/internal/encap/encap_bench_test.go
@@ -10,7 +10,7 @@
 	benchmarkDecode(b, encap.NewEncoder().AppendPlain(nil, make([]byte, 1000)))
 }
 
-// BenchmarkDecodeRouted is what an agent pays for the option.
+// BenchmarkDecodeRouted measures the cost of the routing option for an agent.
 func BenchmarkDecodeRouted(b *testing.B) {
 	benchmarkDecode(b, encap.NewEncoder().AppendRouted(nil, 9, sampleRouting, make([]byte, 1000)))
 }
--- a/internal/encap/encap_fuzz_test.go
+++ b/internal/encap/encap_fuzz_test.go
@@ -12,8 +12,8 @@
 	Version: 1 << 40, Backend: 0xfffffffe, Incarnation: 3, Hops: 2, HandedOver: true,
 }
 
-// manyOptions is a datagram whose options have the largest total size that the
-// header can express.
+// manyOptions returns a datagram whose options have the largest total size that the header
+// can express.
 func manyOptions() []byte {
 	const optionsSize = 63 * 4
 	datagram := append(encap.NewEncoder().AppendPlain(nil, nil), make([]byte, optionsSize)...)
@@ -21,8 +21,8 @@
 	return append(datagram, 0x45)
 }
 
-// FuzzDecode checks that no input makes the decoder panic, and that the packet
-// of a datagram it accepts is the end of the input.
+// FuzzDecode checks that no input makes the decoder panic, and that the packet of an accepted
+// datagram is everything after the Geneve header.
 func FuzzDecode(f *testing.F) {
 	encoder := encap.NewEncoder()
 	f.Add([]byte{})
@@ -38,7 +38,7 @@
 		}
 		headerSize := 8 + int(data[0]&0x3f)*4
 		if !bytes.Equal(datagram.Packet, data[headerSize:]) {
-			t.Fatalf("packet is not what follows the header of %d bytes", headerSize)
+			t.Fatalf("the packet does not start after the header of %d bytes", headerSize)
 		}
 		if !datagram.HasRouting && datagram.Routing != (encap.Routing{}) {
 			t.Fatalf("routing without an option: %+v", datagram.Routing)
@@ -46,8 +46,8 @@
 	})
 }
 
-// FuzzRoundTrip checks that what is encoded is decoded, also by a decoder and
-// an encoder that have been used before.
+// FuzzRoundTrip checks that decoding returns the encoded values. It reuses one encoder and one
+// decoder for all inputs, so that state left over from earlier datagrams would show.
 func FuzzRoundTrip(f *testing.F) {
 	f.Add(uint32(9), uint64(1)<<40, uint32(7), uint32(3), uint8(1), true, []byte("packet"))
 	f.Add(uint32(0), uint64(0), uint32(0), uint32(0), uint8(0), false, []byte{})
@@ -68,7 +68,7 @@
 		}
 		routed := encoder.AppendRouted(nil, want.Service, want.Routing, content)
 		if len(routed) != encap.Overhead+len(content) {
-			t.Fatalf("%d bytes around a packet of %d, want %d", len(routed)-len(content), len(content), encap.Overhead)
+			t.Fatalf("%d bytes of overhead for a packet of %d bytes, want %d", len(routed)-len(content), len(content), encap.Overhead)
 		}
 		expectDecoded(t, decoder, routed, want)
 		control := encap.Datagram{Service: want.Service, Control: true, Packet: content}
--- a/internal/packet/flow_test.go
+++ b/internal/packet/flow_test.go
@@ -12,8 +12,8 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// TestHashIsOfTheFiveTuple pins the encoding that is hashed: a change of it
-// would move every flow while balancers are replaced one by one.
+// TestHashIsOfTheFiveTuple fails if the hashed encoding changes. Such a change would move
+// every flow to another back end while balancers are replaced one by one.
 func TestHashIsOfTheFiveTuple(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := drawEndpoint(t, "source")
--- a/internal/packet/packet.go
+++ b/internal/packet/packet.go
@@ -1,9 +1,8 @@
-// Package packet decodes the IPv4 packets of callers and derives the flow
-// that each belongs to.
+// Package packet decodes IPv4 packets of callers that carry TCP or UDP. For each packet it
+// returns the flow that the packet belongs to, for routing, or a typed reason to drop it.
 //
-// Decoding is gopacket's; this package only keeps the layers together so that a
-// decode needs no allocation, and turns its outcome into a typed reason for
-// dropping.
+// gopacket decodes the layers. This package reuses them between packets, so that decoding
+// allocates no memory.
 package packet
 
 import (
@@ -17,7 +16,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Flow identifies a transport flow by its five-tuple.
+// Flow is the five-tuple that identifies a transport flow.
 type Flow struct {
 	Source      netip.AddrPort
 	Destination netip.AddrPort
@@ -26,14 +25,14 @@
 
 const flowEncodingSize = 4 + 2 + 4 + 2 + 1
 
-// Hash returns the 64-bit xxHash of the flow. Every process computes the same
-// value for the same flow.
+// Hash returns the 64-bit xxHash of the flow. All processes compute the same value for the
+// same flow.
 func (f Flow) Hash() uint64 {
 	var encoded [flowEncodingSize]byte
-	source := ipv4Of(f.Source)
-	destination := ipv4Of(f.Destination)
-	// The stores are as wide as the loads of Sum64; a wide load after narrower
-	// stores stalls the processor.
+	source := ipv4Bits(f.Source)
+	destination := ipv4Bits(f.Destination)
+	// The stores are as wide as the loads of Sum64. A wide load after narrower stores would
+	// stall the processor.
 	first := uint64(source)<<32 | uint64(f.Source.Port())<<16 | uint64(destination)>>16
 	binary.BigEndian.PutUint64(encoded[0:], first)
 	binary.BigEndian.PutUint32(encoded[8:], destination<<16|uint32(f.Destination.Port()))
@@ -41,7 +40,7 @@
 	return xxhash.Sum64(encoded[:])
 }
 
-func ipv4Of(endpoint netip.AddrPort) uint32 {
+func ipv4Bits(endpoint netip.AddrPort) uint32 {
 	address := endpoint.Addr().As4()
 	return binary.BigEndian.Uint32(address[:])
 }
@@ -49,7 +48,7 @@
 // Outcome tells whether a packet could be decoded and, if not, why.
 type Outcome uint8
 
-// The outcomes of Decode. Every value but Decoded is a reason for dropping.
+// The outcomes of Decode. Every value but Decoded is a reason to drop the packet.
 const (
 	Decoded Outcome = iota
 	Truncated
@@ -61,24 +60,24 @@
 	outcomeCount
 )
 
-// Outcomes lists every outcome, for counters that are kept by reason.
+// Outcomes returns all outcomes, for counters by outcome.
 func Outcomes() []Outcome {
 	return label.All(outcomeCount)
 }
 
 var outcomeNames = []string{"decoded", "truncated", "oversized", "fragmented", "not_ipv4", "unknown_transport", "bad_tcp_flags"}
 
-// String returns the outcome in the form used as a metric label.
+// String returns the outcome as a metric label.
 func (o Outcome) String() string { return label.Of(outcomeNames, o) }
 
-// MaxSize is the largest IPv4 packet that is carried, in bytes.
+// MaxSize is the size of the largest IPv4 packet that is decoded, in bytes.
 const MaxSize = 9000
 
-// Summary is what routing needs to know about one packet.
+// Summary holds the fields of a packet that routing needs.
 type Summary struct {
 	Flow Flow
-	// Sequence is the TCP sequence number; with Opening set it is the initial
-	// sequence number that tells apart successive uses of one five-tuple.
+	// Sequence is the TCP sequence number. If Opening is set, it is the initial sequence
+	// number, which distinguishes successive uses of one five-tuple.
 	Sequence uint32
 	// Opening is set for a TCP segment with SYN and without ACK.
 	Opening bool
@@ -99,7 +98,7 @@
 	feedback truncation
 }
 
-// truncation records that a layer was shorter than its header says.
+// truncation records that a layer was shorter than the length in its header.
 type truncation struct{ found bool }
 
 // SetTruncated implements gopacket.DecodeFeedback.
@@ -108,21 +107,20 @@
 // NewDecoder returns a decoder for IPv4 packets that carry TCP or UDP.
 func NewDecoder() *Decoder { return &Decoder{} }
 
-// Decode reads one IPv4 packet. The summary is meaningful only when the
-// outcome is Decoded.
+// Decode decodes one IPv4 packet. The summary is valid only if the outcome is Decoded.
 func (d *Decoder) Decode(data []byte) (Summary, Outcome) {
 	var summary Summary
 	outcome := d.DecodeInto(data, &summary)
 	return summary, outcome
 }
 
-// DecodeInto is Decode for callers that reuse a summary, which saves copying
-// it. The summary is changed only when the outcome is Decoded.
+// DecodeInto is like Decode, for callers that reuse a summary, which avoids copying it. The
+// summary is modified only if the outcome is Decoded.
 //
-// The layers are decoded one by one, since gopacket.DecodingLayerParser costs
-// more than the decoding.
+// It decodes the layers one by one, since gopacket.DecodingLayerParser costs more than the
+// decoding itself.
 func (d *Decoder) DecodeInto(data []byte, summary *Summary) Outcome {
-	if outcome := checkShape(data); outcome != Decoded {
+	if outcome := checkHeader(data); outcome != Decoded {
 		return outcome
 	}
 	d.feedback.found = false
@@ -148,7 +146,7 @@
 	ipv4FragmentOffset = 6
 )
 
-func checkShape(data []byte) Outcome {
+func checkHeader(data []byte) Outcome {
 	switch {
 	case len(data) < ipv4MinimumHeader:
 		return Truncated
--- a/internal/packet/packet_fuzz_test.go
+++ b/internal/packet/packet_fuzz_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// FuzzDecode checks that no input makes the decoder panic, what it says about
-// packets that it accepts, and that earlier packets do not matter.
+// FuzzDecode checks that no input makes the decoder panic, that the summaries of accepted
+// packets are consistent, and that state of earlier packets has no effect.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range seeds(f) {
 		f.Add(seed)
@@ -58,7 +58,7 @@
 		if outcome == packet.Decoded {
 			checkSummary(t, summary, len(data))
 		} else if summary != (packet.Summary{}) {
-			t.Fatalf("%s with a summary: %+v", outcome, summary)
+			t.Fatalf("outcome %s with a summary: %+v", outcome, summary)
 		}
 		for _, earlier := range [][]byte{opening, opening[:30]} {
 			checkAfter(t, earlier, data, summary, outcome)
@@ -76,8 +76,7 @@
 	}
 }
 
-// checkAfter decodes data with a decoder and a summary that an earlier packet
-// has used.
+// checkAfter decodes data with a decoder and a summary that were used for an earlier packet.
 func checkAfter(t *testing.T, earlier, data []byte, want packet.Summary, wantOutcome packet.Outcome) {
 	t.Helper()
 	decoder := packet.NewDecoder()
@@ -85,9 +84,9 @@
 	decoder.DecodeInto(earlier, &summary)
 	outcome := decoder.DecodeInto(data, &summary)
 	if outcome != wantOutcome {
-		t.Fatalf("%s after another packet, %s otherwise", outcome, wantOutcome)
+		t.Fatalf("outcome %s after another packet, %s with a new decoder", outcome, wantOutcome)
 	}
 	if outcome == packet.Decoded && summary != want {
-		t.Fatalf("%+v after another packet, %+v otherwise", summary, want)
+		t.Fatalf("summary %+v after another packet, %+v with a new decoder", summary, want)
 	}
 }
--- a/internal/segment/answer.go
+++ b/internal/segment/answer.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// AnswerKind tells what the first packet of an answer shows of how the request went.
+// AnswerKind is the result of a request, as far as the first packet of its answer shows it.
 type AnswerKind uint8
 
 // The kinds of answers.
 const (
-	// AnswerUnreadable: the packet shows no answer, or too little of one.
+	// AnswerUnreadable: the packet holds no answer, or too little of one.
 	AnswerUnreadable AnswerKind = iota
-	// AnswerSuccess: the endpoint has answered; an error of the client's is such an answer.
+	// AnswerSuccess: the endpoint answered the request. This includes answers that report an
+	// error of the client.
 	AnswerSuccess
-	// AnswerFailure: the endpoint says that it has failed.
+	// AnswerFailure: the endpoint reports that it failed.
 	AnswerFailure
-	// AnswerRefusal: the endpoint says that it has not run the request.
+	// AnswerRefusal: the endpoint reports that it did not execute the request.
 	AnswerRefusal
 )
 
-// Answer is what is read of an answer. The packet is passed on unchanged.
+// Answer holds what a daemon reads from an answer. The packet is forwarded unchanged.
 type Answer struct {
 	Kind AnswerKind
-	// RetryAfter is when the endpoint wants to be asked again, 0 if it does not say.
+	// RetryAfter is the time after which the endpoint accepts a retry, 0 if it gives none.
 	RetryAfter time.Duration
 }
--- a/internal/segment/segment.go
+++ b/internal/segment/segment.go
@@ -1,9 +1,10 @@
-// Package segment describes the packets of flows that are carried whole: what
-// routing needs to know of one, whatever its encoding on the network is.
+// Package segment defines what the daemons need to know of a packet to route its flow,
+// independent of the encoding of packets on the network. A Codec reads that from the packets
+// of one encoding.
 //
-// A flow is one connection between a client and an endpoint, opened by a
-// three-way handshake as in TCP (RFC 9293). The packets are sealed by their
-// two ends; a daemon can read their head but not change it.
+// A flow is one connection between a client and an endpoint, opened by a three-way handshake
+// as in TCP (RFC 9293). Daemons forward its packets unchanged: the client and the endpoint
+// protect the integrity of packets, so a daemon can read the header but not modify it.
 package segment
 
 import (
@@ -18,14 +19,14 @@
 	"github.com/vanetiller/vanetiller/internal/label"
 )
 
-// Address is an IPv4 address and port. It is smaller than netip.AddrPort and
-// has no pointers, since there is one in every remembered flow.
+// Address is an IPv4 address and port. It is smaller than netip.AddrPort and has no
+// pointers, since every entry of a flow table holds addresses.
 type Address struct {
 	IP   [4]byte
 	Port uint16
 }
 
-// AddressOf converts an IPv4 address and port; the result is zero for others.
+// AddressOf converts an IPv4 address and port. It returns the zero Address for others.
 func AddressOf(address netip.AddrPort) Address {
 	unmapped := address.Addr().Unmap()
 	if !unmapped.Is4() {
@@ -34,7 +35,7 @@
 	return Address{IP: unmapped.As4(), Port: address.Port()}
 }
 
-// AddrPort converts to the form of the standard library.
+// AddrPort converts the address to a netip.AddrPort.
 func (a Address) AddrPort() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(a.IP), a.Port)
 }
@@ -53,17 +54,17 @@
 // String returns the address as text, such as 192.0.2.1:443.
 func (a Address) String() string { return a.AddrPort().String() }
 
-// FlowKey identifies a flow by its two ends as the client sees them.
+// FlowKey identifies a flow by its two addresses as the client sees them.
 type FlowKey struct {
 	Client Address
-	// Service is the address that the client connected to.
+	// Service is the address that the client connects to.
 	Service Address
 }
 
 const flowKeySize = 12
 
-// Hash returns the 64-bit xxHash of the key. Every process computes the same
-// value for the same flow.
+// Hash returns the 64-bit xxHash of the key. All processes compute the same value for the
+// same flow.
 func (k FlowKey) Hash() uint64 {
 	var encoded [flowKeySize]byte
 	copy(encoded[0:4], k.Client.IP[:])
@@ -78,36 +79,36 @@
 
 // The control bits.
 const (
-	// Synchronize opens a flow.
+	// Synchronize opens a flow (SYN).
 	Synchronize Flags = 1 << iota
-	// Acknowledge marks Header.Acknowledgment as valid.
+	// Acknowledge marks Header.Acknowledgment as valid (ACK).
 	Acknowledge
-	// Finish ends one direction of a flow.
+	// Finish ends one direction of a flow (FIN).
 	Finish
-	// Reset ends a flow at once.
+	// Reset aborts a flow (RST).
 	Reset
-	// Returned marks a packet that an endpoint did not take.
+	// Returned marks a packet that an endpoint did not accept and sent back.
 	Returned
 )
 
-// Has reports whether all the given bits are set.
+// Has reports whether all given bits are set.
 func (f Flags) Has(bits Flags) bool { return f&bits == bits }
 
-// Header is what routing needs to know of one packet.
+// Header holds the fields of a packet that routing needs.
 type Header struct {
 	Source         Address
 	Destination    Address
 	Flags          Flags
 	Sequence       uint32
 	Acknowledgment uint32
-	// Length is the number of bytes of data.
+	// Length is the number of payload bytes.
 	Length int
-	// SinceFirstAttempt is, in a packet that opens a flow, for how long its client has tried, as far
-	// as the packet shows that it is a copy.
+	// SinceFirstAttempt is set for a packet that opens a flow. It is the time since the client
+	// first sent that packet, as far as the packet shows that it is a retransmission.
 	SinceFirstAttempt time.Duration
 }
 
-// OpensFlow reports whether the packet is a client's first of a flow.
+// OpensFlow reports whether the packet is the first of a flow, sent by the client.
 func (h Header) OpensFlow() bool {
 	return h.Flags.Has(Synchronize) && !h.Flags.Has(Acknowledge)
 }
@@ -115,7 +116,7 @@
 // Outcome tells whether a packet could be decoded and, if not, why.
 type Outcome uint8
 
-// The outcomes of decoding. Every value but Decoded is a reason for dropping.
+// The outcomes of decoding. Every value but Decoded is a reason to drop the packet.
 const (
 	Decoded Outcome = iota
 	Truncated
@@ -125,27 +126,26 @@
 	outcomeCount
 )
 
-// Outcomes lists every outcome, for counters that are kept by reason.
+// Outcomes returns all outcomes, for counters by outcome.
 func Outcomes() []Outcome { return label.All(outcomeCount) }
 
 var outcomeNames = []string{"decoded", "truncated", "oversized", "bad_length", "bad_flags"}
 
-// String returns the outcome in the form used as a metric label.
+// String returns the outcome as a metric label.
 func (o Outcome) String() string { return label.Of(outcomeNames, o) }
 
-// Codec reads and writes one encoding of packets. Implementations keep nothing
-// between calls.
+// Codec reads and writes one encoding of packets. Implementations are stateless.
 type Codec interface {
-	// Decode reads the head of a packet.
+	// Decode reads the header of a packet.
 	Decode(packet []byte) (Header, Outcome)
-	// RequestID returns the identifier of the request whose first packet this is, as
-	// far as its data show one, else an empty text.
+	// RequestID returns the identifier of the request that starts in the packet, or an empty
+	// string if the payload shows none.
 	RequestID(packet []byte) string
-	// Answer reads how a request went from the first packet of its answer.
+	// Answer reads the result of a request from the first packet of its answer.
 	Answer(packet []byte) Answer
-	// ClearReturned removes, in place, the mark of a packet that an endpoint
-	// did not take, so that it can be offered to another endpoint.
+	// ClearReturned clears Returned in place, so that the packet can be offered to another
+	// endpoint.
 	ClearReturned(packet []byte)
-	// AppendReset appends a reset from the address of a service to a client.
+	// AppendReset appends a reset packet from the address of a service to a client.
 	AppendReset(output []byte, key FlowKey, sequence uint32) []byte
 }
--- a/internal/segment/segmenttest/codec.go
+++ b/internal/segment/segmenttest/codec.go
@@ -1,6 +1,6 @@
-// Package segmenttest implements an encoding of packets of the project's own,
-// sealed by a keyed sum, for tests and for the emulator. It differs from that
-// of any platform, so that code which passes with it depends on none.
+// Package segmenttest implements a packet encoding for tests and for the emulator. Packets
+// are protected by a keyed checksum. The encoding differs from that of any platform, so that
+// code which passes tests with it depends on no platform.
 package segmenttest
 
 import (
@@ -15,53 +15,53 @@
 )
 
 const (
-	offsetSum      = 0
-	offsetFlags    = 8
-	offsetSource   = 10
-	offsetTarget   = 16
-	offsetSequence = 22
-	offsetAck      = 26
-	headSize       = 30
-	maximumSize    = headSize + 1200
-	// sealedFlags leaves out the bit that is no part of what is sealed.
-	sealedFlags = ^byte(segment.Returned)
+	offsetChecksum       = 0
+	offsetFlags          = 8
+	offsetSource         = 10
+	offsetDestination    = 16
+	offsetSequence       = 22
+	offsetAcknowledgment = 26
+	headerSize           = 30
+	maximumSize          = headerSize + 1200
+	// protectedFlags masks out Returned, which the checksum does not cover.
+	protectedFlags = ^byte(segment.Returned)
 )
 
-// Codec implements segment.Codec, and for the two ends of flows also encoding
-// and checking.
+// Codec implements segment.Codec. For clients and endpoints it also encodes packets and
+// verifies their checksums.
 type Codec struct {
-	// Key seals packets. The daemons under test are not given it.
+	// Key is the key of the checksum. The daemons under test do not get it.
 	Key uint64
 }
 
-// Encode returns a sealed packet. The acknowledgment of one that opens a flow is for how
-// many milliseconds its client has tried.
+// Encode returns a packet with its checksum. In a packet that opens a flow, the
+// acknowledgment number holds the milliseconds since the first attempt of the client.
 func (c Codec) Encode(header segment.Header, data []byte) []byte {
-	packet := make([]byte, headSize, headSize+len(data))
+	packet := make([]byte, headerSize, headerSize+len(data))
 	packet[offsetFlags] = byte(header.Flags)
 	putAddress(packet[offsetSource:], header.Source)
-	putAddress(packet[offsetTarget:], header.Destination)
+	putAddress(packet[offsetDestination:], header.Destination)
 	binary.BigEndian.PutUint32(packet[offsetSequence:], header.Sequence)
-	binary.BigEndian.PutUint32(packet[offsetAck:], header.Acknowledgment)
+	binary.BigEndian.PutUint32(packet[offsetAcknowledgment:], header.Acknowledgment)
 	packet = append(packet, data...)
-	binary.BigEndian.PutUint64(packet[offsetSum:], c.sum(packet))
+	binary.BigEndian.PutUint64(packet[offsetChecksum:], c.checksum(packet))
 	return packet
 }
 
-// Sealed reports whether the packet is as its sender wrote it.
+// Sealed reports whether the checksum of the packet is valid.
 func (c Codec) Sealed(packet []byte) bool {
-	return binary.BigEndian.Uint64(packet[offsetSum:]) == c.sum(packet)
+	return binary.BigEndian.Uint64(packet[offsetChecksum:]) == c.checksum(packet)
 }
 
-// Data returns the data of a packet.
-func (Codec) Data(packet []byte) []byte { return packet[headSize:] }
+// Data returns the payload of a packet.
+func (Codec) Data(packet []byte) []byte { return packet[headerSize:] }
 
-// MarkReturned marks, in place, a packet that an endpoint does not take.
+// MarkReturned sets Returned in place, for an endpoint that does not accept the packet.
 func (Codec) MarkReturned(packet []byte) { packet[offsetFlags] |= byte(segment.Returned) }
 
-func (c Codec) sum(packet []byte) uint64 {
+func (c Codec) checksum(packet []byte) uint64 {
 	digest := xxhash.NewWithSeed(c.Key)
-	_, _ = digest.Write([]byte{packet[offsetFlags] & sealedFlags})
+	_, _ = digest.Write([]byte{packet[offsetFlags] & protectedFlags})
 	_, _ = digest.Write(packet[offsetFlags+1:])
 	return digest.Sum64()
 }
@@ -69,18 +69,18 @@
 // Decode implements segment.Codec.
 func (Codec) Decode(packet []byte) (segment.Header, segment.Outcome) {
 	switch {
-	case len(packet) < headSize:
+	case len(packet) < headerSize:
 		return segment.Header{}, segment.Truncated
 	case len(packet) > maximumSize:
 		return segment.Header{}, segment.Oversized
 	}
 	header := segment.Header{
 		Source:         addressAt(packet[offsetSource:]),
-		Destination:    addressAt(packet[offsetTarget:]),
+		Destination:    addressAt(packet[offsetDestination:]),
 		Flags:          segment.Flags(packet[offsetFlags]),
 		Sequence:       binary.BigEndian.Uint32(packet[offsetSequence:]),
-		Acknowledgment: binary.BigEndian.Uint32(packet[offsetAck:]),
-		Length:         len(packet) - headSize,
+		Acknowledgment: binary.BigEndian.Uint32(packet[offsetAcknowledgment:]),
+		Length:         len(packet) - headerSize,
 	}
 	if header.OpensFlow() {
 		header.SinceFirstAttempt = time.Duration(header.Acknowledgment) * time.Millisecond
@@ -88,21 +88,21 @@
 	return header, segment.Decoded
 }
 
-// requestMark stands before the identifier of a request, which ends at a blank.
-const requestMark = "id="
+// requestIDPrefix precedes the identifier of a request, which ends at a space.
+const requestIDPrefix = "id="
 
 // RequestID implements segment.Codec.
 func (c Codec) RequestID(packet []byte) string {
-	marked, found := strings.CutPrefix(string(c.Data(packet)), requestMark)
+	rest, found := strings.CutPrefix(string(c.Data(packet)), requestIDPrefix)
 	if !found {
 		return ""
 	}
-	id, _, _ := strings.Cut(marked, " ")
+	id, _, _ := strings.Cut(rest, " ")
 	return id
 }
 
-// The beginnings of answers that tell of a failure and of a request that has not run; the
-// milliseconds until it may be sent again follow the latter.
+// The prefixes of answers that report a failure and a refusal. After RefusalPrefix, the
+// answer holds the milliseconds until the request may be retried.
 const (
 	FailurePrefix = "failed"
 	RefusalPrefix = "refused "
@@ -118,23 +118,23 @@
 	if !refused {
 		return segment.Answer{Kind: segment.AnswerSuccess}
 	}
-	// A wait that cannot be read is none.
+	// A time that cannot be parsed counts as 0.
 	wait, _, _ = strings.Cut(wait, " ")
-	after, _ := strconv.Atoi(wait)
-	return segment.Answer{Kind: segment.AnswerRefusal, RetryAfter: time.Duration(after) * time.Millisecond}
+	milliseconds, _ := strconv.Atoi(wait)
+	return segment.Answer{Kind: segment.AnswerRefusal, RetryAfter: time.Duration(milliseconds) * time.Millisecond}
 }
 
 // ClearReturned implements segment.Codec.
-func (Codec) ClearReturned(packet []byte) { packet[offsetFlags] &= sealedFlags }
+func (Codec) ClearReturned(packet []byte) { packet[offsetFlags] &= protectedFlags }
 
-// AppendReset implements segment.Codec. The sum stays 0.
+// AppendReset implements segment.Codec. The checksum stays 0.
 func (Codec) AppendReset(output []byte, key segment.FlowKey, sequence uint32) []byte {
-	head := make([]byte, headSize)
-	head[offsetFlags] = byte(segment.Reset)
-	putAddress(head[offsetSource:], key.Service)
-	putAddress(head[offsetTarget:], key.Client)
-	binary.BigEndian.PutUint32(head[offsetSequence:], sequence)
-	return append(output, head...)
+	header := make([]byte, headerSize)
+	header[offsetFlags] = byte(segment.Reset)
+	putAddress(header[offsetSource:], key.Service)
+	putAddress(header[offsetDestination:], key.Client)
+	binary.BigEndian.PutUint32(header[offsetSequence:], sequence)
+	return append(output, header...)
 }
 
 func putAddress(target []byte, address segment.Address) {
