--- a/internal/netstack/client_test.go
+++ b/internal/netstack/client_test.go
@@ -1,5 +1,5 @@
-// This file implements a caller that sends single segments and reads what the
-// stack answers.
+// This file implements a test client that sends single segments and reads the answers of
+// the stack.
 
 package netstack_test
 
@@ -17,110 +17,110 @@
 	"github.com/vanetiller/vanetiller/internal/netstack"
 )
 
-// generous is how long a test waits for what must happen.
-const generous = time.Minute
+// testTimeout is how long a test waits for an expected event.
+const testTimeout = time.Minute
 
 var (
-	service = netip.MustParseAddrPort("198.51.100.7:80")
-	other   = netip.MustParseAddrPort("198.51.100.8:443")
-	peer    = netip.MustParseAddrPort("203.0.113.9:2000")
+	service       = netip.MustParseAddrPort("198.51.100.7:80")
+	otherService  = netip.MustParseAddrPort("198.51.100.8:443")
+	clientAddress = netip.MustParseAddrPort("203.0.113.9:2000")
 )
 
-// firstSequence is the initial sequence number of the crafted caller.
-const firstSequence = 1000
+// initialSequence is the initial sequence number of the test client.
+const initialSequence = 1000
 
-// wire joins a crafted caller to a stack.
-type wire struct {
+// client is a caller that exchanges packets with a stack.
+type client struct {
 	stack *netstack.Stack
-	// segment is what is sent next, apart from flags and content.
-	segment layers.TCP
-	to      netip.AddrPort
+	// segment holds the header fields of the next segment apart from ports and flags.
+	segment     layers.TCP
+	destination netip.AddrPort
 }
 
-func newWire(handler netstack.Handler) *wire {
+func newClient(handler netstack.Handler) *client {
 	created, err := netstack.New(handler)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(created.Close)
-	return &wire{stack: created, to: service, segment: layers.TCP{Seq: firstSequence, Window: 65535}}
+	return &client{stack: created, destination: service, segment: layers.TCP{Seq: initialSequence, Window: 65535}}
 }
 
-func (w *wire) header(protocol layers.IPProtocol) *layers.IPv4 {
+func (c *client) header(protocol layers.IPProtocol) *layers.IPv4 {
 	return &layers.IPv4{
 		Version: 4, TTL: 64, Protocol: protocol,
-		SrcIP: net.IP(peer.Addr().AsSlice()), DstIP: net.IP(w.to.Addr().AsSlice()),
+		SrcIP: net.IP(clientAddress.Addr().AsSlice()), DstIP: net.IP(c.destination.Addr().AsSlice()),
 	}
 }
 
-func (w *wire) inject(parts ...gopacket.SerializableLayer) {
+func (c *client) inject(parts ...gopacket.SerializableLayer) {
 	serialized := gopacket.NewSerializeBuffer()
 	options := gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}
 	Expect(gopacket.SerializeLayers(serialized, options, parts...)).To(Succeed())
-	w.stack.Inject(serialized.Bytes())
+	c.stack.Inject(serialized.Bytes())
 }
 
-// send sends a segment with the flags that set makes.
-func (w *wire) send(content string, set func(*layers.TCP)) {
-	segment := w.segment
-	segment.SrcPort, segment.DstPort = layers.TCPPort(peer.Port()), layers.TCPPort(w.to.Port())
+// send sends a segment with the given content; set sets its flags.
+func (c *client) send(content string, set func(*layers.TCP)) {
+	segment := c.segment
+	segment.SrcPort, segment.DstPort = layers.TCPPort(clientAddress.Port()), layers.TCPPort(c.destination.Port())
 	set(&segment)
-	internet := w.header(layers.IPProtocolTCP)
-	Expect(segment.SetNetworkLayerForChecksum(internet)).To(Succeed())
-	w.inject(internet, &segment, gopacket.Payload(content))
+	ipHeader := c.header(layers.IPProtocolTCP)
+	Expect(segment.SetNetworkLayerForChecksum(ipHeader)).To(Succeed())
+	c.inject(ipHeader, &segment, gopacket.Payload(content))
 }
 
-func (w *wire) sendDatagram(content string) {
-	upper := &layers.UDP{SrcPort: layers.UDPPort(peer.Port()), DstPort: layers.UDPPort(w.to.Port())}
-	internet := w.header(layers.IPProtocolUDP)
-	Expect(upper.SetNetworkLayerForChecksum(internet)).To(Succeed())
-	w.inject(internet, upper, gopacket.Payload(content))
+func (c *client) sendDatagram(content string) {
+	udpHeader := &layers.UDP{SrcPort: layers.UDPPort(clientAddress.Port()), DstPort: layers.UDPPort(c.destination.Port())}
+	ipHeader := c.header(layers.IPProtocolUDP)
+	Expect(udpHeader.SetNetworkLayerForChecksum(ipHeader)).To(Succeed())
+	c.inject(ipHeader, udpHeader, gopacket.Payload(content))
 }
 
-// receive waits for the next packet of the stack.
-func (w *wire) receive() gopacket.Packet {
+// receive waits for the next packet from the stack.
+func (c *client) receive() gopacket.Packet {
 	GinkgoHelper()
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	data, more := w.stack.ReadPacket(ctx, nil)
+	data, more := c.stack.ReadPacket(ctx, nil)
 	Expect(more).To(BeTrue(), "no answer")
 	return gopacket.NewPacket(data, layers.LayerTypeIPv4, gopacket.Default)
 }
 
-// receiveSegment waits for the next TCP segment, which must be from the address
-// that was called and to the caller.
-func (w *wire) receiveSegment() *layers.TCP {
+// receiveSegment waits for the next TCP segment. It must be sent from the called address to
+// the client.
+func (c *client) receiveSegment() *layers.TCP {
 	GinkgoHelper()
-	received := w.receive()
-	internet := received.Layer(layers.LayerTypeIPv4).(*layers.IPv4)
+	received := c.receive()
+	ipHeader := received.Layer(layers.LayerTypeIPv4).(*layers.IPv4)
 	segment := received.Layer(layers.LayerTypeTCP).(*layers.TCP)
-	Expect(internet.SrcIP.String()).To(Equal(w.to.Addr().String()))
-	Expect(internet.DstIP.String()).To(Equal(peer.Addr().String()))
-	Expect(segment.SrcPort).To(BeEquivalentTo(w.to.Port()))
-	Expect(segment.DstPort).To(BeEquivalentTo(peer.Port()))
+	Expect(ipHeader.SrcIP.String()).To(Equal(c.destination.Addr().String()))
+	Expect(ipHeader.DstIP.String()).To(Equal(clientAddress.Addr().String()))
+	Expect(segment.SrcPort).To(BeEquivalentTo(c.destination.Port()))
+	Expect(segment.DstPort).To(BeEquivalentTo(clientAddress.Port()))
 	return segment
 }
 
-func synchronize(segment *layers.TCP) { segment.SYN = true }
+func setSYN(segment *layers.TCP) { segment.SYN = true }
 
-func acknowledge(segment *layers.TCP) { segment.ACK = true }
+func setACK(segment *layers.TCP) { segment.ACK = true }
 
-func reset(segment *layers.TCP) { segment.RST = true }
+func setRST(segment *layers.TCP) { segment.RST = true }
 
-// establish answers the stack's part of the handshake.
-func (w *wire) establish() {
+// establish completes the handshake after the SYN-ACK of the stack.
+func (c *client) establish() {
 	GinkgoHelper()
-	accepted := w.receiveSegment()
+	accepted := c.receiveSegment()
 	Expect(accepted.SYN && accepted.ACK && !accepted.RST).To(BeTrue())
-	Expect(accepted.Ack).To(BeEquivalentTo(firstSequence + 1))
-	w.segment.Seq = firstSequence + 1
-	w.segment.Ack = accepted.Seq + 1
-	w.send("", acknowledge)
+	Expect(accepted.Ack).To(BeEquivalentTo(initialSequence + 1))
+	c.segment.Seq = initialSequence + 1
+	c.segment.Ack = accepted.Seq + 1
+	c.send("", setACK)
 }
 
-// receiveReset skips acknowledgements until the stack resets the connection.
-func (w *wire) receiveReset() *layers.TCP {
+// receiveReset skips other segments until the stack resets the connection.
+func (c *client) receiveReset() *layers.TCP {
 	GinkgoHelper()
 	for {
-		segment := w.receiveSegment()
+		segment := c.receiveSegment()
 		if segment.RST {
 			return segment
 		}
--- a/internal/netstack/connection.go
+++ b/internal/netstack/connection.go
@@ -11,13 +11,12 @@
 	"gvisor.dev/gvisor/pkg/waiter"
 )
 
-// Request is a caller's wish to open a TCP connection. Its handshake has not
-// been answered yet.
+// Request is a TCP connection request of a caller whose SYN has not been answered yet.
 type Request struct {
 	forwarded *tcp.ForwarderRequest
 }
 
-// Caller returns the caller's address.
+// Caller returns the address of the caller.
 func (r *Request) Caller() netip.AddrPort {
 	id := r.forwarded.ID()
 	return addrPort(id.RemoteAddress, id.RemotePort)
@@ -26,27 +25,28 @@
 // Refuse answers with a TCP reset.
 func (r *Request) Refuse() { r.forwarded.Complete(true) }
 
-// Ignore sends no answer; the caller may retransmit.
+// Ignore sends no answer. The caller may retransmit.
 func (r *Request) Ignore() { r.forwarded.Complete(false) }
 
-// Accept completes the handshake. It fails if the caller does not.
+// Accept completes the handshake. It fails if the caller does not complete its part.
 func (r *Request) Accept() (*Connection, error) {
 	queue := new(waiter.Queue)
 	endpoint, err := r.forwarded.CreateEndpoint(queue)
 	if err != nil {
 		r.forwarded.Complete(false)
-		return nil, errors.Errorf("complete handshake: %s", err)
+		return nil, errors.Errorf("complete TCP handshake: %s", err)
 	}
 	r.forwarded.Complete(false)
 	setKeepalive(endpoint)
 	return &Connection{TCPConn: gonet.NewTCPConn(queue, endpoint), endpoint: endpoint}, nil
 }
 
-// setKeepalive lets a connection end whose caller has silently gone away.
+// setKeepalive enables keepalive probes, which end connections whose caller has disappeared
+// without closing them.
 func setKeepalive(endpoint tcpip.Endpoint) {
 	idle := tcpip.KeepaliveIdleOption(keepaliveIdle)
 	interval := tcpip.KeepaliveIntervalOption(keepaliveInterval)
-	// The options are valid by construction, so their errors cannot occur.
+	// Setting these options cannot fail, since their values are constants in the valid range.
 	_ = endpoint.SetSockOpt(&idle)
 	_ = endpoint.SetSockOpt(&interval)
 	_ = endpoint.SetSockOptInt(tcpip.KeepaliveCountOption, keepaliveCount)
@@ -64,10 +64,10 @@
 
 const closePollInterval = 20 * time.Millisecond
 
-// WaitClosed blocks until the transport has finished with the connection after
-// Close, or until the limit has passed; it then aborts it.
-func (c *Connection) WaitClosed(limit time.Duration) {
-	deadline := time.Now().Add(limit)
+// WaitClosed blocks after Close until TCP has closed the connection. After the timeout it
+// aborts the connection.
+func (c *Connection) WaitClosed(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
 		state := tcp.EndpointState(c.endpoint.State())
 		if state == tcp.StateClose || state == tcp.StateError {
--- a/internal/netstack/netstack.go
+++ b/internal/netstack/netstack.go
@@ -1,6 +1,9 @@
-// Package netstack terminates the callers' TCP and UDP flows of one service in
-// user space, on gVisor's network stack, so that an agent needs no privilege
-// and no address of its own on the machine.
+// Package netstack terminates the TCP and UDP flows of one service in user space. An agent
+// passes it the decapsulated IPv4 packets of callers and sends the packets that it returns.
+// A Handler decides which flows are opened and gets their connections.
+//
+// It uses the network stack of gVisor, so that an agent needs no privileges and no address of
+// its own on the machine.
 package netstack
 
 import (
@@ -24,28 +27,29 @@
 
 const (
 	interfaceID = 1
-	// queueLength is how many outgoing packets may wait to be sent.
+	// queueLength is the largest number of outgoing packets that wait to be sent.
 	queueLength = 4096
-	// maximumTransmissionUnit leaves room for Geneve, UDP and IP headers on a
-	// network of 1,500 bytes.
+	// maximumTransmissionUnit leaves room for Geneve, UDP and IP headers on a network with an
+	// MTU of 1,500 bytes.
 	maximumTransmissionUnit = 1400
-	// maximumOpenings bounds the handshakes under way.
-	maximumOpenings = 1024
-	// timeWait is how long an ended connection still answers the caller.
+	// maximumHandshakes bounds the number of TCP handshakes in progress.
+	maximumHandshakes = 1024
+	// timeWait is the duration of the TIME-WAIT state, in which a closed connection still
+	// answers the caller.
 	timeWait = time.Second
-	// minimumRetransmission bounds the retransmission timer from below.
+	// minimumRetransmission is the smallest retransmission timeout.
 	minimumRetransmission = 200 * time.Millisecond
 	keepaliveIdle         = time.Minute
 	keepaliveInterval     = 15 * time.Second
 	keepaliveCount        = 4
 )
 
-// Handler is told of callers that open flows. Both methods are called on a
-// goroutine of their own and may block.
+// Handler is called for each flow that a caller opens. Each call runs on its own goroutine
+// and may block.
 type Handler interface {
-	// OpenTCP must accept or refuse the request.
+	// OpenTCP must call one of Accept, Refuse and Ignore of the request.
 	OpenTCP(request *Request)
-	// OpenUDP is given a flow whose first datagram is ready to be read.
+	// OpenUDP gets the connection of a flow whose first datagram can be read.
 	OpenUDP(caller netip.AddrPort, connection net.Conn)
 }
 
@@ -55,8 +59,8 @@
 	link  *channel.Endpoint
 }
 
-// New returns a stack that answers for every destination address it is given
-// packets for. With a nil handler it refuses all flows with a TCP reset.
+// New returns a stack that answers for the destination addresses of all packets that it is
+// given. With a nil handler it refuses all flows with a TCP reset.
 func New(handler Handler) (*Stack, error) {
 	created := &Stack{
 		stack: stack.New(stack.Options{
@@ -76,19 +80,19 @@
 
 func (s *Stack) configure() error {
 	if err := s.stack.CreateNIC(interfaceID, s.link); err != nil {
-		return errors.Errorf("create interface: %s", err)
+		return errors.Errorf("create network interface: %s", err)
 	}
 	if err := s.stack.SetPromiscuousMode(interfaceID, true); err != nil {
-		return errors.Errorf("accept all destinations: %s", err)
+		return errors.Errorf("accept packets for all destination addresses: %s", err)
 	}
 	if err := s.stack.SetSpoofing(interfaceID, true); err != nil {
-		return errors.Errorf("answer from all destinations: %s", err)
+		return errors.Errorf("send packets from all source addresses: %s", err)
 	}
 	s.stack.SetRouteTable([]tcpip.Route{{Destination: header.IPv4EmptySubnet, NIC: interfaceID}})
-	selective := tcpip.TCPSACKEnabled(true)
+	selectiveAcknowledgment := tcpip.TCPSACKEnabled(true)
 	retransmission := tcpip.TCPMinRTOOption(minimumRetransmission)
-	wait := tcpip.TCPTimeWaitTimeoutOption(timeWait)
-	for _, option := range []tcpip.SettableTransportProtocolOption{&selective, &retransmission, &wait} {
+	timeWaitOption := tcpip.TCPTimeWaitTimeoutOption(timeWait)
+	for _, option := range []tcpip.SettableTransportProtocolOption{&selectiveAcknowledgment, &retransmission, &timeWaitOption} {
 		if err := s.stack.SetTransportProtocolOption(tcp.ProtocolNumber, option); err != nil {
 			return errors.Errorf("set TCP option: %s", err)
 		}
@@ -97,7 +101,7 @@
 }
 
 func (s *Stack) handle(handler Handler) {
-	tcpForwarder := tcp.NewForwarder(s.stack, 0, maximumOpenings, func(request *tcp.ForwarderRequest) {
+	tcpForwarder := tcp.NewForwarder(s.stack, 0, maximumHandshakes, func(request *tcp.ForwarderRequest) {
 		handler.OpenTCP(&Request{forwarded: request})
 	})
 	s.stack.SetTransportProtocolHandler(tcp.ProtocolNumber, tcpForwarder.HandlePacket)
@@ -118,15 +122,15 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(address.As4()), port)
 }
 
-// Inject gives the stack one IPv4 packet from a caller. It copies the packet.
+// Inject passes one IPv4 packet of a caller to the stack. It copies the packet.
 func (s *Stack) Inject(packet []byte) {
 	incoming := stack.NewPacketBuffer(stack.PacketBufferOptions{Payload: buffer.MakeWithData(packet)})
 	defer incoming.DecRef()
 	s.link.InjectInbound(ipv4.ProtocolNumber, incoming)
 }
 
-// ReadPacket appends the next outgoing IPv4 packet to destination. It blocks until
-// there is one, and returns false once ctx has ended.
+// ReadPacket appends the next outgoing IPv4 packet to destination. It blocks until there is
+// one, and returns false if ctx is done.
 func (s *Stack) ReadPacket(ctx context.Context, destination []byte) ([]byte, bool) {
 	outgoing := s.link.ReadContext(ctx)
 	if outgoing == nil {
@@ -139,7 +143,7 @@
 	return destination, true
 }
 
-// Close ends all flows and frees the stack.
+// Close ends all flows and releases the resources of the stack.
 func (s *Stack) Close() {
 	s.stack.Close()
 	s.link.Close()
--- a/internal/netstack/netstack_test.go
+++ b/internal/netstack/netstack_test.go
@@ -14,24 +14,24 @@
 	"github.com/vanetiller/vanetiller/internal/netstack"
 )
 
-// datagramFlow is what a handler was given for a UDP flow.
+// datagramFlow holds the arguments of a call of OpenUDP.
 type datagramFlow struct {
 	caller     netip.AddrPort
 	connection net.Conn
 }
 
-// handler hands everything to the test.
-type handler struct {
+// testHandler passes all requests and UDP flows to the test.
+type testHandler struct {
 	requests  chan *netstack.Request
 	datagrams chan datagramFlow
-	// done ends the handling of a request.
+	// done ends all calls of OpenTCP when it is closed.
 	done chan struct{}
 }
 
 const handlerCapacity = 8
 
-func newHandler() *handler {
-	created := &handler{
+func newHandler() *testHandler {
+	created := &testHandler{
 		requests:  make(chan *netstack.Request, handlerCapacity),
 		datagrams: make(chan datagramFlow, handlerCapacity),
 		done:      make(chan struct{}),
@@ -41,21 +41,21 @@
 }
 
 // OpenTCP implements netstack.Handler.
-func (h *handler) OpenTCP(request *netstack.Request) {
+func (h *testHandler) OpenTCP(request *netstack.Request) {
 	h.requests <- request
 	<-h.done
 }
 
 // OpenUDP implements netstack.Handler.
-func (h *handler) OpenUDP(caller netip.AddrPort, connection net.Conn) {
+func (h *testHandler) OpenUDP(caller netip.AddrPort, connection net.Conn) {
 	h.datagrams <- datagramFlow{caller, connection}
 }
 
-// request waits for the next request.
-func (h *handler) request() *netstack.Request {
+// nextRequest waits for the next TCP request.
+func (h *testHandler) nextRequest() *netstack.Request {
 	GinkgoHelper()
 	var received *netstack.Request
-	Eventually(h.requests, generous).Should(Receive(&received))
+	Eventually(h.requests, testTimeout).Should(Receive(&received))
 	return received
 }
 
@@ -65,7 +65,7 @@
 	err        error
 }
 
-// accept completes the handshake in the background.
+// accept completes the handshake on another goroutine.
 func accept(request *netstack.Request) <-chan acceptance {
 	result := make(chan acceptance, 1)
 	go func() {
@@ -75,146 +75,146 @@
 	return result
 }
 
-// connect opens a connection through the handler.
-func connect(caller *wire, handled *handler) *netstack.Connection {
+// connect opens a TCP connection that the handler accepts.
+func connect(caller *client, handler *testHandler) *netstack.Connection {
 	GinkgoHelper()
-	caller.send("", synchronize)
-	accepting := accept(handled.request())
+	caller.send("", setSYN)
+	accepting := accept(handler.nextRequest())
 	caller.establish()
 	var accepted acceptance
-	Eventually(accepting, generous).Should(Receive(&accepted))
+	Eventually(accepting, testTimeout).Should(Receive(&accepted))
 	Expect(accepted.err).NotTo(HaveOccurred())
-	Expect(accepted.connection.SetDeadline(time.Now().Add(generous))).To(Succeed())
+	Expect(accepted.connection.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 	return accepted.connection
 }
 
-var _ = Describe("a stack", func() {
-	DescribeTable("without a handler resets every flow, whatever address it is for",
+var _ = Describe("Stack", func() {
+	DescribeTable("resets every flow to any destination if it has no handler",
 		func(destination netip.AddrPort, set func(*layers.TCP)) {
-			caller := newWire(nil)
-			caller.to = destination
+			caller := newClient(nil)
+			caller.destination = destination
 			caller.send("", set)
 			Expect(caller.receiveSegment().RST).To(BeTrue())
 		},
-		Entry("a first segment", service, synchronize),
-		Entry("one for another address", other, synchronize),
-		Entry("one of an established flow", service, acknowledge),
+		Entry("an opening segment", service, setSYN),
+		Entry("an opening segment to another address", otherService, setSYN),
+		Entry("a segment of an established flow", service, setACK),
 	)
 
-	It("refuses with a reset that acknowledges the first segment", func() {
-		handled := newHandler()
-		caller := newWire(handled)
-		caller.send("", synchronize)
-		request := handled.request()
-		Expect(request.Caller()).To(Equal(peer))
+	It("answers a refused request with a reset that acknowledges the opening segment", func() {
+		handler := newHandler()
+		caller := newClient(handler)
+		caller.send("", setSYN)
+		request := handler.nextRequest()
+		Expect(request.Caller()).To(Equal(clientAddress))
 		request.Refuse()
-		answered := caller.receiveSegment()
-		Expect(answered.RST).To(BeTrue())
-		Expect(answered.Ack).To(BeEquivalentTo(firstSequence + 1))
+		answer := caller.receiveSegment()
+		Expect(answer.RST).To(BeTrue())
+		Expect(answer.Ack).To(BeEquivalentTo(initialSequence + 1))
 	})
 
-	It("says nothing about a request that is ignored, and asks again when it is repeated", func() {
-		handled := newHandler()
-		caller := newWire(handled)
-		caller.send("", synchronize)
-		handled.request().Ignore()
-		caller.send("", synchronize)
-		handled.request().Refuse()
-		// The first answer of all is that of the second request.
+	It("does not answer an ignored request, and calls the handler again for a retransmission", func() {
+		handler := newHandler()
+		caller := newClient(handler)
+		caller.send("", setSYN)
+		handler.nextRequest().Ignore()
+		caller.send("", setSYN)
+		handler.nextRequest().Refuse()
+		// The first packet from the stack answers the second request.
 		Expect(caller.receiveSegment().RST).To(BeTrue())
 	})
 
-	It("asks once about a first segment that is repeated meanwhile", func() {
-		handled := newHandler()
-		caller := newWire(handled)
-		caller.send("", synchronize)
-		request := handled.request()
-		caller.send("", synchronize)
+	It("calls the handler once for an opening segment that is retransmitted before the decision", func() {
+		handler := newHandler()
+		caller := newClient(handler)
+		caller.send("", setSYN)
+		request := handler.nextRequest()
+		caller.send("", setSYN)
 		request.Refuse()
 		Expect(caller.receiveSegment().RST).To(BeTrue())
-		Expect(handled.requests).To(BeEmpty())
+		Expect(handler.requests).To(BeEmpty())
 	})
 
-	It("answers the handshake only once the request is accepted, and carries content both ways", func() {
-		handled := newHandler()
-		caller := newWire(handled)
-		connection := connect(caller, handled)
-		caller.send("question", acknowledge)
+	It("completes the handshake when the request is accepted, and transfers data in both directions", func() {
+		handler := newHandler()
+		caller := newClient(handler)
+		connection := connect(caller, handler)
+		caller.send("question", setACK)
 		received := make([]byte, len("question"))
 		_, err := io.ReadFull(connection, received)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(received)).To(Equal("question"))
 		_, err = connection.Write([]byte("answer"))
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() string { return string(caller.receiveSegment().Payload) }, generous).Should(Equal("answer"))
+		Eventually(func() string { return string(caller.receiveSegment().Payload) }, testTimeout).Should(Equal("answer"))
 	})
 
-	It("fails to accept a caller that resets instead of finishing the handshake", func() {
-		handled := newHandler()
-		caller := newWire(handled)
-		caller.send("", synchronize)
-		accepting := accept(handled.request())
+	It("returns an error from Accept if the caller resets during the handshake", func() {
+		handler := newHandler()
+		caller := newClient(handler)
+		caller.send("", setSYN)
+		accepting := accept(handler.nextRequest())
 		Expect(caller.receiveSegment().SYN).To(BeTrue())
-		caller.segment.Seq = firstSequence + 1
-		caller.send("", reset)
+		caller.segment.Seq = initialSequence + 1
+		caller.send("", setRST)
 		var accepted acceptance
-		Eventually(accepting, generous).Should(Receive(&accepted))
+		Eventually(accepting, testTimeout).Should(Receive(&accepted))
 		Expect(accepted.err).To(HaveOccurred())
 	})
 
-	It("ends a connection that is aborted with a reset", func() {
-		handled := newHandler()
-		caller := newWire(handled)
-		connection := connect(caller, handled)
+	It("sends a reset for an aborted connection", func() {
+		handler := newHandler()
+		caller := newClient(handler)
+		connection := connect(caller, handler)
 		connection.Abort()
 		Expect(caller.receiveReset().Seq).To(Equal(caller.segment.Ack))
 	})
 
-	It("tells its reader of a reset, so that a cut stream is not taken for a whole one", func() {
-		handled := newHandler()
-		caller := newWire(handled)
-		connection := connect(caller, handled)
-		caller.send("", reset)
+	It("returns an error to the reader after a reset, so that a truncated stream is not taken as complete", func() {
+		handler := newHandler()
+		caller := newClient(handler)
+		connection := connect(caller, handler)
+		caller.send("", setRST)
 		_, err := connection.Read(make([]byte, 1))
 		Expect(err).To(MatchError(ContainSubstring("reset")))
 	})
 
-	It("gives up a closed connection whose caller stays silent", func() {
-		handled := newHandler()
-		caller := newWire(handled)
-		connection := connect(caller, handled)
+	It("resets a closed connection whose caller does not answer before the timeout", func() {
+		handler := newHandler()
+		caller := newClient(handler)
+		connection := connect(caller, handler)
 		Expect(connection.Close()).To(Succeed())
 		connection.WaitClosed(time.Millisecond)
 		Expect(caller.receiveReset()).NotTo(BeNil())
 	})
 
-	It("hands over the first datagram of a UDP flow, and answers from its address", func() {
-		handled := newHandler()
-		caller := newWire(handled)
-		caller.to = other
+	It("passes the first datagram of a UDP flow to the handler, and answers from the address it was sent to", func() {
+		handler := newHandler()
+		caller := newClient(handler)
+		caller.destination = otherService
 		caller.sendDatagram("question")
 		var flow datagramFlow
-		Eventually(handled.datagrams, generous).Should(Receive(&flow))
+		Eventually(handler.datagrams, testTimeout).Should(Receive(&flow))
 		DeferCleanup(flow.connection.Close)
-		Expect(flow.caller).To(Equal(peer))
+		Expect(flow.caller).To(Equal(clientAddress))
 		buffer := make([]byte, 100)
-		Expect(flow.connection.SetDeadline(time.Now().Add(generous))).To(Succeed())
+		Expect(flow.connection.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 		count, err := flow.connection.Read(buffer)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(buffer[:count])).To(Equal("question"))
 		_, err = flow.connection.Write([]byte("answer"))
 		Expect(err).NotTo(HaveOccurred())
 		received := caller.receive()
-		Expect(received.Layer(layers.LayerTypeIPv4).(*layers.IPv4).SrcIP.String()).To(Equal(other.Addr().String()))
-		answered := received.Layer(layers.LayerTypeUDP).(*layers.UDP)
-		Expect(answered.SrcPort).To(BeEquivalentTo(other.Port()))
-		Expect(string(answered.Payload)).To(Equal("answer"))
+		Expect(received.Layer(layers.LayerTypeIPv4).(*layers.IPv4).SrcIP.String()).To(Equal(otherService.Addr().String()))
+		answer := received.Layer(layers.LayerTypeUDP).(*layers.UDP)
+		Expect(answer.SrcPort).To(BeEquivalentTo(otherService.Port()))
+		Expect(string(answer.Payload)).To(Equal("answer"))
 	})
 
-	It("has no next packet once the context has ended", func() {
-		ended, cancel := context.WithCancel(context.Background())
+	It("returns false from ReadPacket if the context is done", func() {
+		done, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, more := newWire(nil).stack.ReadPacket(ended, nil)
+		_, more := newClient(nil).stack.ReadPacket(done, nil)
 		Expect(more).To(BeFalse())
 	})
 })
