--- a/internal/lookup/slots.go
+++ b/internal/lookup/slots.go
@@ -76,8 +76,8 @@
 	score  uint64
 }
 
-// cannotBeat reports cases in which the score of c is not less than that of the leader,
-// whatever the fraction of its logarithm is. It avoids computing most logarithms and does
+// cannotBeat reports cases in which the score of c is not less than that of the leader
+// for any fraction of its logarithm. It avoids computing most logarithms and does
 // not change the result.
 func (c contender) cannotBeat(leader contender) bool {
 	if c.weight == leader.weight {
--- a/internal/outlier/tracker.go
+++ b/internal/outlier/tracker.go
@@ -18,8 +18,8 @@
 	// unreachable. They are short because a trial then costs no request, only a round trip.
 	baseUnreachableTime = 300 * time.Millisecond
 	maxUnreachableTime  = time.Second
-	// minRefusalTime and maxRefusalTime bound the ejection after a refusal, whatever time the
-	// endpoint asks for, so that its load does not depend on a single answer.
+	// minRefusalTime and maxRefusalTime bound the ejection after a refusal. The endpoint asks
+	// for a time, but its load should not depend on a single answer.
 	minRefusalTime = 250 * time.Millisecond
 	maxRefusalTime = 2 * time.Second
 )
--- a/internal/placement/processingtime.go
+++ b/internal/placement/processingtime.go
@@ -23,8 +23,8 @@
 // ProcessingTimeEstimator estimates how long an endpoint typically takes for a request.
 // Routes differ in the work that they ask for, so the estimator keeps one median per route.
 // The estimate is the geometric mean of the medians, weighted by each route's share of the
-// requests. An endpoint of half the speed therefore has twice the estimate, whatever routes
-// its latest requests belonged to.
+// requests. An endpoint of half the speed therefore has twice the estimate, regardless of
+// the routes of its latest requests.
 type ProcessingTimeEstimator struct {
 	routes   []routeWindow
 	estimate time.Duration
--- a/internal/placement/processingtime_test.go
+++ b/internal/placement/processingtime_test.go
@@ -56,7 +56,7 @@
 		return estimator.Estimate().Seconds()
 	}
 
-	It("reflects the speed of the endpoint whatever the routes of the latest answers", func() {
+	It("reflects the speed of the endpoint regardless of the routes of the latest answers", func() {
 		reference := estimateAfter(1, 200)
 		for answers := 200; answers < 206; answers++ {
 			Expect(estimateAfter(1, answers) / reference).To(BeNumerically("~", 1, 0.05))
--- a/internal/requestqueue/requestqueue_test.go
+++ b/internal/requestqueue/requestqueue_test.go
@@ -22,8 +22,8 @@
 	return requestqueue.Request{Priority: priority, StartedAt: startedAt, Objective: 300 * ms, Timeout: 2 * time.Second}
 }
 
-// servingOrder returns the indices of requests in the order in which they are served if all
-// are served at the same time.
+// servingOrder returns the indices of requests in the order in which they are served if
+// enough slots become free at once.
 func servingOrder(scheduler requestqueue.Scheduler, now time.Duration, capacity requestqueue.Capacity, waiting ...requestqueue.Request) []int {
 	indices := make([]int, len(waiting))
 	for index := range indices {
--- a/internal/requestqueue/scheduler.go
+++ b/internal/requestqueue/scheduler.go
@@ -71,7 +71,7 @@
 // Late requests whose clients are about to give up go before them if these have ample slack
 // (slack stealing: Lehoczky and Ramos-Thuel, 1992), and otherwise after them.
 //
-// All other late requests, whatever their priority, are served last.
+// All other late requests are served last, regardless of their priority.
 type EarliestDue struct{}
 
 // Next implements Scheduler.
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -128,8 +128,8 @@
 	return b.Weight > 0 && !b.Drain && !b.Removed && !b.Closed
 }
 
-// ClosedZone is a zone whose rows get no new flows, whatever their weights and drain flags
-// are. Rows keep these for when the zone is opened again.
+// ClosedZone is a zone whose rows get no new flows, regardless of their weights and drain
+// flags. Rows keep these for when the zone is opened again.
 type ClosedZone struct {
 	Zone string `json:"zone" msg:"zone"`
 	// Since is the version of the table in which the zone was closed.
