--- a/internal/encap/encap.go
+++ b/internal/encap/encap.go
@@ -103,10 +103,10 @@
 
 func (e *Encoder) append(destination, packet []byte) []byte {
 	if err := e.buffer.Clear(); err != nil {
-		panic("encap: cannot clear an in-memory buffer: " + err.Error())
+		panic("encap: clear an in-memory buffer: " + err.Error())
 	}
 	if err := e.header.SerializeTo(e.buffer, gopacket.SerializeOptions{FixLengths: true}); err != nil {
-		panic("encap: service identifier exceeds the checked range: " + err.Error())
+		panic("encap: encode a Geneve header, whose service identifier must have at most 24 bits: " + err.Error())
 	}
 	destination = append(destination, e.buffer.Bytes()...)
 	return append(destination, packet...)
--- a/internal/lookup/lookup_test.go
+++ b/internal/lookup/lookup_test.go
@@ -150,7 +150,7 @@
 		Entry("one weight of 0", uint32(5), uint32(0), uint32(5)),
 	)
 
-	It("marks all slots with NoCandidate without rows", func() {
+	It("returns NoCandidate for every slot of a service without rows", func() {
 		slots := lookup.AssignSlots(1, nil, lookup.AllAlive)
 		Expect(slots).To(HaveEach(int16(lookup.NoCandidate)))
 		Expect(slots).To(HaveLen(lookup.SlotCount(0)))
--- a/internal/lookup/rebuild_test.go
+++ b/internal/lookup/rebuild_test.go
@@ -38,7 +38,7 @@
 	}), 0, 12).Draw(t, "candidates")
 }
 
-func TestPrimaryShortcutsKeepTheOutcome(t *testing.T) {
+func TestPrimaryEqualsReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := table.ServiceID(rapid.Uint32().Draw(t, "service"))
 		candidates := drawCandidates(t)
@@ -100,7 +100,7 @@
 }
 
 // TestRebuildOfAnAddressWithAnotherService gives the address and rows of one service to
-// another one. Slots must not be reused then, since the service is part of their hash.
+// another. Slots must not be reused then, since the service is part of their hash.
 func TestRebuildOfAnAddressWithAnotherService(t *testing.T) {
 	tableOf := func(service table.ServiceID) *table.Table {
 		return &table.Table{
--- a/internal/lookup/slots.go
+++ b/internal/lookup/slots.go
@@ -76,9 +76,10 @@
 	score  uint64
 }
 
-// cannotBeat reports cases in which the score of c is not less than that of the leader
-// for any fraction of its logarithm. It avoids computing most logarithms and does
-// not change the result.
+// cannotBeat returns true only if the score of c cannot be less than that of the leader. It
+// does not use the score of c: equal weights compare like the hashes, and otherwise the
+// leading zeros of the hash give a lower bound of the score. This avoids computing most
+// logarithms and does not change the result of Primary.
 func (c contender) cannotBeat(leader contender) bool {
 	if c.weight == leader.weight {
 		return c.hash <= leader.hash
--- a/internal/netstack/client_test.go
+++ b/internal/netstack/client_test.go
@@ -116,7 +116,8 @@
 	c.send("", setACK)
 }
 
-// receiveReset skips other segments until the stack resets the connection.
+// receiveReset skips segments until the stack resets the connection. None of them may have
+// SYN set.
 func (c *client) receiveReset() *layers.TCP {
 	GinkgoHelper()
 	for {
--- a/internal/netstack/netstack_test.go
+++ b/internal/netstack/netstack_test.go
@@ -135,7 +135,7 @@
 		Expect(handler.requests).To(BeEmpty())
 	})
 
-	It("completes the handshake when the request is accepted, and transfers data in both directions", func() {
+	It("completes the handshake only once the request is accepted, and transfers data in both directions", func() {
 		handler := newHandler()
 		caller := newClient(handler)
 		connection := connect(caller, handler)
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -99,19 +99,23 @@
 
 // trackerOf returns the tracker of a zone and creates it if necessary. Beyond maxZones it
 // returns a new tracker that is not kept.
-func (d *Detector) trackerOf(name string) *tracker {
-	if known := d.existingTracker(name); known != nil {
+func (d *Detector) trackerOf(zone string) *tracker {
+	if known := d.existingTracker(zone); known != nil {
 		return known
 	}
 	created := &tracker{config: d.config}
 	if len(d.zones) < maxZones {
-		d.zones = append(d.zones, zoneTracker{name, created})
+		d.zones = append(d.zones, zoneTracker{zone, created})
 	}
 	return created
 }
 
 // RecordOutcome records the outcome of a request of a client in a zone. After a refusal,
 // retryAfter is the time for which the endpoint asks to get no requests.
+//
+// A refusal, or FailureThreshold bad outcomes of the clients of one zone, ejects the endpoint
+// for that zone. FailureThreshold bad outcomes of the clients of several zones eject it for all
+// clients.
 func (d *Detector) RecordOutcome(now time.Duration, zone string, outcome Outcome, retryAfter time.Duration) {
 	d.advance(now)
 	if outcome != Success && d.config.FailureThreshold == 0 {
--- a/internal/outlier/outcome.go
+++ b/internal/outlier/outcome.go
@@ -25,6 +25,7 @@
 	outcomeCount
 )
 
+// outcomeNames holds the metric labels. They stay as they are when a constant is renamed.
 var outcomeNames = []string{"success", "failure", "refusal", "break", "hang", "return", "silence"}
 
 // String returns the outcome as a metric label.
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -66,7 +66,7 @@
 		Expect(report.Valid()).To(BeTrue())
 	})
 
-	It("ejects an endpoint only for the zone whose clients have all bad outcomes", func() {
+	It("ejects an endpoint only for the zone whose clients had all of the bad outcomes", func() {
 		record(0, south, repeat(outlier.Success, 8)...)
 		record(0, north, repeat(outlier.Failure, 5)...)
 		Expect(detector.Admit(0, north)).To(BeFalse())
@@ -122,7 +122,7 @@
 		}
 	})
 
-	It("ejects an endpoint that returns opening packets for up to one second, and restores it once it accepts a flow", func() {
+	It("ejects for up to one second an endpoint that returns opening packets, and restores it once it accepts a flow", func() {
 		now := time.Duration(0)
 		for _, expected := range []time.Duration{300, 600, 1000, 1000} {
 			Expect(detector.Admit(now, north)).To(BeTrue())
@@ -180,7 +180,7 @@
 		Expect(detector.Admit(0, north)).To(BeTrue())
 	})
 
-	It("ejects for hangs but for no answer if the failure threshold is 0", func() {
+	It("ejects an endpoint for hangs but not for bad answers if the failure threshold is 0", func() {
 		detector = outlier.NewDetector(outlier.Config{Window: 10, BaseEjectionTime: time.Second, MaxEjectionTime: time.Second})
 		record(0, north, repeat(outlier.Failure, 20)...)
 		record(0, south, outlier.Refusal)
@@ -191,7 +191,7 @@
 		Expect(detector.Admit(1200*millisecond, north)).To(BeTrue(), "the next trial")
 	})
 
-	It("admits flows of an unknown zone after more zone names than it tracks", func() {
+	It("admits flows of a zone that it does not track after 1,000 other zone names", func() {
 		for number := range 1000 {
 			record(0, string(rune('a'+number)), outlier.Success)
 		}
@@ -231,7 +231,7 @@
 		Expect(health.ConfirmsEjection(failingReport)).To(BeTrue())
 	})
 
-	It("does not confirm an ejection for failures that all endpoints have, but for a hang", func() {
+	It("confirms an ejection for a hang, but not for failures that all endpoints have", func() {
 		health := &outlier.ServiceHealth{}
 		for range 6 {
 			health.Add(outlier.Report{Outcomes: 10, Failures: 2}, !ejected)
--- a/internal/outlier/tracker.go
+++ b/internal/outlier/tracker.go
@@ -68,9 +68,10 @@
 }
 
 // hasEvidence reports whether the tracker of a zone says more about the clients of that zone
-// than the shared one. It does if the state is not healthy or there are enough outcomes.
-func (t *tracker) hasEvidence(outcomes int) bool {
-	return t.state != Healthy || len(t.outcomes) >= outcomes
+// than the shared one. It does if the state is not healthy or there are at least minOutcomes
+// outcomes.
+func (t *tracker) hasEvidence(minOutcomes int) bool {
+	return t.state != Healthy || len(t.outcomes) >= minOutcomes
 }
 
 // advance ends an ejection that is over and reports whether it did.
--- a/internal/packet/flow_test.go
+++ b/internal/packet/flow_test.go
@@ -12,9 +12,9 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// TestHashIsOfTheFiveTuple fails if the hashed encoding changes. Such a change would move
+// TestHashOfFiveTuple fails if the hashed encoding changes. Such a change would move
 // every flow to another back end while balancers are replaced one by one.
-func TestHashIsOfTheFiveTuple(t *testing.T) {
+func TestHashOfFiveTuple(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := drawEndpoint(t, "source")
 		destination := drawEndpoint(t, "destination")
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// warmUpSlowness is the slowness of an endpoint while it warms up after its start.
+	// warmUpSlowness is the least slowness that is assumed of an endpoint while it warms up
+	// after its start.
 	warmUpSlowness = 1.6
 	// crossZonePenalty is the cost of placing a flow in another zone, in typical processing
 	// times. It exceeds the actual round trip, so that the local zone is used while callers
@@ -58,9 +59,9 @@
 }
 
 // expectedWait returns the expected wait of a new request for a slot, in processing times of
-// the endpoint. The utilization is only an estimate. Up to full utilization the wait is the
-// probability that a request arrives while all slots and one more are taken; above, it
-// continues with the slope at full utilization.
+// the endpoint. The wait rises gradually with the utilization, which is only an estimate. Up
+// to full utilization it is the probability that a request arrives while all slots and one
+// more are taken; above, it continues with the slope at full utilization.
 func (c Candidate) expectedWait() float64 {
 	slots := float64(max(c.Slots, 1))
 	utilization := c.ownUtilization() + c.SlotsUsedByOthers/slots
@@ -71,8 +72,8 @@
 }
 
 // Best returns the index of the candidate with the shortest expected time to an answer. Ties
-// go to the candidate with the least utilization by the chooser, then to the first. It
-// returns false if there is no candidate.
+// go to the candidate with the least utilization by the chooser's own flows, then to the
+// first. It returns false if there is no candidate.
 func Best(candidates []Candidate) (best int, found bool) {
 	for index, candidate := range candidates {
 		if !found || candidate.betterThan(candidates[best]) {
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -103,7 +103,7 @@
 		Expect(improved.peakLoad).To(BeNumerically("<", 2))
 	})
 
-	It("uses the local zone while it has capacity, then others, and does not oscillate when it returns", func() {
+	It("uses the local zone while it has capacity and other zones beyond that, without oscillating", func() {
 		const perZone = 550.0
 		opposite := func(now time.Duration, zone int) float64 {
 			swing := 0.8 * math.Sin(2*math.Pi*now.Seconds()/12)
--- a/internal/placement/loadreport.go
+++ b/internal/placement/loadreport.go
@@ -33,8 +33,9 @@
 }
 
 // Estimate returns how many slots flows of other choosers occupy now. The report decays
-// towards the mean of the endpoint's group: within one processing time, most of the requests
-// that it counted have been answered.
+// towards groupMean, the mean of the endpoint's group: within one processing time, most of the
+// requests that it counted have been answered, and the endpoint is then used about as much as
+// the others of its group.
 func (r LoadReport) Estimate(now, processingTime time.Duration, groupMean float64) float64 {
 	if !r.Known {
 		return groupMean
--- a/internal/placement/processingtime_test.go
+++ b/internal/placement/processingtime_test.go
@@ -64,7 +64,7 @@
 		}
 	})
 
-	It("keeps the route with most requests among more routes than it tracks", func() {
+	It("keeps the most requested route if there are more routes than it tracks", func() {
 		estimator := placement.ProcessingTimeEstimator{}
 		for number := range 200 {
 			estimator.Observe(shortRoute, 40*time.Millisecond)
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -14,10 +14,10 @@
 const (
 	slotsEach = 4
 	zones     = 3
-	// One endpoint in slowInterval has slowSpeed, the others have speed 1.
+	// slowInterval: one endpoint in that many has slowSpeed, the others have speed 1.
 	slowInterval = 4
 	slowSpeed    = 0.46
-	// One request in tailInterval takes tailFactor times as long.
+	// tailInterval: one request in that many takes tailFactor times as long.
 	tailInterval = 33
 	tailFactor   = 7
 	meanWork     = 40 * time.Millisecond
--- a/internal/requestqueue/comparison_test.go
+++ b/internal/requestqueue/comparison_test.go
@@ -73,7 +73,7 @@
 		"newest first":           func() requestqueue.Scheduler { return requestqueue.NewestFirst{} },
 		"earliest deadline":      func() requestqueue.Scheduler { return earliestDeadline{} },
 		"slack":                  func() requestqueue.Scheduler { return slackFirst{} },
-		"slack, late before":     func() requestqueue.Scheduler { return slackFirst{lateFirst: true} },
+		"slack, late first":      func() requestqueue.Scheduler { return slackFirst{lateFirst: true} },
 		"earliest due":           func() requestqueue.Scheduler { return requestqueue.EarliestDue{} },
 		"newest first, half":     func() requestqueue.Scheduler { return requestqueue.NewFairShare(requestqueue.NewestFirst{}, 0.5) },
 		"earliest due, a fifth":  func() requestqueue.Scheduler { return requestqueue.NewFairShare(requestqueue.EarliestDue{}, 0.2) },
@@ -107,7 +107,7 @@
 		}
 	})
 
-	DescribeTable("answer more less urgent requests in time and fail fewer with earliest due than with newest first, and do no worse for urgent ones",
+	DescribeTable("do no worse for urgent requests with earliest due than with newest first, and answer more of the other requests in time and fail fewer",
 		func(name string) {
 			newest, earliest := results[name]["newest first"].byPriority, results[name]["earliest due"].byPriority
 			Expect(earliest[1].inTime).To(BeNumerically(">=", newest[1].inTime))
@@ -120,7 +120,7 @@
 		Entry("when late requests are retried", "retries"),
 	)
 
-	It("fail fewer less urgent requests under overload with a fair share of one half than without", func() {
+	It("fail fewer of the less urgent requests under overload with a fair share of one half than without", func() {
 		without, with := results["overload"]["earliest due"].byPriority, results["overload"]["earliest due, one half"].byPriority
 		Expect(with[2].failed).To(BeNumerically("<", without[2].failed))
 	})
--- a/internal/requestqueue/doc.go
+++ b/internal/requestqueue/doc.go
@@ -7,7 +7,8 @@
 //
 // The choice matters only under overload, when there are more requests than slots, for
 // example after a power loss, when requests that are already late wait beside fresh ones.
-// It then decides which requests are answered in time, late or not at all.
+// Requests then differ in priority, latency objective and timeout, and the choice decides which
+// of them are answered in time, late or not at all.
 //
 // The package is deterministic: the caller passes the time, and all times count from one
 // start that the caller chooses.
--- a/internal/requestqueue/scheduler.go
+++ b/internal/requestqueue/scheduler.go
@@ -68,8 +68,9 @@
 // Jackson, 1955), so that none becomes late because of one that could have waited. Once they
 // do not fit, the newest is served first.
 //
-// Late requests whose clients are about to give up go before them if these have ample slack
-// (slack stealing: Lehoczky and Ramos-Thuel, 1992), and otherwise after them.
+// Late requests whose clients are about to give up are served before those that can be in time
+// if all of the latter have ample slack (slack stealing: Lehoczky and Ramos-Thuel, 1992), and
+// otherwise after them.
 //
 // All other late requests are served last, regardless of their priority.
 type EarliestDue struct{}
--- a/internal/requestqueue/simulation_test.go
+++ b/internal/requestqueue/simulation_test.go
@@ -190,7 +190,7 @@
 	r.priorities[request.Priority] = r.priorities[request.Priority].plus(result)
 }
 
-// admit drops expired requests and gives the endpoint as many as it may have.
+// admit drops expired requests and gives the endpoint others up to its concurrency.
 func (r *simulation) admit() {
 	r.waiting = slices.DeleteFunc(r.waiting, func(waiting arrival) bool {
 		expired := waiting.Timeliness(r.now, r.meanProcessingTime) == requestqueue.Expired
--- a/internal/segment/segmenttest/codec.go
+++ b/internal/segment/segmenttest/codec.go
@@ -101,8 +101,8 @@
 	return id
 }
 
-// The prefixes of answers that report a failure and a refusal. After RefusalPrefix, the
-// answer holds the milliseconds until the request may be retried.
+// FailurePrefix starts an answer that reports a failure, and RefusalPrefix one that reports
+// a refusal. After RefusalPrefix, the answer holds the milliseconds until the request may be retried.
 const (
 	FailurePrefix = "failed"
 	RefusalPrefix = "refused "
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -119,7 +119,7 @@
 	// Zone is the zone of the back end; it may be empty.
 	Zone string `json:"zone,omitempty" msg:"zone,omitempty"`
 	// Closed is set while Zone is closed to new flows. It is derived from ClosedZones of the
-	// table, so that a row alone tells whether it accepts new flows.
+	// table, so that AcceptsNewFlows depends on the row alone.
 	Closed bool `json:"closed,omitempty" msg:"closed,omitempty"`
 }
 
