--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -11,128 +11,132 @@
 func (m *Machine) HandlePacket(now time.Duration, packet Packet) []Effect {
 	m.effects = m.effects[:0]
 	key := FlowKeyOf(packet.Summary.Flow.Source)
-	if known, exists := m.flows[key]; exists {
-		if m.arriveKnown(now, key, known, packet) {
+	if record, exists := m.flows[key]; exists {
+		if m.handleRemembered(now, key, record, packet) {
 			return m.effects
 		}
 	}
-	if undecided, exists := m.pending[key]; exists {
-		if m.arriveUndecided(now, key, undecided, packet) {
+	if pending, exists := m.pending[key]; exists {
+		if m.handleUndecided(now, key, pending, packet) {
 			return m.effects
 		}
-		m.abandon(key)
+		m.discardPending(key)
 	}
 	if packet.opensFlow() {
-		m.arriveNew(now, key, packet)
+		m.handleNew(now, key, packet)
 		return m.effects
 	}
 	m.locate(now, key, packet)
 	return m.effects
 }
 
-// arriveKnown handles a packet of a remembered flow. It returns false if the
-// flow is to be decided or located afresh.
-func (m *Machine) arriveKnown(now time.Duration, key FlowKey, known flow, packet Packet) bool {
-	reused := packet.Summary.Opening && packet.sequence() != known.sequence
-	switch known.state {
-	case stateOpen, stateLingering:
-		// If the caller reuses its port, the transport stack challenges the
-		// segment (RFC 5961, section 4), so that a forged one cannot end the
-		// flow.
+// handleRemembered handles a packet of a flow that has a record. It returns false
+// if the record does not apply, so that the flow must be decided or located
+// again.
+func (m *Machine) handleRemembered(now time.Duration, key FlowKey, record flowRecord, packet Packet) bool {
+	reused := packet.Summary.Opening && packet.sequence() != record.sequence
+	switch record.state {
+	case flowOpen, flowLingering:
+		// An opening segment with another sequence number is delivered too.
+		// The transport stack answers it with a challenge ACK (RFC 5961,
+		// section 4), so that a forged segment cannot end the flow.
 		m.emit(Effect{Kind: Deliver, Packet: packet})
-	case stateRemote:
-		if reused || m.obsoleteOwner(known, packet) {
+	case flowRemote:
+		if reused || m.ownerIsObsolete(record, packet) {
 			return false
 		}
 		if !packet.opensFlow() {
-			known.expires = now + m.config.RemoteRetention
-			m.flows[key] = known
+			record.expires = now + m.config.RemoteRetention
+			m.flows[key] = record
 		}
-		m.forward(known.owner, known.handedOver && packet.opensFlow(), packet)
-	case stateFenced:
-		return m.arriveFenced(now, key, known, packet)
-	case stateClosed:
-		return m.arriveClosed(key, reused, packet)
-	case stateRefused:
+		m.forwardPacket(record.owner, record.handedOver && packet.opensFlow(), packet)
+	case flowFenced:
+		return m.handleFenced(now, key, record, packet)
+	case flowClosed:
+		return m.handleClosed(key, reused, packet)
+	case flowRefused:
 		if reused {
 			return false
 		}
-		m.refuse(packet)
+		m.refusePacket(packet)
 	}
 	return true
 }
 
-// obsoleteOwner reports whether the remembered owner of a flow must be asked
-// again: its agent is down, or it has passed an opening packet back because it
-// restarted and knows the flow no more.
-func (m *Machine) obsoleteOwner(known flow, packet Packet) bool {
-	passedBack := packet.opensFlow() && packet.Routing.Hops >= hopsThereAndBack
-	return passedBack || !m.history.current.view.alive(known.owner)
+// ownerIsObsolete reports whether the remembered owner of a flow can no longer be
+// trusted: its agent is down, or it sent an opening packet back because it
+// restarted and lost its flows.
+func (m *Machine) ownerIsObsolete(record flowRecord, packet Packet) bool {
+	passedBack := packet.opensFlow() && packet.Routing.Hops >= roundTripHops
+	return passedBack || !m.history.current.view.believedAlive(record.owner)
 }
 
-func (m *Machine) arriveClosed(key FlowKey, reused bool, packet Packet) bool {
+// handleClosed handles a packet of a flow that has ended. It returns false if the
+// packet may open a new flow with the same key.
+func (m *Machine) handleClosed(key FlowKey, reused bool, packet Packet) bool {
 	if reused || packet.Summary.Flow.Protocol == table.ProtocolUDP {
 		delete(m.flows, key)
 		return false
 	}
-	m.drop(DropClosed, packet)
+	m.dropPacket(DropClosed, packet)
 	return true
 }
 
-// arriveFenced handles a packet of a flow that another row said it is about to
-// open.
-func (m *Machine) arriveFenced(now time.Duration, key FlowKey, known flow, packet Packet) bool {
+// handleFenced handles a packet of a flow that another row is about to open. It
+// returns false if the fence does not apply to the packet.
+func (m *Machine) handleFenced(now time.Duration, key FlowKey, record flowRecord, packet Packet) bool {
 	obsolete := !packet.opensFlow() || packet.Routing.HandedOver ||
-		now >= known.expires || packet.sequence() != known.sequence
+		now >= record.expires || packet.sequence() != record.sequence
 	if obsolete {
 		delete(m.flows, key)
 		return false
 	}
-	m.forward(known.owner, false, packet)
+	m.forwardPacket(record.owner, false, packet)
 	return true
 }
 
-// arriveUndecided handles a further packet of a flow that is being decided. It
-// returns false if the packet opens another flow with the same key.
-func (m *Machine) arriveUndecided(now time.Duration, key FlowKey, undecided *pending, packet Packet) bool {
-	if packet.Summary.Opening && packet.sequence() != undecided.sequence {
+// handleUndecided handles another packet of a flow whose owner is being decided.
+// It returns false if the packet opens another flow with the same key.
+func (m *Machine) handleUndecided(now time.Duration, key FlowKey, pending *pendingFlow, packet Packet) bool {
+	if packet.Summary.Opening && packet.sequence() != pending.sequence {
 		return false
 	}
-	if packet.opensFlow() && undecided.purpose == PurposeLocate {
+	if packet.opensFlow() && pending.purpose == PurposeLocate {
 		return false
 	}
-	if undecided.retransmission && packet.opensFlow() && m.fresh(now, undecided, packet) {
-		undecided.held = append(undecided.held[:0], packet)
-		m.concludeOpen(now, key, undecided)
+	if pending.awaitsRetransmission && packet.opensFlow() && m.isFreshRetransmission(now, pending, packet) {
+		pending.heldPackets = append(pending.heldPackets[:0], packet)
+		m.concludeOpen(now, key, pending)
 		return true
 	}
 	if packet.Summary.Opening {
-		m.drop(DropDuplicate, packet)
+		m.dropPacket(DropDuplicate, packet)
 		return true
 	}
-	if len(undecided.held) >= heldPackets {
-		m.drop(DropDuplicate, packet)
+	if len(pending.heldPackets) >= maximumHeldPackets {
+		m.dropPacket(DropDuplicate, packet)
 		return true
 	}
-	undecided.held = append(undecided.held, packet)
+	pending.heldPackets = append(pending.heldPackets, packet)
 	return true
 }
 
-// fresh reports whether a further opening packet shows that the caller still
-// waits. One that was passed along may have waited in the socket of a paused
-// row, but no longer than that row's lease.
-func (m *Machine) fresh(now time.Duration, undecided *pending, packet Packet) bool {
-	return packet.Routing.Hops == 0 || now >= undecided.started+m.config.LeaseDuration
+// isFreshRetransmission reports whether another opening packet shows that the
+// caller is still waiting. A forwarded packet may be old: it may have been queued
+// in the socket of a paused row, but for no longer than that row's lease.
+func (m *Machine) isFreshRetransmission(now time.Duration, pending *pendingFlow, packet Packet) bool {
+	return packet.Routing.Hops == 0 || now >= pending.started+m.config.LeaseDuration
 }
 
-// arriveNew handles the first packet of a flow that this row does not know.
-func (m *Machine) arriveNew(now time.Duration, key FlowKey, packet Packet) {
+// handleNew handles the first packet of a flow that this row does not know. The
+// row needs a lease and a table at least as new as the one used for the packet.
+func (m *Machine) handleNew(now time.Duration, key FlowKey, packet Packet) {
 	if m.config.Stateless {
 		m.openLocally(key, packet.sequence(), packet)
 		return
 	}
 	if !m.holdsLease(now) {
-		m.drop(DropNoLease, packet)
+		m.dropPacket(DropNoLease, packet)
 		m.emit(Effect{Kind: RefreshTable})
 		return
 	}
@@ -141,72 +145,76 @@
 		return
 	}
 	if packet.Routing.HandedOver {
-		m.arriveHandedOver(now, key, packet)
+		m.handleHandedOver(now, key, packet)
 		return
 	}
-	m.decide(now, key, packet)
+	m.openOrForward(now, key, packet)
 }
 
-// arriveHandedOver opens a flow that its primary decided to give to this row.
-// After an interrupted lease the packet may be old, and the primary's decision
-// may have been replaced; the caller's retransmission brings a fresh one.
-func (m *Machine) arriveHandedOver(now time.Duration, key FlowKey, packet Packet) {
-	if m.resumed(now) {
-		m.drop(DropNoLease, packet)
+// handleHandedOver opens a flow that the primary handed over to this row. Shortly
+// after an interruption of the lease it drops the packet instead: the packet may
+// be old and the primary may have decided otherwise since. The caller's
+// retransmission is handed over again.
+func (m *Machine) handleHandedOver(now time.Duration, key FlowKey, packet Packet) {
+	if m.leaseRecentlyResumed(now) {
+		m.dropPacket(DropNoLease, packet)
 		return
 	}
-	if !m.available() {
-		m.refuseNew(now, key, packet)
+	if !m.canTakeFlow() {
+		m.refuseNewFlow(now, key, packet)
 		return
 	}
 	m.openLocally(key, packet.sequence(), packet)
 }
 
-// decide begins the decision about a new flow, if it is this row's to make.
-func (m *Machine) decide(now time.Duration, key FlowKey, packet Packet) {
+// openOrForward begins the decision about a new flow if this row is its primary,
+// and otherwise forwards the packet to the primary.
+func (m *Machine) openOrForward(now time.Duration, key FlowKey, packet Packet) {
 	hash := packet.Summary.Flow.Hash()
 	primary, exists := m.history.current.primary(hash)
 	if !exists {
-		m.drop(DropNoPrimary, packet)
+		m.dropPacket(DropNoPrimary, packet)
 		return
 	}
 	if primary != m.config.Row {
-		m.forward(primary, false, packet)
+		m.forwardPacket(primary, false, packet)
 		return
 	}
 	m.beginOpen(now, key, hash, packet)
 }
 
-// openLocally makes the flow this row's own and delivers its first packet.
+// openLocally records this row as the owner of the flow and delivers the flow's
+// first packet.
 func (m *Machine) openLocally(key FlowKey, sequence uint32, packet Packet) {
 	if len(m.flows) >= m.config.FlowLimit {
-		m.drop(DropFlowLimit, packet)
+		m.dropPacket(DropFlowLimit, packet)
 		return
 	}
-	m.flows[key] = flow{state: stateOpen, sequence: sequence}
-	m.open++
+	m.flows[key] = flowRecord{state: flowOpen, sequence: sequence}
+	m.openFlows++
 	m.emit(Effect{Kind: Deliver, Packet: packet})
 }
 
-// refuse answers a packet of a refused flow.
-func (m *Machine) refuse(packet Packet) {
+// refusePacket answers a packet of a refused or unknown flow with a reset. UDP
+// datagrams and TCP resets are dropped without an answer.
+func (m *Machine) refusePacket(packet Packet) {
 	if packet.Summary.Flow.Protocol != table.ProtocolTCP || packet.Summary.Reset {
-		m.drop(DropClosed, packet)
+		m.dropPacket(DropClosed, packet)
 		return
 	}
 	m.emit(Effect{Kind: SendReset, Packet: packet})
 }
 
-// refuseNew remembers that a flow was refused, so that a retransmission of its
-// first packet cannot open it. A UDP caller is not told, so its next datagram is
-// a request of its own.
-func (m *Machine) refuseNew(now time.Duration, key FlowKey, packet Packet) {
+// refuseNewFlow refuses a flow. It records the refusal of a TCP flow, so that a
+// retransmission of the first packet cannot open it. A UDP caller gets no answer,
+// so its next datagram counts as a new attempt.
+func (m *Machine) refuseNewFlow(now time.Duration, key FlowKey, packet Packet) {
 	if packet.Summary.Opening && len(m.flows) < m.config.FlowLimit {
-		m.flows[key] = flow{
-			state:    stateRefused,
+		m.flows[key] = flowRecord{
+			state:    flowRefused,
 			sequence: packet.sequence(),
 			expires:  now + m.config.ClosedRetention,
 		}
 	}
-	m.refuse(packet)
+	m.refusePacket(packet)
 }
--- a/internal/admission/effect.go
+++ b/internal/admission/effect.go
@@ -5,24 +5,24 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// EffectKind tells what the caller of the machine has to do.
+// EffectKind is the kind of action that the caller of the machine must carry out.
 type EffectKind uint8
 
 // The kinds of effects.
 const (
-	// Deliver gives the packet to the local transport stack.
+	// Deliver passes the packet to the local transport stack.
 	Deliver EffectKind = iota
-	// Forward passes the packet along to the agent of row To.
+	// Forward sends the packet to the agent of row To.
 	Forward
 	// SendMessage transmits Message to the agent of row To.
 	SendMessage
-	// SendReset answers the packet with a TCP reset: the flow does not run here
-	// nor anywhere else.
+	// SendReset answers the packet with a TCP reset, because no row owns the
+	// flow.
 	SendReset
-	// Drop discards the packet for the given Reason.
+	// Drop discards the packet for the reason in Reason.
 	Drop
-	// RefreshTable asks for the newest table, because a packet carries a newer
-	// version than the one held.
+	// RefreshTable requests the newest table, because a packet or a message
+	// shows that the table in use may be old.
 	RefreshTable
 )
 
@@ -31,37 +31,44 @@
 // String returns the kind in the form used in logs.
 func (k EffectKind) String() string { return label.Of(effectKindNames, k) }
 
-// DropReason tells why a packet was discarded.
+// DropReason is the reason for which a packet was discarded.
 type DropReason uint8
 
 // The reasons for dropping a packet.
 const (
 	DropNone DropReason = iota
-	// DropNoLease: a new flow while the row holds no lease.
+	// DropNoLease: the row holds no lease, has only just regained it, or has
+	// no table that is recent enough to decide about the flow.
 	DropNoLease
-	// DropDuplicate: the opening packet of a flow that is being decided.
+	// DropDuplicate: another opening packet, or one packet too many, of a flow
+	// whose owner is being decided.
 	DropDuplicate
-	// DropClosed: a packet of a flow that has ended.
+	// DropClosed: the flow has ended, or was refused and cannot be answered
+	// with a reset.
 	DropClosed
-	// DropHopLimit: passed along too often; tables disagree.
+	// DropHopLimit: the packet was forwarded too often, because the tables of
+	// the rows disagree.
 	DropHopLimit
-	// DropPendingLimit: too many undecided flows.
+	// DropPendingLimit: the number of undecided flows is at its limit.
 	DropPendingLimit
-	// DropFlowLimit: too many flows in memory.
+	// DropFlowLimit: the number of remembered flows is at its limit.
 	DropFlowLimit
-	// DropUnknownFlow: no row that answered owns the flow, but not all did.
+	// DropUnknownFlow: no owner was found, and the flow may still exist: not
+	// every row answered, or this row's lease or table is not current. Also
+	// used for a reset of an unknown flow.
 	DropUnknownFlow
 	// DropNoPrimary: no row of the service accepts new flows.
 	DropNoPrimary
-	// DropQueryLimit: too many unknown flows were asked about.
+	// DropQueryLimit: the number of searches for owners of unknown flows is at
+	// its limit.
 	DropQueryLimit
-	// DropNoAnswer: this row cannot take the flow, and a row that may did not
-	// answer in time.
+	// DropNoAnswer: this row cannot take the flow, and a row that may be able
+	// to take it did not answer in time.
 	DropNoAnswer
 	dropReasonCount
 )
 
-// DropReasons lists every reason, for counters that are kept by reason.
+// DropReasons returns every reason, for counters with a label for the reason.
 func DropReasons() []DropReason {
 	return label.All(dropReasonCount)
 }
@@ -74,8 +81,8 @@
 // String returns the reason in the form used as a metric label.
 func (r DropReason) String() string { return label.Of(dropReasonNames, r) }
 
-// Effect is one thing that the caller of the machine has to do. Which fields
-// are set depends on Kind.
+// Effect is an action that the caller of the machine must carry out. Kind
+// determines which other fields are set.
 type Effect struct {
 	Kind    EffectKind
 	Reason  DropReason
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -6,29 +6,31 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
+// flowState is what a row knows about a flow.
 type flowState uint8
 
 const (
-	// stateOpen: the flow is this row's own.
-	stateOpen flowState = iota
-	// stateLingering: the flow was this row's own and has ended, but its
+	// flowOpen: this row owns the flow.
+	flowOpen flowState = iota
+	// flowLingering: this row owned the flow and it has ended, but its
 	// transport still answers the caller's last segments.
-	stateLingering
-	// stateRemote: the flow belongs to another row.
-	stateRemote
-	// stateFenced: another row said it is about to open the flow, and this
-	// row promised not to.
-	stateFenced
-	// stateClosed: the flow was this row's own and has ended.
-	stateClosed
-	// stateRefused: this row refused the flow.
-	stateRefused
+	flowLingering
+	// flowRemote: another row owns the flow.
+	flowRemote
+	// flowFenced: another row announced that it is about to open the flow,
+	// and this row promised not to open it.
+	flowFenced
+	// flowClosed: this row owned the flow and it has ended.
+	flowClosed
+	// flowRefused: this row refused the flow.
+	flowRefused
 )
 
-// flow is what a row remembers of a flow that it owns, passes along or has
-// ended. It is kept small: there is one for every open flow.
-type flow struct {
-	expires    time.Duration // zero for open flows
+// flowRecord is what a row remembers about a flow that it owns, forwards,
+// refused or has ended. It is kept small because there is one for every open
+// flow.
+type flowRecord struct {
+	expires    time.Duration // when the record may be removed; zero for open flows
 	sequence   uint32
 	owner      table.BackendID
 	state      flowState
--- a/internal/admission/locate.go
+++ b/internal/admission/locate.go
@@ -6,83 +6,88 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// locateAllLimit is the number of rows up to which a search asks all rows at
-// once; in larger services it begins with the earlier holders of the slot.
-const locateAllLimit = 16
+// queryAllRowsLimit is the largest number of rows for which a search queries all
+// rows at once. In larger services a search begins with the rows that are or were
+// primary of the slot.
+const queryAllRowsLimit = 16
 
-// locate searches the owner of a flow that this row does not know.
+// locate starts a search for the owner of a flow that this row does not know.
 func (m *Machine) locate(now time.Duration, key FlowKey, packet Packet) {
 	switch {
 	case m.config.Stateless:
-		m.refuse(packet)
+		m.refusePacket(packet)
 		return
 	case packet.Summary.Reset:
-		m.drop(DropUnknownFlow, packet)
+		m.dropPacket(DropUnknownFlow, packet)
 		return
 	case m.history.current == nil:
-		m.drop(DropNoLease, packet)
+		m.dropPacket(DropNoLease, packet)
 		return
-	case m.locating >= m.config.LocateLimit || len(m.pending) >= m.config.PendingLimit:
-		m.drop(DropQueryLimit, packet)
+	case m.activeSearches >= m.config.LocateLimit || len(m.pending) >= m.config.PendingLimit:
+		m.dropPacket(DropQueryLimit, packet)
 		return
 	}
-	undecided := &pending{
-		purpose: PurposeLocate,
-		hash:    packet.Summary.Flow.Hash(),
-		started: now,
-		held:    []Packet{packet},
+	pending := &pendingFlow{
+		purpose:     PurposeLocate,
+		hash:        packet.Summary.Flow.Hash(),
+		started:     now,
+		heldPackets: []Packet{packet},
 	}
-	m.locating++
-	m.pending[key] = undecided
-	m.askHoldersForFlow(now, undecided)
-	m.sendQueries(now, key, undecided)
-	m.concludeIfSettled(now, key, undecided)
+	m.activeSearches++
+	m.pending[key] = pending
+	m.queryLikelyOwners(now, pending)
+	m.sendQueries(now, key, pending)
+	m.concludeIfDone(now, key, pending)
 }
 
-func (m *Machine) askHoldersForFlow(now time.Duration, undecided *pending) {
-	if len(m.history.current.view.Rows) <= locateAllLimit {
-		m.askAllForFlow(now, undecided)
+// queryLikelyOwners adds the rows that are or were primary of the flow's slot and
+// the row that the flow would have been handed over to. In a small service it
+// adds all rows.
+func (m *Machine) queryLikelyOwners(now time.Duration, pending *pendingFlow) {
+	if len(m.history.current.view.Rows) <= queryAllRowsLimit {
+		m.queryAllRows(now, pending)
 		return
 	}
 	deadline := now + m.config.LocateTimeout
-	for _, holder := range m.history.holders(undecided.hash, m.config.Row) {
-		m.addAsk(now, undecided, holder, true, deadline)
+	for _, holder := range m.history.previousPrimaries(pending.hash, m.config.Row) {
+		m.addQuery(now, pending, holder, true, deadline)
 	}
-	if primary, exists := m.history.current.primary(undecided.hash); exists {
-		m.addAsk(now, undecided, primary, true, deadline)
+	if primary, exists := m.history.current.primary(pending.hash); exists {
+		m.addQuery(now, pending, primary, true, deadline)
 	}
-	if second, exists := m.history.current.second(undecided.hash, m.config.Row); exists {
-		m.addAsk(now, undecided, second, true, deadline)
+	if second, exists := m.history.current.secondChoice(pending.hash, m.config.Row); exists {
+		m.addQuery(now, pending, second, true, deadline)
 	}
 }
 
-// askAllForFlow adds every row of the service, drained and removed ones
-// included: they may still have flows.
-func (m *Machine) askAllForFlow(now time.Duration, undecided *pending) {
-	undecided.askedAll = true
+// queryAllRows adds every row of the service, including drained and removed rows,
+// which may still own flows.
+func (m *Machine) queryAllRows(now time.Duration, pending *pendingFlow) {
+	pending.queriedAll = true
 	for _, row := range m.history.current.view.Rows {
-		m.addAsk(now, undecided, row.ID, true, now+m.config.LocateTimeout)
+		m.addQuery(now, pending, row.ID, true, now+m.config.LocateTimeout)
 	}
 }
 
-// concludeLocate ends a search in which no row said it owns the flow. Only if
-// all rows denied it is the caller told with a reset.
-func (m *Machine) concludeLocate(now time.Duration, key FlowKey, undecided *pending) {
-	if !undecided.askedAll {
-		m.askAllForFlow(now, undecided)
-		m.sendQueries(now, key, undecided)
-		if !undecided.settled() {
+// concludeLocate ends a search in which no row claimed the flow. If only the
+// likely owners were queried, it queries the remaining rows. The caller is sent a
+// reset only if all rows denied the flow.
+func (m *Machine) concludeLocate(now time.Duration, key FlowKey, pending *pendingFlow) {
+	if !pending.queriedAll {
+		m.queryAllRows(now, pending)
+		m.sendQueries(now, key, pending)
+		if !pending.allDone() {
 			return
 		}
 	}
-	m.abandon(key)
-	first := undecided.held[0]
+	m.discardPending(key)
+	first := pending.heldPackets[0]
 	current := m.holdsLease(now) && first.Routing.Version <= m.TableVersion()
-	if !current || !undecided.answeredByAll() {
-		m.drop(DropUnknownFlow, first)
+	if !current || !pending.allAnswered() {
+		m.dropPacket(DropUnknownFlow, first)
 		return
 	}
-	m.refuse(first)
+	m.refusePacket(first)
 }
 
 // HandleMessage handles a message from another row. The returned effects are valid
@@ -90,77 +95,79 @@
 func (m *Machine) HandleMessage(now time.Duration, message Message) []Effect {
 	m.effects = m.effects[:0]
 	if !m.knowsRow(message.From) {
-		// The table held is old, or the message is forged: nothing may be
-		// promised to such a row.
+		// The table in use is old or the message is forged. This row must not
+		// promise anything to a row that is not in its table.
 		m.emit(Effect{Kind: RefreshTable})
 		return m.effects
 	}
 	switch {
 	case message.Query != nil:
-		m.answer(now, message.From, *message.Query)
+		m.handleQuery(now, message.From, *message.Query)
 	case message.Reply != nil:
-		m.settle(now, message.From, *message.Reply)
+		m.handleReply(now, message.From, *message.Reply)
 	}
 	return m.effects
 }
 
-// answer replies to a query.
-func (m *Machine) answer(now time.Duration, from table.BackendID, query Query) {
+// handleQuery replies to a query. The reply "unknown" to a row that is about to
+// open the flow is a promise, which is recorded as a fence.
+func (m *Machine) handleQuery(now time.Duration, from table.BackendID, query Query) {
 	reply := Reply{
 		Flow:      query.Flow,
 		Sequence:  query.Sequence,
 		Purpose:   query.Purpose,
-		Open:      m.open,
-		Available: m.available() && !m.resumed(now),
+		Open:      m.openFlows,
+		Available: m.canTakeFlow() && !m.leaseRecentlyResumed(now),
 	}
-	reply.Answer, reply.Owner = m.knowledge(now, from, query)
+	reply.Answer, reply.Owner = m.lookUpAnswer(now, from, query)
 	if reply.Answer == AnswerUnknown && query.Purpose == PurposeOpen {
 		m.fence(now, from, query)
 	}
 	m.emit(Effect{Kind: SendMessage, To: from, Message: Message{From: m.config.Row, To: from, Reply: &reply}})
 }
 
-// knowledge returns what this row knows of the flow in a query.
-func (m *Machine) knowledge(now time.Duration, from table.BackendID, query Query) (Answer, table.BackendID) {
-	known, exists := m.flows[query.Flow]
+// lookUpAnswer returns what this row knows about the flow in a query.
+func (m *Machine) lookUpAnswer(now time.Duration, from table.BackendID, query Query) (Answer, table.BackendID) {
+	record, exists := m.flows[query.Flow]
 	if exists {
-		answer, owner := m.knownAnswer(now, from, query, known)
+		answer, owner := m.answerFromRecord(now, from, query, record)
 		if answer != AnswerUnknown {
 			return answer, owner
 		}
 	}
-	undecided, exists := m.pending[query.Flow]
-	if exists && undecided.purpose == PurposeOpen && query.Purpose == PurposeOpen &&
-		undecided.sequence == query.Sequence && m.config.Row < from {
-		// Both rows are deciding about the same flow; the lower identifier
-		// goes on, the other yields.
+	pending, exists := m.pending[query.Flow]
+	if exists && pending.purpose == PurposeOpen && query.Purpose == PurposeOpen &&
+		pending.sequence == query.Sequence && m.config.Row < from {
+		// Both rows are deciding about the same flow. The row with the lower
+		// identifier continues, the other one gives up.
 		return AnswerOwned, m.config.Row
 	}
 	return AnswerUnknown, 0
 }
 
-func (m *Machine) knownAnswer(now time.Duration, from table.BackendID, query Query, known flow) (Answer, table.BackendID) {
-	same := query.Purpose == PurposeLocate || query.Sequence == known.sequence
-	switch known.state {
-	case stateOpen, stateLingering:
+// answerFromRecord returns the answer to a query about a flow that has a record.
+func (m *Machine) answerFromRecord(now time.Duration, from table.BackendID, query Query, record flowRecord) (Answer, table.BackendID) {
+	same := query.Purpose == PurposeLocate || query.Sequence == record.sequence
+	switch record.state {
+	case flowOpen, flowLingering:
 		return AnswerOwned, m.config.Row
-	case stateRemote:
-		if known.owner == from || !m.history.current.view.alive(known.owner) {
+	case flowRemote:
+		if record.owner == from || !m.history.current.view.believedAlive(record.owner) {
 			return AnswerUnknown, 0
 		}
-		if !same || query.Purpose == PurposeOpen && m.hearsay(now, known) {
-			return AnswerReferred, known.owner
+		if !same || query.Purpose == PurposeOpen && m.isStaleRemote(now, record) {
+			return AnswerReferred, record.owner
 		}
-		return AnswerOwned, known.owner
-	case stateFenced:
-		if same && query.Purpose == PurposeOpen && known.owner != from && now < known.expires {
-			return AnswerReferred, known.owner
+		return AnswerOwned, record.owner
+	case flowFenced:
+		if same && query.Purpose == PurposeOpen && record.owner != from && now < record.expires {
+			return AnswerReferred, record.owner
 		}
-	case stateClosed:
+	case flowClosed:
 		if same {
 			return AnswerClosed, 0
 		}
-	case stateRefused:
+	case flowRefused:
 		if same {
 			return AnswerRefused, 0
 		}
@@ -168,74 +175,77 @@
 	return AnswerUnknown, 0
 }
 
-// hearsay reports whether what is remembered of another row's flow is so old that
-// the owner itself must be asked: its caller still sends opening packets, none of
-// which can be on its way to the owner any more. Two rows that each took the other
-// for the owner would otherwise never let the flow open.
-func (m *Machine) hearsay(now time.Duration, known flow) bool {
-	age := now + m.config.RemoteRetention - known.expires
-	return age > hearsayLeases*m.config.LeaseDuration
+// isStaleRemote reports whether the record of another row's flow is too old to
+// answer for the owner, so that the owner itself must be queried. The caller still
+// sends opening packets, and no packet that was handed over can still be on its
+// way to the owner. Without this rule two rows that each remember the other as the
+// owner would keep the flow from opening until their records expire.
+func (m *Machine) isStaleRemote(now time.Duration, record flowRecord) bool {
+	age := now + m.config.RemoteRetention - record.expires
+	return age > staleRemoteLeases*m.config.LeaseDuration
 }
 
-// hearsayLeases is how many leases it takes until no packet that was handed over
-// can arrive.
-const hearsayLeases = 2
+// staleRemoteLeases is the number of lease durations after which a packet that was
+// handed over can no longer arrive.
+const staleRemoteLeases = 2
 
-// fence promises not to open the flow that another row is about to open.
+// fence records the promise not to open a flow that another row is about to open.
 func (m *Machine) fence(now time.Duration, from table.BackendID, query Query) {
-	m.abandon(query.Flow)
-	if _, known := m.flows[query.Flow]; !known && len(m.flows) >= m.config.FlowLimit {
+	m.discardPending(query.Flow)
+	if _, remembered := m.flows[query.Flow]; !remembered && len(m.flows) >= m.config.FlowLimit {
 		return
 	}
-	m.flows[query.Flow] = flow{
-		state:    stateFenced,
+	m.flows[query.Flow] = flowRecord{
+		state:    flowFenced,
 		sequence: query.Sequence,
 		owner:    from,
 		expires:  now + 2*m.config.LeaseDuration,
 	}
 }
 
-// settle records a reply.
-func (m *Machine) settle(now time.Duration, from table.BackendID, reply Reply) {
-	undecided, exists := m.pending[reply.Flow]
-	if !exists || undecided.sequence != reply.Sequence || undecided.purpose != reply.Purpose {
+// handleReply records a reply and concludes the decision or search if the reply
+// determines its result or is the last one awaited.
+func (m *Machine) handleReply(now time.Duration, from table.BackendID, reply Reply) {
+	pending, exists := m.pending[reply.Flow]
+	if !exists || pending.sequence != reply.Sequence || pending.purpose != reply.Purpose {
 		return
 	}
-	asked := undecided.ask(from)
-	if asked == nil || asked.settled() {
+	query := pending.queryTo(from)
+	if query == nil || query.done() {
 		return
 	}
-	asked.answered = true
-	asked.open = reply.Open
-	asked.available = reply.Available
-	if m.namesUnknownRow(reply) && undecided.purpose == PurposeOpen {
-		// The row that answered holds a newer table.
-		m.abandon(reply.Flow)
-		m.awaitVersion(now, reply.Flow, m.TableVersion()+1, undecided.held[0])
+	query.answered = true
+	query.openFlows = reply.Open
+	query.available = reply.Available
+	if m.namesUnknownRow(reply) && pending.purpose == PurposeOpen {
+		// The replying row has a newer table.
+		m.discardPending(reply.Flow)
+		m.awaitVersion(now, reply.Flow, m.TableVersion()+1, pending.heldPackets[0])
 		return
 	}
 	switch reply.Answer {
 	case AnswerOwned:
 		if reply.Owner != m.config.Row {
-			m.abandon(reply.Flow)
-			m.becomeRemote(now, reply.Flow, undecided, reply.Owner, false)
+			m.discardPending(reply.Flow)
+			m.assignToRemote(now, reply.Flow, pending, reply.Owner, false)
 			return
 		}
 	case AnswerReferred:
-		m.refer(now, reply, undecided)
+		m.queryReferredRow(now, reply, pending)
 	case AnswerClosed:
-		m.abandon(reply.Flow)
-		m.drop(DropClosed, undecided.held[0])
+		m.discardPending(reply.Flow)
+		m.dropPacket(DropClosed, pending.heldPackets[0])
 		return
 	case AnswerRefused:
-		m.abandon(reply.Flow)
-		m.refuseNew(now, reply.Flow, undecided.held[0])
+		m.discardPending(reply.Flow)
+		m.refuseNewFlow(now, reply.Flow, pending.heldPackets[0])
 		return
 	}
-	m.concludeIfSettled(now, reply.Flow, undecided)
+	m.concludeIfDone(now, reply.Flow, pending)
 }
 
-// namesUnknownRow reports whether the owner in a reply is not in the table held.
+// namesUnknownRow reports whether a reply names an owner that is not in the table
+// in use.
 func (m *Machine) namesUnknownRow(reply Reply) bool {
 	if reply.Answer != AnswerOwned && reply.Answer != AnswerReferred {
 		return false
@@ -243,21 +253,22 @@
 	return !m.knowsRow(reply.Owner)
 }
 
-// knowsRow reports whether the row is in the table held.
+// knowsRow reports whether the row is in the table in use.
 func (m *Machine) knowsRow(id table.BackendID) bool {
 	if m.history.current == nil {
 		return false
 	}
-	_, known := m.history.current.view.row(id)
-	return known
+	_, exists := m.history.current.view.row(id)
+	return exists
 }
 
-// refer asks a further row that another one named.
-func (m *Machine) refer(now time.Duration, reply Reply, undecided *pending) {
-	before := len(undecided.asks)
-	m.addAsk(now, undecided, reply.Owner, true, now+m.config.LeaseDuration)
-	if len(undecided.asks) > before {
-		undecided.interval = 0
-		m.sendQueries(now, reply.Flow, undecided)
+// queryReferredRow queries the row that a reply referred to, unless it is queried
+// already.
+func (m *Machine) queryReferredRow(now time.Duration, reply Reply, pending *pendingFlow) {
+	before := len(pending.queries)
+	m.addQuery(now, pending, reply.Owner, true, now+m.config.LeaseDuration)
+	if len(pending.queries) > before {
+		pending.resendInterval = 0
+		m.sendQueries(now, reply.Flow, pending)
 	}
 }
--- a/internal/admission/machine.go
+++ b/internal/admission/machine.go
@@ -8,45 +8,47 @@
 
 // Config holds the parameters of a Machine. All durations are positive.
 type Config struct {
-	// Row is the row that the machine decides for.
+	// Row is the table row for which the machine decides.
 	Row table.BackendID
-	// LeaseDuration is the longest time for which a row may go on opening
-	// flows without hearing from a daemon.
+	// LeaseDuration is the longest time for which a row may open flows
+	// without hearing from a daemon.
 	LeaseDuration time.Duration
-	// LoadTimeout bounds the wait for the load of another row.
+	// LoadTimeout bounds the wait for another row to report its load, and for
+	// any answer of a row that is believed to be down.
 	LoadTimeout time.Duration
-	// ResendInterval is the time after which a query is first repeated; it
-	// doubles with each repetition.
+	// ResendInterval is the time after which a query is first repeated. The
+	// interval doubles with each repetition.
 	ResendInterval time.Duration
 	// LocateTimeout bounds the search for the owner of an unknown flow.
 	LocateTimeout time.Duration
-	// VersionTimeout bounds the wait for a newer table.
+	// VersionTimeout bounds the wait for a newer table version.
 	VersionTimeout time.Duration
-	// RetransmissionTimeout is how long callers repeat the first packet of a
-	// flow that is not answered.
+	// RetransmissionTimeout is how long callers retransmit the first packet
+	// of a flow that is not answered.
 	RetransmissionTimeout time.Duration
-	// ClosedRetention is how long an ended flow is remembered.
+	// ClosedRetention is how long an ended or refused flow is remembered.
 	ClosedRetention time.Duration
-	// RemoteRetention is how long the owner of another row's flow is
-	// remembered after its last packet.
+	// RemoteRetention is how long the owner of a flow of another row is
+	// remembered after the flow's last packet.
 	RemoteRetention time.Duration
-	// HandoverMargin is the number of flows, for a row of the same weight, by
-	// which another row must be less loaded to be handed a new flow.
+	// HandoverMargin is the number of open flows by which a row of the same
+	// weight must be less loaded than this row to be handed a new flow.
 	HandoverMargin uint32
-	// FlowLimit is the largest number of flows in memory, ended ones
-	// included.
+	// FlowLimit is the largest number of remembered flows, including those
+	// that have ended.
 	FlowLimit int
 	// PendingLimit is the largest number of undecided flows.
 	PendingLimit int
-	// LocateLimit is the largest number of searches for unknown flows that
-	// may be under way.
+	// LocateLimit is the largest number of concurrent searches for owners of
+	// unknown flows.
 	LocateLimit int
-	// Stateless turns the machine into the negative control: it opens every
-	// new flow where it arrives and asks nobody.
+	// Stateless disables queries: the machine opens every new flow where its
+	// first packet arrives and refuses unknown flows. It is the negative
+	// control of experiments.
 	Stateless bool
 }
 
-// DefaultConfig returns the parameters used by the agent for a row.
+// DefaultConfig returns the default parameters of a machine for the given row.
 func DefaultConfig(row table.BackendID) Config {
 	return Config{
 		Row:                   row,
@@ -66,60 +68,65 @@
 }
 
 const (
-	// hopLimit bounds how often a packet is passed along.
+	// hopLimit bounds how often a packet is forwarded between rows.
 	hopLimit = 4
-	// hopsThereAndBack is the number of hops of a packet that was passed along
-	// and came back.
-	hopsThereAndBack = 2
-	// maximumResendInterval bounds the time between repeated queries.
+	// roundTripHops is the number of hops of a packet that was forwarded to
+	// another row and came back.
+	roundTripHops = 2
+	// maximumResendInterval bounds the doubled interval between queries.
 	maximumResendInterval = 256 * time.Millisecond
-	// heldPackets bounds the packets kept of one undecided flow.
-	heldPackets = 4
-	// tickInterval is the longest useful time between two calls of Tick.
+	// maximumHeldPackets bounds the packets that are kept for one undecided
+	// flow.
+	maximumHeldPackets = 4
+	// tickInterval is the longest interval between calls of Tick that is short
+	// enough for the timeouts in Config.
 	tickInterval = 4 * time.Millisecond
-	// sweepInterval is the time between removals of expired flows.
+	// sweepInterval is the time between removals of expired flow records.
 	sweepInterval = time.Second
 )
 
-// TickInterval returns how often Tick should be called.
+// TickInterval returns the interval at which Tick should be called.
 func TickInterval() time.Duration { return tickInterval }
 
-// Machine decides about the flows of one row. It is not safe for concurrent
-// use.
+// Machine decides about the flows of one table row. It is not safe for
+// concurrent use.
 type Machine struct {
 	config     Config
-	history    history
+	history    viewHistory
 	leaseUntil time.Duration
-	// leaseResumed is when the lease began after having been interrupted.
-	leaseResumed time.Duration
-	leaving      bool
-	flows        map[FlowKey]flow
-	pending      map[FlowKey]*pending
-	locating     int
-	open         uint32
-	nextSweep    time.Duration
-	effects      []Effect
+	// leaseResumedAt is when the lease last began after an interruption.
+	leaseResumedAt time.Duration
+	leaving        bool
+	flows          map[FlowKey]flowRecord
+	pending        map[FlowKey]*pendingFlow
+	activeSearches int
+	openFlows      uint32
+	nextSweep      time.Duration
+	effects        []Effect
 }
 
-// New returns a machine without a view and without a lease.
+// New returns a machine that has no view and no lease. It opens no flow before
+// InstallView and RenewLease have been called.
 func New(config Config) *Machine {
 	return &Machine{
 		config:  config,
-		flows:   make(map[FlowKey]flow),
-		pending: make(map[FlowKey]*pending),
+		flows:   make(map[FlowKey]flowRecord),
+		pending: make(map[FlowKey]*pendingFlow),
 	}
 }
 
-// OpenFlows returns the number of flows open at this row.
-func (m *Machine) OpenFlows() uint32 { return m.open }
+// OpenFlows returns the number of flows that are open at this row.
+func (m *Machine) OpenFlows() uint32 { return m.openFlows }
 
-// RememberedFlows returns the number of flows remembered, ended ones included.
+// RememberedFlows returns the number of flow records, including those of remote,
+// refused and ended flows.
 func (m *Machine) RememberedFlows() int { return len(m.flows) }
 
-// UndecidedFlows returns the number of undecided flows.
+// UndecidedFlows returns the number of flows whose owner is being decided or
+// located.
 func (m *Machine) UndecidedFlows() int { return len(m.pending) }
 
-// TableVersion returns the table version in use, zero before the first view.
+// TableVersion returns the table version in use. It is 0 before the first view.
 func (m *Machine) TableVersion() table.Version {
 	if m.history.current == nil {
 		return 0
@@ -127,50 +134,52 @@
 	return m.history.current.view.Version
 }
 
-// InstallView installs a view. A view with an older version than the current one
-// is ignored. The returned effects are valid until the next call.
+// InstallView makes view the current one. A view with an older version than the
+// current one is ignored. The returned effects are valid until the next call.
 func (m *Machine) InstallView(now time.Duration, view View) []Effect {
 	m.effects = m.effects[:0]
 	if view.Version < m.TableVersion() {
 		return m.effects
 	}
 	m.history.install(now, view)
-	m.reviewAsks(now)
-	m.yieldToNewPrimaries()
-	m.resumePendingVersions(now)
+	m.shortenWaitsForDownRows(now)
+	m.forwardToNewPrimaries()
+	m.resumeAwaitingVersion(now)
 	return m.effects
 }
 
 // RenewLease extends the lease until the given time.
 func (m *Machine) RenewLease(now, until time.Duration) {
 	if now >= m.leaseUntil {
-		m.leaseResumed = now
+		m.leaseResumedAt = now
 	}
 	if until > m.leaseUntil {
 		m.leaseUntil = until
 	}
 }
 
-// Leave stops this row from opening flows; established ones continue.
+// Leave stops this row from opening flows. Open flows continue.
 func (m *Machine) Leave() { m.leaving = true }
 
 func (m *Machine) holdsLease(now time.Duration) bool { return now < m.leaseUntil }
 
-// resumed reports whether the lease was interrupted so recently that packets
-// handed over before may still arrive.
-func (m *Machine) resumed(now time.Duration) bool {
-	return now < m.leaseResumed+m.config.LeaseDuration
+// leaseRecentlyResumed reports whether the lease was interrupted so recently
+// that packets handed over before the interruption may still arrive.
+func (m *Machine) leaseRecentlyResumed(now time.Duration) bool {
+	return now < m.leaseResumedAt+m.config.LeaseDuration
 }
 
 func (m *Machine) emit(effect Effect) { m.effects = append(m.effects, effect) }
 
-func (m *Machine) drop(reason DropReason, packet Packet) {
+func (m *Machine) dropPacket(reason DropReason, packet Packet) {
 	m.emit(Effect{Kind: Drop, Reason: reason, Packet: packet})
 }
 
-func (m *Machine) forward(to table.BackendID, handedOver bool, packet Packet) {
+// forwardPacket forwards the packet to another row, with the newer of the
+// packet's and this row's table versions. It drops the packet at the hop limit.
+func (m *Machine) forwardPacket(to table.BackendID, handedOver bool, packet Packet) {
 	if packet.Routing.Hops >= hopLimit {
-		m.drop(DropHopLimit, packet)
+		m.dropPacket(DropHopLimit, packet)
 		return
 	}
 	packet.Routing.Hops++
@@ -181,8 +190,8 @@
 	m.emit(Effect{Kind: Forward, To: to, Packet: packet})
 }
 
-// available reports whether this row can take one more flow.
-func (m *Machine) available() bool {
+// canTakeFlow reports whether this row can open another flow.
+func (m *Machine) canTakeFlow() bool {
 	if m.leaving || m.history.current == nil {
 		return false
 	}
@@ -190,62 +199,65 @@
 	if !exists || !row.AcceptsNewFlows() {
 		return false
 	}
-	return row.ConnectionLimit == 0 || m.open < row.ConnectionLimit
+	return row.ConnectionLimit == 0 || m.openFlows < row.ConnectionLimit
 }
 
-// OpenFlowSequence returns the initial sequence number of a flow that is open at this
-// row.
+// OpenFlowSequence returns the initial sequence number of a flow, and whether
+// the flow is open at this row.
 func (m *Machine) OpenFlowSequence(key FlowKey) (sequence uint32, open bool) {
-	known, exists := m.flows[key]
-	return known.sequence, exists && known.state == stateOpen
+	record, exists := m.flows[key]
+	return record.sequence, exists && record.state == flowOpen
 }
 
-// FlowLingering tells the machine that an open flow, with the given initial sequence
-// number, has ended, while its transport still answers the caller's last
-// segments. It no longer counts against the connection limit.
+// FlowLingering records that the open flow with the given initial sequence number
+// has ended while its transport still answers the caller's last segments. The
+// flow no longer counts against the connection limit.
 func (m *Machine) FlowLingering(now time.Duration, key FlowKey, sequence uint32) {
-	m.end(now, key, sequence, stateLingering)
+	m.endFlow(now, key, sequence, flowLingering)
 }
 
-// FlowClosed tells the machine that the transport of a flow is gone.
+// FlowClosed records that a flow has ended and its transport endpoint is gone.
 func (m *Machine) FlowClosed(now time.Duration, key FlowKey, sequence uint32) {
-	m.end(now, key, sequence, stateClosed)
+	m.endFlow(now, key, sequence, flowClosed)
 }
 
-// FlowRefused tells the machine that a flow it delivered was refused before its
-// handshake completed, for instance because the back end did not accept it.
+// FlowRefused records that a delivered flow was refused before its handshake
+// completed, for instance because the back end did not accept the connection.
 func (m *Machine) FlowRefused(now time.Duration, key FlowKey, sequence uint32) {
-	m.end(now, key, sequence, stateRefused)
+	m.endFlow(now, key, sequence, flowRefused)
 }
 
-func (m *Machine) end(now time.Duration, key FlowKey, sequence uint32, state flowState) {
-	known, exists := m.flows[key]
-	local := known.state == stateOpen || known.state == stateLingering
-	if !exists || !local || known.sequence != sequence {
+// endFlow moves a flow of this row to the given state if the sequence number
+// matches.
+func (m *Machine) endFlow(now time.Duration, key FlowKey, sequence uint32, state flowState) {
+	record, exists := m.flows[key]
+	local := record.state == flowOpen || record.state == flowLingering
+	if !exists || !local || record.sequence != sequence {
 		return
 	}
-	if known.state == stateOpen {
-		m.open--
+	if record.state == flowOpen {
+		m.openFlows--
 	}
-	known.state = state
-	known.expires = now + m.config.ClosedRetention
-	m.flows[key] = known
+	record.state = state
+	record.expires = now + m.config.ClosedRetention
+	m.flows[key] = record
 }
 
-// ForgetFlow tells the machine that an ended flow needs no remembering, as for UDP
-// after its idle time.
+// ForgetFlow removes the record of an ended flow that need not be remembered,
+// such as a UDP flow after its idle time.
 func (m *Machine) ForgetFlow(key FlowKey) {
-	known, exists := m.flows[key]
+	record, exists := m.flows[key]
 	if !exists {
 		return
 	}
-	if known.state == stateOpen {
-		m.open--
+	if record.state == flowOpen {
+		m.openFlows--
 	}
 	delete(m.flows, key)
 }
 
-// Tick handles timeouts. The returned effects are valid until the next call.
+// Tick handles the timeouts that are due. The returned effects are valid until
+// the next call.
 func (m *Machine) Tick(now time.Duration) []Effect {
 	m.effects = m.effects[:0]
 	for _, key := range m.pendingKeys() {
@@ -258,9 +270,10 @@
 	return m.effects
 }
 
+// sweep removes the flow records that have expired.
 func (m *Machine) sweep(now time.Duration) {
-	for key, known := range m.flows {
-		if known.state != stateOpen && known.expires <= now {
+	for key, record := range m.flows {
+		if record.state != flowOpen && record.expires <= now {
 			delete(m.flows, key)
 		}
 	}
--- a/internal/admission/message.go
+++ b/internal/admission/message.go
@@ -8,38 +8,40 @@
 // port.
 type FlowKey uint64
 
-// Purpose tells why a row asks about a flow.
+// Purpose is the reason for which a row queries another row about a flow.
 type Purpose uint8
 
 // The purposes of a query.
 const (
-	// PurposeOpen: the asking row is about to open the flow.
+	// PurposeOpen: the querying row is about to open the flow.
 	PurposeOpen Purpose = iota
-	// PurposeLocate: the asking row received a packet of a flow it does not
-	// know.
+	// PurposeLocate: the querying row received a packet of a flow that it does
+	// not know.
 	PurposeLocate
 )
 
-// Answer is what the asked row knows about a flow.
+// Answer is what the queried row knows about a flow.
 type Answer uint8
 
 // The answers to a query.
 const (
-	// AnswerUnknown: the row does not know the flow. For PurposeOpen it will
-	// not open the flow unless it is handed over.
+	// AnswerUnknown: the row does not know the flow. If the purpose is
+	// PurposeOpen, the row promises not to open the flow unless the flow is
+	// handed over to it.
 	AnswerUnknown Answer = iota
-	// AnswerOwned: the flow belongs to the row in Owner.
+	// AnswerOwned: the row in Owner owns the flow.
 	AnswerOwned
-	// AnswerReferred: the row in Owner had an earlier flow with the same key,
-	// or was about to open this one, and must be asked too.
+	// AnswerReferred: the row in Owner must be queried too. It owned an
+	// earlier flow with the same key, was about to open this flow, or may
+	// have opened it long ago.
 	AnswerReferred
 	// AnswerClosed: the flow has ended.
 	AnswerClosed
-	// AnswerRefused: the flow was refused.
+	// AnswerRefused: the queried row refused the flow.
 	AnswerRefused
 )
 
-// Query asks another row about a flow.
+// Query asks another row what it knows about a flow.
 type Query struct {
 	Flow     FlowKey `msg:"f"`
 	Sequence uint32  `msg:"s"`
@@ -53,13 +55,13 @@
 	Purpose  Purpose         `msg:"p"`
 	Answer   Answer          `msg:"a"`
 	Owner    table.BackendID `msg:"o"`
-	// Open is the number of flows open at the answering row.
+	// Open is the number of flows that are open at the replying row.
 	Open uint32 `msg:"n"`
-	// Available is false if the row can take no further flow.
+	// Available is false if the replying row cannot take another flow.
 	Available bool `msg:"v"`
 }
 
-// Message is what rows send each other: a query or a reply.
+// Message is a datagram between rows. It holds either a query or a reply.
 type Message struct {
 	From  table.BackendID `msg:"r"`
 	To    table.BackendID `msg:"t"`
--- a/internal/admission/open.go
+++ b/internal/admission/open.go
@@ -7,39 +7,41 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// beginOpen asks every row that might own the flow, and the second candidate
-// for its load, or opens the flow at once if there is nobody to ask.
+// beginOpen starts the decision about a new flow. It queries every row that might
+// own the flow, and the second choice for its load. If there is no row to query,
+// it opens the flow at once.
 func (m *Machine) beginOpen(now time.Duration, key FlowKey, hash uint64, packet Packet) {
 	if len(m.pending) >= m.config.PendingLimit {
-		m.drop(DropPendingLimit, packet)
+		m.dropPacket(DropPendingLimit, packet)
 		return
 	}
-	undecided := &pending{
-		sequence: packet.sequence(),
-		purpose:  PurposeOpen,
-		hash:     hash,
-		started:  now,
-		held:     []Packet{packet},
-	}
-	m.askEarlierHolders(now, undecided)
-	m.askEarlierOwner(now, key, undecided)
-	m.askForLoad(now, undecided)
-	if len(undecided.asks) == 0 {
-		m.concludeOpen(now, key, undecided)
+	pending := &pendingFlow{
+		sequence:    packet.sequence(),
+		purpose:     PurposeOpen,
+		hash:        hash,
+		started:     now,
+		heldPackets: []Packet{packet},
+	}
+	m.queryPossibleOpeners(now, pending)
+	m.queryRememberedOwner(now, key, pending)
+	m.queryLoad(now, pending)
+	if len(pending.queries) == 0 {
+		m.concludeOpen(now, key, pending)
 		return
 	}
-	m.pending[key] = undecided
-	m.sendQueries(now, key, undecided)
+	m.pending[key] = pending
+	m.sendQueries(now, key, pending)
 }
 
-// askEarlierHolders adds, for some time after a change of the view or an
-// interruption of the lease, every row of the service: any of them may have been
-// primary of the flow's slot, in a view that this row may not even have seen.
-// While one of them may still hold a lease it is waited for until that must have
-// ended; later it cannot open the flow any more, but may have opened it for a
-// caller whose retransmissions are still under way.
-func (m *Machine) askEarlierHolders(now time.Duration, undecided *pending) {
-	since := max(m.leaseResumed, m.history.changed)
+// queryPossibleOpeners adds every row of the service for RetransmissionTimeout
+// after a change of the view or an interruption of the lease. Any of them may have
+// been primary of the flow's slot, perhaps in a view that this row never received.
+// During the first LeaseDuration such a row may still hold a lease, so the
+// decision waits until that lease must have ended. Later the row can no longer
+// open the flow, but it may have opened it already for a caller whose
+// retransmissions are still arriving.
+func (m *Machine) queryPossibleOpeners(now time.Duration, pending *pendingFlow) {
+	since := max(m.leaseResumedAt, m.history.changedAt)
 	if now >= since+m.config.RetransmissionTimeout {
 		return
 	}
@@ -48,160 +50,165 @@
 		wait = m.config.LeaseDuration
 	}
 	for _, row := range m.history.current.view.Rows {
-		m.addAsk(now, undecided, row.ID, true, now+wait)
+		m.addQuery(now, pending, row.ID, true, now+wait)
 	}
 }
 
-// askEarlierOwner adds the row to which an earlier flow with the same key
-// belonged: the caller may be reusing a port whose flow is still open there.
-func (m *Machine) askEarlierOwner(now time.Duration, key FlowKey, undecided *pending) {
-	known, exists := m.flows[key]
-	if exists && known.state == stateRemote && m.history.current.view.alive(known.owner) {
-		m.addAsk(now, undecided, known.owner, true, now+m.config.LeaseDuration)
+// queryRememberedOwner adds the row that owned an earlier flow with the same key.
+// The caller may be reusing a port whose earlier flow is still open there.
+func (m *Machine) queryRememberedOwner(now time.Duration, key FlowKey, pending *pendingFlow) {
+	record, exists := m.flows[key]
+	if exists && record.state == flowRemote && m.history.current.view.believedAlive(record.owner) {
+		m.addQuery(now, pending, record.owner, true, now+m.config.LeaseDuration)
 	}
 }
 
-// askForLoad adds the second candidate, or every row if this one cannot take
-// the flow.
-func (m *Machine) askForLoad(now time.Duration, undecided *pending) {
+// queryLoad adds the second choice for the flow, or every candidate if this row
+// cannot take the flow.
+func (m *Machine) queryLoad(now time.Duration, pending *pendingFlow) {
 	deadline := now + m.config.LoadTimeout
-	if !m.available() {
-		m.askAll(now, undecided)
+	if !m.canTakeFlow() {
+		m.queryAllCandidates(now, pending)
 		return
 	}
-	second, exists := m.history.current.second(undecided.hash, m.config.Row)
+	second, exists := m.history.current.secondChoice(pending.hash, m.config.Row)
 	if exists {
-		m.addAsk(now, undecided, second, false, deadline)
+		m.addQuery(now, pending, second, false, deadline)
 	}
 }
 
-// askAll adds every other row that accepts new flows and is alive. It waits for
-// them longer than for a load, since the flow would otherwise be refused.
-func (m *Machine) askAll(now time.Duration, undecided *pending) {
-	undecided.askedAll = true
+// queryAllCandidates adds every other row that accepts new flows and is alive. The
+// wait is longer than for a mere load, because without an answer the flow would be
+// refused.
+func (m *Machine) queryAllCandidates(now time.Duration, pending *pendingFlow) {
+	pending.queriedAll = true
 	view := &m.history.current.view
 	for _, row := range view.Rows {
-		if row.AcceptsNewFlows() && view.candidate(row.ID) {
-			m.addAsk(now, undecided, row.ID, false, now+m.config.LocateTimeout)
+		if row.AcceptsNewFlows() && view.mayTakeNewFlows(row.ID) {
+			m.addQuery(now, pending, row.ID, false, now+m.config.LocateTimeout)
 		}
 	}
 }
 
-// reviewAsks shortens the wait for rows that are now believed not to be alive:
-// their lease has ended.
-func (m *Machine) reviewAsks(now time.Duration) {
+// shortenWaitsForDownRows shortens the wait for rows whose lease is now known to
+// have ended.
+func (m *Machine) shortenWaitsForDownRows(now time.Duration) {
 	view := &m.history.current.view
-	for _, undecided := range m.pending {
-		for index := range undecided.asks {
-			asked := &undecided.asks[index]
-			if view.alive(asked.row) || asked.down {
+	for _, pending := range m.pending {
+		for index := range pending.queries {
+			query := &pending.queries[index]
+			if view.believedAlive(query.row) || query.believedDown {
 				continue
 			}
-			asked.down = true
-			asked.deadline = min(asked.deadline, now+m.config.LoadTimeout)
+			query.believedDown = true
+			query.deadline = min(query.deadline, now+m.config.LoadTimeout)
 		}
-		if undecided.retransmission && !undecided.silent() {
-			undecided.retransmission = false
+		if pending.awaitsRetransmission && !pending.requiredRowSilent() {
+			pending.awaitsRetransmission = false
 		}
 	}
 }
 
-// yieldToNewPrimaries passes the undecided flows whose slot has moved on to its
-// new primary, which will ask this row.
-func (m *Machine) yieldToNewPrimaries() {
+// forwardToNewPrimaries forwards the undecided flows whose slot has moved to the
+// new primary of the slot. The new primary will query this row.
+func (m *Machine) forwardToNewPrimaries() {
 	for _, key := range m.pendingKeys() {
-		undecided := m.pending[key]
-		if undecided.purpose != PurposeOpen || undecided.behind != 0 {
+		pending := m.pending[key]
+		if pending.purpose != PurposeOpen || pending.awaitedVersion != 0 {
 			continue
 		}
-		primary, exists := m.history.current.primary(undecided.hash)
+		primary, exists := m.history.current.primary(pending.hash)
 		if !exists || primary == m.config.Row {
 			continue
 		}
-		m.abandon(key)
-		m.forward(primary, false, undecided.held[0])
+		m.discardPending(key)
+		m.forwardPacket(primary, false, pending.heldPackets[0])
 	}
 }
 
-// addAsk adds a row unless it is this one or is asked already. A row that is
-// believed not to be alive is waited for only briefly.
-func (m *Machine) addAsk(now time.Duration, undecided *pending, row table.BackendID, required bool, deadline time.Duration) {
-	if row == m.config.Row || undecided.ask(row) != nil {
+// addQuery adds a query to a row, unless it is this row or is queried already. The
+// wait for a row that is believed to be down is short.
+func (m *Machine) addQuery(now time.Duration, pending *pendingFlow, row table.BackendID, required bool, deadline time.Duration) {
+	if row == m.config.Row || pending.queryTo(row) != nil {
 		return
 	}
-	down := !m.history.current.view.alive(row)
+	down := !m.history.current.view.believedAlive(row)
 	if down {
 		deadline = min(deadline, now+m.config.LoadTimeout)
 	}
-	undecided.asks = append(undecided.asks, ask{row: row, required: required, down: down, deadline: deadline})
+	pending.queries = append(pending.queries, peerQuery{row: row, required: required, believedDown: down, deadline: deadline})
 }
 
-// sendQueries sends the query of every unsettled ask, and sets when to repeat
-// them: the interval doubles, since rows may be a region away.
-func (m *Machine) sendQueries(now time.Duration, key FlowKey, undecided *pending) {
-	undecided.interval = min(max(2*undecided.interval, m.config.ResendInterval), maximumResendInterval)
-	undecided.resend = now + undecided.interval
-	for index := range undecided.asks {
-		if undecided.asks[index].settled() {
+// sendQueries sends every query that is neither answered nor expired, and sets the
+// time of the next repetition. The interval doubles each time, because rows may be
+// in another region.
+func (m *Machine) sendQueries(now time.Duration, key FlowKey, pending *pendingFlow) {
+	pending.resendInterval = min(max(2*pending.resendInterval, m.config.ResendInterval), maximumResendInterval)
+	pending.resendAt = now + pending.resendInterval
+	for index := range pending.queries {
+		if pending.queries[index].done() {
 			continue
 		}
-		to := undecided.asks[index].row
+		to := pending.queries[index].row
 		m.emit(Effect{Kind: SendMessage, To: to, Message: Message{
 			From:  m.config.Row,
 			To:    to,
-			Query: &Query{Flow: key, Sequence: undecided.sequence, Purpose: undecided.purpose},
+			Query: &Query{Flow: key, Sequence: pending.sequence, Purpose: pending.purpose},
 		}})
 	}
 }
 
-// concludeOpen opens the flow here, hands it over, or refuses it.
-func (m *Machine) concludeOpen(now time.Duration, key FlowKey, undecided *pending) {
+// concludeOpen opens the flow at this row, hands it over, queries the remaining
+// candidates, or refuses the flow.
+func (m *Machine) concludeOpen(now time.Duration, key FlowKey, pending *pendingFlow) {
 	delete(m.pending, key)
-	first := undecided.held[0]
+	first := pending.heldPackets[0]
 	if !m.holdsLease(now) {
-		m.drop(DropNoLease, first)
+		m.dropPacket(DropNoLease, first)
 		return
 	}
-	owner, found := m.choose(undecided)
+	owner, found := m.chooseOwner(pending)
 	switch {
 	case found && owner == m.config.Row:
-		m.openLocally(key, undecided.sequence, first)
-		m.deliverHeld(undecided.held[1:])
+		m.openLocally(key, pending.sequence, first)
+		m.deliverHeld(pending.heldPackets[1:])
 	case found:
-		m.becomeRemote(now, key, undecided, owner, true)
-	case !undecided.askedAll:
-		m.askAll(now, undecided)
-		m.pending[key] = undecided
-		m.sendQueries(now, key, undecided)
-		m.concludeIfSettled(now, key, undecided)
-	case undecided.awaitsAnswer():
-		// A row that did not answer may have room. The caller's retransmission
-		// brings the flow back.
-		m.drop(DropNoAnswer, first)
+		m.assignToRemote(now, key, pending, owner, true)
+	case !pending.queriedAll:
+		m.queryAllCandidates(now, pending)
+		m.pending[key] = pending
+		m.sendQueries(now, key, pending)
+		m.concludeIfDone(now, key, pending)
+	case pending.liveRowUnanswered():
+		// A row that did not answer may be able to take the flow. The caller's
+		// retransmission starts the decision again.
+		m.dropPacket(DropNoAnswer, first)
 	default:
-		m.refuseNew(now, key, first)
+		m.refuseNewFlow(now, key, first)
 	}
 }
 
-// choose returns the less loaded of this row and those that answered. Loads
-// are compared per weight, with the flow in question counted.
-func (m *Machine) choose(undecided *pending) (table.BackendID, bool) {
+// chooseOwner returns the least loaded of this row and the rows that answered. It
+// returns false if none of them can take the flow. The load of a row is its number
+// of open flows, including this one, divided by its weight. Another row must be
+// less loaded than this row by HandoverMargin.
+func (m *Machine) chooseOwner(pending *pendingFlow) (table.BackendID, bool) {
 	view := &m.history.current.view
 	var best table.BackendID
 	var bestLoad uint64
 	var bestWeight uint64
-	if self, exists := view.row(m.config.Row); exists && m.available() {
+	if self, exists := view.row(m.config.Row); exists && m.canTakeFlow() {
 		best = self.ID
-		bestLoad = uint64(m.open) + 1
+		bestLoad = uint64(m.openFlows) + 1
 		bestWeight = uint64(self.Weight)
 	}
 	margin := uint64(m.config.HandoverMargin)
-	for _, asked := range undecided.asks {
-		row, exists := view.row(asked.row)
-		if !exists || !asked.answered || !asked.available || !row.AcceptsNewFlows() {
+	for _, query := range pending.queries {
+		row, exists := view.row(query.row)
+		if !exists || !query.answered || !query.available || !row.AcceptsNewFlows() {
 			continue
 		}
-		load := uint64(asked.open) + 1
+		load := uint64(query.openFlows) + 1
 		if best == m.config.Row {
 			load += margin
 		}
@@ -220,53 +227,55 @@
 	}
 }
 
-// becomeRemote remembers the owner of a flow and passes the held packets on.
-func (m *Machine) becomeRemote(now time.Duration, key FlowKey, undecided *pending, owner table.BackendID, handedOver bool) {
-	if _, known := m.flows[key]; known || len(m.flows) < m.config.FlowLimit {
-		m.flows[key] = flow{
-			state:      stateRemote,
-			sequence:   undecided.sequence,
+// assignToRemote records another row as the owner of the flow and forwards the
+// held packets to it.
+func (m *Machine) assignToRemote(now time.Duration, key FlowKey, pending *pendingFlow, owner table.BackendID, handedOver bool) {
+	if _, remembered := m.flows[key]; remembered || len(m.flows) < m.config.FlowLimit {
+		m.flows[key] = flowRecord{
+			state:      flowRemote,
+			sequence:   pending.sequence,
 			owner:      owner,
 			handedOver: handedOver,
 			expires:    now + m.config.RemoteRetention,
 		}
 	}
-	for _, packet := range undecided.held {
-		m.forward(owner, handedOver && packet.opensFlow(), packet)
+	for _, packet := range pending.heldPackets {
+		m.forwardPacket(owner, handedOver && packet.opensFlow(), packet)
 	}
 }
 
-// awaitVersion holds the first packet of a flow until a table version has
-// arrived here.
+// awaitVersion requests the newest table and holds the first packet of a flow
+// until the given table version is installed.
 func (m *Machine) awaitVersion(now time.Duration, key FlowKey, version table.Version, packet Packet) {
 	m.emit(Effect{Kind: RefreshTable})
 	if len(m.pending) >= m.config.PendingLimit {
-		m.drop(DropPendingLimit, packet)
+		m.dropPacket(DropPendingLimit, packet)
 		return
 	}
-	m.pending[key] = &pending{
-		sequence: packet.sequence(),
-		purpose:  PurposeOpen,
-		started:  now,
-		behind:   version,
-		held:     []Packet{packet},
+	m.pending[key] = &pendingFlow{
+		sequence:       packet.sequence(),
+		purpose:        PurposeOpen,
+		started:        now,
+		awaitedVersion: version,
+		heldPackets:    []Packet{packet},
 	}
 }
 
-// resumePendingVersions takes up the flows that waited for the view that has
-// just been installed.
-func (m *Machine) resumePendingVersions(now time.Duration) {
+// resumeAwaitingVersion resumes the decisions that waited for the table version
+// that has just been installed.
+func (m *Machine) resumeAwaitingVersion(now time.Duration) {
 	for _, key := range m.pendingKeys() {
-		undecided := m.pending[key]
-		if undecided.behind == 0 || undecided.behind > m.TableVersion() {
+		pending := m.pending[key]
+		if pending.awaitedVersion == 0 || pending.awaitedVersion > m.TableVersion() {
 			continue
 		}
 		delete(m.pending, key)
-		m.arriveNew(now, key, undecided.held[0])
+		m.handleNew(now, key, pending.heldPackets[0])
 	}
 }
 
-// pendingKeys returns the undecided flows in a fixed order.
+// pendingKeys returns the keys of the undecided flows in ascending order, so that
+// the machine stays deterministic.
 func (m *Machine) pendingKeys() []FlowKey {
 	if len(m.pending) == 0 {
 		return nil
@@ -279,63 +288,63 @@
 	return keys
 }
 
-// abandon forgets an undecided flow.
-func (m *Machine) abandon(key FlowKey) {
-	undecided, exists := m.pending[key]
+// discardPending removes an undecided flow.
+func (m *Machine) discardPending(key FlowKey) {
+	pending, exists := m.pending[key]
 	if !exists {
 		return
 	}
-	if undecided.purpose == PurposeLocate {
-		m.locating--
+	if pending.purpose == PurposeLocate {
+		m.activeSearches--
 	}
 	delete(m.pending, key)
 }
 
 // tickPending handles the timeouts of one undecided flow.
 func (m *Machine) tickPending(now time.Duration, key FlowKey) {
-	undecided := m.pending[key]
-	if undecided.behind != 0 {
-		if now >= undecided.started+m.config.VersionTimeout {
-			m.abandon(key)
-			m.drop(DropNoLease, undecided.held[0])
+	pending := m.pending[key]
+	if pending.awaitedVersion != 0 {
+		if now >= pending.started+m.config.VersionTimeout {
+			m.discardPending(key)
+			m.dropPacket(DropNoLease, pending.heldPackets[0])
 		}
 		return
 	}
-	if undecided.retransmission {
-		if now >= undecided.started+m.config.RetransmissionTimeout {
-			m.abandon(key)
-			m.drop(DropUnknownFlow, undecided.held[0])
+	if pending.awaitsRetransmission {
+		if now >= pending.started+m.config.RetransmissionTimeout {
+			m.discardPending(key)
+			m.dropPacket(DropUnknownFlow, pending.heldPackets[0])
 		}
 		return
 	}
-	for index := range undecided.asks {
-		asked := &undecided.asks[index]
-		if !asked.answered && now >= asked.deadline {
-			asked.expired = true
+	for index := range pending.queries {
+		query := &pending.queries[index]
+		if !query.answered && now >= query.deadline {
+			query.expired = true
 		}
 	}
-	if m.concludeIfSettled(now, key, undecided) {
+	if m.concludeIfDone(now, key, pending) {
 		return
 	}
-	if now >= undecided.resend {
-		m.sendQueries(now, key, undecided)
+	if now >= pending.resendAt {
+		m.sendQueries(now, key, pending)
 	}
 }
 
-// concludeIfSettled ends the decision once every ask has been answered or has
-// expired.
-func (m *Machine) concludeIfSettled(now time.Duration, key FlowKey, undecided *pending) bool {
-	if !undecided.settled() {
+// concludeIfDone concludes the decision or search if every query was answered or
+// has expired, and reports whether that is the case.
+func (m *Machine) concludeIfDone(now time.Duration, key FlowKey, pending *pendingFlow) bool {
+	if !pending.allDone() {
 		return false
 	}
-	if undecided.purpose == PurposeLocate {
-		m.concludeLocate(now, key, undecided)
+	if pending.purpose == PurposeLocate {
+		m.concludeLocate(now, key, pending)
 		return true
 	}
-	if undecided.silent() {
-		undecided.retransmission = true
+	if pending.requiredRowSilent() {
+		pending.awaitsRetransmission = true
 		return true
 	}
-	m.concludeOpen(now, key, undecided)
+	m.concludeOpen(now, key, pending)
 	return true
 }
--- a/internal/admission/pending.go
+++ b/internal/admission/pending.go
@@ -6,91 +6,98 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// ask is the state of one query to one row.
-type ask struct {
+// peerQuery is the state of a query to one row.
+type peerQuery struct {
 	row table.BackendID
-	// required: the flow may not be opened before the row has answered or its
-	// lease must have ended. Others are only asked for their load.
+	// required is set if the flow must not be opened before the row has
+	// answered or its lease must have ended. Other rows are queried only for
+	// their load.
 	required bool
-	// down: the row was believed not to be alive when it was asked.
-	down      bool
-	deadline  time.Duration
-	answered  bool
-	expired   bool
-	open      uint32
-	available bool
+	// believedDown is set if the lease of the row's agent was known to have
+	// ended when the query was added or later.
+	believedDown bool
+	deadline     time.Duration
+	answered     bool
+	expired      bool
+	openFlows    uint32
+	available    bool
 }
 
-func (a *ask) settled() bool { return a.answered || a.expired }
+// done reports whether no answer to the query is awaited any more.
+func (a *peerQuery) done() bool { return a.answered || a.expired }
 
-// pending is a flow that is being decided.
-type pending struct {
+// pendingFlow is a flow whose owner is being decided or located.
+type pendingFlow struct {
 	sequence uint32
 	purpose  Purpose
 	hash     uint64
 	started  time.Duration
-	// resend is when unanswered queries are repeated next, and interval the
-	// time since they were sent last.
-	resend   time.Duration
-	interval time.Duration
-	asks     []ask
-	held     []Packet
-	// askedAll is set once every row of the service has been asked.
-	askedAll bool
-	// retransmission is set once a required row has not answered in time. The
-	// row may have opened the flow before it fell silent, so the packet held
-	// may be a duplicate of a flow that its caller has established; a further
-	// one shows that the caller is still waiting.
-	retransmission bool
-	// behind is set while the row waits for the table version of the packet.
-	behind table.Version
+	// resendAt is when unanswered queries are repeated next, and resendInterval
+	// the time between the last sending and resendAt.
+	resendAt       time.Duration
+	resendInterval time.Duration
+	queries        []peerQuery
+	heldPackets    []Packet
+	// queriedAll is set once every row has been queried that can take the flow
+	// (PurposeOpen) or can own it (PurposeLocate).
+	queriedAll bool
+	// awaitsRetransmission is set once a required row has not answered in time.
+	// That row may have opened the flow before it stopped answering, and the
+	// held packet may be a duplicate from a connection that the caller has
+	// established. A retransmission shows that the caller is still waiting.
+	awaitsRetransmission bool
+	// awaitedVersion is the table version that must be installed before the flow
+	// can be decided. It is 0 if no newer version is awaited.
+	awaitedVersion table.Version
 }
 
-func (p *pending) ask(row table.BackendID) *ask {
-	for index := range p.asks {
-		if p.asks[index].row == row {
-			return &p.asks[index]
+// queryTo returns the query to a row, or nil if the row is not queried.
+func (p *pendingFlow) queryTo(row table.BackendID) *peerQuery {
+	for index := range p.queries {
+		if p.queries[index].row == row {
+			return &p.queries[index]
 		}
 	}
 	return nil
 }
 
-// silent reports whether a required row that was believed to be alive did not
-// answer.
-func (p *pending) silent() bool {
-	for index := range p.asks {
-		asked := &p.asks[index]
-		if asked.required && !asked.down && !asked.answered {
+// requiredRowSilent reports whether a required row that was believed to be alive
+// has not answered.
+func (p *pendingFlow) requiredRowSilent() bool {
+	for index := range p.queries {
+		asked := &p.queries[index]
+		if asked.required && !asked.believedDown && !asked.answered {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *pending) settled() bool {
-	for index := range p.asks {
-		if !p.asks[index].settled() {
+// allDone reports whether every query was answered or has expired.
+func (p *pendingFlow) allDone() bool {
+	for index := range p.queries {
+		if !p.queries[index].done() {
 			return false
 		}
 	}
 	return true
 }
 
-// awaitsAnswer reports whether a row that was believed to be alive left an ask
-// without an answer.
-func (p *pending) awaitsAnswer() bool {
-	for index := range p.asks {
-		if !p.asks[index].answered && !p.asks[index].down {
+// liveRowUnanswered reports whether any row that was believed to be alive,
+// required or not, has not answered.
+func (p *pendingFlow) liveRowUnanswered() bool {
+	for index := range p.queries {
+		if !p.queries[index].answered && !p.queries[index].believedDown {
 			return true
 		}
 	}
 	return false
 }
 
-// answeredByAll reports whether no ask ended without an answer.
-func (p *pending) answeredByAll() bool {
-	for index := range p.asks {
-		if !p.asks[index].answered {
+// allAnswered reports whether every queried row has answered.
+func (p *pendingFlow) allAnswered() bool {
+	for index := range p.queries {
+		if !p.queries[index].answered {
 			return false
 		}
 	}
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -18,27 +18,28 @@
 
 var testAddress = netip.MustParseAddrPort("198.51.100.1:80")
 
-// event is something that reaches a machine at a virtual time.
-type event struct {
+// simulatedEvent is an input that reaches a machine at a virtual time.
+type simulatedEvent struct {
 	at      time.Duration
 	order   int
 	row     table.BackendID
 	packet  *Packet
 	message *Message
-	// established is the flow whose answer reaches its caller.
-	established *openedFlow
+	// established is the flow whose handshake reply reaches its caller.
+	established *flowID
 	tick        bool
 	view        *View
 }
 
-type eventQueue []*event
+// eventQueue implements heap.Interface. Events at the same time keep their order.
+type eventQueue []*simulatedEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(*event)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(*simulatedEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -46,21 +47,22 @@
 	return last
 }
 
-// faults are the probabilities and bounds of the virtual network.
+// faults holds the loss and duplication probabilities and the largest
+// delay of the virtual network.
 type faults struct {
 	loss      float64
 	duplicate float64
 	delay     time.Duration
 }
 
-// openedFlow tells apart successive flows with one key.
-type openedFlow struct {
+// flowID distinguishes successive flows with the same key.
+type flowID struct {
 	key      FlowKey
 	sequence uint32
 }
 
-// cluster runs the machines of one service over a virtual network.
-type cluster struct {
+// simulation runs the machines of one service over a virtual network.
+type simulation struct {
 	random   *rand.Rand
 	faults   faults
 	now      time.Duration
@@ -68,46 +70,47 @@
 	queue    eventQueue
 	machines map[table.BackendID]*Machine
 	paused   map[table.BackendID]bool
-	// everPaused marks machines that were paused at some time.
+	// everPaused marks machines that have been paused at any time.
 	everPaused map[table.BackendID]bool
 	// held keeps the events of paused machines until they resume.
-	held map[table.BackendID][]*event
-	// opened lists the rows that opened a flow, in order; established is the
-	// row that its caller is connected with.
-	opened      map[openedFlow][]table.BackendID
-	established map[openedFlow]table.BackendID
+	held map[table.BackendID][]*simulatedEvent
+	// opened lists the rows that opened a flow, in order. established holds the
+	// row that the caller of a flow is connected to.
+	opened      map[flowID][]table.BackendID
+	established map[flowID]table.BackendID
 	delivered   int
 	resets      int
 	drops       map[DropReason]int
 	forwards    int
 	queries     int
-	sabotage    func(*Machine)
+	injectFault func(*Machine)
 	protocol    table.Protocol
-	// violations are flows found by check.
-	violations []openedFlow
-	// sequences are the callers' latest initial sequence numbers by port.
-	sequences map[uint16]uint32
+	// violations lists the flows for which checkSingleOwner failed.
+	violations []flowID
+	// lastSequences holds the latest initial sequence number for each caller
+	// port.
+	lastSequences map[uint16]uint32
 }
 
-func newCluster(seed uint64, rows []table.Backend, faults faults) *cluster {
-	created := &cluster{
+func newSimulation(seed uint64, rows []table.Backend, faults faults) *simulation {
+	created := &simulation{
 		random:     rand.New(rand.NewPCG(seed, 1)),
 		faults:     faults,
 		machines:   make(map[table.BackendID]*Machine),
 		paused:     make(map[table.BackendID]bool),
 		everPaused: make(map[table.BackendID]bool),
-		held:       make(map[table.BackendID][]*event),
-		opened:     make(map[openedFlow][]table.BackendID),
+		held:       make(map[table.BackendID][]*simulatedEvent),
+		opened:     make(map[flowID][]table.BackendID),
 		drops:      make(map[DropReason]int),
 
-		protocol:    table.ProtocolTCP,
-		sabotage:    func(*Machine) {},
-		sequences:   make(map[uint16]uint32),
-		established: make(map[openedFlow]table.BackendID),
+		protocol:      table.ProtocolTCP,
+		injectFault:   func(*Machine) {},
+		lastSequences: make(map[uint16]uint32),
+		established:   make(map[flowID]table.BackendID),
 	}
 	for _, row := range rows {
 		created.machines[row.ID] = New(DefaultConfig(row.ID))
-		created.schedule(&event{at: TickInterval(), row: row.ID, tick: true})
+		created.schedule(&simulatedEvent{at: TickInterval(), row: row.ID, tick: true})
 	}
 	return created
 }
@@ -126,14 +129,15 @@
 	return rows
 }
 
-func (c *cluster) schedule(added *event) {
+func (c *simulation) schedule(added *simulatedEvent) {
 	c.order++
 	added.order = c.order
 	heap.Push(&c.queue, added)
 }
 
-// transmit schedules a delivery subject to the faults of the network.
-func (c *cluster) transmit(added event) {
+// transmit schedules the delivery of an event. The network may delay, duplicate
+// or lose it.
+func (c *simulation) transmit(added simulatedEvent) {
 	copies := 1
 	if c.random.Float64() < c.faults.duplicate {
 		copies++
@@ -148,16 +152,17 @@
 	}
 }
 
-// install gives every machine the view after a random delay up to skew.
-func (c *cluster) install(view View, skew time.Duration) {
+// installView schedules the view at every machine, each after a random delay of at
+// most skew.
+func (c *simulation) installView(view View, skew time.Duration) {
 	for _, id := range c.rowIDs() {
 		delayed := view
 		at := c.now + time.Duration(c.random.Int64N(int64(skew)+1))
-		c.schedule(&event{at: at, row: id, view: &delayed})
+		c.schedule(&simulatedEvent{at: at, row: id, view: &delayed})
 	}
 }
 
-func (c *cluster) rowIDs() []table.BackendID {
+func (c *simulation) rowIDs() []table.BackendID {
 	ids := make([]table.BackendID, 0, len(c.machines))
 	for id := table.BackendID(1); len(ids) < len(c.machines); id++ {
 		if _, exists := c.machines[id]; exists {
@@ -167,48 +172,49 @@
 	return ids
 }
 
-// caller sends a packet of the caller's flow through a balancer with the given
-// view.
-func (c *cluster) caller(view View, port uint16, sequence uint32, opening bool) {
+// sendPacket sends a packet of a caller's flow through a balancer that uses the
+// given view.
+func (c *simulation) sendPacket(view View, port uint16, sequence uint32, opening bool) {
 	flow := packet.Flow{
 		Source:      flowSource(port),
 		Destination: testAddress,
 		Protocol:    c.protocol,
 	}
-	held := newHeldView(view)
+	held := newAssignedView(view)
 	primary, exists := held.primary(flow.Hash())
 	if !exists {
 		return
 	}
-	c.transmit(event{row: primary, packet: &Packet{
+	c.transmit(simulatedEvent{row: primary, packet: &Packet{
 		Summary: packet.Summary{Flow: flow, Sequence: sequence, Opening: opening},
 		Routing: encap.Routing{Version: view.Version, Backend: primary},
 	}})
 }
 
-func (c *cluster) primaryOf(view View, port uint16) table.BackendID {
+// primaryOf returns the primary row of a caller's TCP flow in the given view.
+func (c *simulation) primaryOf(view View, port uint16) table.BackendID {
 	flow := packet.Flow{
 		Source:      flowSource(port),
 		Destination: testAddress,
 		Protocol:    table.ProtocolTCP,
 	}
-	slots := lookup.Assign(view.Service, view.Rows, view.candidate)
+	slots := lookup.Assign(view.Service, view.Rows, view.mayTakeNewFlows)
 	return view.Rows[slots[lookup.SlotOf(flow.Hash(), len(slots))]].ID
 }
 
-// run advances virtual time.
-func (c *cluster) run(until time.Duration) {
+// run handles all events up to the given virtual time.
+func (c *simulation) run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
-		next := heap.Pop(&c.queue).(*event)
+		next := heap.Pop(&c.queue).(*simulatedEvent)
 		c.now = next.at
 		c.handle(next)
 	}
 	c.now = until
 }
 
-func (c *cluster) handle(next *event) {
+func (c *simulation) handle(next *simulatedEvent) {
 	if next.established != nil {
-		c.establish(next.row, *next.established)
+		c.recordEstablished(next.row, *next.established)
 		return
 	}
 	if c.paused[next.row] {
@@ -218,9 +224,9 @@
 	machine := c.machines[next.row]
 	switch {
 	case next.tick:
-		c.renew(machine)
+		c.renewLease(machine)
 		c.execute(next.row, machine.Tick(c.now))
-		c.schedule(&event{at: c.now + TickInterval(), row: next.row, tick: true})
+		c.schedule(&simulatedEvent{at: c.now + TickInterval(), row: next.row, tick: true})
 	case next.view != nil:
 		c.execute(next.row, machine.InstallView(c.now, *next.view))
 	case next.packet != nil:
@@ -228,25 +234,25 @@
 	case next.message != nil:
 		c.execute(next.row, machine.HandleMessage(c.now, *next.message))
 	}
-	c.sabotage(machine)
+	c.injectFault(machine)
 }
 
-// renew stands for the grants of a daemon that hears from every machine that
-// is not paused.
-func (c *cluster) renew(machine *Machine) {
+// renewLease renews the lease of a machine at every tick, like a daemon that
+// receives the heartbeats of every machine that is not paused.
+func (c *simulation) renewLease(machine *Machine) {
 	if machine.TableVersion() > 0 {
 		machine.RenewLease(c.now, c.now+machine.config.LeaseDuration)
 	}
 }
 
-func (c *cluster) pause(row table.BackendID) {
+func (c *simulation) pause(row table.BackendID) {
 	c.paused[row] = true
 	c.everPaused[row] = true
 }
 
-// resume handles the packets that waited in the sockets of a paused process
-// first, as the worst case, and its timers only then.
-func (c *cluster) resume(row table.BackendID) {
+// resume continues a paused machine. It handles the packets queued in the sockets
+// of the process before any timer, which is the worst case.
+func (c *simulation) resume(row table.BackendID) {
 	c.paused[row] = false
 	waiting := c.held[row]
 	c.held[row] = nil
@@ -255,10 +261,10 @@
 			c.handle(next)
 		}
 	}
-	c.schedule(&event{at: c.now, row: row, tick: true})
+	c.schedule(&simulatedEvent{at: c.now, row: row, tick: true})
 }
 
-func (c *cluster) execute(row table.BackendID, effects []Effect) {
+func (c *simulation) execute(row table.BackendID, effects []Effect) {
 	for _, effect := range effects {
 		switch effect.Kind {
 		case Deliver:
@@ -267,11 +273,11 @@
 			c.forwards++
 			forwarded := effect.Packet
 			forwarded.Routing.Backend = effect.To
-			c.transmit(event{row: effect.To, packet: &forwarded})
+			c.transmit(simulatedEvent{row: effect.To, packet: &forwarded})
 		case SendMessage:
 			c.queries++
 			message := effect.Message
-			c.transmit(event{row: effect.To, message: &message})
+			c.transmit(simulatedEvent{row: effect.To, message: &message})
 		case SendReset:
 			c.resets++
 		case Drop:
@@ -280,26 +286,27 @@
 	}
 }
 
-func (c *cluster) recordDelivery(row table.BackendID, delivered Packet) {
+func (c *simulation) recordDelivery(row table.BackendID, delivered Packet) {
 	c.delivered++
 	if !delivered.Summary.Opening {
 		return
 	}
-	opened := openedFlow{FlowKeyOf(delivered.Summary.Flow.Source), delivered.Summary.Sequence}
+	opened := flowID{FlowKeyOf(delivered.Summary.Flow.Source), delivered.Summary.Sequence}
 	if owned, open := c.machines[row].OpenFlowSequence(opened.key); !open || owned != opened.sequence {
-		// The transport stack challenges it; it opens nothing.
+		// The transport stack answers it with a challenge ACK and opens no flow.
 		return
 	}
 	if !slices.Contains(c.opened[opened], row) {
 		c.opened[opened] = append(c.opened[opened], row)
-		c.check(row, opened)
+		c.checkSingleOwner(row, opened)
 	}
-	c.transmit(event{row: row, established: &opened})
+	c.transmit(simulatedEvent{row: row, established: &opened})
 }
 
-// check records a violation if the flow now opened on a row was open on another
-// that its caller is connected with, or that has always been able to answer.
-func (c *cluster) check(row table.BackendID, opened openedFlow) {
+// checkSingleOwner records a violation if a row opens a flow although its caller is
+// connected to another row, or although another row opened it that was never
+// paused and could therefore have answered.
+func (c *simulation) checkSingleOwner(row table.BackendID, opened flowID) {
 	connected, exists := c.established[opened]
 	violated := exists && connected != row
 	for _, other := range c.opened[opened] {
@@ -310,16 +317,17 @@
 	}
 }
 
-// establish handles the answer to an opening packet at its caller.
-func (c *cluster) establish(row table.BackendID, opened openedFlow) {
+// recordEstablished handles the arrival of a handshake reply at the caller. The
+// caller stays connected to the first row that replies.
+func (c *simulation) recordEstablished(row table.BackendID, opened flowID) {
 	if _, exists := c.established[opened]; !exists {
 		c.established[opened] = row
 	}
 }
 
-// openedTwice returns the flows that were opened on more than one row.
-func (c *cluster) openedTwice() []openedFlow {
-	var twice []openedFlow
+// openedTwice returns the flows that more than one row opened.
+func (c *simulation) openedTwice() []flowID {
+	var twice []flowID
 	for opened, rows := range c.opened {
 		if len(rows) > 1 {
 			twice = append(twice, opened)
--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -8,23 +8,26 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// View is what a row knows of its service: the rows at one table version, and
-// what is believed of their agents.
+// View is what a row knows about its service: the rows at one table version, and
+// the state of their agents as reported by the daemons.
 type View struct {
 	Version table.Version
 	Service table.ServiceID
 	Rows    []table.Backend
-	// Down lists rows whose agent's lease has ended without renewal.
+	// Down lists the rows whose agent let its lease end without renewal.
 	Down []table.BackendID
-	// Leaving lists rows whose agent is stopping; it still answers.
+	// Leaving lists the rows whose agent is stopping but still answers.
 	Leaving []table.BackendID
 }
 
-func (v *View) alive(id table.BackendID) bool { return !slices.Contains(v.Down, id) }
+// believedAlive reports whether the lease of the row's agent is not known to have
+// ended.
+func (v *View) believedAlive(id table.BackendID) bool { return !slices.Contains(v.Down, id) }
 
-// candidate reports whether liveness allows the row to be given new flows.
-func (v *View) candidate(id table.BackendID) bool {
-	return v.alive(id) && !slices.Contains(v.Leaving, id)
+// mayTakeNewFlows reports whether the row's agent is neither down nor stopping.
+// It ignores the drain state and weight of the row.
+func (v *View) mayTakeNewFlows(id table.BackendID) bool {
+	return v.believedAlive(id) && !slices.Contains(v.Leaving, id)
 }
 
 func (v *View) row(id table.BackendID) (table.Backend, bool) {
@@ -36,18 +39,19 @@
 	return table.Backend{}, false
 }
 
-// heldView is a view with its slot assignment.
-type heldView struct {
+// assignedView is a view and the assignment of hash slots to its rows.
+type assignedView struct {
 	view  View
 	slots []int16
 }
 
-func newHeldView(view View) *heldView {
-	return &heldView{view: view, slots: lookup.Assign(view.Service, view.Rows, view.candidate)}
+func newAssignedView(view View) *assignedView {
+	return &assignedView{view: view, slots: lookup.Assign(view.Service, view.Rows, view.mayTakeNewFlows)}
 }
 
-// primary returns the row that decides about new flows with this hash.
-func (h *heldView) primary(flowHash uint64) (table.BackendID, bool) {
+// primary returns the row that decides about new flows with the given hash. It
+// returns false if no row of the view accepts new flows.
+func (h *assignedView) primary(flowHash uint64) (table.BackendID, bool) {
 	if len(h.slots) == 0 {
 		return 0, false
 	}
@@ -58,12 +62,13 @@
 	return h.view.Rows[index].ID, true
 }
 
-// second returns the row that would be primary if the given one were not.
-func (h *heldView) second(flowHash uint64, primary table.BackendID) (table.BackendID, bool) {
+// secondChoice returns the row that would be primary for the hash if the given
+// primary did not take part.
+func (h *assignedView) secondChoice(flowHash uint64, primary table.BackendID) (table.BackendID, bool) {
 	candidates := make([]lookup.Candidate, len(h.view.Rows))
 	for index, row := range h.view.Rows {
 		candidates[index].Backend = row.ID
-		if row.ID != primary && row.AcceptsNewFlows() && h.view.candidate(row.ID) {
+		if row.ID != primary && row.AcceptsNewFlows() && h.view.mayTakeNewFlows(row.ID) {
 			candidates[index].Weight = row.Weight
 		}
 	}
@@ -75,24 +80,27 @@
 	return h.view.Rows[index].ID, true
 }
 
-func (h *heldView) sameRouting(view View) bool {
+// sameRouting reports whether view differs from the held one in its version only.
+func (h *assignedView) sameRouting(view View) bool {
 	return slices.Equal(h.view.Rows, view.Rows) &&
 		slices.Equal(h.view.Down, view.Down) &&
 		slices.Equal(h.view.Leaving, view.Leaving)
 }
 
-// history keeps the current view and those it replaced.
-type history struct {
-	current *heldView
-	past    []*heldView
-	// changed is when the current view was installed.
-	changed time.Duration
+// viewHistory keeps the current view and its most recent predecessors.
+type viewHistory struct {
+	current *assignedView
+	past    []*assignedView
+	// changedAt is when the current view replaced one with other routing.
+	changedAt time.Duration
 }
 
+// maximumPastViews bounds the number of replaced views that are kept.
 const maximumPastViews = 16
 
-// install makes view the current one.
-func (h *history) install(now time.Duration, view View) {
+// install makes view the current one. A view with the same routing only updates
+// the version of the current view.
+func (h *viewHistory) install(now time.Duration, view View) {
 	if h.current != nil && h.current.sameRouting(view) {
 		h.current.view.Version = view.Version
 		return
@@ -103,13 +111,13 @@
 	if len(h.past) > maximumPastViews {
 		h.past = slices.Delete(h.past, 0, len(h.past)-maximumPastViews)
 	}
-	h.current = newHeldView(view)
-	h.changed = now
+	h.current = newAssignedView(view)
+	h.changedAt = now
 }
 
-// holders returns the rows other than self that were primary for the hash in
-// an earlier view, newest first.
-func (h *history) holders(flowHash uint64, self table.BackendID) []table.BackendID {
+// previousPrimaries returns the rows other than self that were primary for the
+// hash in an earlier view. The most recent comes first.
+func (h *viewHistory) previousPrimaries(flowHash uint64, self table.BackendID) []table.BackendID {
 	var holders []table.BackendID
 	for index := len(h.past) - 1; index >= 0; index-- {
 		holder, exists := h.past[index].primary(flowHash)
