--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,13 @@
-// Package agent implements the process beside back ends: it receives the
-// packets that balancers send to its rows, lets package admission decide about
-// them, terminates the flows it owns, and joins them to the back ends.
+// Package agent implements the process that runs beside one or more back ends and
+// serves their table rows. It receives the callers' packets that balancers and
+// other agents send to these rows. Package admission decides for each packet
+// whether the row owns its flow. The agent terminates the flows that its rows own
+// in a user-space network stack, connects them to the back ends, and sends the
+// responses directly to the fabric. It forwards the packets of other flows to the
+// agents of their rows.
+//
+// The agent sends heartbeats to the daemons. Their replies carry the table, the
+// state of the other agents, and the lease without which it opens no flows.
 package agent
 
 import (
@@ -24,32 +31,34 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Backend is a real back end that the agent stands beside.
+// Backend is a back end beside the agent.
 type Backend struct {
 	// Service and Name identify the table row.
 	Service string
 	Name    string
-	// Address is where the back end listens.
+	// Address is the address on which the back end listens.
 	Address netip.AddrPort
 }
 
 // Metrics are the agent's counters and gauges.
 type Metrics struct {
-	// DroppedPackets counts discarded packets by label reason.
+	// DroppedPackets counts discarded packets. The label reason names the
+	// cause.
 	DroppedPackets metrics.Counter
-	// ForwardedPackets counts packets passed along to other agents.
+	// ForwardedPackets counts packets forwarded to other agents.
 	ForwardedPackets metrics.Counter
-	// DeliveredPackets counts packets given to the local transport stack.
+	// DeliveredPackets counts packets delivered to the local network stack.
 	DeliveredPackets metrics.Counter
-	// MessagesSent counts messages sent to other agents.
+	// MessagesSent counts queries and replies sent to other agents.
 	MessagesSent metrics.Counter
-	// RefusedFlows counts flows refused before their handshake completed.
+	// RefusedFlows counts flows refused before their handshake completed,
+	// once for each packet that is answered with a reset.
 	RefusedFlows metrics.Counter
 	// OpenFlows is the number of open flows.
 	OpenFlows metrics.Gauge
 }
 
-// DiscardMetrics returns metrics that are not kept.
+// DiscardMetrics returns metrics that discard all values.
 func DiscardMetrics() Metrics {
 	return Metrics{
 		DroppedPackets:   discard.NewCounter(),
@@ -61,72 +70,74 @@
 	}
 }
 
-// Config holds the checked settings of an agent.
+// Config holds the validated settings of an agent.
 type Config struct {
-	// Listen receives Geneve; it equals the agent column of the rows served.
+	// Listen is the address that receives Geneve datagrams. The agent serves
+	// the rows whose agent column equals it.
 	Listen netip.AddrPort
-	// Fabric is where answers to callers are sent.
+	// Fabric is the address to which responses to callers are sent.
 	Fabric netip.AddrPort
-	// Daemons are the control addresses to which heartbeats are sent.
+	// Daemons lists the control addresses to which heartbeats are sent.
 	Daemons  []netip.AddrPort
 	Backends []Backend
 	// StopTimeout bounds how long a planned stop waits for open flows.
 	StopTimeout time.Duration
-	// FlowLimit is the largest number of flows in memory for each row.
+	// FlowLimit is the largest number of remembered flows for each row.
 	FlowLimit int
-	// Stateless is the negative control of experiments: see
-	// admission.Config.
+	// Stateless disables queries between rows, as the negative control of
+	// experiments. See admission.Config.
 	Stateless bool
 	Logger    *log.Logger
 	Metrics   Metrics
 }
 
-// Agent runs the rows of one process.
+// Agent serves the rows of one process.
 type Agent struct {
-	config  Config
-	started time.Time
-	socket  *net.UDPConn
-	control *net.UDPConn
-	refuser *netstack.Stack
+	config          Config
+	started         time.Time
+	packetSocket    *net.UDPConn
+	heartbeatSocket *net.UDPConn
+	resetStack      *netstack.Stack
 
 	// mutex guards everything below.
-	mutex    sync.Mutex
-	client   *control.Client
-	table    *table.Table
-	rows     map[rowKey]*row
-	peers    map[table.BackendID]peer
-	down     []table.BackendID
-	left     []table.BackendID
-	leaving  bool
-	decoder  *packet.Decoder
-	envelope *encap.Decoder
-	encoder  *encap.Encoder
-	output   []byte
+	mutex         sync.Mutex
+	controlClient *control.Client
+	table         *table.Table
+	rows          map[rowKey]*row
+	peers         map[table.BackendID]peerRow
+	downRows      []table.BackendID
+	leavingRows   []table.BackendID
+	stopping      bool
+	packetDecoder *packet.Decoder
+	encapDecoder  *encap.Decoder
+	encoder       *encap.Encoder
+	sendBuffer    []byte
 
 	group   *errgroup.Group
 	context context.Context
 }
 
-// rowKey tells apart successive uses of one row identifier.
+// rowKey identifies a row. The incarnation distinguishes successive uses of the
+// same row identifier.
 type rowKey struct {
 	backend     table.BackendID
 	incarnation table.Incarnation
 }
 
-// peer is where another row of one of the agent's services is reached.
-type peer struct {
-	agent       netip.AddrPort
-	incarnation table.Incarnation
-	service     table.ServiceID
+// peerRow is the address and identity of a row in the table, used to send to it.
+type peerRow struct {
+	agentAddress netip.AddrPort
+	incarnation  table.Incarnation
+	service      table.ServiceID
 }
 
-// New binds the agent's sockets. It fails if an address is in use.
+// New opens the sockets of an agent. It fails if an address is in use.
 func New(config Config) (*Agent, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(config.Listen))
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", config.Listen)
 	}
-	enlargeBuffers(socket)
+	enlargeSocketBuffers(socket)
 	heartbeats, err := net.ListenUDP("udp4", &net.UDPAddr{IP: config.Listen.Addr().AsSlice()})
 	if err != nil {
 		_ = socket.Close()
@@ -141,34 +152,36 @@
 	started := time.Now()
 	address := table.Endpoint(config.Listen.String())
 	return &Agent{
-		config:   config,
-		started:  started,
-		socket:   socket,
-		control:  heartbeats,
-		refuser:  refuser,
-		client:   control.NewClient(address, uint64(started.UnixNano()), config.Daemons),
-		rows:     make(map[rowKey]*row),
-		peers:    make(map[table.BackendID]peer),
-		decoder:  packet.NewDecoder(),
-		envelope: encap.NewDecoder(),
-		encoder:  encap.NewEncoder(),
+		config:          config,
+		started:         started,
+		packetSocket:    socket,
+		heartbeatSocket: heartbeats,
+		resetStack:      refuser,
+		controlClient:   control.NewClient(address, uint64(started.UnixNano()), config.Daemons),
+		rows:            make(map[rowKey]*row),
+		peers:           make(map[table.BackendID]peerRow),
+		packetDecoder:   packet.NewDecoder(),
+		encapDecoder:    encap.NewDecoder(),
+		encoder:         encap.NewEncoder(),
 	}, nil
 }
 
 const socketBufferSize = 4 << 20
 
-func enlargeBuffers(socket *net.UDPConn) {
-	// The kernel may grant less; losses are then counted as usual.
+func enlargeSocketBuffers(socket *net.UDPConn) {
+	// The kernel may grant smaller buffers. Resulting losses are counted like
+	// any others.
 	_ = socket.SetReadBuffer(socketBufferSize)
 	_ = socket.SetWriteBuffer(socketBufferSize)
 }
 
-// now is the time since the agent started, on the monotonic clock, which goes
-// on while the process is paused.
+// now returns the time since the agent started. It is read from the monotonic
+// clock, which continues while the process is paused.
 func (a *Agent) now() time.Duration { return time.Since(a.started) }
 
-// Run serves until ctx ends, and then stops as planned: no new flows, open ones
-// finish within the stop timeout. It returns nil after a planned stop.
+// Run serves until ctx ends. It then performs a planned stop: it opens no new
+// flows, and open flows may finish within the stop timeout. Run returns nil after
+// a planned stop.
 func (a *Agent) Run(ctx context.Context) error {
 	serving, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -176,7 +189,7 @@
 	a.group.Go(a.receivePackets)
 	a.group.Go(a.receiveGrants)
 	a.group.Go(a.tick)
-	a.group.Go(func() error { return a.transmit(a.refuser) })
+	a.group.Go(func() error { return a.sendResponses(a.resetStack) })
 	a.group.Go(func() error {
 		select {
 		case <-ctx.Done():
@@ -188,8 +201,8 @@
 	})
 	a.group.Go(func() error {
 		<-a.context.Done()
-		_ = a.socket.Close()
-		_ = a.control.Close()
+		_ = a.packetSocket.Close()
+		_ = a.heartbeatSocket.Close()
 		return nil
 	})
 	err := a.group.Wait()
@@ -203,77 +216,82 @@
 	for _, served := range a.rows {
 		served.stack.Close()
 	}
-	a.refuser.Close()
+	a.resetStack.Close()
 }
 
 const (
 	tickInterval     = 5 * time.Millisecond
 	stopPollInterval = 50 * time.Millisecond
-	// handoffTime is how long a stopping agent goes on passing packets along
-	// after its last flow, until balancers no longer send to it.
-	handoffTime = 1500 * time.Millisecond
-	// stopLingerTimeout bounds, at a planned stop, the wait for callers to
+	// forwardingGracePeriod is how long a stopping agent continues to forward
+	// packets after its last flow has ended. Balancers may send to it until
+	// they have a newer table.
+	forwardingGracePeriod = 1500 * time.Millisecond
+	// stopLingerTimeout bounds the wait of a planned stop for callers to
 	// acknowledge the last bytes of ended flows.
 	stopLingerTimeout = 3 * time.Second
-	// leftRepetitions is how often a stopped agent says that it has left.
-	leftRepetitions = 3
+	// stoppedAnnouncements is how often a stopped agent sends its last
+	// heartbeat.
+	stoppedAnnouncements = 3
 )
 
-// stop lets open flows finish.
+// stop performs a planned stop: it waits until open flows have ended and tells the
+// daemons that the agent has stopped.
 func (a *Agent) stop() {
 	a.mutex.Lock()
-	a.leaving = true
-	a.client.Leave()
+	a.stopping = true
+	a.controlClient.Leave()
 	for _, served := range a.rows {
 		served.machine.Leave()
 	}
 	open := a.openFlows()
 	a.mutex.Unlock()
 	a.config.Logger.Info("stopping", "open_flows", open)
-	a.awaitFlows()
+	a.awaitFlowsEnded()
 	a.mutex.Lock()
 	remaining := a.openFlows()
 	a.mutex.Unlock()
-	a.sayLeft()
+	a.announceStopped()
 	a.config.Logger.Info("stopped", "cut_flows", remaining)
 }
 
-// sayLeft tells the daemons that this agent is gone, so that nobody waits for
-// its lease to end. It is said more than once, since a datagram may be lost.
-func (a *Agent) sayLeft() {
-	for range leftRepetitions {
+// announceStopped tells the daemons that this agent has stopped, so that no other
+// row waits for its lease to end. It repeats the heartbeat because a datagram may
+// be lost.
+func (a *Agent) announceStopped() {
+	for range stoppedAnnouncements {
 		a.mutex.Lock()
-		a.client.Left()
+		a.controlClient.Left()
 		a.sendHeartbeats(a.now())
 		a.mutex.Unlock()
 		time.Sleep(stopPollInterval)
 	}
 }
 
-// awaitFlows waits until all flows have ended and balancers have had the time to
-// send elsewhere, within the stop timeout.
-func (a *Agent) awaitFlows() {
+// awaitFlowsEnded waits until all flows have ended and balancers have had
+// forwardingGracePeriod to send elsewhere. It waits no longer than the stop
+// timeout.
+func (a *Agent) awaitFlowsEnded() {
 	deadline := time.Now().Add(a.config.StopTimeout)
-	quiet := time.Now().Add(handoffTime)
+	graceEnd := time.Now().Add(forwardingGracePeriod)
 	for time.Now().Before(deadline) {
 		a.mutex.Lock()
-		open := a.undecidedOrOpen()
+		open := a.undecidedOrOpenFlows()
 		lingering := a.lingeringFlows()
 		a.mutex.Unlock()
 		if open > 0 {
-			quiet = time.Now().Add(handoffTime)
+			graceEnd = time.Now().Add(forwardingGracePeriod)
 		}
-		if time.Now().After(quiet) && lingering == 0 {
+		if time.Now().After(graceEnd) && lingering == 0 {
 			return
 		}
-		if time.Now().After(quiet.Add(stopLingerTimeout)) {
+		if time.Now().After(graceEnd.Add(stopLingerTimeout)) {
 			return
 		}
 		time.Sleep(stopPollInterval)
 	}
 }
 
-// openFlows returns the flows open at all rows. The mutex must be held.
+// openFlows returns the number of open flows of all rows. The mutex must be held.
 func (a *Agent) openFlows() uint32 {
 	var open uint32
 	for _, served := range a.rows {
@@ -282,9 +300,9 @@
 	return open
 }
 
-// undecidedOrOpen returns the flows that new packets may still belong to. The
-// mutex must be held.
-func (a *Agent) undecidedOrOpen() int {
+// undecidedOrOpenFlows returns the number of flows that are open at this agent or
+// whose owner is not decided yet. The mutex must be held.
+func (a *Agent) undecidedOrOpenFlows() int {
 	count := int(a.openFlows())
 	for _, served := range a.rows {
 		count += served.machine.UndecidedFlows()
@@ -292,12 +310,12 @@
 	return count
 }
 
-// lingeringFlows returns the ended flows whose last bytes the caller has not
-// acknowledged yet. The mutex must be held.
+// lingeringFlows returns the number of ended flows whose last bytes the caller has
+// not acknowledged yet. The mutex must be held.
 func (a *Agent) lingeringFlows() int {
 	count := 0
 	for _, served := range a.rows {
-		count += served.active
+		count += served.activeFlows
 	}
 	return count - int(a.openFlows())
 }
@@ -326,8 +344,8 @@
 	a.config.Metrics.OpenFlows.Set(float64(a.openFlows()))
 }
 
-// dropped counts a discarded packet.
-func (a *Agent) dropped(reason string) {
+// countDrop counts a packet that is discarded for the given reason.
+func (a *Agent) countDrop(reason string) {
 	a.config.Metrics.DroppedPackets.With("reason", reason).Add(1)
 }
 
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -1,4 +1,4 @@
-// This file implements the real back ends of the contract tests.
+// This file implements the back ends of the tests.
 
 package agent_test
 
@@ -11,14 +11,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// backend is a listening kernel socket; the connections it accepts wait to be
-// taken by the test.
+// backend is a listening kernel socket. Accepted connections are queued for the
+// test.
 type backend struct {
 	listener *net.TCPListener
 	accepted chan *net.TCPConn
 }
 
-// backlog is more than the connections of any test.
+// backlog exceeds the number of connections of any test.
 const backlog = 64
 
 func startBackend() *backend {
@@ -47,16 +47,16 @@
 	return b.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// take waits for the next connection.
-func (b *backend) take() *net.TCPConn {
+// nextConnection waits for the next accepted connection.
+func (b *backend) nextConnection() *net.TCPConn {
 	GinkgoHelper()
 	var connection *net.TCPConn
-	Eventually(b.accepted, generous).Should(Receive(&connection))
-	bound(connection)
+	Eventually(b.accepted, waitTimeout).Should(Receive(&connection))
+	setTestDeadline(connection)
 	return connection
 }
 
-// deadAddress returns an address at which nothing listens.
+// deadAddress returns an address on which nothing listens.
 func deadAddress() netip.AddrPort {
 	listener, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: loopback.AsSlice()})
 	Expect(err).NotTo(HaveOccurred())
@@ -64,9 +64,10 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// bound lets a connection that hangs fail its test, and closes it at the end.
-func bound(connection net.Conn) {
+// setTestDeadline makes a test fail if its connection hangs, and closes the
+// connection at the end of the test.
+func setTestDeadline(connection net.Conn) {
 	GinkgoHelper()
-	Expect(connection.SetDeadline(time.Now().Add(generous))).To(Succeed())
+	Expect(connection.SetDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 	DeferCleanup(func() { _ = connection.Close() })
 }
--- a/internal/agent/caller_test.go
+++ b/internal/agent/caller_test.go
@@ -1,5 +1,5 @@
-// This file implements the callers of the contract tests: single crafted
-// packets, and whole flows of a user-space stack.
+// This file implements the callers of the tests: single crafted packets and
+// complete flows of a user-space network stack.
 
 package agent_test
 
@@ -23,9 +23,8 @@
 	"gvisor.dev/gvisor/pkg/tcpip/transport/udp"
 )
 
-// craft serializes a packet with right lengths and checksums. Changes are made
-// before that.
-func craft(protocol layers.IPProtocol, source, destination netip.AddrPort, upper ...gopacket.SerializableLayer) []byte {
+// buildPacket serializes an IPv4 packet with correct lengths and checksums.
+func buildPacket(protocol layers.IPProtocol, source, destination netip.AddrPort, upper ...gopacket.SerializableLayer) []byte {
 	internet := &layers.IPv4{
 		Version: 4, TTL: 64, Protocol: protocol,
 		SrcIP: source.Addr().AsSlice(), DstIP: destination.Addr().AsSlice(),
@@ -44,22 +43,22 @@
 	return serialized.Bytes()
 }
 
-// opening returns the first segment of a TCP flow.
-func opening(source, destination netip.AddrPort, sequence uint32) []byte {
-	return craft(layers.IPProtocolTCP, source, destination, &layers.TCP{
+// openingSegment returns a packet with the first segment of a TCP flow.
+func openingSegment(source, destination netip.AddrPort, sequence uint32) []byte {
+	return buildPacket(layers.IPProtocolTCP, source, destination, &layers.TCP{
 		SrcPort: layers.TCPPort(source.Port()), DstPort: layers.TCPPort(destination.Port()),
 		Seq: sequence, SYN: true, Window: 65535,
 	})
 }
 
-// datagram returns a packet with one UDP datagram.
-func datagram(source, destination netip.AddrPort, content string) []byte {
-	return craft(layers.IPProtocolUDP, source, destination, &layers.UDP{
+// udpPacket returns a packet with a UDP datagram.
+func udpPacket(source, destination netip.AddrPort, content string) []byte {
+	return buildPacket(layers.IPProtocolUDP, source, destination, &layers.UDP{
 		SrcPort: layers.UDPPort(source.Port()), DstPort: layers.UDPPort(destination.Port()),
 	}, gopacket.Payload(content))
 }
 
-// caller is a user-space stack behind the network.
+// caller is a user-space network stack that is attached to the test network.
 type caller struct {
 	stack *stack.Stack
 }
@@ -70,7 +69,7 @@
 	callerMTU       = 1400
 )
 
-func startCaller(carrier *network) *caller {
+func startCaller(network *testNetwork) *caller {
 	created := stack.New(stack.Options{
 		NetworkProtocols:   []stack.NetworkProtocolFactory{ipv4.NewProtocol},
 		TransportProtocols: []stack.TransportProtocolFactory{tcp.NewProtocol, udp.NewProtocol},
@@ -82,7 +81,7 @@
 		AddressWithPrefix: tcpip.AddrFrom4(callerAddress.As4()).WithPrefix(),
 	}, stack.AddressProperties{})).To(BeNil())
 	created.SetRouteTable([]tcpip.Route{{Destination: header.IPv4EmptySubnet, NIC: callerInterface}})
-	carrier.attach(callerAddress, func(data []byte) {
+	network.registerReceiver(callerAddress, func(data []byte) {
 		incoming := stack.NewPacketBuffer(stack.PacketBufferOptions{Payload: buffer.MakeWithData(data)})
 		defer incoming.DecRef()
 		link.InjectInbound(ipv4.ProtocolNumber, incoming)
@@ -91,54 +90,57 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		sendPackets(ctx, link, carrier)
+		sendPackets(ctx, link, network)
 	}()
 	DeferCleanup(func() {
 		cancel()
-		Eventually(ended, generous).Should(BeClosed())
+		Eventually(ended, waitTimeout).Should(BeClosed())
 		created.Close()
 	})
 	return &caller{created}
 }
 
-func sendPackets(ctx context.Context, link *channel.Endpoint, carrier *network) {
+// sendPackets sends the outgoing packets of a caller's stack until ctx ends.
+func sendPackets(ctx context.Context, link *channel.Endpoint, network *testNetwork) {
 	for outgoing := link.ReadContext(ctx); outgoing != nil; outgoing = link.ReadContext(ctx) {
-		carrier.send(outgoing.ToView().AsSlice())
+		network.send(outgoing.ToView().AsSlice())
 		outgoing.DecRef()
 	}
 }
 
-func numbered(address netip.AddrPort) tcpip.FullAddress {
+// fullAddress converts an address to the form that the stack uses.
+func fullAddress(address netip.AddrPort) tcpip.FullAddress {
 	return tcpip.FullAddress{NIC: callerInterface, Addr: tcpip.AddrFrom4(address.Addr().As4()), Port: address.Port()}
 }
 
 // dial opens a TCP flow. It fails if the flow is refused.
 func (c *caller) dial(service netip.AddrPort) (*gonet.TCPConn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	return gonet.DialContextTCP(ctx, c.stack, numbered(service), ipv4.ProtocolNumber)
+	return gonet.DialContextTCP(ctx, c.stack, fullAddress(service), ipv4.ProtocolNumber)
 }
 
-// open opens a TCP flow that must not be refused.
+// open opens a TCP flow and fails the test if the flow is refused.
 func (c *caller) open(service netip.AddrPort) *gonet.TCPConn {
 	GinkgoHelper()
 	connection, err := c.dial(service)
 	Expect(err).NotTo(HaveOccurred())
-	bound(connection)
+	setTestDeadline(connection)
 	return connection
 }
 
-// datagrams returns a socket that exchanges datagrams with the service.
+// datagrams returns a UDP socket that is connected to the service.
 func (c *caller) datagrams(service netip.AddrPort) net.Conn {
-	local, remote := numbered(netip.AddrPortFrom(callerAddress, 0)), numbered(service)
+	local, remote := fullAddress(netip.AddrPortFrom(callerAddress, 0)), fullAddress(service)
 	socket, err := gonet.DialUDP(c.stack, &local, &remote, ipv4.ProtocolNumber)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(socket.Close)
 	return socket
 }
 
-// abandon ends every connection with a reset, as when the caller is killed.
-func (c *caller) abandon() {
+// abortConnections resets every connection, as the kernel does when the caller's
+// process is killed.
+func (c *caller) abortConnections() {
 	for _, endpoint := range c.stack.RegisteredEndpoints() {
 		endpoint.Abort()
 	}
--- a/internal/agent/configure.go
+++ b/internal/agent/configure.go
@@ -14,23 +14,24 @@
 
 // sendHeartbeats sends the heartbeats that are due. The mutex must be held.
 func (a *Agent) sendHeartbeats(now time.Duration) {
-	for _, outgoing := range a.client.Tick(now) {
+	for _, outgoing := range a.controlClient.Tick(now) {
 		heartbeat := outgoing.Heartbeat
 		encoded, err := (&control.Datagram{Heartbeat: &heartbeat}).MarshalMsg(nil)
 		if err != nil {
 			panic("agent: cannot encode a heartbeat: " + err.Error())
 		}
-		// A daemon that cannot be reached is heard from no more; its lease
-		// runs out, which is all that can be done here.
-		_, _ = a.control.WriteToUDPAddrPort(encoded, outgoing.Daemon)
+		// The error is ignored: a daemon that cannot be reached renews no
+		// lease, and the agent stops opening flows when its lease ends.
+		_, _ = a.heartbeatSocket.WriteToUDPAddrPort(encoded, outgoing.Daemon)
 	}
 }
 
-// receiveGrants handles the daemons' answers to heartbeats.
+// receiveGrants handles the daemons' replies to heartbeats until the socket is
+// closed.
 func (a *Agent) receiveGrants() error {
 	buffer := make([]byte, receiveBufferSize)
 	for {
-		count, from, err := a.control.ReadFromUDPAddrPort(buffer)
+		count, from, err := a.heartbeatSocket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
@@ -39,28 +40,28 @@
 		}
 		var datagram control.Datagram
 		if _, err := datagram.UnmarshalMsg(buffer[:count]); err != nil || datagram.Grant == nil {
-			a.dropped(reasonBadMessage)
+			a.countDrop(reasonBadMessage)
 			continue
 		}
 		a.mutex.Lock()
 		now := a.now()
-		if a.client.Receive(now, from, *datagram.Grant) {
-			a.configure(now)
+		if a.controlClient.Receive(now, from, *datagram.Grant) {
+			a.applyState(now)
 		}
 		a.mutex.Unlock()
 	}
 }
 
-// configure brings rows and machines to the state held from the daemons. The
-// mutex must be held.
-func (a *Agent) configure(now time.Duration) {
-	state := a.client.State(now)
+// applyState updates rows and machines with the latest table, availability and
+// lease received from the daemons. The mutex must be held.
+func (a *Agent) applyState(now time.Duration) {
+	state := a.controlClient.State(now)
 	if state.Table == nil {
 		return
 	}
-	if !slices.Equal(a.down, state.Down) || !slices.Equal(a.left, state.Leaving) {
-		a.down, a.left = state.Down, state.Leaving
-		a.config.Logger.Info("availability changed", "down", a.down, "leaving", a.left)
+	if !slices.Equal(a.downRows, state.Down) || !slices.Equal(a.leavingRows, state.Leaving) {
+		a.downRows, a.leavingRows = state.Down, state.Leaving
+		a.config.Logger.Info("availability changed", "down", a.downRows, "leaving", a.leavingRows)
 	}
 	if a.table != state.Table {
 		a.config.Logger.Info("table received", "version", state.Table.Version)
@@ -80,19 +81,22 @@
 	}
 }
 
+// updatePeers replaces the addresses of all rows with those in the table. The mutex
+// must be held.
 func (a *Agent) updatePeers() {
 	clear(a.peers)
 	for _, backend := range a.table.Backends {
-		a.peers[backend.ID] = peer{
-			agent:       backend.Agent.AddrPort(),
-			incarnation: backend.Incarnation,
-			service:     backend.Service,
+		a.peers[backend.ID] = peerRow{
+			agentAddress: backend.Agent.AddrPort(),
+			incarnation:  backend.Incarnation,
+			service:      backend.Service,
 		}
 	}
 }
 
-// updateRows starts serving the rows that name this agent. Rows that no longer
-// do are kept: their flows go on.
+// updateRows starts serving the rows of the table that name this agent. Rows that
+// no longer name it are kept, because their flows continue. The mutex must be
+// held.
 func (a *Agent) updateRows() {
 	self := table.Endpoint(a.config.Listen.String())
 	for _, backend := range a.table.Backends {
@@ -112,19 +116,21 @@
 	}
 }
 
+// addRow starts serving a row. A row that has no back end in the settings is logged
+// and skipped.
 func (a *Agent) addRow(key rowKey, service table.Service, backend table.Backend) {
 	logger := a.config.Logger.With("service", service.Name, "row", backend.Name)
-	configured, exists := a.backend(service.Name, backend.Name)
+	configured, exists := a.configuredBackend(service.Name, backend.Name)
 	if !exists {
 		logger.Error("row has no back end in the settings")
 		return
 	}
 	added := &row{
-		agent:   a,
-		machine: admission.New(a.machineConfig(backend.ID)),
-		service: service,
-		backend: backend,
-		address: configured.Address,
+		agent:          a,
+		machine:        admission.New(a.machineConfig(backend.ID)),
+		service:        service,
+		backend:        backend,
+		backendAddress: configured.Address,
 	}
 	stack, err := netstack.New(added)
 	if err != nil {
@@ -132,15 +138,16 @@
 		return
 	}
 	added.stack = stack
-	if a.leaving {
+	if a.stopping {
 		added.machine.Leave()
 	}
 	a.rows[key] = added
-	a.group.Go(func() error { return a.transmit(stack) })
+	a.group.Go(func() error { return a.sendResponses(stack) })
 	logger.Info("serving row", "version", a.table.Version)
 }
 
-func (a *Agent) backend(service, name string) (Backend, bool) {
+// configuredBackend returns the back end that the settings name for a row.
+func (a *Agent) configuredBackend(service, name string) (Backend, bool) {
 	for _, configured := range a.config.Backends {
 		if configured.Service == service && configured.Name == name {
 			return configured, true
--- a/internal/agent/daemon_test.go
+++ b/internal/agent/daemon_test.go
@@ -1,5 +1,5 @@
-// This file implements the daemon of the contract tests: the product's registry
-// behind a socket of its own.
+// This file implements the daemon of the tests: a control.Registry with its own
+// socket.
 
 package agent_test
 
@@ -16,7 +16,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// testDaemon answers heartbeats with the table published last.
+// testDaemon answers heartbeats with the latest published table.
 type testDaemon struct {
 	socket  *net.UDPConn
 	started time.Time
@@ -25,7 +25,7 @@
 	registry *control.Registry
 	// held is the table version that each agent holds.
 	held map[table.Endpoint]table.Version
-	// leaving holds the agents that said they are stopping.
+	// leaving holds the agents that reported that they are stopping.
 	leaving map[table.Endpoint]bool
 	// silent is set while heartbeats are not answered.
 	silent bool
@@ -48,7 +48,7 @@
 	}()
 	DeferCleanup(func() {
 		Expect(socket.Close()).To(Succeed())
-		Eventually(ended, generous).Should(BeClosed())
+		Eventually(ended, waitTimeout).Should(BeClosed())
 	})
 	return daemon
 }
@@ -57,7 +57,8 @@
 	return d.socket.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// publish checks the table as the platform's client does.
+// publish makes a table the latest one. It validates the table first, as the client
+// of the platform does.
 func (d *testDaemon) publish(published *table.Table) {
 	Expect(published.Validate()).To(Succeed())
 	d.mutex.Lock()
@@ -91,7 +92,8 @@
 	}
 	now := time.Since(d.started)
 	d.registry.Tick(now)
-	// The test's process may be held up; its table is the newest there is.
+	// The test process may be delayed, which must not make the registry treat
+	// its table as outdated. No newer table exists.
 	d.registry.Confirm()
 	d.held[heartbeat.Agent] = heartbeat.Version
 	d.leaving[heartbeat.Agent] = heartbeat.Leaving
@@ -106,21 +108,23 @@
 	return encoded
 }
 
-// setSilent stops or resumes answering heartbeats.
+// setSilent sets whether heartbeats remain unanswered.
 func (d *testDaemon) setSilent(silent bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.silent = silent
 }
 
-// versionHeldBy returns the table version that the agent reported last.
+// versionHeldBy returns the table version that the agent reported in its latest
+// heartbeat.
 func (d *testDaemon) versionHeldBy(agent table.Endpoint) table.Version {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.held[agent]
 }
 
-// knowsLeaving reports whether the agent said that it is stopping.
+// knowsLeaving reports whether the agent's latest heartbeat said that it is
+// stopping.
 func (d *testDaemon) knowsLeaving(agent table.Endpoint) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/agent/datagram_test.go
+++ b/internal/agent/datagram_test.go
@@ -11,12 +11,12 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-func overUDP(published *table.Table) { published.Services[0].Protocol = table.ProtocolUDP }
+func useUDPService(published *table.Table) { published.Services[0].Protocol = table.ProtocolUDP }
 
-// expectDatagram reads one datagram and returns its sender.
+// expectDatagram reads one datagram, compares its content and returns its sender.
 func expectDatagram(socket net.PacketConn, content string) net.Addr {
 	GinkgoHelper()
-	Expect(socket.SetReadDeadline(time.Now().Add(generous))).To(Succeed())
+	Expect(socket.SetReadDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 	buffer := make([]byte, maximumDatagram)
 	count, from, err := socket.ReadFrom(buffer)
 	Expect(err).NotTo(HaveOccurred())
@@ -36,10 +36,10 @@
 }
 
 var _ = Describe("a UDP flow", func() {
-	It("carries datagrams both ways, and those of each caller apart", func() {
+	It("carries datagrams in both directions and keeps the flows of two callers separate", func() {
 		service := listenDatagrams(netip.AddrPortFrom(loopback, 0))
-		site := startSite(addressOf(service), overUDP)
-		caller := startCaller(site.carrier)
+		env := startEnvironment(addressOf(service), useUDPService)
+		caller := startCaller(env.network)
 		first, second := caller.datagrams(lookupAddress), caller.datagrams(lookupAddress)
 		senders := make(map[string]bool)
 		for _, question := range []string{"one", "two"} {
@@ -54,7 +54,7 @@
 			}
 		}
 		Expect(senders).To(HaveLen(2))
-		Expect(site.agent.counts.drops()).To(BeEmpty())
-		Eventually(site.agent.counts.of(openFlows), generous).Should(BeEquivalentTo(2))
+		Expect(env.agent.counts.dropsByReason()).To(BeEmpty())
+		Eventually(env.agent.counts.valueOf(openFlows), waitTimeout).Should(BeEquivalentTo(2))
 	})
 })
--- a/internal/agent/drop_test.go
+++ b/internal/agent/drop_test.go
@@ -15,16 +15,16 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// fault is a datagram that an agent must not act on.
-type fault struct {
+// testDatagram is a datagram for an agent, which a test makes invalid.
+type testDatagram struct {
 	service table.ServiceID
 	routing encap.Routing
 	packet  []byte
-	// mangle changes the encapsulated datagram, if set.
-	mangle func(datagram []byte) []byte
+	// transform changes the encapsulated datagram. It may be nil.
+	transform func(datagram []byte) []byte
 }
 
-// The offsets of the Geneve header that the faults change (RFC 8926, section
+// Offsets and bits of the Geneve header that the tests change (RFC 8926, section
 // 3.4).
 const (
 	geneveVersionByte  = 0
@@ -35,63 +35,64 @@
 	geneveOptionByte   = 8
 )
 
-var wellRouted = encap.Routing{Version: 1, Backend: lookupRow, Incarnation: 2}
+var validRouting = encap.Routing{Version: 1, Backend: lookupRow, Incarnation: 2}
 
-// validOpening returns what the agent would take: the faults differ from it in
-// one thing each.
-func validOpening(caller netip.AddrPort) fault {
-	return fault{service: lookupID, routing: wellRouted, packet: opening(caller, lookupAddress, 1)}
+// validOpeningDatagram returns a datagram that the agent accepts. Each invalid
+// datagram differs from it in one aspect.
+func validOpeningDatagram(caller netip.AddrPort) testDatagram {
+	return testDatagram{service: lookupID, routing: validRouting, packet: openingSegment(caller, lookupAddress, 1)}
 }
 
-func (f fault) encode() []byte {
+func (f testDatagram) encode() []byte {
 	encoded := encap.NewEncoder().AppendRouted(nil, f.service, f.routing, f.packet)
-	if f.mangle != nil {
-		return f.mangle(encoded)
+	if f.transform != nil {
+		return f.transform(encoded)
 	}
 	return encoded
 }
 
-// flip returns a mangle that changes bits of one byte.
-func flip(offset int, bits byte) func([]byte) []byte {
+// flipBits returns a transform that inverts bits of one byte.
+func flipBits(offset int, bits byte) func([]byte) []byte {
 	return func(datagram []byte) []byte {
 		datagram[offset] ^= bits
 		return datagram
 	}
 }
 
-// controlMessage returns a mangle that puts a control message in place of everything.
+// controlMessage returns a transform that replaces the datagram by a control
+// message.
 func controlMessage(service table.ServiceID, message admission.Message) func([]byte) []byte {
 	encoded, err := message.MarshalMsg(nil)
 	Expect(err).NotTo(HaveOccurred())
 	return func([]byte) []byte { return encap.NewEncoder().AppendControl(nil, service, encoded) }
 }
 
-// change is one way to make the datagram faulty.
-type change func(caller netip.AddrPort, faulty *fault)
+// mutation makes the datagram invalid in one way.
+type mutation func(caller netip.AddrPort, faulty *testDatagram)
 
-func withPacket(make func(caller netip.AddrPort) []byte) change {
-	return func(caller netip.AddrPort, faulty *fault) { faulty.packet = make(caller) }
+func withPacket(make func(caller netip.AddrPort) []byte) mutation {
+	return func(caller netip.AddrPort, faulty *testDatagram) { faulty.packet = make(caller) }
 }
 
-func withMangle(mangle func([]byte) []byte) change {
-	return func(_ netip.AddrPort, faulty *fault) { faulty.mangle = mangle }
+func withTransform(transform func([]byte) []byte) mutation {
+	return func(_ netip.AddrPort, faulty *testDatagram) { faulty.transform = transform }
 }
 
-func withTCP(adjust func(*layers.TCP)) change {
+func withTCP(adjust func(*layers.TCP)) mutation {
 	return withPacket(func(caller netip.AddrPort) []byte {
 		segment := &layers.TCP{
 			SrcPort: layers.TCPPort(caller.Port()), DstPort: layers.TCPPort(lookupAddress.Port()), SYN: true,
 		}
 		adjust(segment)
-		return craft(layers.IPProtocolTCP, caller, lookupAddress, segment)
+		return buildPacket(layers.IPProtocolTCP, caller, lookupAddress, segment)
 	})
 }
 
-func withPacketByte(offset int, bits byte) change {
-	return func(_ netip.AddrPort, faulty *fault) { faulty.packet[offset] ^= bits }
+func withPacketByte(offset int, bits byte) mutation {
+	return func(_ netip.AddrPort, faulty *testDatagram) { faulty.packet[offset] ^= bits }
 }
 
-// The offsets of the IPv4 header that the faults change (RFC 791).
+// Offsets and bits of the IPv4 header that the tests change (RFC 791).
 const (
 	ipv4VersionByte   = 0
 	ipv4FragmentsByte = 6
@@ -102,42 +103,42 @@
 var _ = Describe("an agent", Ordered, func() {
 	var (
 		lookup, export *backend
-		carrier        *network
+		network        *testNetwork
 		callers        *caller
-		served         *running
+		served         *runningAgent
 		endpoint       table.Endpoint
 		nextPort       uint16 = 3000
 	)
 
 	BeforeAll(func() {
 		lookup, export = startBackend(), startBackend()
-		carrier = startNetwork()
-		callers = startCaller(carrier)
+		network = startNetwork()
+		callers = startCaller(network)
 		daemon := startDaemon()
 		endpoint = freeEndpoint()
 		lookupBackend := rowAt(lookupRow, lookupID, "lookup-1", endpoint)
-		lookupBackend.Incarnation = wellRouted.Incarnation
+		lookupBackend.Incarnation = validRouting.Incarnation
 		daemon.publish(&table.Table{
 			Version: 1,
 			Services: []table.Service{
-				serviceAt(lookupID, "lookup", lookupAddress),
-				serviceAt(exportID, "export", exportAddress),
+				testService(lookupID, "lookup", lookupAddress),
+				testService(exportID, "export", exportAddress),
 			},
 			Backends: []table.Backend{lookupBackend, rowAt(exportRow, exportID, "export-1", endpoint)},
 		})
-		served = startAgent(endpoint, carrier, daemon, cutAtOnce,
+		served = startAgent(endpoint, network, daemon, immediateStopTimeout,
 			agent.Backend{Service: "lookup", Name: "lookup-1", Address: lookup.address()},
 			agent.Backend{Service: "export", Name: "export-1", Address: export.address()})
-		carrier.use(routeTo(lookupBackend, 1))
+		network.setRoute(routeToRow(lookupBackend, 1))
 		awaitVersion(daemon, endpoint, 1)
 	})
 
-	// expectOnlyGood opens a flow behind everything sent so far, and checks
-	// that no back end has seen anything else.
-	expectOnlyGood := func() {
+	// expectOnlyValidFlow opens a flow after everything sent so far, and checks
+	// that no back end has received another connection.
+	expectOnlyValidFlow := func() {
 		GinkgoHelper()
 		flow := callers.open(lookupAddress)
-		taken := lookup.take()
+		taken := lookup.nextConnection()
 		_, err := flow.Write([]byte("good"))
 		Expect(err).NotTo(HaveOccurred())
 		expectMessage(taken, "good")
@@ -145,88 +146,88 @@
 		Expect(export.accepted).To(BeEmpty())
 	}
 
-	DescribeTable("drops, counts and does not answer",
-		func(reason string, apply change) {
+	DescribeTable("drops and counts an invalid datagram without answering it",
+		func(reason string, apply mutation) {
 			nextPort++
-			source := crafted(nextPort)
-			faulty := validOpening(source)
+			source := craftedCaller(nextPort)
+			faulty := validOpeningDatagram(source)
 			apply(source, &faulty)
-			expected := served.counts.drops()
+			expected := served.counts.dropsByReason()
 			expected[reason]++
-			carrier.sendRaw(faulty.encode(), endpoint)
-			Eventually(served.counts.drops, generous).Should(Equal(expected))
-			expectOnlyGood()
-			Expect(served.counts.drops()).To(Equal(expected))
-			Expect(carrier.answersTo(source)).To(BeEmpty())
+			network.sendRaw(faulty.encode(), endpoint)
+			Eventually(served.counts.dropsByReason, waitTimeout).Should(Equal(expected))
+			expectOnlyValidFlow()
+			Expect(served.counts.dropsByReason()).To(Equal(expected))
+			Expect(network.responsesTo(source)).To(BeEmpty())
 		},
-		Entry("a packet for another service", "misaddressed", func(_ netip.AddrPort, f *fault) { f.service = exportID }),
-		Entry("a packet for an unknown service", "misaddressed", func(_ netip.AddrPort, f *fault) { f.service = 99 }),
-		Entry("a packet for a row of another service", "misaddressed", func(_ netip.AddrPort, f *fault) {
+		Entry("a packet for another service", "misaddressed", func(_ netip.AddrPort, f *testDatagram) { f.service = exportID }),
+		Entry("a packet for an unknown service", "misaddressed", func(_ netip.AddrPort, f *testDatagram) { f.service = 99 }),
+		Entry("a packet for a row of another service", "misaddressed", func(_ netip.AddrPort, f *testDatagram) {
 			f.routing.Backend, f.routing.Incarnation = exportRow, 1
 		}),
-		Entry("a packet for an unknown row", "misaddressed", func(_ netip.AddrPort, f *fault) { f.routing.Backend = 99 }),
-		Entry("an old incarnation", "misaddressed", func(_ netip.AddrPort, f *fault) { f.routing.Incarnation-- }),
-		Entry("an incarnation to come", "misaddressed", func(_ netip.AddrPort, f *fault) { f.routing.Incarnation++ }),
+		Entry("a packet for an unknown row", "misaddressed", func(_ netip.AddrPort, f *testDatagram) { f.routing.Backend = 99 }),
+		Entry("an old incarnation", "misaddressed", func(_ netip.AddrPort, f *testDatagram) { f.routing.Incarnation-- }),
+		Entry("a future incarnation", "misaddressed", func(_ netip.AddrPort, f *testDatagram) { f.routing.Incarnation++ }),
 		Entry("the address of another service", "misaddressed",
-			withPacket(func(caller netip.AddrPort) []byte { return opening(caller, exportAddress, 1) })),
+			withPacket(func(caller netip.AddrPort) []byte { return openingSegment(caller, exportAddress, 1) })),
 		Entry("another port of the service's address", "misaddressed",
 			withPacket(func(caller netip.AddrPort) []byte {
-				return opening(caller, netip.AddrPortFrom(lookupAddress.Addr(), 81), 1)
+				return openingSegment(caller, netip.AddrPortFrom(lookupAddress.Addr(), 81), 1)
 			})),
 		Entry("another protocol at the service's address", "misaddressed",
-			withPacket(func(caller netip.AddrPort) []byte { return datagram(caller, lookupAddress, "hello") })),
-		Entry("a packet without content", "truncated", withPacket(func(netip.AddrPort) []byte { return nil })),
-		Entry("half an IPv4 header", "truncated", func(_ netip.AddrPort, f *fault) { f.packet = f.packet[:10] }),
-		Entry("half a TCP header", "truncated", func(_ netip.AddrPort, f *fault) { f.packet = f.packet[:30] }),
-		Entry("more than the largest packet", "oversized", func(_ netip.AddrPort, f *fault) {
+			withPacket(func(caller netip.AddrPort) []byte { return udpPacket(caller, lookupAddress, "hello") })),
+		Entry("an empty packet", "truncated", withPacket(func(netip.AddrPort) []byte { return nil })),
+		Entry("half an IPv4 header", "truncated", func(_ netip.AddrPort, f *testDatagram) { f.packet = f.packet[:10] }),
+		Entry("half a TCP header", "truncated", func(_ netip.AddrPort, f *testDatagram) { f.packet = f.packet[:30] }),
+		Entry("a packet above the largest size", "oversized", func(_ netip.AddrPort, f *testDatagram) {
 			f.packet = append(f.packet, make([]byte, packet.MaxSize)...)
 		}),
 		Entry("a first fragment", "fragmented", withPacketByte(ipv4FragmentsByte, moreFragments)),
 		Entry("a later fragment", "fragmented", withPacketByte(ipv4OffsetByte, 1)),
-		Entry("IPv6", "not_ipv4", withPacketByte(ipv4VersionByte, 0x20)),
-		Entry("another transport", "unknown_transport", withPacket(func(caller netip.AddrPort) []byte {
-			return craft(layers.IPProtocolICMPv4, caller, lookupAddress, gopacket.Payload("ping"))
+		Entry("an IPv6 packet", "not_ipv4", withPacketByte(ipv4VersionByte, 0x20)),
+		Entry("a transport other than TCP and UDP", "unknown_transport", withPacket(func(caller netip.AddrPort) []byte {
+			return buildPacket(layers.IPProtocolICMPv4, caller, lookupAddress, gopacket.Payload("ping"))
 		})),
 		Entry("SYN with FIN", "bad_tcp_flags", withTCP(func(segment *layers.TCP) { segment.FIN = true })),
 		Entry("SYN with RST", "bad_tcp_flags", withTCP(func(segment *layers.TCP) { segment.RST = true })),
-		Entry("a packet straight from the fabric", "no_routing", func(_ netip.AddrPort, f *fault) {
+		Entry("a packet directly from the fabric", "no_routing", func(_ netip.AddrPort, f *testDatagram) {
 			plain := encap.NewEncoder().AppendPlain(nil, f.packet)
-			f.mangle = func([]byte) []byte { return plain }
+			f.transform = func([]byte) []byte { return plain }
 		}),
-		Entry("an empty datagram", "malformed", withMangle(func([]byte) []byte { return nil })),
-		Entry("half a Geneve header", "malformed", withMangle(func(whole []byte) []byte { return whole[:4] })),
-		Entry("half a Geneve option", "malformed", withMangle(func(whole []byte) []byte { return whole[:encap.Overhead-4] })),
-		Entry("another version of Geneve", "wrong_version", withMangle(flip(geneveVersionByte, geneveVersionBit))),
-		Entry("another payload than IPv4", "wrong_protocol", withMangle(flip(geneveProtocolByte, 0xff))),
-		Entry("an unknown option that is critical", "unknown_critical_option", withMangle(func(whole []byte) []byte {
-			return flip(geneveFlagsByte, geneveCriticalBit)(flip(geneveOptionByte, 0x01)(whole))
+		Entry("an empty datagram", "malformed", withTransform(func([]byte) []byte { return nil })),
+		Entry("half a Geneve header", "malformed", withTransform(func(whole []byte) []byte { return whole[:4] })),
+		Entry("half a Geneve option", "malformed", withTransform(func(whole []byte) []byte { return whole[:encap.Overhead-4] })),
+		Entry("an unsupported Geneve version", "wrong_version", withTransform(flipBits(geneveVersionByte, geneveVersionBit))),
+		Entry("a payload other than IPv4", "wrong_protocol", withTransform(flipBits(geneveProtocolByte, 0xff))),
+		Entry("an unknown critical option", "unknown_critical_option", withTransform(func(whole []byte) []byte {
+			return flipBits(geneveFlagsByte, geneveCriticalBit)(flipBits(geneveOptionByte, 0x01)(whole))
 		})),
-		Entry("an unknown option that is not critical", "no_routing", withMangle(flip(geneveOptionByte, 0x01))),
-		Entry("a control message that cannot be read", "bad_message", withMangle(func([]byte) []byte {
+		Entry("an unknown option that is not critical, instead of the routing", "no_routing", withTransform(flipBits(geneveOptionByte, 0x01))),
+		Entry("a malformed control message", "bad_message", withTransform(func([]byte) []byte {
 			return encap.NewEncoder().AppendControl(nil, lookupID, []byte("forged"))
 		})),
 		Entry("a control message for an unknown row", "misaddressed",
-			func(_ netip.AddrPort, f *fault) {
-				f.mangle = controlMessage(lookupID, admission.Message{From: 72, To: 99, Query: &admission.Query{}})
+			func(_ netip.AddrPort, f *testDatagram) {
+				f.transform = controlMessage(lookupID, admission.Message{From: 72, To: 99, Query: &admission.Query{}})
 			}),
 		Entry("a control message for a row of another service", "misaddressed",
-			func(_ netip.AddrPort, f *fault) {
-				f.mangle = controlMessage(lookupID, admission.Message{From: 72, To: exportRow, Query: &admission.Query{}})
+			func(_ netip.AddrPort, f *testDatagram) {
+				f.transform = controlMessage(lookupID, admission.Message{From: 72, To: exportRow, Query: &admission.Query{}})
 			}),
-		Entry("a query of an unknown row", "no_peer",
-			func(_ netip.AddrPort, f *fault) {
-				f.mangle = controlMessage(lookupID, admission.Message{From: 72, To: lookupRow, Query: &admission.Query{}})
+		Entry("a query from an unknown row", "no_peer",
+			func(_ netip.AddrPort, f *testDatagram) {
+				f.transform = controlMessage(lookupID, admission.Message{From: 72, To: lookupRow, Query: &admission.Query{}})
 			}),
 	)
 
-	It("does not let a reply that nobody asked for change a flow", func() {
-		source := crafted(2000)
-		for _, answered := range []admission.Answer{admission.AnswerOwned, admission.AnswerClosed, admission.AnswerRefused} {
-			carrier.sendRaw(controlMessage(lookupID, admission.Message{From: 72, To: lookupRow, Reply: &admission.Reply{
-				Flow: admission.FlowKeyOf(source), Sequence: 1, Answer: answered, Owner: exportRow,
+	It("opens a flow although unsolicited replies claimed that it was owned, closed or refused", func() {
+		source := craftedCaller(2000)
+		for _, answer := range []admission.Answer{admission.AnswerOwned, admission.AnswerClosed, admission.AnswerRefused} {
+			network.sendRaw(controlMessage(lookupID, admission.Message{From: 72, To: lookupRow, Reply: &admission.Reply{
+				Flow: admission.FlowKeyOf(source), Sequence: 1, Answer: answer, Owner: exportRow,
 			}})(nil), endpoint)
 		}
-		carrier.send(opening(source, lookupAddress, 1))
-		lookup.take()
+		network.send(openingSegment(source, lookupAddress, 1))
+		lookup.nextConnection()
 	})
 })
--- a/internal/agent/environment_test.go
+++ b/internal/agent/environment_test.go
@@ -8,41 +8,42 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// site is one agent with one row, and what is around it.
-type site struct {
+// environment is an agent with one row, its daemon and its network.
+type environment struct {
 	endpoint table.Endpoint
 	row      table.Backend
 	daemon   *testDaemon
-	carrier  *network
-	agent    *running
+	network  *testNetwork
+	agent    *runningAgent
 }
 
-// startSite serves the lookup service at a back end. The table is adjusted
-// before it is published.
-func startSite(at netip.AddrPort, adjust func(*table.Table)) *site {
-	return startSiteWith(at, cutAtOnce, adjust)
+// startEnvironment starts an agent that serves the lookup service with the back end
+// at the given address. It calls adjust with the table before publishing it.
+func startEnvironment(at netip.AddrPort, adjust func(*table.Table)) *environment {
+	return startEnvironmentWith(at, immediateStopTimeout, adjust)
 }
 
-// startPatientSite is startSite with an agent that lets flows finish.
-func startPatientSite(at netip.AddrPort) *site {
-	return startSiteWith(at, generous, unadjusted)
+// startDrainingEnvironment is like startEnvironment, but a planned stop of the agent
+// lets open flows finish.
+func startDrainingEnvironment(at netip.AddrPort) *environment {
+	return startEnvironmentWith(at, waitTimeout, unchangedTable)
 }
 
-func startSiteWith(at netip.AddrPort, stopTimeout time.Duration, adjust func(*table.Table)) *site {
-	started := &site{endpoint: freeEndpoint(), daemon: startDaemon(), carrier: startNetwork()}
+func startEnvironmentWith(at netip.AddrPort, stopTimeout time.Duration, adjust func(*table.Table)) *environment {
+	started := &environment{endpoint: freeEndpoint(), daemon: startDaemon(), network: startNetwork()}
 	published := &table.Table{
 		Version:  1,
-		Services: []table.Service{serviceAt(lookupID, "lookup", lookupAddress)},
+		Services: []table.Service{testService(lookupID, "lookup", lookupAddress)},
 		Backends: []table.Backend{rowAt(lookupRow, lookupID, "lookup-1", started.endpoint)},
 	}
 	adjust(published)
 	started.row = published.Backends[0]
 	started.daemon.publish(published)
-	started.agent = startAgent(started.endpoint, started.carrier, started.daemon, stopTimeout,
+	started.agent = startAgent(started.endpoint, started.network, started.daemon, stopTimeout,
 		agent.Backend{Service: "lookup", Name: "lookup-1", Address: at})
-	started.carrier.use(routeTo(started.row, published.Version))
+	started.network.setRoute(routeToRow(started.row, published.Version))
 	awaitVersion(started.daemon, started.endpoint, published.Version)
 	return started
 }
 
-func unadjusted(*table.Table) {}
+func unchangedTable(*table.Table) {}
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -1,5 +1,5 @@
-// This file implements what the contract tests have in common: addresses,
-// tables, a running agent, and its counters.
+// This file implements the common parts of the tests: addresses, tables, a running
+// agent and its metrics.
 
 package agent_test
 
@@ -23,14 +23,14 @@
 )
 
 const (
-	// generous is how long a test waits for what must happen; no verdict
-	// depends on how early it happens.
-	generous        = time.Minute
+	// waitTimeout bounds the wait for an expected event. It is long because no
+	// test depends on how soon the event happens.
+	waitTimeout     = time.Minute
 	maximumDatagram = 64 << 10
 	flowLimit       = 1000
-	// cutAtOnce is the stop timeout of agents whose stop is not the matter of
-	// the test.
-	cutAtOnce = time.Millisecond
+	// immediateStopTimeout is the stop timeout of agents in tests that do not
+	// test the stop.
+	immediateStopTimeout = time.Millisecond
 )
 
 var (
@@ -38,7 +38,7 @@
 	callerAddress = netip.MustParseAddr("203.0.113.7")
 )
 
-// Two services and a row for each.
+// Two services with one row each.
 const (
 	lookupID  table.ServiceID = 7
 	exportID  table.ServiceID = 8
@@ -51,7 +51,7 @@
 	exportAddress = netip.MustParseAddrPort("198.51.100.8:80")
 )
 
-func serviceAt(id table.ServiceID, name string, address netip.AddrPort) table.Service {
+func testService(id table.ServiceID, name string, address netip.AddrPort) table.Service {
 	return table.Service{
 		ID: id, Name: name, Address: table.Endpoint(address.String()),
 		Protocol: table.ProtocolTCP, Owner: "team",
@@ -62,20 +62,20 @@
 	return table.Backend{ID: id, Service: service, Name: name, Incarnation: 1, Agent: at, Weight: 10}
 }
 
-// routeTo returns the way of a balancer that uses the row.
-func routeTo(row table.Backend, version table.Version) route {
+// routeToRow returns the route of a balancer that sends packets to the row.
+func routeToRow(row table.Backend, version table.Version) route {
 	return route{row.Agent, row.Service, encap.Routing{
 		Version: version, Backend: row.ID, Incarnation: row.Incarnation,
 	}}
 }
 
-// crafted returns the address of a caller whose packets are crafted.
-func crafted(port uint16) netip.AddrPort {
+// craftedCaller returns the address of a caller that sends single crafted packets.
+func craftedCaller(port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("203.0.113.99"), port)
 }
 
-// freeEndpoint returns an address for an agent. It is drawn from all of the
-// loopback network, so that no other process takes it meanwhile.
+// freeEndpoint returns a free address for an agent. The address is random within
+// the loopback network, so that no other process takes it before the agent does.
 func freeEndpoint() table.Endpoint {
 	address := netip.AddrFrom4([4]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(256)), byte(1 + rand.IntN(254))})
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: address.AsSlice()})
@@ -84,13 +84,13 @@
 	return table.Endpoint(socket.LocalAddr().String())
 }
 
-// counts are the counters of one agent.
+// counts holds the values of one agent's metrics.
 type counts struct {
 	mutex  sync.Mutex
 	values map[metric]float64
 }
 
-// metric names a counter or gauge and, for dropped packets, their reason.
+// metric identifies a counter or gauge and, for dropped packets, the reason.
 type metric struct {
 	name   string
 	reason string
@@ -105,13 +105,13 @@
 	openFlows = metric{name: "open_flows"}
 )
 
-// recorder is one metric of an agent.
+// recorder writes one metric of an agent.
 type recorder struct {
 	counts *counts
 	metric metric
 }
 
-// labelled returns the recorder of the last label value.
+// labelled returns the recorder for the last label value.
 func (r recorder) labelled(values []string) recorder {
 	r.metric.reason = values[len(values)-1]
 	return r
@@ -154,8 +154,8 @@
 	}
 }
 
-// of returns a function that reads one metric, to be polled.
-func (c *counts) of(wanted metric) func() float64 {
+// valueOf returns a function that reads one metric, for polling.
+func (c *counts) valueOf(wanted metric) func() float64 {
 	return func() float64 {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -163,8 +163,8 @@
 	}
 }
 
-// drops returns the number of packets dropped for each reason.
-func (c *counts) drops() map[string]float64 {
+// dropsByReason returns the number of packets dropped for each reason.
+func (c *counts) dropsByReason() map[string]float64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	found := make(map[string]float64)
@@ -176,21 +176,21 @@
 	return found
 }
 
-// running is an agent in this process.
-type running struct {
+// runningAgent is an agent that runs in the test process.
+type runningAgent struct {
 	counts *counts
 	stop   context.CancelFunc
-	// result receives what Run returned.
+	// result receives the return value of Run.
 	result chan error
 	ended  chan struct{}
 }
 
-// startAgent runs an agent until the end of the test or of its stop.
-func startAgent(listen table.Endpoint, carrier *network, daemon *testDaemon, stopTimeout time.Duration, backends ...agent.Backend) *running {
-	started := &running{counts: newCounts(), result: make(chan error, 1), ended: make(chan struct{})}
+// startAgent runs an agent until the test ends or stops it.
+func startAgent(listen table.Endpoint, network *testNetwork, daemon *testDaemon, stopTimeout time.Duration, backends ...agent.Backend) *runningAgent {
+	started := &runningAgent{counts: newCounts(), result: make(chan error, 1), ended: make(chan struct{})}
 	created, err := agent.New(agent.Config{
 		Listen:      listen.AddrPort(),
-		Fabric:      carrier.fabricAddress(),
+		Fabric:      network.fabricAddress(),
 		Daemons:     []netip.AddrPort{daemon.address()},
 		Backends:    backends,
 		StopTimeout: stopTimeout,
@@ -207,13 +207,13 @@
 	}()
 	DeferCleanup(func() {
 		cancel()
-		Eventually(started.ended, 2*generous).Should(BeClosed())
+		Eventually(started.ended, 2*waitTimeout).Should(BeClosed())
 	})
 	return started
 }
 
-// awaitVersion waits until an agent has received a table.
+// awaitVersion waits until an agent has reported a table version to the daemon.
 func awaitVersion(daemon *testDaemon, at table.Endpoint, version table.Version) {
 	GinkgoHelper()
-	Eventually(func() table.Version { return daemon.versionHeldBy(at) }, generous).Should(Equal(version))
+	Eventually(func() table.Version { return daemon.versionHeldBy(at) }, waitTimeout).Should(Equal(version))
 }
--- a/internal/agent/forged_query_test.go
+++ b/internal/agent/forged_query_test.go
@@ -7,15 +7,15 @@
 	"github.com/vanetiller/vanetiller/internal/admission"
 )
 
-var _ = Describe("a forged query", func() {
-	It("from a row that the service does not have keeps no caller from opening its flow", func() {
+var _ = Describe("a forged query from a row that the service does not have", func() {
+	It("does not prevent a caller from opening its flow", func() {
 		service := startBackend()
-		site := startSite(service.address(), unadjusted)
-		source := crafted(2000)
-		site.carrier.sendRaw(controlMessage(lookupID, admission.Message{From: 99, To: lookupRow, Query: &admission.Query{
+		env := startEnvironment(service.address(), unchangedTable)
+		source := craftedCaller(2000)
+		env.network.sendRaw(controlMessage(lookupID, admission.Message{From: 99, To: lookupRow, Query: &admission.Query{
 			Flow: admission.FlowKeyOf(source), Sequence: 1, Purpose: admission.PurposeOpen,
-		}})(nil), site.endpoint)
-		site.carrier.send(opening(source, lookupAddress, 1))
-		Eventually(service.accepted, "5s").Should(Receive(), "%v", site.agent.counts.drops())
+		}})(nil), env.endpoint)
+		env.network.send(openingSegment(source, lookupAddress, 1))
+		Eventually(service.accepted, "5s").Should(Receive(), "%v", env.agent.counts.dropsByReason())
 	})
 })
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -7,29 +7,29 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("an agent that no daemon answers", func() {
-	It("opens no flows, carries on the established ones, and opens again when it is answered", func() {
+var _ = Describe("an agent whose heartbeats no daemon answers", func() {
+	It("opens no flows after its lease, continues open ones, and opens flows again once answered", func() {
 		service := startBackend()
-		site := startSite(service.address(), unadjusted)
-		callers := startCaller(site.carrier)
+		env := startEnvironment(service.address(), unchangedTable)
+		callers := startCaller(env.network)
 		flow := callers.open(lookupAddress)
-		served := service.take()
-		site.daemon.setSilent(true)
-		withoutLease := site.agent.counts.of(metric{name: dropped.name, reason: "no_lease"})
+		served := service.nextConnection()
+		env.daemon.setSilent(true)
+		withoutLease := env.agent.counts.valueOf(metric{name: dropped.name, reason: "no_lease"})
 		nextPort := uint16(5000)
 		Eventually(func() float64 {
-			// Flows may still open until the lease has ended.
+			// Flows may still open until the lease ends.
 			nextPort++
-			site.carrier.send(opening(crafted(nextPort), lookupAddress, 1))
+			env.network.send(openingSegment(craftedCaller(nextPort), lookupAddress, 1))
 			return withoutLease()
-		}, generous).Should(BeNumerically(">", 0))
-		late := crafted(nextPort + 1)
+		}, waitTimeout).Should(BeNumerically(">", 0))
+		late := craftedCaller(nextPort + 1)
 		before := withoutLease()
-		site.carrier.send(opening(late, lookupAddress, 1))
-		Eventually(withoutLease, generous).Should(BeNumerically(">", before))
+		env.network.send(openingSegment(late, lookupAddress, 1))
+		Eventually(withoutLease, waitTimeout).Should(BeNumerically(">", before))
 		exchangeMessages(flow, served)
-		Expect(site.carrier.answersTo(late)).To(BeEmpty())
-		site.daemon.setSilent(false)
+		Expect(env.network.responsesTo(late)).To(BeEmpty())
+		env.daemon.setSilent(false)
 		go echoStreams(service)
 		later := callers.open(lookupAddress)
 		_, err := later.Write([]byte("later"))
@@ -38,7 +38,7 @@
 	})
 })
 
-// echoStreams answers every connection of the back end with what it sends.
+// echoStreams echoes the data of every connection of the back end.
 func echoStreams(service *backend) {
 	for connection := range service.accepted {
 		go func() { _, _ = io.Copy(connection, connection) }()
--- a/internal/agent/network_test.go
+++ b/internal/agent/network_test.go
@@ -1,4 +1,4 @@
-// This file implements the fabric and the balancer of the contract tests.
+// This file implements the fabric and the balancer of the tests.
 
 package agent_test
 
@@ -15,25 +15,26 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// route is where a balancer sends the packets of callers, right or wrong.
+// route is the agent and the encapsulation with which a balancer sends packets. It
+// may be wrong.
 type route struct {
 	agent   table.Endpoint
 	service table.ServiceID
 	routing encap.Routing
 }
 
-// answer is a packet that an agent sent to the fabric.
-type answer struct {
+// response is a packet that an agent sent to the fabric.
+type response struct {
 	from    netip.AddrPort
 	summary packet.Summary
-	// routed is set if the datagram went through a balancer or came in a form
-	// that the fabric does not take.
+	// routed is set if the datagram carries routing or has a form that the
+	// fabric does not accept.
 	routed bool
 }
 
-// network is a balancer that sends everything to one row, and a fabric that
-// hands the answers to a caller's stack and remembers those to others.
-type network struct {
+// testNetwork is a balancer that sends all packets on one route, and a fabric that
+// records all responses and delivers those to registered callers.
+type testNetwork struct {
 	socket *net.UDPConn
 	fabric *net.UDPConn
 
@@ -41,11 +42,11 @@
 	encoder   *encap.Encoder
 	current   route
 	receivers map[netip.Addr]func([]byte)
-	answers   []answer
+	responses []response
 }
 
-func startNetwork() *network {
-	created := &network{
+func startNetwork() *testNetwork {
+	created := &testNetwork{
 		socket:    listenLoopback(),
 		fabric:    listenLoopback(),
 		encoder:   encap.NewEncoder(),
@@ -54,17 +55,17 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		created.receiveAnswers()
+		created.receiveResponses()
 	}()
 	DeferCleanup(func() {
 		Expect(created.socket.Close()).To(Succeed())
 		Expect(created.fabric.Close()).To(Succeed())
-		Eventually(ended, generous).Should(BeClosed())
+		Eventually(ended, waitTimeout).Should(BeClosed())
 	})
 	return created
 }
 
-// receiveBuffer holds the packets of one flow's whole window.
+// receiveBuffer is large enough for the packets of a full TCP window.
 const receiveBuffer = 4 << 20
 
 func listenLoopback() *net.UDPConn {
@@ -74,45 +75,46 @@
 	return socket
 }
 
-func (n *network) fabricAddress() netip.AddrPort {
+func (n *testNetwork) fabricAddress() netip.AddrPort {
 	return n.fabric.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// use makes the balancer send packets on another way from now on.
-func (n *network) use(next route) {
+// setRoute sets the route for all later packets.
+func (n *testNetwork) setRoute(next route) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.current = next
 }
 
-// attach gives answers to the address to a caller's stack.
-func (n *network) attach(caller netip.Addr, receiver func([]byte)) {
+// registerReceiver delivers responses to the given address to receiver.
+func (n *testNetwork) registerReceiver(caller netip.Addr, receiver func([]byte)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.receivers[caller] = receiver
 }
 
-// send carries one packet of a caller by the current route.
-func (n *network) send(data []byte) {
+// send sends a caller's packet on the current route.
+func (n *testNetwork) send(data []byte) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	datagram := n.encoder.AppendRouted(nil, n.current.service, n.current.routing, data)
 	n.write(datagram, n.current.agent)
 }
 
-// sendRaw sends a datagram as it is to an agent.
-func (n *network) sendRaw(datagram []byte, agent table.Endpoint) {
+// sendRaw sends a datagram unchanged to an agent.
+func (n *testNetwork) sendRaw(datagram []byte, agent table.Endpoint) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.write(datagram, agent)
 }
 
-func (n *network) write(datagram []byte, agent table.Endpoint) {
-	// An agent that has stopped cannot be reached; callers retransmit.
+func (n *testNetwork) write(datagram []byte, agent table.Endpoint) {
+	// Errors are ignored: a stopped agent cannot be reached, and callers
+	// retransmit.
 	_, _ = n.socket.WriteToUDPAddrPort(datagram, agent.AddrPort())
 }
 
-func (n *network) receiveAnswers() {
+func (n *testNetwork) receiveResponses() {
 	decoder := encap.NewDecoder()
 	packets := packet.NewDecoder()
 	buffer := make([]byte, maximumDatagram)
@@ -124,13 +126,13 @@
 		datagram, outcome := decoder.Decode(buffer[:count])
 		summary, decoded := packets.Decode(datagram.Packet)
 		fit := outcome == encap.Decoded && decoded == packet.Decoded && !datagram.Control
-		n.deliver(answer{from, summary, datagram.HasRouting || !fit}, datagram.Packet)
+		n.deliver(response{from, summary, datagram.HasRouting || !fit}, datagram.Packet)
 	}
 }
 
-func (n *network) deliver(received answer, data []byte) {
+func (n *testNetwork) deliver(received response, data []byte) {
 	n.mutex.Lock()
-	n.answers = append(n.answers, received)
+	n.responses = append(n.responses, received)
 	receiver := n.receivers[received.summary.Flow.Destination.Addr()]
 	n.mutex.Unlock()
 	if receiver != nil {
@@ -138,12 +140,12 @@
 	}
 }
 
-// answersTo returns the answers to a caller so far.
-func (n *network) answersTo(caller netip.AddrPort) []answer {
+// responsesTo returns all responses to a caller so far.
+func (n *testNetwork) responsesTo(caller netip.AddrPort) []response {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	var found []answer
-	for _, received := range n.answers {
+	var found []response
+	for _, received := range n.responses {
 		if received.summary.Flow.Destination == caller {
 			found = append(found, received)
 		}
@@ -151,10 +153,9 @@
 	return found
 }
 
-// resetsTo returns the number of resets that a caller was sent, and the number
-// of other answers.
-func (n *network) resetsTo(caller netip.AddrPort) (resets, others int) {
-	for _, received := range n.answersTo(caller) {
+// countResponses returns the numbers of resets and of other responses to a caller.
+func (n *testNetwork) countResponses(caller netip.AddrPort) (resets, others int) {
+	for _, received := range n.responsesTo(caller) {
 		if received.summary.Reset {
 			resets++
 			continue
--- a/internal/agent/packets.go
+++ b/internal/agent/packets.go
@@ -16,38 +16,43 @@
 
 const receiveBufferSize = 64 << 10
 
-// receivePackets handles datagrams from balancers and other agents.
+// receivePackets handles datagrams from balancers and other agents until the
+// socket is closed.
 func (a *Agent) receivePackets() error {
 	buffer := make([]byte, receiveBufferSize)
 	for {
-		count, _, err := a.socket.ReadFromUDPAddrPort(buffer)
+		count, _, err := a.packetSocket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			// An ICMP error for an earlier datagram; the socket is usable.
+			// This is an ICMP error for an earlier datagram. The socket is
+			// still usable.
 			continue
 		}
-		a.receive(buffer[:count])
+		a.handleDatagram(buffer[:count])
 	}
 }
 
-func (a *Agent) receive(data []byte) {
+// handleDatagram decodes a datagram and handles the message or the caller's packet
+// in it.
+func (a *Agent) handleDatagram(data []byte) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	datagram, outcome := a.envelope.Decode(data)
+	datagram, outcome := a.encapDecoder.Decode(data)
 	if outcome != encap.Decoded {
-		a.dropped(outcome.String())
+		a.countDrop(outcome.String())
 		return
 	}
 	if datagram.Control {
-		a.receiveMessage(datagram)
+		a.handleMessage(datagram)
 		return
 	}
-	a.receivePacket(datagram)
+	a.handlePacket(datagram)
 }
 
-// Reasons for dropping that arise in the agent itself.
+// Drop reasons of the agent itself. The others come from packages encap, packet and
+// admission.
 const (
 	reasonNoRouting    = "no_routing"
 	reasonMisaddressed = "misaddressed"
@@ -56,24 +61,25 @@
 	reasonSendFailed   = "send_failed"
 )
 
-// receivePacket checks that a caller's packet is for a row served here, in its
-// present incarnation, and for that row's service, and lets the row decide.
-func (a *Agent) receivePacket(datagram encap.Datagram) {
+// handlePacket passes a caller's packet to the machine of the row that it is
+// addressed to. It drops the packet if this agent does not serve that incarnation
+// of the row, or if the row belongs to another service.
+func (a *Agent) handlePacket(datagram encap.Datagram) {
 	if !datagram.HasRouting {
-		a.dropped(reasonNoRouting)
+		a.countDrop(reasonNoRouting)
 		return
 	}
-	summary, outcome := a.decoder.Decode(datagram.Packet)
+	summary, outcome := a.packetDecoder.Decode(datagram.Packet)
 	if outcome != packet.Decoded {
-		a.dropped(outcome.String())
+		a.countDrop(outcome.String())
 		return
 	}
 	routing := datagram.Routing
 	served, exists := a.rows[rowKey{routing.Backend, routing.Incarnation}]
-	if !exists || !served.serves(datagram, summary) {
-		a.dropped(reasonMisaddressed)
+	if !exists || !served.accepts(datagram, summary) {
+		a.countDrop(reasonMisaddressed)
 		if a.table == nil || routing.Version > a.table.Version {
-			a.client.Refresh()
+			a.controlClient.Refresh()
 		}
 		return
 	}
@@ -85,16 +91,19 @@
 	a.execute(served, served.machine.HandlePacket(a.now(), arrived))
 }
 
-func (r *row) serves(datagram encap.Datagram, summary packet.Summary) bool {
+// accepts reports whether a packet is addressed to the service of the row.
+func (r *row) accepts(datagram encap.Datagram, summary packet.Summary) bool {
 	return datagram.Service == r.service.ID &&
 		summary.Flow.Destination == r.service.Address.AddrPort() &&
 		summary.Flow.Protocol == r.service.Protocol
 }
 
-func (a *Agent) receiveMessage(datagram encap.Datagram) {
+// handleMessage passes a message of another row to the machine of the row that it
+// is addressed to. It drops messages from rows that are not in the table.
+func (a *Agent) handleMessage(datagram encap.Datagram) {
 	var message admission.Message
 	if _, err := message.UnmarshalMsg(datagram.Packet); err != nil {
-		a.dropped(reasonBadMessage)
+		a.countDrop(reasonBadMessage)
 		return
 	}
 	for key, served := range a.rows {
@@ -102,54 +111,55 @@
 		if !current || served.service.ID != datagram.Service {
 			continue
 		}
-		if _, known := a.peerOf(message.From); known {
+		if _, known := a.findPeer(message.From); known {
 			a.execute(served, served.machine.HandleMessage(a.now(), message))
 		}
 		return
 	}
-	a.dropped(reasonMisaddressed)
+	a.countDrop(reasonMisaddressed)
 }
 
-// peerOf returns where another row is reached. If it is not in the table held,
-// that table is old, and a newer one is asked for.
-func (a *Agent) peerOf(id table.BackendID) (peer, bool) {
+// findPeer returns the address and incarnation of a row. If the row is not in the
+// table in use, the table may be old: findPeer requests a newer one and counts a
+// drop.
+func (a *Agent) findPeer(id table.BackendID) (peerRow, bool) {
 	known, exists := a.peers[id]
 	if !exists {
-		a.client.Refresh()
-		a.dropped(reasonNoPeer)
+		a.controlClient.Refresh()
+		a.countDrop(reasonNoPeer)
 	}
 	return known, exists
 }
 
-// execute carries out the effects that a row's machine asked for. The mutex
-// must be held.
+// execute carries out the effects returned by the machine of a row. The mutex must
+// be held.
 func (a *Agent) execute(served *row, effects []admission.Effect) {
 	for _, effect := range effects {
-		a.trace(served, effect)
+		a.logEffect(served, effect)
 		switch effect.Kind {
 		case admission.Deliver:
 			a.config.Metrics.DeliveredPackets.Add(1)
 			served.stack.Inject(effect.Packet.Data)
 		case admission.Forward:
 			a.config.Metrics.ForwardedPackets.Add(1)
-			a.forward(served, effect)
+			a.forwardPacket(served, effect)
 		case admission.SendMessage:
 			a.config.Metrics.MessagesSent.Add(1)
-			a.send(served, effect)
+			a.sendMessage(served, effect)
 		case admission.SendReset:
 			a.config.Metrics.RefusedFlows.Add(1)
-			a.refuser.Inject(effect.Packet.Data)
+			a.resetStack.Inject(effect.Packet.Data)
 		case admission.Drop:
-			a.dropped(effect.Reason.String())
+			a.countDrop(effect.Reason.String())
 		case admission.RefreshTable:
-			a.client.Refresh()
+			a.controlClient.Refresh()
 		}
 	}
 }
 
-// trace logs, at debug level, what became of a flow's opening packet and why
-// other packets were not delivered.
-func (a *Agent) trace(served *row, effect admission.Effect) {
+// logEffect logs at debug level how each packet was handled. It omits delivered
+// packets that do not open a flow.
+func (a *Agent) logEffect(served *row, effect admission.Effect) {
 	if a.config.Logger.GetLevel() > log.DebugLevel || effect.Kind == admission.SendMessage || effect.Kind == admission.RefreshTable {
 		return
 	}
@@ -163,20 +173,22 @@
 		"hops", effect.Packet.Routing.Hops, "version", effect.Packet.Routing.Version)
 }
 
-func (a *Agent) forward(served *row, effect admission.Effect) {
-	next, exists := a.peerOf(effect.To)
+// forwardPacket sends the packet of a Forward effect to the agent of another row.
+func (a *Agent) forwardPacket(served *row, effect admission.Effect) {
+	next, exists := a.findPeer(effect.To)
 	if !exists {
 		return
 	}
 	routing := effect.Packet.Routing
 	routing.Backend = effect.To
 	routing.Incarnation = next.incarnation
-	a.output = a.encoder.AppendRouted(a.output[:0], served.service.ID, routing, effect.Packet.Data)
-	a.write(a.output, next.agent)
+	a.sendBuffer = a.encoder.AppendRouted(a.sendBuffer[:0], served.service.ID, routing, effect.Packet.Data)
+	a.sendDatagram(a.sendBuffer, next.agentAddress)
 }
 
-func (a *Agent) send(served *row, effect admission.Effect) {
-	next, exists := a.peerOf(effect.To)
+// sendMessage sends the message of a SendMessage effect to the agent of another row.
+func (a *Agent) sendMessage(served *row, effect admission.Effect) {
+	next, exists := a.findPeer(effect.To)
 	if !exists {
 		return
 	}
@@ -184,18 +196,20 @@
 	if err != nil {
 		panic("agent: cannot encode a message: " + err.Error())
 	}
-	a.output = a.encoder.AppendControl(a.output[:0], served.service.ID, encoded)
-	a.write(a.output, next.agent)
+	a.sendBuffer = a.encoder.AppendControl(a.sendBuffer[:0], served.service.ID, encoded)
+	a.sendDatagram(a.sendBuffer, next.agentAddress)
 }
 
-func (a *Agent) write(datagram []byte, to netip.AddrPort) {
-	if _, err := a.socket.WriteToUDPAddrPort(datagram, to); err != nil {
-		a.dropped(reasonSendFailed)
+// sendDatagram sends a datagram and counts a failure as a dropped packet.
+func (a *Agent) sendDatagram(datagram []byte, to netip.AddrPort) {
+	if _, err := a.packetSocket.WriteToUDPAddrPort(datagram, to); err != nil {
+		a.countDrop(reasonSendFailed)
 	}
 }
 
-// transmit sends a stack's answers straight to the fabric.
-func (a *Agent) transmit(source *netstack.Stack) error {
+// sendResponses sends the outgoing packets of a network stack directly to the
+// fabric until the agent stops.
+func (a *Agent) sendResponses(source *netstack.Stack) error {
 	encoder := encap.NewEncoder()
 	var answer, datagram []byte
 	for {
@@ -205,6 +219,6 @@
 			return nil
 		}
 		datagram = encoder.AppendPlain(datagram[:0], answer)
-		a.write(datagram, a.config.Fabric)
+		a.sendDatagram(datagram, a.config.Fabric)
 	}
 }
--- a/internal/agent/refusal_test.go
+++ b/internal/agent/refusal_test.go
@@ -10,56 +10,56 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-var _ = Describe("a flow that is refused", func() {
+var _ = Describe("a refused flow", func() {
 	const sequence = 1000
 
-	// isRefused sends the first packet of a flow and waits for one more reset.
-	isRefused := func(site *site, caller netip.AddrPort, initial uint32) {
+	// expectReset sends the first packet of a flow and waits for another reset.
+	expectReset := func(environment *environment, caller netip.AddrPort, initial uint32) {
 		GinkgoHelper()
-		before, _ := site.carrier.resetsTo(caller)
-		site.carrier.send(opening(caller, lookupAddress, initial))
+		before, _ := environment.network.countResponses(caller)
+		environment.network.send(openingSegment(caller, lookupAddress, initial))
 		Eventually(func() int {
-			resets, _ := site.carrier.resetsTo(caller)
+			resets, _ := environment.network.countResponses(caller)
 			return resets
-		}, generous).Should(Equal(before + 1))
-		_, others := site.carrier.resetsTo(caller)
+		}, waitTimeout).Should(Equal(before + 1))
+		_, others := environment.network.countResponses(caller)
 		Expect(others).To(BeZero())
 	}
 
-	It("has not reached a dead back end, nor does its retransmission once that is back", func() {
+	It("stays refused when it is retransmitted after its dead back end has returned", func() {
 		address := deadAddress()
-		site := startSite(address, unadjusted)
-		isRefused(site, crafted(2000), sequence)
+		environment := startEnvironment(address, unchangedTable)
+		expectReset(environment, craftedCaller(2000), sequence)
 		service := startBackendAt(address)
-		isRefused(site, crafted(2000), sequence)
-		flow := startCaller(site.carrier).open(lookupAddress)
-		served := service.take()
+		expectReset(environment, craftedCaller(2000), sequence)
+		flow := startCaller(environment.network).open(lookupAddress)
+		served := service.nextConnection()
 		_, err := flow.Write([]byte("first to run"))
 		Expect(err).NotTo(HaveOccurred())
 		expectMessage(served, "first to run")
 		Expect(service.accepted).To(BeEmpty())
-		Expect(site.agent.counts.of(refused)()).To(BeEquivalentTo(2))
+		Expect(environment.agent.counts.valueOf(refused)()).To(BeEquivalentTo(2))
 	})
 
-	It("opens when its caller tries anew after the back end is back", func() {
+	It("opens when its caller tries again with a new connection after the back end has returned", func() {
 		address := deadAddress()
-		site := startSite(address, unadjusted)
-		isRefused(site, crafted(2000), sequence)
+		environment := startEnvironment(address, unchangedTable)
+		expectReset(environment, craftedCaller(2000), sequence)
 		service := startBackendAt(address)
-		site.carrier.send(opening(crafted(2000), lookupAddress, sequence+1))
-		service.take()
+		environment.network.send(openingSegment(craftedCaller(2000), lookupAddress, sequence+1))
+		service.nextConnection()
 	})
 
-	It("is beyond the connection limit, and opens again below it", func() {
+	It("does not reach the back end at the connection limit, and opens below the limit", func() {
 		service := startBackend()
-		site := startSite(service.address(), func(published *table.Table) {
+		environment := startEnvironment(service.address(), func(published *table.Table) {
 			published.Backends[0].ConnectionLimit = 1
 		})
-		caller := startCaller(site.carrier)
+		caller := startCaller(environment.network)
 		first := caller.open(lookupAddress)
-		served := service.take()
-		isRefused(site, crafted(2000), sequence)
-		isRefused(site, crafted(2000), sequence)
+		served := service.nextConnection()
+		expectReset(environment, craftedCaller(2000), sequence)
+		expectReset(environment, craftedCaller(2000), sequence)
 		_, err := caller.dial(lookupAddress)
 		Expect(err).To(MatchError(ContainSubstring((&tcpip.ErrConnectionRefused{}).String())))
 		_, err = first.Write([]byte("still here"))
@@ -71,10 +71,10 @@
 		Eventually(func() error {
 			again, err := caller.dial(lookupAddress)
 			if err == nil {
-				bound(again)
+				setTestDeadline(again)
 			}
 			return err
-		}, generous).Should(Succeed())
-		service.take()
+		}, waitTimeout).Should(Succeed())
+		service.nextConnection()
 	})
 })
--- a/internal/agent/splice.go
+++ b/internal/agent/splice.go
@@ -11,15 +11,15 @@
 
 const spliceBufferSize = 32 << 10
 
-// halfCloser is a stream whose two directions end separately.
+// halfCloser is a stream whose directions can be closed separately.
 type halfCloser interface {
 	io.ReadWriter
 	CloseWrite() error
 }
 
-// spliceStreams copies both directions until both have ended. It returns false
-// if either ended with an error; abort is then called at once, so that the
-// other side does not take a cut stream for a whole one.
+// spliceStreams copies data in both directions until both have ended. If either
+// direction fails, it calls abort immediately and returns false. Aborting prevents
+// the receiver from taking a truncated stream for a complete one.
 func spliceStreams(caller, backend halfCloser, abort func()) bool {
 	var once sync.Once
 	failed := false
@@ -54,39 +54,41 @@
 	}
 }
 
-// onlyWriter and onlyReader hide ReadFrom and WriteTo, which would replace the
-// given buffer by larger ones.
+// onlyWriter and onlyReader hide the methods ReadFrom and WriteTo. io.CopyBuffer
+// would otherwise use them with larger buffers instead of the given one.
 type onlyWriter struct{ io.Writer }
 
 type onlyReader struct{ io.Reader }
 
 const datagramBufferSize = 9000
 
-// spliceDatagrams copies both directions until no datagram has come for the
-// idle time.
+// spliceDatagrams copies datagrams in both directions until neither direction has
+// had a datagram for the idle time.
 func spliceDatagrams(caller, backend net.Conn, idle time.Duration) {
 	var directions sync.WaitGroup
-	activity := &idleTimer{connections: []net.Conn{caller, backend}, idle: idle}
-	activity.touch()
+	timer := &idleTimer{connections: []net.Conn{caller, backend}, idle: idle}
+	timer.extend()
 	directions.Add(2)
 	go func() {
 		defer directions.Done()
-		copyDatagrams(backend, caller, activity)
+		copyDatagrams(backend, caller, timer)
 	}()
 	go func() {
 		defer directions.Done()
-		copyDatagrams(caller, backend, activity)
+		copyDatagrams(caller, backend, timer)
 	}()
 	directions.Wait()
 }
 
-// idleTimer ends both connections of a flow when neither had traffic.
+// idleTimer ends both connections of a flow by read deadlines when neither has had
+// traffic for the idle time.
 type idleTimer struct {
 	connections []net.Conn
 	idle        time.Duration
 }
 
-func (t *idleTimer) touch() {
+// extend restarts the idle time of both connections.
+func (t *idleTimer) extend() {
 	deadline := time.Now().Add(t.idle)
 	for _, connection := range t.connections {
 		// A closed connection needs no deadline.
@@ -94,33 +96,34 @@
 	}
 }
 
-// stop ends both connections at once.
-func (t *idleTimer) stop() {
+// expire ends both connections immediately.
+func (t *idleTimer) expire() {
 	for _, connection := range t.connections {
 		_ = connection.SetReadDeadline(time.Now())
 	}
 }
 
-func copyDatagrams(destination, source net.Conn, activity *idleTimer) {
-	defer activity.stop()
+func copyDatagrams(destination, source net.Conn, timer *idleTimer) {
+	defer timer.expire()
 	buffer := make([]byte, datagramBufferSize)
 	for {
 		count, err := source.Read(buffer)
-		if endsDatagrams(err) {
+		if endsUDPFlow(err) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		activity.touch()
-		if _, err := destination.Write(buffer[:count]); endsDatagrams(err) {
+		timer.extend()
+		if _, err := destination.Write(buffer[:count]); endsUDPFlow(err) {
 			return
 		}
 	}
 }
 
-// endsDatagrams reports whether an error ends a UDP flow. That nobody listened
-// for an earlier datagram does not: the back end may be restarting.
-func endsDatagrams(err error) bool {
+// endsUDPFlow reports whether an error ends a UDP flow. ECONNREFUSED does not: it
+// means that no socket was listening for an earlier datagram, and the back end may
+// be restarting.
+func endsUDPFlow(err error) bool {
 	return err != nil && !errors.Is(err, syscall.ECONNREFUSED)
 }
--- a/internal/agent/splice_test.go
+++ b/internal/agent/splice_test.go
@@ -10,16 +10,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// idleBound is long enough for any exchange, and idleShort ends at once what
-// has no traffic.
+// longIdleTimeout is long enough for any exchange of messages. shortIdleTimeout ends
+// a flow without traffic quickly.
 const (
-	idleBound = time.Minute
-	idleShort = 10 * time.Millisecond
+	longIdleTimeout  = time.Minute
+	shortIdleTimeout = 10 * time.Millisecond
 )
 
-// datagramPair returns two connected UDP sockets. The address of the first is
-// drawn from all of the loopback network: it is free for a moment before the
-// socket is connected.
+// datagramPair returns two connected UDP sockets. The first socket is closed and
+// opened again in between. Its address is random within the loopback network, so
+// that no other process takes it in that moment.
 func datagramPair() (*net.UDPConn, *net.UDPConn) {
 	GinkgoHelper()
 	drawn := net.IPv4(127, byte(1+rand.IntN(254)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
@@ -38,19 +38,19 @@
 	return first, second
 }
 
-// deadlineCounter counts how often the idle time of a connection began anew.
-type deadlineCounter struct {
+// deadlineRecorder counts how often the idle time of a connection was restarted.
+type deadlineRecorder struct {
 	net.Conn
-	moved atomic.Int32
+	deadlinesSet atomic.Int32
 }
 
 // SetReadDeadline implements net.Conn.
-func (d *deadlineCounter) SetReadDeadline(deadline time.Time) error {
-	d.moved.Add(1)
+func (d *deadlineRecorder) SetReadDeadline(deadline time.Time) error {
+	d.deadlinesSet.Add(1)
 	return d.Conn.SetReadDeadline(deadline)
 }
 
-// splice runs spliceDatagrams and returns a channel that closes at its end.
+// splice runs spliceDatagrams and returns a channel that is closed when it returns.
 func splice(caller, backend net.Conn, idle time.Duration) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
@@ -60,11 +60,12 @@
 	return ended
 }
 
-func pass(from, to net.Conn, content string) {
+// expectPassed sends a datagram and checks that it arrives at the other socket.
+func expectPassed(from, to net.Conn, content string) {
 	GinkgoHelper()
 	_, err := from.Write([]byte(content))
 	Expect(err).NotTo(HaveOccurred())
-	Expect(to.SetReadDeadline(time.Now().Add(idleBound))).To(Succeed())
+	Expect(to.SetReadDeadline(time.Now().Add(longIdleTimeout))).To(Succeed())
 	buffer := make([]byte, datagramBufferSize)
 	count, err := to.Read(buffer)
 	Expect(err).NotTo(HaveOccurred())
@@ -72,25 +73,25 @@
 }
 
 var _ = Describe("spliceDatagrams", func() {
-	It("ends when neither direction has traffic", func() {
+	It("returns when neither direction has traffic for the idle time", func() {
 		_, caller := datagramPair()
 		_, backend := datagramPair()
-		Eventually(splice(caller, backend, idleShort), idleBound).Should(BeClosed())
+		Eventually(splice(caller, backend, shortIdleTimeout), longIdleTimeout).Should(BeClosed())
 	})
 
-	It("begins the idle time of both directions anew with each datagram of either", func() {
+	It("restarts the idle time of both directions with each datagram of either direction", func() {
 		outside, inside := datagramPair()
 		near, far := datagramPair()
-		caller, backend := &deadlineCounter{Conn: inside}, &deadlineCounter{Conn: near}
-		ended := splice(caller, backend, idleBound)
-		pass(outside, far, "question")
-		Expect(caller.moved.Load()).To(BeEquivalentTo(2))
-		Expect(backend.moved.Load()).To(BeEquivalentTo(2))
-		pass(far, outside, "answer")
-		Expect(caller.moved.Load()).To(BeEquivalentTo(3))
-		Expect(backend.moved.Load()).To(BeEquivalentTo(3))
+		caller, backend := &deadlineRecorder{Conn: inside}, &deadlineRecorder{Conn: near}
+		ended := splice(caller, backend, longIdleTimeout)
+		expectPassed(outside, far, "question")
+		Expect(caller.deadlinesSet.Load()).To(BeEquivalentTo(2))
+		Expect(backend.deadlinesSet.Load()).To(BeEquivalentTo(2))
+		expectPassed(far, outside, "answer")
+		Expect(caller.deadlinesSet.Load()).To(BeEquivalentTo(3))
+		Expect(backend.deadlinesSet.Load()).To(BeEquivalentTo(3))
 		Expect(inside.Close()).To(Succeed())
 		Expect(near.Close()).To(Succeed())
-		Eventually(ended, idleBound).Should(BeClosed())
+		Eventually(ended, longIdleTimeout).Should(BeClosed())
 	})
 })
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -10,8 +10,8 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// exchangeMessages sends a message each way on an established flow.
-func exchangeMessages(flow, served messenger) {
+// exchangeMessages sends a message in each direction of an open flow.
+func exchangeMessages(flow, served connectionEnd) {
 	GinkgoHelper()
 	_, err := flow.Write([]byte("question"))
 	Expect(err).NotTo(HaveOccurred())
@@ -21,32 +21,33 @@
 	expectMessage(flow, "answer")
 }
 
-// inFlight is how long a flow goes on after the stop has begun.
+// flowDurationAfterStop is how long a flow continues after the stop has begun, with
+// a message in each direction every messageInterval.
 const (
-	inFlight        = 4 * time.Second
-	betweenMessages = 100 * time.Millisecond
+	flowDurationAfterStop = 4 * time.Second
+	messageInterval       = 100 * time.Millisecond
 )
 
-// messenger is either end of a flow.
-type messenger interface {
+// connectionEnd is either end of a flow.
+type connectionEnd interface {
 	Read([]byte) (int, error)
 	Write([]byte) (int, error)
 	Close() error
 }
 
-// pair is a service with two rows, each with an agent and a back end. Only the
-// first takes new flows at version 1; both do at version 2.
-type pair struct {
+// twoRowEnvironment is a service with two rows, each with an agent and a back end.
+// The second row is drained in table version 1.
+type twoRowEnvironment struct {
 	daemon        *testDaemon
-	carrier       *network
+	network       *testNetwork
 	rows          [2]table.Backend
 	backends      [2]*backend
-	agents        [2]*running
+	agents        [2]*runningAgent
 	first, second table.Endpoint
 }
 
-func startPair() *pair {
-	started := &pair{daemon: startDaemon(), carrier: startNetwork(), first: freeEndpoint(), second: freeEndpoint()}
+func startTwoRowEnvironment() *twoRowEnvironment {
+	started := &twoRowEnvironment{daemon: startDaemon(), network: startNetwork(), first: freeEndpoint(), second: freeEndpoint()}
 	started.rows = [2]table.Backend{
 		rowAt(lookupRow, lookupID, "lookup-1", started.first),
 		rowAt(lookupRow+1, lookupID, "lookup-2", started.second),
@@ -55,84 +56,84 @@
 	started.publish(1)
 	for index, row := range started.rows {
 		started.backends[index] = startBackend()
-		started.agents[index] = startAgent(row.Agent, started.carrier, started.daemon, generous,
+		started.agents[index] = startAgent(row.Agent, started.network, started.daemon, waitTimeout,
 			agent.Backend{Service: "lookup", Name: row.Name, Address: started.backends[index].address()})
 		awaitVersion(started.daemon, row.Agent, 1)
 	}
-	started.carrier.use(routeTo(started.rows[0], 1))
+	started.network.setRoute(routeToRow(started.rows[0], 1))
 	return started
 }
 
-func (p *pair) publish(version table.Version) {
+func (p *twoRowEnvironment) publish(version table.Version) {
 	p.daemon.publish(&table.Table{
 		Version:  version,
-		Services: []table.Service{serviceAt(lookupID, "lookup", lookupAddress)},
+		Services: []table.Service{testService(lookupID, "lookup", lookupAddress)},
 		Backends: []table.Backend{p.rows[0], p.rows[1]},
 	})
 }
 
 var _ = Describe("a planned stop", func() {
-	It("refuses new flows, lets the one in flight finish, and ends without an error", func() {
+	It("opens no new flows, lets an open flow finish, and returns no error", func() {
 		service := startBackend()
-		site := startPatientSite(service.address())
-		stopped := site.agent
-		flow := startCaller(site.carrier).open(lookupAddress)
-		served := service.take()
+		env := startDrainingEnvironment(service.address())
+		stopped := env.agent
+		flow := startCaller(env.network).open(lookupAddress)
+		served := service.nextConnection()
 		stopped.stop()
-		Eventually(func() bool { return site.daemon.knowsLeaving(site.endpoint) }, generous).Should(BeTrue())
-		site.carrier.send(opening(crafted(2000), lookupAddress, 1))
-		// Longer than a stopping agent without flows goes on.
-		for end := time.Now().Add(inFlight); time.Now().Before(end); time.Sleep(betweenMessages) {
+		Eventually(func() bool { return env.daemon.knowsLeaving(env.endpoint) }, waitTimeout).Should(BeTrue())
+		env.network.send(openingSegment(craftedCaller(2000), lookupAddress, 1))
+		// This is longer than a stopping agent without flows would continue.
+		for end := time.Now().Add(flowDurationAfterStop); time.Now().Before(end); time.Sleep(messageInterval) {
 			exchangeMessages(flow, served)
 		}
 		Expect(service.accepted).To(BeEmpty())
-		_, accepted := site.carrier.resetsTo(crafted(2000))
+		_, accepted := env.network.countResponses(craftedCaller(2000))
 		Expect(accepted).To(BeZero())
 		Expect(stopped.result).NotTo(Receive())
-		finish(flow, served)
-		Eventually(stopped.result, generous).Should(Receive(BeNil()))
+		closeBothEnds(flow, served)
+		Eventually(stopped.result, waitTimeout).Should(Receive(BeNil()))
 		Expect(service.accepted).To(BeEmpty())
 	})
 
-	It("ends without an error when its time limit cuts a flow that does not finish", func() {
+	It("returns no error when the stop timeout cuts a flow that does not finish", func() {
 		service := startBackend()
-		site := startSite(service.address(), unadjusted)
-		flow := startCaller(site.carrier).open(lookupAddress)
-		exchangeMessages(flow, service.take())
-		site.agent.stop()
-		Eventually(site.agent.result, generous).Should(Receive(BeNil()))
+		env := startEnvironment(service.address(), unchangedTable)
+		flow := startCaller(env.network).open(lookupAddress)
+		exchangeMessages(flow, service.nextConnection())
+		env.agent.stop()
+		Eventually(env.agent.result, waitTimeout).Should(Receive(BeNil()))
 	})
 
-	It("hands new flows over to another row, while the one in flight finishes", func() {
-		pair := startPair()
-		caller := startCaller(pair.carrier)
+	It("hands new flows over to another row while an open flow finishes", func() {
+		twoRows := startTwoRowEnvironment()
+		caller := startCaller(twoRows.network)
 		flow := caller.open(lookupAddress)
-		served := pair.backends[0].take()
-		pair.rows[1].Drain = false
-		pair.publish(2)
-		awaitVersion(pair.daemon, pair.first, 2)
-		awaitVersion(pair.daemon, pair.second, 2)
-		pair.agents[0].stop()
-		Eventually(func() bool { return pair.daemon.knowsLeaving(pair.first) }, generous).Should(BeTrue())
-		// The balancer still uses the first version, and the first row.
+		served := twoRows.backends[0].nextConnection()
+		twoRows.rows[1].Drain = false
+		twoRows.publish(2)
+		awaitVersion(twoRows.daemon, twoRows.first, 2)
+		awaitVersion(twoRows.daemon, twoRows.second, 2)
+		twoRows.agents[0].stop()
+		Eventually(func() bool { return twoRows.daemon.knowsLeaving(twoRows.first) }, waitTimeout).Should(BeTrue())
+		// The balancer still uses table version 1 and the first row.
 		later := caller.open(lookupAddress)
-		handedOver := pair.backends[1].take()
+		handedOver := twoRows.backends[1].nextConnection()
 		exchangeMessages(later, handedOver)
 		exchangeMessages(flow, served)
-		Expect(pair.backends[0].accepted).To(BeEmpty())
-		Expect(pair.agents[0].result).NotTo(Receive())
-		finish(flow, served)
-		Eventually(pair.agents[0].result, generous).Should(Receive(BeNil()))
-		pair.carrier.use(routeTo(pair.rows[1], 2))
+		Expect(twoRows.backends[0].accepted).To(BeEmpty())
+		Expect(twoRows.agents[0].result).NotTo(Receive())
+		closeBothEnds(flow, served)
+		Eventually(twoRows.agents[0].result, waitTimeout).Should(Receive(BeNil()))
+		twoRows.network.setRoute(routeToRow(twoRows.rows[1], 2))
 		exchangeMessages(later, handedOver)
-		finish(later, handedOver)
-		pair.agents[1].stop()
-		Eventually(pair.agents[1].result, generous).Should(Receive(BeNil()))
+		closeBothEnds(later, handedOver)
+		twoRows.agents[1].stop()
+		Eventually(twoRows.agents[1].result, waitTimeout).Should(Receive(BeNil()))
 	})
 })
 
-// finish ends a flow from both sides.
-func finish(flow, served messenger) {
+// closeBothEnds closes a flow at the caller and at the back end.
+func closeBothEnds(flow, served connectionEnd) {
 	GinkgoHelper()
 	Expect(flow.Close()).To(Succeed())
 	Expect(served.Close()).To(Succeed())
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -14,7 +14,7 @@
 	"gvisor.dev/gvisor/pkg/tcpip/adapters/gonet"
 )
 
-// randomBytes returns the same content on every run.
+// randomBytes returns pseudo-random content that depends only on the seed.
 func randomBytes(seed uint64, size int) []byte {
 	content := make([]byte, size)
 	generator := rand.NewChaCha8([32]byte{byte(seed)})
@@ -22,7 +22,8 @@
 	return content
 }
 
-// writeAll writes in the background; the result is received once.
+// writeAll writes content in the background and then calls finish. The returned
+// channel receives the result once.
 func writeAll(destination io.Writer, content []byte, finish func() error) <-chan error {
 	result := make(chan error, 1)
 	go func() {
@@ -35,13 +36,13 @@
 	return result
 }
 
-// establish opens a flow to the only back end of a site.
-func establish() (*site, *gonet.TCPConn, *net.TCPConn) {
+// establish starts an environment and opens a flow to its back end.
+func establish() (*environment, *gonet.TCPConn, *net.TCPConn) {
 	GinkgoHelper()
 	service := startBackend()
-	started := startSite(service.address(), unadjusted)
-	flow := startCaller(started.carrier).open(lookupAddress)
-	return started, flow, service.take()
+	started := startEnvironment(service.address(), unchangedTable)
+	flow := startCaller(started.network).open(lookupAddress)
+	return started, flow, service.nextConnection()
 }
 
 func expectMessage(source io.Reader, message string) {
@@ -53,42 +54,42 @@
 }
 
 var _ = Describe("a TCP flow", func() {
-	It("is carried to the back end and answered straight to the fabric", func() {
-		site, flow, served := establish()
+	It("reaches the back end, and its responses are sent directly to the fabric", func() {
+		env, flow, served := establish()
 		exchangeMessages(flow, served)
 		address := flow.LocalAddr().(interface{ AddrPort() netip.AddrPort }).AddrPort()
-		answers := site.carrier.answersTo(netip.AddrPortFrom(address.Addr().Unmap(), address.Port()))
-		Expect(answers).NotTo(BeEmpty())
-		for _, answered := range answers {
-			Expect(answered.from).To(Equal(site.endpoint.AddrPort()))
+		responses := env.network.responsesTo(netip.AddrPortFrom(address.Addr().Unmap(), address.Port()))
+		Expect(responses).NotTo(BeEmpty())
+		for _, answered := range responses {
+			Expect(answered.from).To(Equal(env.endpoint.AddrPort()))
 			Expect(answered.routed).To(BeFalse())
 			Expect(answered.summary.Flow.Source).To(Equal(lookupAddress))
 		}
-		Expect(site.agent.counts.drops()).To(BeEmpty())
-		Eventually(site.agent.counts.of(openFlows), generous).Should(BeEquivalentTo(1))
+		Expect(env.agent.counts.dropsByReason()).To(BeEmpty())
+		Eventually(env.agent.counts.valueOf(openFlows), waitTimeout).Should(BeEquivalentTo(1))
 	})
 
-	// More than the buffers of all sockets on the way hold.
-	// Enough for several windows of TCP.
+	// streamSize exceeds the buffers of all sockets on the path, and is several
+	// TCP windows.
 	const streamSize = 4 << 20
 
-	It("is carried whole in both directions, each ended on its own by the caller first", func() {
-		site, flow, served := establish()
+	It("is carried completely in both directions when the caller closes its direction first", func() {
+		env, flow, served := establish()
 		request, response := randomBytes(1, streamSize), randomBytes(2, streamSize)
 		sent := writeAll(flow, request, flow.CloseWrite)
 		received, err := io.ReadAll(served)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bytes.Equal(received, request)).To(BeTrue())
-		Eventually(sent, generous).Should(Receive(BeNil()))
+		Eventually(sent, waitTimeout).Should(Receive(BeNil()))
 		answered := writeAll(served, response, served.Close)
 		received, err = io.ReadAll(flow)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bytes.Equal(received, response)).To(BeTrue())
-		Eventually(answered, generous).Should(Receive(BeNil()))
-		Eventually(site.agent.counts.of(openFlows), generous).Should(BeZero())
+		Eventually(answered, waitTimeout).Should(Receive(BeNil()))
+		Eventually(env.agent.counts.valueOf(openFlows), waitTimeout).Should(BeZero())
 	})
 
-	It("is carried whole when the back end ends its direction first", func() {
+	It("is carried completely when the back end closes its direction first", func() {
 		_, flow, served := establish()
 		_, err := served.Write([]byte("greeting"))
 		Expect(err).NotTo(HaveOccurred())
@@ -101,29 +102,29 @@
 		received, err := io.ReadAll(served)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bytes.Equal(received, request)).To(BeTrue())
-		Eventually(sent, generous).Should(Receive(BeNil()))
+		Eventually(sent, waitTimeout).Should(Receive(BeNil()))
 	})
 
-	It("ends at the back end with a reset when its caller goes away", func() {
+	It("is reset at the back end when its caller aborts", func() {
 		service := startBackend()
-		site := startSite(service.address(), unadjusted)
-		caller := startCaller(site.carrier)
+		env := startEnvironment(service.address(), unchangedTable)
+		caller := startCaller(env.network)
 		flow := caller.open(lookupAddress)
-		served := service.take()
+		served := service.nextConnection()
 		exchangeMessages(flow, served)
-		caller.abandon()
+		caller.abortConnections()
 		_, err := served.Read(make([]byte, 1))
 		Expect(err).To(MatchError(syscall.ECONNRESET))
-		Eventually(site.agent.counts.of(openFlows), generous).Should(BeZero())
+		Eventually(env.agent.counts.valueOf(openFlows), waitTimeout).Should(BeZero())
 	})
 
-	It("ends at the caller with a reset when the back end resets it", func() {
-		site, flow, served := establish()
+	It("is reset at the caller when the back end resets it", func() {
+		env, flow, served := establish()
 		exchangeMessages(flow, served)
 		Expect(served.SetLinger(0)).To(Succeed())
 		Expect(served.Close()).To(Succeed())
 		_, err := flow.Read(make([]byte, 1))
 		Expect(err).To(MatchError(ContainSubstring((&tcpip.ErrConnectionReset{}).String())))
-		Eventually(site.agent.counts.of(openFlows), generous).Should(BeZero())
+		Eventually(env.agent.counts.valueOf(openFlows), waitTimeout).Should(BeZero())
 	})
 })
--- a/internal/agent/udp_restart_test.go
+++ b/internal/agent/udp_restart_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// echo answers every datagram with its content until the socket is closed.
+// echo returns every datagram to its sender until the socket is closed.
 func echo(socket *net.UDPConn) {
 	buffer := make([]byte, maximumDatagram)
 	for {
@@ -22,19 +22,20 @@
 }
 
 var _ = Describe("a UDP flow whose back end restarts", func() {
-	It("is answered again once its back end is back", func() {
+	It("is answered again once the back end has returned", func() {
 		service := listenDatagrams(netip.AddrPortFrom(loopback, 0))
 		address := addressOf(service)
-		site := startSite(address, overUDP)
-		flow := startCaller(site.carrier).datagrams(lookupAddress)
+		env := startEnvironment(address, useUDPService)
+		flow := startCaller(env.network).datagrams(lookupAddress)
 		_, err := flow.Write([]byte("before"))
 		Expect(err).NotTo(HaveOccurred())
 		expectDatagram(service, "before")
 		Expect(service.Close()).To(Succeed())
-		// The kernel tells the agent with an ICMP message that nobody listens.
+		// The kernel answers the agent with an ICMP message, because no socket
+		// listens.
 		_, err = flow.Write([]byte("lost"))
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(site.agent.counts.of(delivered), generous).Should(BeEquivalentTo(2))
+		Eventually(env.agent.counts.valueOf(delivered), waitTimeout).Should(BeEquivalentTo(2))
 		go echo(listenDatagrams(address))
 		Eventually(func() error {
 			if _, err := flow.Write([]byte("again")); err != nil {
@@ -45,10 +46,10 @@
 			}
 			_, err := flow.Read(make([]byte, maximumDatagram))
 			return err
-		}, generous).Should(Succeed())
+		}, waitTimeout).Should(Succeed())
 	})
 })
 
-// answerWait is how long a caller waits for an answer before it repeats its
-// datagram.
+// answerWait is how long the caller waits for an answer before it sends its
+// datagram again.
 const answerWait = 200 * time.Millisecond
