--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -198,7 +198,7 @@
 		Destination: testAddress,
 		Protocol:    table.ProtocolTCP,
 	}
-	slots := lookup.Assign(view.Service, view.Rows, view.mayTakeNewFlows)
+	slots := lookup.AssignSlots(view.Service, view.Rows, view.mayTakeNewFlows)
 	return view.Rows[slots[lookup.SlotOf(flow.Hash(), len(slots))]].ID
 }
 
--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -46,7 +46,7 @@
 }
 
 func newAssignedView(view View) *assignedView {
-	return &assignedView{view: view, slots: lookup.Assign(view.Service, view.Rows, view.mayTakeNewFlows)}
+	return &assignedView{view: view, slots: lookup.AssignSlots(view.Service, view.Rows, view.mayTakeNewFlows)}
 }
 
 // primary returns the row that decides about new flows with the given hash. It
--- a/internal/agent/daemon_test.go
+++ b/internal/agent/daemon_test.go
@@ -64,7 +64,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.registry.Publish(time.Since(d.started), published)
-	d.registry.Confirm()
+	d.registry.ConfirmTable()
 }
 
 func (d *testDaemon) run() {
@@ -94,7 +94,7 @@
 	d.registry.Tick(now)
 	// The test process may be delayed, which must not make the registry treat
 	// its table as outdated. No newer table exists.
-	d.registry.Confirm()
+	d.registry.ConfirmTable()
 	d.held[heartbeat.Agent] = heartbeat.Version
 	d.leaving[heartbeat.Agent] = heartbeat.Leaving
 	grant, granted := d.registry.Receive(now, heartbeat)
--- a/internal/agent/packets.go
+++ b/internal/agent/packets.go
@@ -79,7 +79,7 @@
 	if !exists || !served.accepts(datagram, summary) {
 		a.countDrop(reasonMisaddressed)
 		if a.table == nil || routing.Version > a.table.Version {
-			a.controlClient.Refresh()
+			a.controlClient.Renew()
 		}
 		return
 	}
@@ -125,7 +125,7 @@
 func (a *Agent) findPeer(id table.BackendID) (peerRow, bool) {
 	known, exists := a.peers[id]
 	if !exists {
-		a.controlClient.Refresh()
+		a.controlClient.Renew()
 		a.countDrop(reasonNoPeer)
 	}
 	return known, exists
@@ -152,7 +152,7 @@
 		case admission.Drop:
 			a.countDrop(effect.Reason.String())
 		case admission.RefreshTable:
-			a.controlClient.Refresh()
+			a.controlClient.Renew()
 		}
 	}
 }
@@ -214,7 +214,7 @@
 	var answer, datagram []byte
 	for {
 		var more bool
-		answer, more = source.Next(a.context, answer[:0])
+		answer, more = source.ReadPacket(a.context, answer[:0])
 		if !more {
 			return nil
 		}
--- a/internal/agent/row.go
+++ b/internal/agent/row.go
@@ -66,7 +66,7 @@
 	_ = caller.Close()
 	if complete {
 		r.recordLingering(key, sequence)
-		caller.AwaitGone(lingerTimeout)
+		caller.WaitClosed(lingerTimeout)
 	}
 	r.recordClosed(key, sequence)
 }
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -87,7 +87,7 @@
 	service  string
 	opened   time.Duration
 	touched  time.Duration
-	terms    Terms
+	terms    FlowParameters
 	// began is when the client began to open the flow, as far as its packets show.
 	began time.Duration
 	// offer is set while the state is flowOffering, search while it is
@@ -120,7 +120,7 @@
 	demands map[string]*demand
 	swept   time.Duration
 	// levels are how far groups of endpoints are used.
-	levels map[group]*placement.Level
+	levels map[group]*placement.GroupUtilization
 	// usual are the paces that are usual for services.
 	usual map[string]usualPace
 	// paces is room for the paces of a service.
@@ -141,11 +141,11 @@
 func NewBalancer(config BalancerConfig) *Balancer {
 	return &Balancer{
 		config:   config,
-		snapshot: directory.New().Snapshot(),
+		snapshot: directory.NewReplica().Snapshot(),
 		flows:    make(map[segment.FlowKey]*balancerFlow),
 		health:   make(map[directory.EndpointID]*health),
 		demands:  make(map[string]*demand),
-		levels:   make(map[group]*placement.Level),
+		levels:   make(map[group]*placement.GroupUtilization),
 		usual:    make(map[string]usualPace),
 		sharing:  make(map[segment.Address]*sharing),
 		budget:   newBudget(),
@@ -153,8 +153,8 @@
 	}
 }
 
-// Flows returns the number of flows remembered.
-func (b *Balancer) Flows() int { return len(b.flows) }
+// FlowCount returns the number of flows remembered.
+func (b *Balancer) FlowCount() int { return len(b.flows) }
 
 // Install makes later decisions use a snapshot of the directory, and tells the
 // agents of endpoints that are leaving so. The returned effects are valid until
@@ -181,7 +181,7 @@
 func (b *Balancer) tellLeaving(previous, current *directory.Snapshot) {
 	for _, candidate := range current.All() {
 		before, existed := previous.Candidate(candidate.ID)
-		occupant, _ := current.At(candidate.Endpoint.IP)
+		occupant, _ := current.CandidateAt(candidate.Endpoint.IP)
 		told := existed && before.Draining()
 		if !candidate.Draining() || candidate.Gone || told || occupant.ID != candidate.ID {
 			continue
@@ -190,12 +190,12 @@
 	}
 }
 
-// Confirm tells that the directory was current at a time.
-func (b *Balancer) Confirm(now time.Duration) { b.confirmed = max(b.confirmed, now) }
+// MarkConfirmed tells that the directory was current at a time.
+func (b *Balancer) MarkConfirmed(now time.Duration) { b.confirmed = max(b.confirmed, now) }
 
-// Arrive handles a client's packet. The returned effects are valid until the
+// HandleClientPacket handles a client's packet. The returned effects are valid until the
 // next call, and so must packet be.
-func (b *Balancer) Arrive(now time.Duration, packet []byte) []Effect {
+func (b *Balancer) HandleClientPacket(now time.Duration, packet []byte) []Effect {
 	b.effects = b.effects[:0]
 	header, outcome := b.config.Codec.Decode(packet)
 	if outcome != segment.Decoded {
@@ -217,7 +217,7 @@
 
 // arrive handles a client's packet once the directory is known.
 func (b *Balancer) arrive(now time.Duration, key segment.FlowKey, header segment.Header, packet []byte) {
-	if header.Opening() {
+	if header.OpensFlow() {
 		b.arriveOpening(now, key, header, packet)
 		return
 	}
@@ -284,9 +284,9 @@
 		b.receiveUncertain(now, from, message)
 	case KindDenied:
 		b.receiveDenied(now, from, message)
-	case KindSurveyed:
+	case KindSurveyResult:
 		b.receiveSurveyed(now, from, message)
-	case KindUnknown:
+	case KindNotOwned:
 		b.receiveUnknown(now, from, message)
 	case KindLeaving:
 		b.receiveLeaving(now, from)
@@ -296,7 +296,7 @@
 
 // receiveLeaving handles that an agent is about to stop.
 func (b *Balancer) receiveLeaving(now time.Duration, from segment.Address) {
-	if candidate, exists := b.snapshot.At(from.IP); exists {
+	if candidate, exists := b.snapshot.CandidateAt(from.IP); exists {
 		b.healthOf(candidate.ID).suspect(now)
 	}
 }
@@ -338,7 +338,7 @@
 		known.measure(now - b.swept)
 	}
 	b.swept = now
-	maps.DeleteFunc(b.levels, func(_ group, level *placement.Level) bool { return level.Expired(now) })
+	maps.DeleteFunc(b.levels, func(_ group, level *placement.GroupUtilization) bool { return level.Expired(now) })
 	for key, known := range b.flows {
 		retention := b.config.FlowLifetime
 		switch known.state {
@@ -364,7 +364,7 @@
 }
 
 func (b *Balancer) send(to segment.Address, message Message) {
-	b.effects = append(b.effects, Effect{Kind: EffectPeer, To: to, Message: message})
+	b.effects = append(b.effects, Effect{Kind: EffectSendMessage, To: to, Message: message})
 }
 
 func (b *Balancer) event(event Event) {
--- a/internal/relay/relay_bench_test.go
+++ b/internal/relay/relay_bench_test.go
@@ -13,20 +13,20 @@
 
 // benchmarkFleet has the given number of services with eight endpoints each;
 // the fixture's route leads to the first.
-func benchmarkFleet(services int) *directory.Machine {
-	machine := directory.New()
+func benchmarkFleet(services int) *directory.Replica {
+	machine := directory.NewReplica()
 	configuration := &directory.Configuration{Version: 1}
 	var items []directory.Item
 	for number := range services {
 		name := fmt.Sprintf("service-%d", number)
 		configuration.Routes = append(configuration.Routes, directory.Route{
-			IP: routeAddress.IP, Port: routeAddress.Port + uint16(number), Shares: []directory.Share{{Service: name, Weight: 1}},
-			Target: 250 * time.Millisecond, Timeout: 2 * time.Second,
+			IP: routeAddress.IP, Port: routeAddress.Port + uint16(number), WeightedServices: []directory.WeightedService{{Service: name, Weight: 1}},
+			TargetLatency: 250 * time.Millisecond, Timeout: 2 * time.Second,
 		})
 		for index := range 8 {
 			id := number*8 + index
 			items = append(items, directory.Item{
-				EndpointID: directory.Named(fmt.Sprintf("i-%010x", id)), Revision: directory.Revision(id + 2),
+				EndpointID: directory.NameOnlyID(fmt.Sprintf("i-%010x", id)), Revision: directory.Revision(id + 2),
 				Endpoint: &directory.Endpoint{
 					Service: name, IP: [4]byte{10, byte(id >> 16), byte(id >> 8), byte(id)}, Port: 8080, Zone: ownZone, Slots: 7,
 				},
@@ -34,7 +34,7 @@
 		}
 	}
 	items = append(items, directory.Item{Revision: 1, Configuration: configuration})
-	machine.Listing(0, items, directory.Revision(services*8+2))
+	machine.ApplyListing(0, items, directory.Revision(services*8+2))
 	return machine
 }
 
@@ -45,7 +45,7 @@
 	}, nil)
 }
 
-func benchmarkBalancer(machine *directory.Machine) *relay.Balancer {
+func benchmarkBalancer(machine *directory.Replica) *relay.Balancer {
 	balancer := relay.NewBalancer(relay.BalancerConfig{
 		Codec: codec, AgentPort: agentPort, FlowLifetime: flowLifetime, FlowLimit: 1 << 24, Random: newRandom(),
 	})
@@ -61,11 +61,11 @@
 			b.ReportAllocs()
 			for number := range b.N {
 				packet := openingTo(number)
-				effects := balancer.Arrive(0, packet)
+				effects := balancer.HandleClientPacket(0, packet)
 				to := effects[0].To
 				header, _ := codec.Decode(packet)
 				key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-				balancer.Receive(0, to, relay.Message{Kind: relay.KindPlaced, Flow: relay.FlowOf(key), Sequence: 100})
+				balancer.Receive(0, to, relay.Message{Kind: relay.KindPlaced, Flow: relay.EncodeFlow(key), Sequence: 100})
 			}
 		})
 	}
@@ -74,11 +74,11 @@
 // BenchmarkBalancerForward measures a packet of a known flow.
 func BenchmarkBalancerForward(b *testing.B) {
 	balancer := benchmarkBalancer(benchmarkFleet(1500))
-	balancer.Arrive(0, opening(1, 100))
+	balancer.HandleClientPacket(0, opening(1, 100))
 	packet := fromClient(1, segment.Acknowledge, 101, 501, "request")
 	b.ReportAllocs()
 	for b.Loop() {
-		balancer.Arrive(0, packet)
+		balancer.HandleClientPacket(0, packet)
 	}
 }
 
@@ -91,10 +91,10 @@
 		balancer := benchmarkBalancer(machine)
 		for number := range flows {
 			packet := openingTo(number)
-			effects := balancer.Arrive(0, packet)
+			effects := balancer.HandleClientPacket(0, packet)
 			header, _ := codec.Decode(packet)
 			key := segment.FlowKey{Client: header.Source, Service: header.Destination}
-			balancer.Receive(0, effects[0].To, relay.Message{Kind: relay.KindPlaced, Flow: relay.FlowOf(key), Sequence: 100})
+			balancer.Receive(0, effects[0].To, relay.Message{Kind: relay.KindPlaced, Flow: relay.EncodeFlow(key), Sequence: 100})
 		}
 		balancer.Tick(time.Second)
 		b.ReportMetric(float64(heap()-before)/flows, "B/flow")
@@ -109,11 +109,11 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		agent.Receive(0, balancerA, relay.Message{Kind: relay.KindOffer, Service: service, Packet: opening(1, 100)})
-		agent.Emitted(0, fromEndpoint(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
+		agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Synchronize|segment.Acknowledge, 500, 101, ""))
 		agent.Receive(0, balancerA, relay.Message{
 			Kind: relay.KindForward, Service: service, Packet: fromClient(1, segment.Acknowledge, 101, 501, "request"),
 		})
-		agent.Emitted(0, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
+		agent.HandleEndpointPacket(0, fromEndpoint(1, segment.Acknowledge, 501, 108, "answer"))
 		agent.Receive(0, balancerA, relay.Message{
 			Kind: relay.KindForward, Service: service, Packet: fromClient(1, segment.Acknowledge|segment.Finish, 108, 507, ""),
 		})
@@ -130,7 +130,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
-				machine.Changes(0, []directory.Item{{EndpointID: directory.Named("i-0000000000"), Revision: revision, Endpoint: endpoint}}, revision)
+				machine.ApplyChanges(0, []directory.Item{{EndpointID: directory.NameOnlyID("i-0000000000"), Revision: revision, Endpoint: endpoint}}, revision)
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 				before := heap()
 				machine := benchmarkFleet(services)
 				b.ReportMetric(float64(heap()-before), "B")
-				state := machine.State(0)
+				state := machine.FullState(0)
 				encoded, err := state.MarshalMsg(nil)
 				if err != nil {
 					b.Fatal(err)
