--- a/internal/admission/pending.go
+++ b/internal/admission/pending.go
@@ -24,7 +24,7 @@
 }
 
 // done reports whether no answer to the query is awaited any more.
-func (a *peerQuery) done() bool { return a.answered || a.expired }
+func (q *peerQuery) done() bool { return q.answered || q.expired }
 
 // pendingFlow is a flow whose owner is being decided or located.
 type pendingFlow struct {
@@ -65,8 +65,8 @@
 // has not answered.
 func (p *pendingFlow) requiredRowSilent() bool {
 	for index := range p.queries {
-		asked := &p.queries[index]
-		if asked.required && !asked.believedDown && !asked.answered {
+		query := &p.queries[index]
+		if query.required && !query.believedDown && !query.answered {
 			return true
 		}
 	}
--- a/internal/admission/placement_bench_test.go
+++ b/internal/admission/placement_bench_test.go
@@ -44,47 +44,47 @@
 		interarrive = 2 * time.Millisecond
 	)
 	rows := testRows(7)
-	c := newSimulation(seed, rows, faults{delay: time.Millisecond})
-	for _, machine := range c.machines {
+	s := newSimulation(seed, rows, faults{delay: time.Millisecond})
+	for _, machine := range s.machines {
 		machine.config.HandoverMargin = margin
 	}
 	view := View{Version: 1, Service: testService, Rows: rows}
-	c.installView(view, 0)
-	c.run(time.Minute)
+	s.installView(view, 0)
+	s.run(time.Minute)
 	random := rand.New(rand.NewPCG(seed, 2))
 	var open []uint16
-	c.queries, c.forwards = 0, 0
+	s.queries, s.forwards = 0, 0
 	for port := range uint16(totalFlows) {
 		if len(open) == openFlows {
 			ended := random.IntN(len(open))
-			c.endFlow(open[ended])
+			s.endFlow(open[ended])
 			open[ended] = open[len(open)-1]
 			open = open[:len(open)-1]
 		}
-		c.sendPacket(view, 1000+port, 1, true)
+		s.sendPacket(view, 1000+port, 1, true)
 		open = append(open, 1000+port)
-		c.run(c.now + interarrive)
+		s.run(s.now + interarrive)
 	}
-	c.run(c.now + time.Second)
+	s.run(s.now + time.Second)
 	var largest, sum uint32
-	for _, count := range openFlowsByRow(c) {
+	for _, count := range openFlowsByRow(s) {
 		largest = max(largest, count)
 		sum += count
 	}
 	return placementResult{
 		imbalance:  float64(largest) * float64(len(rows)) / float64(sum),
-		handedOver: float64(c.forwards) / totalFlows,
-		queries:    float64(c.queries) / totalFlows,
+		handedOver: float64(s.forwards) / totalFlows,
+		queries:    float64(s.queries) / totalFlows,
 	}
 }
 
 // endFlow ends the flow with the caller port at the row where it is open.
-func (c *simulation) endFlow(port uint16) {
+func (s *simulation) endFlow(port uint16) {
 	key := FlowKeyOf(flowSource(port))
-	for _, id := range c.rowIDs() {
-		machine := c.machines[id]
+	for _, id := range s.rowIDs() {
+		machine := s.machines[id]
 		if sequence, open := machine.OpenFlowSequence(key); open {
-			machine.FlowClosed(c.now, key, sequence)
+			machine.FlowClosed(s.now, key, sequence)
 		}
 	}
 }
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -129,43 +129,43 @@
 	return rows
 }
 
-func (c *simulation) schedule(added *simulatedEvent) {
-	c.order++
-	added.order = c.order
-	heap.Push(&c.queue, added)
+func (s *simulation) schedule(added *simulatedEvent) {
+	s.order++
+	added.order = s.order
+	heap.Push(&s.queue, added)
 }
 
 // transmit schedules the delivery of an event. The network may delay, duplicate
 // or lose it.
-func (c *simulation) transmit(added simulatedEvent) {
+func (s *simulation) transmit(added simulatedEvent) {
 	copies := 1
-	if c.random.Float64() < c.faults.duplicate {
+	if s.random.Float64() < s.faults.duplicate {
 		copies++
 	}
 	for range copies {
-		if c.random.Float64() < c.faults.loss {
+		if s.random.Float64() < s.faults.loss {
 			continue
 		}
 		sent := added
-		sent.at = c.now + time.Duration(c.random.Int64N(int64(c.faults.delay)+1))
-		c.schedule(&sent)
+		sent.at = s.now + time.Duration(s.random.Int64N(int64(s.faults.delay)+1))
+		s.schedule(&sent)
 	}
 }
 
 // installView schedules the view at every machine, each after a random delay of at
 // most skew.
-func (c *simulation) installView(view View, skew time.Duration) {
-	for _, id := range c.rowIDs() {
+func (s *simulation) installView(view View, skew time.Duration) {
+	for _, id := range s.rowIDs() {
 		delayed := view
-		at := c.now + time.Duration(c.random.Int64N(int64(skew)+1))
-		c.schedule(&simulatedEvent{at: at, row: id, view: &delayed})
+		at := s.now + time.Duration(s.random.Int64N(int64(skew)+1))
+		s.schedule(&simulatedEvent{at: at, row: id, view: &delayed})
 	}
 }
 
-func (c *simulation) rowIDs() []table.BackendID {
-	ids := make([]table.BackendID, 0, len(c.machines))
-	for id := table.BackendID(1); len(ids) < len(c.machines); id++ {
-		if _, exists := c.machines[id]; exists {
+func (s *simulation) rowIDs() []table.BackendID {
+	ids := make([]table.BackendID, 0, len(s.machines))
+	for id := table.BackendID(1); len(ids) < len(s.machines); id++ {
+		if _, exists := s.machines[id]; exists {
 			ids = append(ids, id)
 		}
 	}
@@ -174,25 +174,25 @@
 
 // sendPacket sends a packet of a caller's flow through a balancer that uses the
 // given view.
-func (c *simulation) sendPacket(view View, port uint16, sequence uint32, opening bool) {
+func (s *simulation) sendPacket(view View, port uint16, sequence uint32, opening bool) {
 	flow := packet.Flow{
 		Source:      flowSource(port),
 		Destination: testAddress,
-		Protocol:    c.protocol,
+		Protocol:    s.protocol,
 	}
 	held := newAssignedView(view)
 	primary, exists := held.primary(flow.Hash())
 	if !exists {
 		return
 	}
-	c.transmit(simulatedEvent{row: primary, packet: &Packet{
+	s.transmit(simulatedEvent{row: primary, packet: &Packet{
 		Summary: packet.Summary{Flow: flow, Sequence: sequence, Opening: opening},
 		Routing: encap.Routing{Version: view.Version, Backend: primary},
 	}})
 }
 
 // primaryOf returns the primary row of a caller's TCP flow in the given view.
-func (c *simulation) primaryOf(view View, port uint16) table.BackendID {
+func (s *simulation) primaryOf(view View, port uint16) table.BackendID {
 	flow := packet.Flow{
 		Source:      flowSource(port),
 		Destination: testAddress,
@@ -203,132 +203,132 @@
 }
 
 // run handles all events up to the given virtual time.
-func (c *simulation) run(until time.Duration) {
-	for len(c.queue) > 0 && c.queue[0].at <= until {
-		next := heap.Pop(&c.queue).(*simulatedEvent)
-		c.now = next.at
-		c.handle(next)
+func (s *simulation) run(until time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at <= until {
+		next := heap.Pop(&s.queue).(*simulatedEvent)
+		s.now = next.at
+		s.handle(next)
 	}
-	c.now = until
+	s.now = until
 }
 
-func (c *simulation) handle(next *simulatedEvent) {
+func (s *simulation) handle(next *simulatedEvent) {
 	if next.established != nil {
-		c.recordEstablished(next.row, *next.established)
+		s.recordEstablished(next.row, *next.established)
 		return
 	}
-	if c.paused[next.row] {
-		c.held[next.row] = append(c.held[next.row], next)
+	if s.paused[next.row] {
+		s.held[next.row] = append(s.held[next.row], next)
 		return
 	}
-	machine := c.machines[next.row]
+	machine := s.machines[next.row]
 	switch {
 	case next.tick:
-		c.renewLease(machine)
-		c.execute(next.row, machine.Tick(c.now))
-		c.schedule(&simulatedEvent{at: c.now + TickInterval(), row: next.row, tick: true})
+		s.renewLease(machine)
+		s.execute(next.row, machine.Tick(s.now))
+		s.schedule(&simulatedEvent{at: s.now + TickInterval(), row: next.row, tick: true})
 	case next.view != nil:
-		c.execute(next.row, machine.InstallView(c.now, *next.view))
+		s.execute(next.row, machine.InstallView(s.now, *next.view))
 	case next.packet != nil:
-		c.execute(next.row, machine.HandlePacket(c.now, *next.packet))
+		s.execute(next.row, machine.HandlePacket(s.now, *next.packet))
 	case next.message != nil:
-		c.execute(next.row, machine.HandleMessage(c.now, *next.message))
+		s.execute(next.row, machine.HandleMessage(s.now, *next.message))
 	}
-	c.injectFault(machine)
+	s.injectFault(machine)
 }
 
 // renewLease renews the lease of a machine at every tick, like a daemon that
 // receives the heartbeats of every machine that is not paused.
-func (c *simulation) renewLease(machine *Machine) {
+func (s *simulation) renewLease(machine *Machine) {
 	if machine.TableVersion() > 0 {
-		machine.RenewLease(c.now, c.now+machine.config.LeaseDuration)
+		machine.RenewLease(s.now, s.now+machine.config.LeaseDuration)
 	}
 }
 
-func (c *simulation) pause(row table.BackendID) {
-	c.paused[row] = true
-	c.everPaused[row] = true
+func (s *simulation) pause(row table.BackendID) {
+	s.paused[row] = true
+	s.everPaused[row] = true
 }
 
 // resume continues a paused machine. It handles the packets queued in the sockets
 // of the process before any timer, which is the worst case.
-func (c *simulation) resume(row table.BackendID) {
-	c.paused[row] = false
-	waiting := c.held[row]
-	c.held[row] = nil
+func (s *simulation) resume(row table.BackendID) {
+	s.paused[row] = false
+	waiting := s.held[row]
+	s.held[row] = nil
 	for _, next := range waiting {
 		if !next.tick {
-			c.handle(next)
+			s.handle(next)
 		}
 	}
-	c.schedule(&simulatedEvent{at: c.now, row: row, tick: true})
+	s.schedule(&simulatedEvent{at: s.now, row: row, tick: true})
 }
 
-func (c *simulation) execute(row table.BackendID, effects []Effect) {
+func (s *simulation) execute(row table.BackendID, effects []Effect) {
 	for _, effect := range effects {
 		switch effect.Kind {
 		case Deliver:
-			c.recordDelivery(row, effect.Packet)
+			s.recordDelivery(row, effect.Packet)
 		case Forward:
-			c.forwards++
+			s.forwards++
 			forwarded := effect.Packet
 			forwarded.Routing.Backend = effect.To
-			c.transmit(simulatedEvent{row: effect.To, packet: &forwarded})
+			s.transmit(simulatedEvent{row: effect.To, packet: &forwarded})
 		case SendMessage:
-			c.queries++
+			s.queries++
 			message := effect.Message
-			c.transmit(simulatedEvent{row: effect.To, message: &message})
+			s.transmit(simulatedEvent{row: effect.To, message: &message})
 		case SendReset:
-			c.resets++
+			s.resets++
 		case Drop:
-			c.drops[effect.Reason]++
+			s.drops[effect.Reason]++
 		}
 	}
 }
 
-func (c *simulation) recordDelivery(row table.BackendID, delivered Packet) {
-	c.delivered++
+func (s *simulation) recordDelivery(row table.BackendID, delivered Packet) {
+	s.delivered++
 	if !delivered.Summary.Opening {
 		return
 	}
 	opened := flowID{FlowKeyOf(delivered.Summary.Flow.Source), delivered.Summary.Sequence}
-	if owned, open := c.machines[row].OpenFlowSequence(opened.key); !open || owned != opened.sequence {
+	if owned, open := s.machines[row].OpenFlowSequence(opened.key); !open || owned != opened.sequence {
 		// The transport stack answers it with a challenge ACK and opens no flow.
 		return
 	}
-	if !slices.Contains(c.opened[opened], row) {
-		c.opened[opened] = append(c.opened[opened], row)
-		c.checkSingleOwner(row, opened)
+	if !slices.Contains(s.opened[opened], row) {
+		s.opened[opened] = append(s.opened[opened], row)
+		s.checkSingleOwner(row, opened)
 	}
-	c.transmit(simulatedEvent{row: row, established: &opened})
+	s.transmit(simulatedEvent{row: row, established: &opened})
 }
 
 // checkSingleOwner records a violation if a row opens a flow although its caller is
 // connected to another row, or although another row opened it that was never
 // paused and could therefore have answered.
-func (c *simulation) checkSingleOwner(row table.BackendID, opened flowID) {
-	connected, exists := c.established[opened]
+func (s *simulation) checkSingleOwner(row table.BackendID, opened flowID) {
+	connected, exists := s.established[opened]
 	violated := exists && connected != row
-	for _, other := range c.opened[opened] {
-		violated = violated || other != row && !c.everPaused[other]
+	for _, other := range s.opened[opened] {
+		violated = violated || other != row && !s.everPaused[other]
 	}
 	if violated {
-		c.violations = append(c.violations, opened)
+		s.violations = append(s.violations, opened)
 	}
 }
 
 // recordEstablished handles the arrival of a handshake reply at the caller. The
 // caller stays connected to the first row that replies.
-func (c *simulation) recordEstablished(row table.BackendID, opened flowID) {
-	if _, exists := c.established[opened]; !exists {
-		c.established[opened] = row
+func (s *simulation) recordEstablished(row table.BackendID, opened flowID) {
+	if _, exists := s.established[opened]; !exists {
+		s.established[opened] = row
 	}
 }
 
 // openedTwice returns the flows that more than one row opened.
-func (c *simulation) openedTwice() []flowID {
+func (s *simulation) openedTwice() []flowID {
 	var twice []flowID
-	for opened, rows := range c.opened {
+	for opened, rows := range s.opened {
 		if len(rows) > 1 {
 			twice = append(twice, opened)
 		}
--- a/internal/agent/drop_test.go
+++ b/internal/agent/drop_test.go
@@ -43,10 +43,10 @@
 	return testDatagram{service: lookupID, routing: validRouting, packet: openingSegment(caller, lookupAddress, 1)}
 }
 
-func (f testDatagram) encode() []byte {
-	encoded := encap.NewEncoder().AppendRouted(nil, f.service, f.routing, f.packet)
-	if f.transform != nil {
-		return f.transform(encoded)
+func (d testDatagram) encode() []byte {
+	encoded := encap.NewEncoder().AppendRouted(nil, d.service, d.routing, d.packet)
+	if d.transform != nil {
+		return d.transform(encoded)
 	}
 	return encoded
 }
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -64,11 +64,11 @@
 	return started
 }
 
-func (p *twoRowEnvironment) publish(version table.Version) {
-	p.daemon.publish(&table.Table{
+func (e *twoRowEnvironment) publish(version table.Version) {
+	e.daemon.publish(&table.Table{
 		Version:  version,
 		Services: []table.Service{testService(lookupID, "lookup", lookupAddress)},
-		Backends: []table.Backend{p.rows[0], p.rows[1]},
+		Backends: []table.Backend{e.rows[0], e.rows[1]},
 	})
 }
 
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,10 +1,11 @@
-// Package balancer implements the balancer role: it receives encapsulated
-// packets from the fabric, chooses the primary back end row of each by hash,
-// and sends the packet on to the agent beside that back end.
+// Package balancer implements the data path of the balancer role. A balancer
+// receives the callers' packets in Geneve datagrams from the fabric. It hashes the
+// flow of each packet to select the primary row of the service from a lookup
+// table, and sends the packet to the agent beside the back end of that row.
 //
-// A balancer keeps no state of flows. Decider holds the whole decision about
-// one datagram and does no I/O; package udpfront moves datagrams in batches;
-// Balancer joins the two and publishes lookup tables to them.
+// A balancer keeps no flow state. Decider makes the forwarding decision about one
+// datagram without I/O. Package udpfront receives and sends datagrams in batches.
+// Balancer connects the two and provides them with the current lookup table.
 package balancer
 
 import (
@@ -19,92 +20,94 @@
 	"github.com/vanetiller/vanetiller/internal/lookup"
 )
 
-// Config is the configuration of a balancer.
+// Config holds the parameters of a balancer.
 type Config struct {
-	// Listen is the IPv4 address and UDP port to receive on. Port 0 takes a
-	// free one.
+	// Listen is the IPv4 address and UDP port to receive on. Port 0 selects a
+	// free port.
 	Listen netip.AddrPort
 	// Sockets is the number of sockets that share the port, each served by
 	// one goroutine. It must be at least 1.
 	Sockets int
-	// Logger receives the balancer's start, stop and table changes. It may be
-	// nil.
+	// Logger logs the start and stop of the balancer and table changes. It may
+	// be nil.
 	Logger *log.Logger
-	// Metrics are the balancer's counters.
+	// Metrics holds the counters of the balancer.
 	Metrics Metrics
 }
 
-// Balancer is one balancer process's data path.
+// Balancer is the data path of a balancer process.
 type Balancer struct {
-	front    *udpfront.Listener
+	listener *udpfront.Listener
 	table    atomic.Pointer[lookup.Table]
 	counters *counters
 	logger   *log.Logger
 }
 
 // New opens the sockets of a balancer. It fails if the address cannot be
-// bound or the number of sockets is not positive. Datagrams are handled once
+// bound or the number of sockets is not positive. No datagram is handled before
 // Run is called.
 func New(config Config) (*Balancer, error) {
-	front, err := udpfront.Listen(config.Listen, config.Sockets)
+	listener, err := udpfront.Listen(config.Listen, config.Sockets)
 	if err != nil {
 		return nil, err
 	}
 	return &Balancer{
-		front:    front,
+		listener: listener,
 		counters: newCounters(config.Metrics),
-		logger:   orSilent(config.Logger),
+		logger:   loggerOrDiscard(config.Logger),
 	}, nil
 }
 
-// Address returns the address that the balancer receives on.
-func (b *Balancer) Address() netip.AddrPort { return b.front.Address() }
+// Address returns the address on which the balancer receives.
+func (b *Balancer) Address() netip.AddrPort { return b.listener.Address() }
 
-// Publish makes every later decision use the table.
+// Publish sets the lookup table for all later decisions. It may be called while Run
+// is running.
 func (b *Balancer) Publish(table *lookup.Table) {
 	b.table.Store(table)
 	b.logger.Info("lookup table published", "version", table.Version())
 }
 
-// Run handles datagrams until ctx ends, then closes the sockets and returns
-// nil. It fails only if a socket fails while ctx is live, and closes the
-// sockets then, too. It must be called once.
+// Run handles datagrams until ctx ends, then closes the sockets and returns nil. If
+// a socket fails before ctx ends, Run closes the sockets and returns the error. It
+// must be called only once.
 func (b *Balancer) Run(ctx context.Context) error {
 	b.logger.Info("balancer started", "address", b.Address())
-	err := b.front.Run(ctx, func() udpfront.Handler { return b.newWorker() })
+	err := b.listener.Run(ctx, func() udpfront.Handler { return b.newSocketHandler() })
 	b.logger.Info("balancer stopped", "address", b.Address(), "error", err)
 	return err
 }
 
-// worker handles the datagrams of one socket.
-type worker struct {
+// socketHandler implements udpfront.Handler for one socket.
+type socketHandler struct {
 	balancer *Balancer
 	decider  *Decider
-	tally    tally
+	counts   reasonCounts
 }
 
-func (b *Balancer) newWorker() *worker {
-	return &worker{balancer: b, decider: NewDecider()}
+func (b *Balancer) newSocketHandler() *socketHandler {
+	return &socketHandler{balancer: b, decider: NewDecider()}
 }
 
-// Handle implements udpfront.Handler.
-func (w *worker) Handle(datagram, output []byte) (udpfront.Datagram, bool) {
+// Handle decides about one datagram and counts the result.
+func (w *socketHandler) Handle(datagram, output []byte) (udpfront.Datagram, bool) {
 	decision := w.decider.Decide(w.balancer.table.Load(), datagram, output)
-	w.tally[decision.Reason]++
+	w.counts[decision.Reason]++
 	if decision.Reason != Forwarded {
 		return udpfront.Datagram{}, false
 	}
 	return udpfront.Datagram{Destination: decision.Destination, Payload: decision.Datagram}, true
 }
 
-// BatchSent implements udpfront.Handler.
-func (w *worker) BatchSent(failed int) {
-	w.tally[Forwarded] -= uint32(failed)
-	w.tally[SendFailed] += uint32(failed)
-	w.balancer.counters.add(&w.tally)
+// BatchSent adds the counts of the batch to the metrics. Datagrams that the kernel
+// refused to send count as SendFailed instead of Forwarded.
+func (w *socketHandler) BatchSent(failed int) {
+	w.counts[Forwarded] -= uint32(failed)
+	w.counts[SendFailed] += uint32(failed)
+	w.balancer.counters.add(&w.counts)
 }
 
-func orSilent(logger *log.Logger) *log.Logger {
+func loggerOrDiscard(logger *log.Logger) *log.Logger {
 	if logger != nil {
 		return logger
 	}
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -15,7 +15,7 @@
 	"github.com/vanetiller/vanetiller/internal/lookup"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
@@ -33,7 +33,7 @@
 
 func receive(connection *net.UDPConn) []byte {
 	buffer := make([]byte, 10_000)
-	Expect(connection.SetReadDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(connection.SetReadDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 	count, err := connection.Read(buffer)
 	Expect(err).NotTo(HaveOccurred())
 	return buffer[:count]
@@ -67,7 +67,7 @@
 		go func() { stopped <- running.Run(ctx) }()
 		DeferCleanup(func() {
 			stop()
-			Eventually(stopped, patience).Should(Receive(BeNil()))
+			Eventually(stopped, waitTimeout).Should(Receive(BeNil()))
 		})
 	})
 
@@ -76,63 +76,63 @@
 		Expect(err).NotTo(HaveOccurred())
 	}
 
-	It("sends packets to the agent of their row", func() {
+	It("sends each packet to the agent of its primary row", func() {
 		agents := []*net.UDPConn{listen(), listen()}
 		addresses := []netip.AddrPort{addressOf(agents[0]), addressOf(agents[1])}
 		configuration := sampleTable(addresses, 1, 1)
 		built := lookup.Build(configuration, lookup.AllAlive)
 		running.Publish(built)
 		for port := uint16(1000); port < 1100; port++ {
-			content := segment(port, servicePort, int(port))
-			send(plain(content))
+			content := tcpPacket(port, servicePort, int(port))
+			send(encapsulate(content))
 			target, _ := built.Route(flowOf(content))
 			decoded, outcome := encap.NewDecoder().Decode(receive(agents[target.Backend-1]))
 			Expect(outcome).To(Equal(encap.Decoded))
 			Expect(decoded.Packet).To(Equal(content))
 			Expect(decoded.Routing.Backend).To(Equal(target.Backend))
 		}
-		Eventually(forwarded.Value, patience).Should(Equal(int64(100)))
+		Eventually(forwarded.Value, waitTimeout).Should(Equal(int64(100)))
 		Expect(dropped.Value()).To(BeZero())
 	})
 
-	It("counts what it drops", func() {
-		send(plain(segment(1000, servicePort, 0)))
-		Eventually(dropped.Value, patience).Should(Equal(int64(1)))
+	It("counts dropped datagrams by reason", func() {
+		send(encapsulate(tcpPacket(1000, servicePort, 0)))
+		Eventually(dropped.Value, waitTimeout).Should(Equal(int64(1)))
 		running.Publish(lookup.Build(sampleTable(nil), lookup.AllAlive))
-		send(plain(segment(1000, 80, 0)))
+		send(encapsulate(tcpPacket(1000, 80, 0)))
 		send(make([]byte, 20_000))
-		Eventually(dropped.Value, patience).Should(Equal(int64(3)))
+		Eventually(dropped.Value, waitTimeout).Should(Equal(int64(3)))
 		for _, reason := range []string{"no_table", "unknown_service", "encap_protocol"} {
 			Expect(dropped.Of(reason)).To(Equal(int64(1)), reason)
 		}
 		Expect(forwarded.Value()).To(BeZero())
 	})
 
-	It("goes on after a datagram that cannot be sent", func() {
+	It("continues after a datagram that cannot be sent", func() {
 		agent := listen()
-		nowhere := netip.MustParseAddrPort("127.0.0.1:0") // the kernel sends to no port 0
+		nowhere := netip.MustParseAddrPort("127.0.0.1:0") // the kernel refuses to send to port 0
 		configuration := sampleTable([]netip.AddrPort{addressOf(agent), nowhere}, 1, 1)
 		built := lookup.Build(configuration, lookup.AllAlive)
 		running.Publish(built)
 		sent := [2]int{}
 		for port := uint16(1000); port < 1050; port++ {
-			content := segment(port, servicePort, 0)
+			content := tcpPacket(port, servicePort, 0)
 			target, _ := built.Route(flowOf(content))
 			sent[target.Backend-1]++
-			send(plain(content))
+			send(encapsulate(content))
 		}
-		Eventually(forwarded.Value, patience).Should(Equal(int64(sent[0])))
-		Eventually(dropped.Value, patience).Should(Equal(int64(sent[1])))
+		Eventually(forwarded.Value, waitTimeout).Should(Equal(int64(sent[0])))
+		Eventually(dropped.Value, waitTimeout).Should(Equal(int64(sent[1])))
 		Expect(dropped.Of("send_failed")).To(Equal(dropped.Value()))
 		Expect(sent[1]).To(BeNumerically(">", 0))
 	})
 
-	It("refuses to listen on no socket", func() {
+	It("returns an error when the number of sockets is 0", func() {
 		_, err := balancer.New(balancer.Config{Listen: loopback})
 		Expect(err).To(MatchError(ContainSubstring("at least 1")))
 	})
 
-	It("refuses an address that another socket holds", func() {
+	It("returns an error when the address is in use", func() {
 		_, err := balancer.New(balancer.Config{Listen: addressOf(listen()), Sockets: 1})
 		Expect(err).To(HaveOccurred())
 	})
--- a/internal/balancer/counter_test.go
+++ b/internal/balancer/counter_test.go
@@ -6,7 +6,8 @@
 	"github.com/go-kit/kit/metrics"
 )
 
-// reasonCounter is a go-kit counter that keeps one value a label value.
+// reasonCounter is a go-kit counter that keeps a total and one value for each of the
+// given label values.
 type reasonCounter struct {
 	total    *atomic.Int64
 	byReason map[string]*atomic.Int64
--- a/internal/balancer/decider.go
+++ b/internal/balancer/decider.go
@@ -8,44 +8,45 @@
 	"github.com/vanetiller/vanetiller/internal/packet"
 )
 
-// Decision is what becomes of one datagram. Destination and Datagram are set
-// only when Reason is Forwarded.
+// Decision is the result of Decider.Decide for one datagram. Destination and
+// Datagram are set only if Reason is Forwarded.
 type Decision struct {
 	Reason Reason
-	// Destination is the agent to send Datagram to.
+	// Destination is the address of the agent to which Datagram is sent.
 	Destination netip.AddrPort
-	// Datagram is the UDP payload to send; it uses the output buffer given to
+	// Datagram is the UDP payload to send. It uses the output buffer passed to
 	// Decide if that is large enough.
 	Datagram []byte
 }
 
-// Decider decides about one datagram at a time. It does no I/O, reads no
-// clock and keeps nothing between datagrams but buffers that it reuses, so it
-// is not safe for concurrent use.
+// Decider decides for one datagram at a time whether and where it is forwarded. It
+// does no I/O and reads no clock. It keeps no state between datagrams except
+// buffers that it reuses, which make it unsafe for concurrent use.
 type Decider struct {
-	outer    *encap.Decoder
-	inner    *packet.Decoder
-	encap    *encap.Encoder
-	datagram encap.Datagram
-	summary  packet.Summary
+	encapDecoder  *encap.Decoder
+	packetDecoder *packet.Decoder
+	encoder       *encap.Encoder
+	datagram      encap.Datagram
+	summary       packet.Summary
 }
 
-// NewDecider returns a decider.
+// NewDecider returns a Decider with its own buffers.
 func NewDecider() *Decider {
-	return &Decider{outer: encap.NewDecoder(), inner: packet.NewDecoder(), encap: encap.NewEncoder()}
+	return &Decider{encapDecoder: encap.NewDecoder(), packetDecoder: packet.NewDecoder(), encoder: encap.NewEncoder()}
 }
 
-// Decide reads a datagram from the fabric, looks up its target in table, which
-// may be nil, and encapsulates the packet for it in output[:0].
+// Decide decapsulates a datagram from the fabric, finds the target row of its packet
+// in table, and encapsulates the packet for that row in output[:0]. The table may be
+// nil, in which case the datagram is dropped.
 func (d *Decider) Decide(table *lookup.Table, datagram, output []byte) Decision {
 	if table == nil {
 		return Decision{Reason: NoTable}
 	}
-	content, reason := d.unwrap(datagram)
+	content, reason := d.decapsulate(datagram)
 	if reason != Forwarded {
 		return Decision{Reason: reason}
 	}
-	target, reason := d.target(table, content)
+	target, reason := d.findTarget(table, content)
 	if reason != Forwarded {
 		return Decision{Reason: reason}
 	}
@@ -56,13 +57,13 @@
 	}
 	return Decision{
 		Destination: target.Agent,
-		Datagram:    d.encap.AppendRouted(output[:0], target.Service, routing, content),
+		Datagram:    d.encoder.AppendRouted(output[:0], target.Service, routing, content),
 	}
 }
 
-// unwrap returns the IPv4 packet inside a datagram from the fabric.
-func (d *Decider) unwrap(datagram []byte) ([]byte, Reason) {
-	if outcome := d.outer.DecodeInto(datagram, &d.datagram); outcome != encap.Decoded {
+// decapsulate returns the IPv4 packet inside a datagram from the fabric.
+func (d *Decider) decapsulate(datagram []byte) ([]byte, Reason) {
+	if outcome := d.encapDecoder.DecodeInto(datagram, &d.datagram); outcome != encap.Decoded {
 		return nil, reasonOfEncap[outcome]
 	}
 	if d.datagram.Control {
@@ -74,10 +75,10 @@
 	return d.datagram.Packet, Forwarded
 }
 
-// target returns the row for a packet; it is nil unless the reason is
+// findTarget returns the primary row for a packet. It is nil unless the reason is
 // Forwarded.
-func (d *Decider) target(table *lookup.Table, content []byte) (*lookup.Target, Reason) {
-	if outcome := d.inner.DecodeInto(content, &d.summary); outcome != packet.Decoded {
+func (d *Decider) findTarget(table *lookup.Table, content []byte) (*lookup.Target, Reason) {
+	if outcome := d.packetDecoder.DecodeInto(content, &d.summary); outcome != packet.Decoded {
 		return nil, reasonOfPacket[outcome]
 	}
 	target, outcome := table.FindTarget(&d.summary.Flow)
--- a/internal/balancer/decider_bench_test.go
+++ b/internal/balancer/decider_bench_test.go
@@ -12,7 +12,7 @@
 const benchmarkPayload = 1000
 
 func BenchmarkDecodeEncapsulation(b *testing.B) {
-	datagram := plain(segment(5000, servicePort, benchmarkPayload))
+	datagram := encapsulate(tcpPacket(5000, servicePort, benchmarkPayload))
 	decoder := encap.NewDecoder()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -21,7 +21,7 @@
 }
 
 func BenchmarkDecodePacket(b *testing.B) {
-	content := segment(5000, servicePort, benchmarkPayload)
+	content := tcpPacket(5000, servicePort, benchmarkPayload)
 	decoder := packet.NewDecoder()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -30,7 +30,7 @@
 }
 
 func BenchmarkRoute(b *testing.B) {
-	flow := flowOf(segment(5000, servicePort, benchmarkPayload))
+	flow := flowOf(tcpPacket(5000, servicePort, benchmarkPayload))
 	built := lookup.Build(sampleTable(unusedAgents(8), 1, 1, 1, 1, 1, 1, 1, 1), lookup.AllAlive)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -39,7 +39,7 @@
 }
 
 func BenchmarkEncapsulate(b *testing.B) {
-	content := segment(5000, servicePort, benchmarkPayload)
+	content := tcpPacket(5000, servicePort, benchmarkPayload)
 	encoder := encap.NewEncoder()
 	output := make([]byte, 0, 2*benchmarkPayload)
 	b.ReportAllocs()
@@ -48,10 +48,10 @@
 	}
 }
 
-// BenchmarkDecide is the whole path: both decodes, the route and the
-// encapsulation.
+// BenchmarkDecide measures the complete decision: decoding of both headers, route
+// lookup and encapsulation.
 func BenchmarkDecide(b *testing.B) {
-	datagram := plain(segment(5000, servicePort, benchmarkPayload))
+	datagram := encapsulate(tcpPacket(5000, servicePort, benchmarkPayload))
 	built := lookup.Build(sampleTable(unusedAgents(8), 1, 1, 1, 1, 1, 1, 1, 1), lookup.AllAlive)
 	decider := balancer.NewDecider()
 	output := make([]byte, 0, 2*benchmarkPayload)
--- a/internal/balancer/decider_test.go
+++ b/internal/balancer/decider_test.go
@@ -18,53 +18,53 @@
 	agents := unusedAgents(4)
 	configuration := sampleTable(agents, 1, 1, 1, 1)
 	built := lookup.Build(configuration, lookup.AllAlive)
-	good := segment(5000, servicePort, 100)
+	good := tcpPacket(5000, servicePort, 100)
 
-	DescribeTable("drops by reason",
+	DescribeTable("drops a datagram with the reason for its defect",
 		func(want balancer.Reason, datagram []byte) {
 			decision := balancer.NewDecider().Decide(built, datagram, nil)
 			Expect(decision).To(Equal(balancer.Decision{Reason: want}))
 		},
-		Entry("nothing", balancer.EncapMalformed, []byte{}),
-		Entry("a cut Geneve header", balancer.EncapMalformed, plain(good)[:7]),
+		Entry("an empty datagram", balancer.EncapMalformed, []byte{}),
+		Entry("a truncated Geneve header", balancer.EncapMalformed, encapsulate(good)[:7]),
 		Entry("options longer than the datagram", balancer.EncapMalformed,
-			changed(plain(good)[:40], func(b []byte) { b[0] = 63 })),
-		Entry("an option that runs over the options", balancer.EncapMalformed,
-			changed(plain(good), func(b []byte) { b[0] = 1; b[11] = 2 })),
-		Entry("Geneve version 1", balancer.EncapVersion, changed(plain(good), func(b []byte) { b[0] |= 1 << 6 })),
+			modified(encapsulate(good)[:40], func(b []byte) { b[0] = 63 })),
+		Entry("an option longer than the options field", balancer.EncapMalformed,
+			modified(encapsulate(good), func(b []byte) { b[0] = 1; b[11] = 2 })),
+		Entry("Geneve version 1", balancer.EncapVersion, modified(encapsulate(good), func(b []byte) { b[0] |= 1 << 6 })),
 		Entry("an Ethernet payload", balancer.EncapProtocol,
-			changed(plain(good), func(b []byte) { b[2], b[3] = 0x65, 0x58 })),
+			modified(encapsulate(good), func(b []byte) { b[2], b[3] = 0x65, 0x58 })),
 		Entry("an unknown critical option", balancer.EncapCriticalOption,
-			changed(plain(good), func(b []byte) { b[0] = 1; b[1] |= 0x40; b[11] = 0 })),
+			modified(encapsulate(good), func(b []byte) { b[0] = 1; b[1] |= 0x40; b[11] = 0 })),
 		Entry("a control message", balancer.ControlMessage, encap.NewEncoder().AppendControl(nil, sampleService, []byte("x"))),
 		Entry("a routed packet", balancer.AlreadyRouted,
 			encap.NewEncoder().AppendRouted(nil, sampleService, encap.Routing{}, good)),
-		Entry("no packet", balancer.Truncated, plain(nil)),
-		Entry("a cut IPv4 header", balancer.Truncated, plain(good[:19])),
-		Entry("a cut TCP header", balancer.Truncated, plain(good[:39])),
-		Entry("a cut payload", balancer.Truncated, plain(good[:len(good)-1])),
+		Entry("a datagram without a packet", balancer.Truncated, encapsulate(nil)),
+		Entry("a truncated IPv4 header", balancer.Truncated, encapsulate(good[:19])),
+		Entry("a truncated TCP header", balancer.Truncated, encapsulate(good[:39])),
+		Entry("a truncated payload", balancer.Truncated, encapsulate(good[:len(good)-1])),
 		Entry("an IPv4 header length below the minimum", balancer.Truncated,
-			plain(changed(good, func(b []byte) { b[0] = 0x44 }))),
-		Entry("a packet over the limit", balancer.Oversized, plain(segment(5000, servicePort, packet.MaxSize))),
-		Entry("a first fragment", balancer.Fragmented, plain(changed(good, func(b []byte) { b[6] |= 0x20 }))),
-		Entry("a later fragment", balancer.Fragmented, plain(changed(good, func(b []byte) { b[7] = 8 }))),
-		Entry("IPv6", balancer.NotIPv4, plain(changed(good, func(b []byte) { b[0] = 0x65 }))),
-		Entry("ICMP", balancer.UnknownTransport, plain(serialize(header(layers.IPProtocolICMPv4), &layers.ICMPv4{}))),
-		Entry("SYN with FIN", balancer.BadTCPFlags, plain(changed(good, func(b []byte) { b[33] |= 1 }))),
-		Entry("SYN with RST", balancer.BadTCPFlags, plain(changed(good, func(b []byte) { b[33] |= 4 }))),
-		Entry("another port", balancer.UnknownService, plain(segment(5000, 80, 0))),
+			encapsulate(modified(good, func(b []byte) { b[0] = 0x44 }))),
+		Entry("a packet above the largest size", balancer.Oversized, encapsulate(tcpPacket(5000, servicePort, packet.MaxSize))),
+		Entry("a first fragment", balancer.Fragmented, encapsulate(modified(good, func(b []byte) { b[6] |= 0x20 }))),
+		Entry("a later fragment", balancer.Fragmented, encapsulate(modified(good, func(b []byte) { b[7] = 8 }))),
+		Entry("an IPv6 packet", balancer.NotIPv4, encapsulate(modified(good, func(b []byte) { b[0] = 0x65 }))),
+		Entry("an ICMP packet", balancer.UnknownTransport, encapsulate(serialize(ipv4Header(layers.IPProtocolICMPv4), &layers.ICMPv4{}))),
+		Entry("SYN with FIN", balancer.BadTCPFlags, encapsulate(modified(good, func(b []byte) { b[33] |= 1 }))),
+		Entry("SYN with RST", balancer.BadTCPFlags, encapsulate(modified(good, func(b []byte) { b[33] |= 4 }))),
+		Entry("a port without a service", balancer.UnknownService, encapsulate(tcpPacket(5000, 80, 0))),
 		Entry("UDP to a TCP service", balancer.UnknownService,
-			plain(serialize(header(layers.IPProtocolUDP), &layers.UDP{SrcPort: 5000, DstPort: servicePort}))),
-		Entry("a service whose rows drain", balancer.NoBackend, plain(segment(5000, drainedPort, 0))),
+			encapsulate(serialize(ipv4Header(layers.IPProtocolUDP), &layers.UDP{SrcPort: 5000, DstPort: servicePort}))),
+		Entry("a service whose rows are all drained", balancer.NoBackend, encapsulate(tcpPacket(5000, drainedPort, 0))),
 	)
 
-	It("drops before a table is published", func() {
-		decision := balancer.NewDecider().Decide(nil, plain(good), nil)
+	It("drops a valid datagram if there is no table", func() {
+		decision := balancer.NewDecider().Decide(nil, encapsulate(good), nil)
 		Expect(decision).To(Equal(balancer.Decision{Reason: balancer.NoTable}))
 	})
 
-	It("adds the routing of the chosen row and keeps the packet", func() {
-		decision := balancer.NewDecider().Decide(built, plain(good), make([]byte, 0, 2000))
+	It("adds the routing of the primary row and leaves the packet unchanged", func() {
+		decision := balancer.NewDecider().Decide(built, encapsulate(good), make([]byte, 0, 2000))
 		Expect(decision.Reason).To(Equal(balancer.Forwarded))
 		target, outcome := built.Route(flowOf(good))
 		Expect(outcome).To(Equal(lookup.Routed))
@@ -79,12 +79,12 @@
 		}))
 	})
 
-	It("decides the same in two balancers that have the same table", func() {
+	It("makes the same decisions in two deciders with equal tables", func() {
 		other := lookup.Build(configuration.Clone(), lookup.AllAlive)
 		one, two := balancer.NewDecider(), balancer.NewDecider()
 		rows := map[netip.AddrPort]int{}
 		for port := uint16(1024); port < 3024; port++ {
-			datagram := plain(segment(port, servicePort, 0))
+			datagram := encapsulate(tcpPacket(port, servicePort, 0))
 			decision := one.Decide(built, datagram, nil)
 			Expect(two.Decide(other, datagram, nil)).To(Equal(decision))
 			rows[decision.Destination]++
@@ -92,7 +92,7 @@
 		Expect(rows).To(HaveLen(len(agents)))
 	})
 
-	It("gives every reason a label of its own", func() {
+	It("has a different label for every reason", func() {
 		labels := map[string]bool{}
 		for _, reason := range balancer.Reasons() {
 			labels[reason.String()] = true
--- a/internal/balancer/decision_bench_test.go
+++ b/internal/balancer/decision_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// BenchmarkDecision is decoding and the choice of the row without the
+// BenchmarkDecision measures decoding and the selection of the row, without the
 // encapsulation that follows.
 func BenchmarkDecision(b *testing.B) {
 	configuration := &table.Table{
@@ -38,8 +38,8 @@
 	decider := NewDecider()
 	b.ReportAllocs()
 	for b.Loop() {
-		content, _ := decider.unwrap(datagram)
-		if _, reason := decider.target(built, content); reason != Forwarded {
+		content, _ := decider.decapsulate(datagram)
+		if _, reason := decider.findTarget(built, content); reason != Forwarded {
 			b.Fatal(reason)
 		}
 	}
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -5,47 +5,47 @@
 	"github.com/go-kit/kit/metrics/discard"
 )
 
-// ReasonLabel is the label of Metrics.Dropped; its values are those of
+// ReasonLabel is the label of Metrics.Dropped. Its values are those of
 // Reason.String.
 const ReasonLabel = "reason"
 
-// Metrics are the counters of a balancer. A nil counter is discarded.
+// Metrics holds the counters of a balancer. Counters that are nil are not kept.
 type Metrics struct {
-	// Forwarded counts the packets sent to an agent.
+	// Forwarded counts the packets sent to agents.
 	Forwarded metrics.Counter
-	// Dropped counts the datagrams not sent, by ReasonLabel.
+	// Dropped counts the dropped datagrams, labelled with ReasonLabel.
 	Dropped metrics.Counter
 }
 
-// tally counts the reasons of one batch, so that the shared counters are
-// touched once a batch and not once a packet.
-type tally [reasonCount]uint32
+// reasonCounts counts the datagrams of one batch by reason. It makes it possible to
+// update the shared counters once for each batch instead of once for each packet.
+type reasonCounts [reasonCount]uint32
 
-// counters holds one shared counter for each reason.
+// counters holds the shared counter for each reason.
 type counters [reasonCount]metrics.Counter
 
 func newCounters(exported Metrics) *counters {
-	prepared := &counters{}
+	created := &counters{}
 	for _, reason := range Reasons() {
-		prepared[reason] = orDiscard(exported.Dropped).With(ReasonLabel, reason.String())
+		created[reason] = counterOrDiscard(exported.Dropped).With(ReasonLabel, reason.String())
 	}
-	prepared[Forwarded] = orDiscard(exported.Forwarded)
-	return prepared
+	created[Forwarded] = counterOrDiscard(exported.Forwarded)
+	return created
 }
 
-func orDiscard(counter metrics.Counter) metrics.Counter {
+func counterOrDiscard(counter metrics.Counter) metrics.Counter {
 	if counter == nil {
 		return discard.NewCounter()
 	}
 	return counter
 }
 
-// add moves the tally into the shared counters and clears it.
-func (c *counters) add(counted *tally) {
-	for reason, count := range counted {
+// add adds the counts of a batch to the shared counters and clears them.
+func (c *counters) add(batch *reasonCounts) {
+	for reason, count := range batch {
 		if count > 0 {
 			c[reason].Add(float64(count))
 		}
 	}
-	*counted = tally{}
+	*batch = reasonCounts{}
 }
--- a/internal/balancer/reason.go
+++ b/internal/balancer/reason.go
@@ -7,30 +7,31 @@
 	"github.com/vanetiller/vanetiller/internal/packet"
 )
 
-// Reason tells what became of a datagram: it was forwarded, or why it was
-// dropped.
+// Reason is the result of the decision about a datagram: Forwarded, or the reason
+// for which it was dropped.
 type Reason uint8
 
-// The reasons. Every value but Forwarded is a reason for dropping.
+// The reasons. Every value except Forwarded is a drop reason.
 const (
-	// Forwarded marks a datagram that has a destination.
+	// Forwarded: the datagram is sent to an agent.
 	Forwarded Reason = iota
 	// NoTable: no lookup table has been published yet.
 	NoTable
-	// EncapMalformed: the Geneve header cannot be read.
+	// EncapMalformed: the Geneve header is malformed.
 	EncapMalformed
 	// EncapVersion: the Geneve version is not 0.
 	EncapVersion
 	// EncapProtocol: the Geneve payload is not an IPv4 packet.
 	EncapProtocol
-	// EncapCriticalOption: a critical Geneve option is not understood.
+	// EncapCriticalOption: the Geneve header has an unknown critical option.
 	EncapCriticalOption
-	// ControlMessage: control messages are between agents only.
+	// ControlMessage: the datagram is a control message, which only agents
+	// exchange.
 	ControlMessage
-	// AlreadyRouted: the datagram carries routing, so it is not from the
-	// fabric.
+	// AlreadyRouted: the datagram carries routing and therefore did not come
+	// from the fabric.
 	AlreadyRouted
-	// Truncated: the packet is shorter than its headers say.
+	// Truncated: the packet is shorter than its headers state.
 	Truncated
 	// Oversized: the packet is longer than packet.MaxSize.
 	Oversized
@@ -40,18 +41,19 @@
 	NotIPv4
 	// UnknownTransport: the packet carries neither TCP nor UDP.
 	UnknownTransport
-	// BadTCPFlags: the TCP flags contradict each other.
+	// BadTCPFlags: the combination of TCP flags is invalid.
 	BadTCPFlags
-	// UnknownService: no service has the destination address.
+	// UnknownService: no service has the destination address, port and
+	// protocol.
 	UnknownService
-	// NoBackend: no row of the service may be given flows.
+	// NoBackend: no row of the service accepts new flows.
 	NoBackend
 	// SendFailed: the kernel refused to send the datagram.
 	SendFailed
 	reasonCount
 )
 
-// Reasons lists every reason, for counters that are kept by reason.
+// Reasons returns every reason, for counters with a label for the reason.
 func Reasons() []Reason {
 	return label.All(reasonCount)
 }
@@ -67,8 +69,8 @@
 // String returns the reason in the form used as a metric label.
 func (r Reason) String() string { return label.Of(reasonNames, r) }
 
-// The reason for every outcome of each step. An outcome that is missing here
-// would be out of range, which stops the process as a broken invariant.
+// These arrays map the outcomes of each step to reasons. An outcome that is missing
+// would be out of range and panic.
 var (
 	reasonOfEncap = [...]Reason{
 		encap.Decoded:               Forwarded,
--- a/internal/balancer/reason_test.go
+++ b/internal/balancer/reason_test.go
@@ -8,8 +8,8 @@
 	"github.com/vanetiller/vanetiller/internal/packet"
 )
 
-// TestEveryOutcomeHasAReason fails when a step gets an outcome that the
-// balancer does not count.
+// TestEveryOutcomeHasAReason guards against a new outcome of a step that is not
+// mapped to a reason, which would panic in the balancer.
 func TestEveryOutcomeHasAReason(t *testing.T) {
 	checkReasons(t, "encap", reasonOfEncap[:], len(encap.Outcomes()))
 	checkReasons(t, "packet", reasonOfPacket[:], len(packet.Outcomes()))
@@ -23,7 +23,7 @@
 	}
 	for outcome, reason := range reasons {
 		if (reason == Forwarded) != (outcome == 0) {
-			t.Errorf("%s: outcome %d is counted as %s", step, outcome, reason)
+			t.Errorf("%s: outcome %d is counted as reason %s", step, outcome, reason)
 		}
 	}
 }
--- a/internal/balancer/samples_test.go
+++ b/internal/balancer/samples_test.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	sampleService = table.ServiceID(7)
-	drainedOnly   = table.ServiceID(8)
-	caller        = "192.0.2.10"
-	virtual       = "198.51.100.1"
-	servicePort   = 443
-	drainedPort   = 444
+	sampleService  = table.ServiceID(7)
+	drainedService = table.ServiceID(8)
+	caller         = "192.0.2.10"
+	serviceAddress = "198.51.100.1"
+	servicePort    = 443
+	drainedPort    = 444
 )
 
-// sampleTable has one service with a row for each weight, whose agents listen
-// on the given addresses, and one service whose only row drains.
+// sampleTable returns a table with two services. The first has a row for each
+// weight, with agents at the given addresses. The second has one drained row.
 func sampleTable(agents []netip.AddrPort, weights ...uint32) *table.Table {
 	sample := &table.Table{Version: 3}
-	for index, service := range []table.ServiceID{sampleService, drainedOnly} {
+	for index, service := range []table.ServiceID{sampleService, drainedService} {
 		sample.Services = append(sample.Services, table.Service{
 			ID:       service,
 			Name:     fmt.Sprint("service-", service),
-			Address:  table.Endpoint(fmt.Sprint(virtual, ":", servicePort+index)),
+			Address:  table.Endpoint(fmt.Sprint(serviceAddress, ":", servicePort+index)),
 			Protocol: table.ProtocolTCP,
 		})
 	}
@@ -44,12 +44,12 @@
 		})
 	}
 	sample.Backends = append(sample.Backends, table.Backend{
-		ID: 1000, Service: drainedOnly, Name: "row", Agent: "127.0.0.1:9", Weight: 1, Drain: true,
+		ID: 1000, Service: drainedService, Name: "row", Agent: "127.0.0.1:9", Weight: 1, Drain: true,
 	})
 	return sample
 }
 
-// unusedAgents returns addresses for tests that send nothing.
+// unusedAgents returns agent addresses for tests that send no datagrams.
 func unusedAgents(count int) []netip.AddrPort {
 	agents := make([]netip.AddrPort, count)
 	for i := range agents {
@@ -58,11 +58,12 @@
 	return agents
 }
 
-func header(protocol layers.IPProtocol) *layers.IPv4 {
+// ipv4Header returns a header from the test caller to the test service.
+func ipv4Header(protocol layers.IPProtocol) *layers.IPv4 {
 	return &layers.IPv4{
 		Version: 4, IHL: 5, TTL: 64, Protocol: protocol,
 		SrcIP: netip.MustParseAddr(caller).AsSlice(),
-		DstIP: netip.MustParseAddr(virtual).AsSlice(),
+		DstIP: netip.MustParseAddr(serviceAddress).AsSlice(),
 	}
 }
 
@@ -74,19 +75,22 @@
 	return buffer.Bytes()
 }
 
-func segment(sourcePort, destinationPort uint16, payload int) []byte {
+// tcpPacket returns a packet with an opening TCP segment and a payload of the given
+// size.
+func tcpPacket(sourcePort, destinationPort uint16, payload int) []byte {
 	return serialize(
-		header(layers.IPProtocolTCP),
+		ipv4Header(layers.IPProtocolTCP),
 		&layers.TCP{SrcPort: layers.TCPPort(sourcePort), DstPort: layers.TCPPort(destinationPort), SYN: true, Seq: 1},
 		gopacket.Payload(make([]byte, payload)))
 }
 
-func plain(content []byte) []byte {
+// encapsulate returns the datagram with which the fabric sends a packet.
+func encapsulate(content []byte) []byte {
 	return encap.NewEncoder().AppendPlain(nil, content)
 }
 
-// changed returns a copy of data in which change has edited bytes.
-func changed(data []byte, change func([]byte)) []byte {
+// modified returns a copy of data to which change has been applied.
+func modified(data []byte, change func([]byte)) []byte {
 	edited := append([]byte(nil), data...)
 	change(edited)
 	return edited
--- a/internal/balancer/udpfront/coalesce.go
+++ b/internal/balancer/udpfront/coalesce.go
@@ -11,67 +11,69 @@
 )
 
 const (
-	// maximumSegments is the most datagrams that Linux accepts in one message
-	// with UDP_SEGMENT in every version that has it.
+	// maximumSegments is the number of datagrams in one UDP_SEGMENT message
+	// that every Linux version with this option accepts.
 	maximumSegments = 64
-	// maximumMessage is the most payload bytes of one message, since the
-	// kernel builds one IPv4 packet of it before cutting it up.
-	maximumMessage = 65535 - 20 - 8
-	segmentOption  = 2 // bytes of the option UDP_SEGMENT
+	// maximumMessage is the largest payload of one message in bytes. The kernel
+	// builds one IPv4 packet from it before splitting it into datagrams, so
+	// the IPv4 and UDP headers count.
+	maximumMessage    = 65535 - 20 - 8
+	segmentOptionSize = 2 // bytes of the UDP_SEGMENT option
 )
 
-// destinationKey is an IPv4 address and port in one word.
+// destinationKey is an IPv4 address and port in one integer.
 type destinationKey uint64
 
-func keyOf(destination netip.AddrPort) destinationKey {
+func destinationKeyOf(destination netip.AddrPort) destinationKey {
 	address := destination.Addr().As4()
 	return destinationKey(binary.BigEndian.Uint32(address[:]))<<16 | destinationKey(destination.Port())
 }
 
-// group is one message to the kernel: datagrams for one destination, all of
-// one size but the last, which may be shorter.
-type group struct {
+// segmentGroup collects the datagrams of one message to the kernel. All datagrams
+// have the same destination and the same size, except that the last may be shorter.
+type segmentGroup struct {
 	address  net.UDPAddr
 	control  []byte // encoded UDP_SEGMENT option
 	buffers  [][]byte
-	size     int // bytes of every datagram but the last
+	size     int // bytes of every datagram except the last
 	lastSize int
 	total    int
 }
 
-// accepts reports whether the kernel can send one more datagram with the
-// group, which may have the given number of segments. A datagram after a
-// shorter one needs a new group.
-func (g *group) accepts(size, segments int) bool {
+// accepts reports whether a datagram of the given size can be added to the group,
+// which may hold the given number of segments. A datagram that follows a shorter
+// one needs a new group.
+func (g *segmentGroup) accepts(size, maxSegments int) bool {
 	return size <= g.size &&
 		size > 0 &&
 		g.lastSize == g.size &&
-		len(g.buffers) < segments &&
+		len(g.buffers) < maxSegments &&
 		g.total+size <= maximumMessage
 }
 
-func (g *group) add(payload []byte) {
+func (g *segmentGroup) add(payload []byte) {
 	g.buffers = append(g.buffers, payload)
 	g.lastSize = len(payload)
 	g.total += len(payload)
 }
 
-// grouper collects the datagrams of a batch into as few messages as the
-// kernel allows. Datagrams for one destination keep their order.
-type grouper struct {
-	keys     []destinationKey // of groups, kept together for a fast search
-	groups   []group
-	messages []ipv4.Message
-	count    int
-	segments int // most datagrams in a message
+// coalescer combines the datagrams of a batch into as few messages as the kernel
+// allows (UDP generic segmentation offload). Datagrams for one destination keep
+// their order.
+type coalescer struct {
+	keys        []destinationKey // of groups, in a separate slice for a fast search
+	groups      []segmentGroup
+	messages    []ipv4.Message
+	count       int
+	maxSegments int // largest number of datagrams in a message
 }
 
-func newGrouper(capacity int) *grouper {
-	created := &grouper{
-		keys:     make([]destinationKey, capacity),
-		groups:   make([]group, capacity),
-		messages: make([]ipv4.Message, capacity),
-		segments: maximumSegments,
+func newCoalescer(capacity int) *coalescer {
+	created := &coalescer{
+		keys:        make([]destinationKey, capacity),
+		groups:      make([]segmentGroup, capacity),
+		messages:    make([]ipv4.Message, capacity),
+		maxSegments: maximumSegments,
 	}
 	for i := range created.groups {
 		fresh := &created.groups[i]
@@ -83,14 +85,14 @@
 	return created
 }
 
-// newSegmentControl returns a control message UDP_SEGMENT whose size is not
+// newSegmentControl returns a UDP_SEGMENT control message whose segment size is not
 // set yet.
 func newSegmentControl() []byte {
-	control := make([]byte, unix.CmsgSpace(segmentOption))
+	control := make([]byte, unix.CmsgSpace(segmentOptionSize))
 	header := (*unix.Cmsghdr)(unsafe.Pointer(&control[0]))
 	header.Level = unix.SOL_UDP
 	header.Type = unix.UDP_SEGMENT
-	header.SetLen(unix.CmsgLen(segmentOption))
+	header.SetLen(unix.CmsgLen(segmentOptionSize))
 	return control
 }
 
@@ -98,33 +100,35 @@
 	binary.NativeEndian.PutUint16(control[unix.CmsgLen(0):], uint16(size))
 }
 
-// stopGrouping makes every later datagram a message of its own.
-func (g *grouper) stopGrouping() { g.segments = 1 }
+// disableCoalescing puts every later datagram into a message of its own.
+func (c *coalescer) disableCoalescing() { c.maxSegments = 1 }
 
-// add puts a datagram into the newest group for its destination, or into a new
-// one. At most the grouper's capacity may be added between two resets.
-func (g *grouper) add(datagram Datagram) {
-	key := keyOf(datagram.Destination)
-	newest := g.newest(key)
-	if newest == nil || !newest.accepts(len(datagram.Payload), g.segments) {
-		newest = g.open(key, datagram)
+// add adds a datagram to the newest group for its destination, or to a new group. No
+// more datagrams than the capacity may be added between two calls of takeMessages.
+func (c *coalescer) add(datagram Datagram) {
+	key := destinationKeyOf(datagram.Destination)
+	newestGroup := c.newestGroup(key)
+	if newestGroup == nil || !newestGroup.accepts(len(datagram.Payload), c.maxSegments) {
+		newestGroup = c.openGroup(key, datagram)
 	}
-	newest.add(datagram.Payload)
+	newestGroup.add(datagram.Payload)
 }
 
-func (g *grouper) newest(key destinationKey) *group {
-	for i := g.count - 1; i >= 0; i-- {
-		if g.keys[i] == key {
-			return &g.groups[i]
+// newestGroup returns the newest group for a destination, or nil.
+func (c *coalescer) newestGroup(key destinationKey) *segmentGroup {
+	for i := c.count - 1; i >= 0; i-- {
+		if c.keys[i] == key {
+			return &c.groups[i]
 		}
 	}
 	return nil
 }
 
-func (g *grouper) open(key destinationKey, first Datagram) *group {
-	opened := &g.groups[g.count]
-	g.keys[g.count] = key
-	g.count++
+// openGroup starts an empty group for the destination and size of its first datagram.
+func (c *coalescer) openGroup(key destinationKey, first Datagram) *segmentGroup {
+	opened := &c.groups[c.count]
+	c.keys[c.count] = key
+	c.count++
 	destination := first.Destination.Addr().As4()
 	copy(opened.address.IP, destination[:])
 	opened.address.Port = int(first.Destination.Port())
@@ -134,12 +138,12 @@
 	return opened
 }
 
-// finish returns the messages to send and empties the grouper. They are valid
-// until the next add.
-func (g *grouper) finish() []ipv4.Message {
-	messages := g.messages[:g.count]
+// takeMessages returns the messages to send and empties the coalescer. The messages
+// are valid until the next call of add.
+func (c *coalescer) takeMessages() []ipv4.Message {
+	messages := c.messages[:c.count]
 	for i := range messages {
-		grouped := &g.groups[i]
+		grouped := &c.groups[i]
 		messages[i].Buffers = grouped.buffers
 		messages[i].OOB = nil
 		if len(grouped.buffers) > 1 {
@@ -147,6 +151,6 @@
 			messages[i].OOB = grouped.control
 		}
 	}
-	g.count = 0
+	c.count = 0
 	return messages
 }
--- a/internal/balancer/udpfront/coalesce_test.go
+++ b/internal/balancer/udpfront/coalesce_test.go
@@ -23,8 +23,8 @@
 	}), 0, BatchSize).Draw(t, "datagrams")
 }
 
-// number writes the index of each datagram that has room for it.
-func number(datagrams []Datagram) {
+// writeIndexes writes the index of each datagram into its first byte, if it has one.
+func writeIndexes(datagrams []Datagram) {
 	for i, datagram := range datagrams {
 		if len(datagram.Payload) > 0 {
 			datagram.Payload[0] = byte(i)
@@ -32,7 +32,7 @@
 	}
 }
 
-func byPort(datagrams []Datagram) map[uint16][][]byte {
+func groupByPort(datagrams []Datagram) map[uint16][][]byte {
 	sorted := map[uint16][][]byte{}
 	for _, datagram := range datagrams {
 		port := datagram.Destination.Port()
@@ -41,43 +41,43 @@
 	return sorted
 }
 
-func TestGrouperKeepsEveryDatagramInOrder(t *testing.T) {
-	used := newGrouper(BatchSize)
+func TestCoalescerKeepsEveryDatagramInOrder(t *testing.T) {
+	coalescer := newCoalescer(BatchSize)
 	rapid.Check(t, func(t *rapid.T) {
 		datagrams := drawDatagrams(t)
-		number(datagrams)
+		writeIndexes(datagrams)
 		for _, datagram := range datagrams {
-			used.add(datagram)
+			coalescer.add(datagram)
 		}
 		got := map[uint16][][]byte{}
-		for _, message := range used.finish() {
+		for _, message := range coalescer.takeMessages() {
 			checkMessage(t, message)
 			port := uint16(message.Addr.(*net.UDPAddr).Port)
 			got[port] = append(got[port], message.Buffers...)
 		}
-		want := byPort(datagrams)
+		want := groupByPort(datagrams)
 		if len(got) != len(want) {
-			t.Fatalf("%d destinations, want %d", len(got), len(want))
+			t.Fatalf("messages for %d destinations, want %d", len(got), len(want))
 		}
 		for port, payloads := range want {
-			checkSame(t, got[port], payloads)
+			checkPayloads(t, got[port], payloads)
 		}
 	})
 }
 
-func checkSame(t *rapid.T, got, want [][]byte) {
+func checkPayloads(t *rapid.T, got, want [][]byte) {
 	if len(got) != len(want) {
 		t.Fatalf("%d datagrams, want %d", len(got), len(want))
 	}
 	for i := range want {
 		same := len(got[i]) == len(want[i]) && (len(want[i]) == 0 || got[i][0] == want[i][0])
 		if !same {
-			t.Fatalf("datagram %d is another one", i)
+			t.Fatalf("datagram %d has another size or content than the one added", i)
 		}
 	}
 }
 
-// checkMessage checks the rules of UDP_SEGMENT.
+// checkMessage checks that a message follows the rules of UDP_SEGMENT.
 func checkMessage(t *rapid.T, message ipv4.Message) {
 	last := len(message.Buffers) - 1
 	if last == 0 {
@@ -90,50 +90,50 @@
 	for i, buffer := range message.Buffers {
 		total += len(buffer)
 		if i < last && len(buffer) != len(message.Buffers[0]) {
-			t.Fatalf("segment %d has %d bytes, the first %d", i, len(buffer), len(message.Buffers[0]))
+			t.Fatalf("segment %d has %d bytes, but the first has %d", i, len(buffer), len(message.Buffers[0]))
 		}
 	}
 	size := len(message.Buffers[last])
 	if size == 0 || size > len(message.Buffers[0]) || last >= maximumSegments || total > maximumMessage {
-		t.Fatalf("%d segments, %d bytes, the last %d", last+1, total, size)
+		t.Fatalf("invalid message: %d segments, %d bytes, last segment %d bytes", last+1, total, size)
 	}
 	parsed, err := unix.ParseSocketControlMessage(message.OOB)
 	if err != nil || len(parsed) != 1 || parsed[0].Header.Level != unix.SOL_UDP || parsed[0].Header.Type != unix.UDP_SEGMENT {
-		t.Fatalf("control message %x: %v", message.OOB, err)
+		t.Fatalf("control message %x is not one UDP_SEGMENT option: %v", message.OOB, err)
 	}
 	if got := int(binary.NativeEndian.Uint16(parsed[0].Data)); got != len(message.Buffers[0]) {
 		t.Fatalf("segment size %d, want %d", got, len(message.Buffers[0]))
 	}
 }
 
-func TestGrouperUsesOneMessageForEqualDatagrams(t *testing.T) {
-	used := newGrouper(BatchSize)
+func TestCoalescerUsesOneMessageForEqualDatagrams(t *testing.T) {
+	coalescer := newCoalescer(BatchSize)
 	destination := netip.MustParseAddrPort("192.0.2.1:6081")
 	for range BatchSize {
-		used.add(Datagram{Destination: destination, Payload: make([]byte, 1000)})
+		coalescer.add(Datagram{Destination: destination, Payload: make([]byte, 1000)})
 	}
-	if got := len(used.finish()); got != 1 {
+	if got := len(coalescer.takeMessages()); got != 1 {
 		t.Fatalf("%d messages, want 1", got)
 	}
-	used.stopGrouping()
+	coalescer.disableCoalescing()
 	for range BatchSize {
-		used.add(Datagram{Destination: destination, Payload: make([]byte, 1000)})
+		coalescer.add(Datagram{Destination: destination, Payload: make([]byte, 1000)})
 	}
-	if got := len(used.finish()); got != BatchSize {
-		t.Fatalf("%d messages after grouping was stopped, want %d", got, BatchSize)
+	if got := len(coalescer.takeMessages()); got != BatchSize {
+		t.Fatalf("%d messages after coalescing was disabled, want %d", got, BatchSize)
 	}
 }
 
-// TestGrouperFillsMessages checks that groups are cut where the kernel would
-// refuse them, and no earlier.
-func TestGrouperFillsMessages(t *testing.T) {
+// TestCoalescerFillsMessages checks that a new message starts exactly where the
+// kernel would refuse a larger one.
+func TestCoalescerFillsMessages(t *testing.T) {
 	const size = 9000
 	const perMessage = maximumMessage / size
-	used := newGrouper(BatchSize)
+	coalescer := newCoalescer(BatchSize)
 	for range BatchSize {
-		used.add(Datagram{Destination: netip.MustParseAddrPort("192.0.2.1:6081"), Payload: make([]byte, size)})
+		coalescer.add(Datagram{Destination: netip.MustParseAddrPort("192.0.2.1:6081"), Payload: make([]byte, size)})
 	}
-	for i, message := range used.finish() {
+	for i, message := range coalescer.takeMessages() {
 		want := min(perMessage, BatchSize-i*perMessage)
 		if got := len(message.Buffers); got != want {
 			t.Fatalf("message %d has %d datagrams, want %d", i, got, want)
--- a/internal/balancer/udpfront/listener.go
+++ b/internal/balancer/udpfront/listener.go
@@ -1,9 +1,10 @@
-// Package udpfront moves UDP datagrams in batches between sockets that share
-// one port and a handler that decides about each datagram.
+// Package udpfront receives UDP datagrams in batches on several sockets that share
+// one port, passes each datagram to a handler, and sends the datagrams that the
+// handler returns. The balancer uses it as its packet I/O.
 //
-// One system call receives or sends a whole batch (recvmmsg and sendmmsg), and
-// each socket has one goroutine with its own handler, so that no lock is taken
-// for a datagram.
+// One system call receives or sends a whole batch (recvmmsg and sendmmsg). Each
+// socket has one goroutine with its own handler, so that no lock is needed for a
+// datagram.
 package udpfront
 
 import (
@@ -21,15 +22,16 @@
 	Payload     []byte
 }
 
-// Handler decides about the datagrams of one socket. It is called from one
+// Handler handles the datagrams of one socket. Its methods are called from one
 // goroutine.
 type Handler interface {
-	// Handle returns what to send because of a received datagram, or false to
-	// send nothing. It may build the payload in output, which has length 0
-	// and room for MaxDatagram bytes. Both buffers are the front's.
+	// Handle returns the datagram to send in response to a received one, or
+	// false to send nothing. It may build the payload in output, which has
+	// length 0 and capacity MaxDatagramSize. Both buffers belong to the
+	// Listener and are reused.
 	Handle(datagram, output []byte) (Datagram, bool)
-	// BatchSent is called after the datagrams of a batch have been sent, with
-	// the number of those that the kernel refused.
+	// BatchSent is called after the datagrams of a batch have been sent.
+	// failed is the number of datagrams that the kernel refused to send.
 	BatchSent(failed int)
 }
 
@@ -38,55 +40,55 @@
 	connections []*net.UDPConn
 }
 
-// Listen opens the given number of sockets on one IPv4 address. Port 0 takes
-// a free port for all of them. It fails if the number is not positive or a
-// socket cannot be bound.
+// Listen opens the given number of sockets on one IPv4 address. Port 0 selects a
+// free port for all of them. Listen fails if the number is not positive or a socket
+// cannot be bound.
 func Listen(address netip.AddrPort, sockets int) (*Listener, error) {
 	if sockets < 1 {
 		return nil, errors.Errorf("number of sockets is %d: must be at least 1", sockets)
 	}
-	front := &Listener{}
+	listener := &Listener{}
 	for range sockets {
 		connection, err := listenShared(address)
 		if err != nil {
-			front.Close()
+			listener.Close()
 			return nil, err
 		}
-		front.connections = append(front.connections, connection)
-		address = front.Address()
+		listener.connections = append(listener.connections, connection)
+		address = listener.Address()
 	}
-	return front, nil
+	return listener, nil
 }
 
 // Address returns the address that the sockets share.
-func (f *Listener) Address() netip.AddrPort {
-	return f.connections[0].LocalAddr().(*net.UDPAddr).AddrPort()
+func (l *Listener) Address() netip.AddrPort {
+	return l.connections[0].LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Connections returns the sockets.
-func (f *Listener) Connections() []*net.UDPConn { return f.connections }
+// Connections returns the sockets of the listener.
+func (l *Listener) Connections() []*net.UDPConn { return l.connections }
 
-// Close closes the sockets. Closing again does nothing.
-func (f *Listener) Close() {
-	for _, connection := range f.connections {
-		// The only error is that the socket is closed already.
+// Close closes the sockets. Further calls have no effect.
+func (l *Listener) Close() {
+	for _, connection := range l.connections {
+		// The only possible error is that the socket is closed already.
 		_ = connection.Close()
 	}
 }
 
-// Run serves every socket, each with a handler of its own, until ctx ends,
-// then closes the sockets and returns nil. If a socket fails before, Run
-// closes the sockets and returns that error.
-func (f *Listener) Run(ctx context.Context, newHandler func() Handler) error {
+// Run serves every socket with a handler of its own until ctx ends, then closes the
+// sockets and returns nil. If a socket fails before ctx ends, Run closes the sockets
+// and returns the error.
+func (l *Listener) Run(ctx context.Context, newHandler func() Handler) error {
 	group, groupContext := errgroup.WithContext(ctx)
-	stop := context.AfterFunc(groupContext, f.Close)
+	stop := context.AfterFunc(groupContext, l.Close)
 	defer stop()
-	for _, connection := range f.connections {
+	for _, connection := range l.connections {
 		handler := newHandler()
-		group.Go(func() error { return newPump(connection, handler).run() })
+		group.Go(func() error { return newSocketWorker(connection, handler).run() })
 	}
 	err := group.Wait()
-	f.Close()
+	l.Close()
 	if ctx.Err() != nil {
 		return nil
 	}
--- a/internal/balancer/udpfront/segment_bench_test.go
+++ b/internal/balancer/udpfront/segment_bench_test.go
@@ -12,9 +12,9 @@
 
 const benchmarkPayload = 1000
 
-// openDrained returns a socket whose datagrams are read and dropped until the
-// benchmark ends.
-func openDrained(b *testing.B) netip.AddrPort {
+// openDiscardingSocket returns the address of a socket that reads and discards
+// datagrams until the benchmark ends.
+func openDiscardingSocket(b *testing.B) netip.AddrPort {
 	b.Helper()
 	connection, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -32,8 +32,8 @@
 	return connection.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// BenchmarkSend is the time for one datagram of a batch that is spread evenly
-// over destinations, in messages of one datagram and grouped.
+// BenchmarkSend measures the time for one datagram of a batch that is distributed
+// evenly over destinations, with and without coalescing.
 func BenchmarkSend(b *testing.B) {
 	for _, destinations := range []int{1, 4, 16, BatchSize} {
 		for _, grouped := range []bool{false, true} {
@@ -47,54 +47,54 @@
 func benchmarkSend(b *testing.B, destinations int, grouped bool) {
 	addresses := make([]netip.AddrPort, destinations)
 	for i := range addresses {
-		addresses[i] = openDrained(b)
+		addresses[i] = openDiscardingSocket(b)
 	}
 	sending, err := listenShared(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { sending.Close() })
-	under := newPump(sending, nil)
+	worker := newSocketWorker(sending, nil)
 	if !grouped {
-		under.grouper.stopGrouping()
+		worker.coalescer.disableCoalescing()
 	}
 	payload := make([]byte, benchmarkPayload)
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range BatchSize {
-			under.grouper.add(Datagram{Destination: addresses[i%destinations], Payload: payload})
+			worker.coalescer.add(Datagram{Destination: addresses[i%destinations], Payload: payload})
 		}
-		if failed := under.send(under.grouper.finish()); failed > 0 {
+		if failed := worker.send(worker.coalescer.takeMessages()); failed > 0 {
 			b.Fatal("the kernel refused ", failed)
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*BatchSize), "ns/datagram")
 }
 
-// BenchmarkReceive is the time for one received datagram if the sender groups
-// them, with and without UDP_GRO, which hands over a group whole. Sending is
-// not counted.
+// BenchmarkReceive measures the time for one received datagram if the sender
+// coalesces them, with and without UDP_GRO, which delivers coalesced datagrams in
+// one buffer. The time for sending is excluded.
 func BenchmarkReceive(b *testing.B) {
-	for _, whole := range []bool{false, true} {
-		b.Run(fmt.Sprintf("gro=%t", whole), func(b *testing.B) { benchmarkReceive(b, whole) })
+	for _, gro := range []bool{false, true} {
+		b.Run(fmt.Sprintf("gro=%t", gro), func(b *testing.B) { benchmarkReceive(b, gro) })
 	}
 }
 
-func benchmarkReceive(b *testing.B, whole bool) {
+func benchmarkReceive(b *testing.B, gro bool) {
 	receiving, err := listenShared(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { receiving.Close() })
-	if whole {
-		receiveGroups(b, receiving)
+	if gro {
+		enableGRO(b, receiving)
 	}
 	sending, err := listenShared(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { sending.Close() })
-	sender := newPump(sending, nil)
+	sender := newSocketWorker(sending, nil)
 	payload := make([]byte, benchmarkPayload)
 	address := receiving.LocalAddr().(*net.UDPAddr).AddrPort()
 	packets := ipv4.NewPacketConn(receiving)
@@ -107,9 +107,9 @@
 	for b.Loop() {
 		b.StopTimer()
 		for range BatchSize {
-			sender.grouper.add(Datagram{Destination: address, Payload: payload})
+			sender.coalescer.add(Datagram{Destination: address, Payload: payload})
 		}
-		if failed := sender.send(sender.grouper.finish()); failed > 0 {
+		if failed := sender.send(sender.coalescer.takeMessages()); failed > 0 {
 			b.Fatal("the kernel refused ", failed)
 		}
 		b.StartTimer()
@@ -126,7 +126,8 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*BatchSize), "ns/datagram")
 }
 
-func receiveGroups(b *testing.B, connection *net.UDPConn) {
+// enableGRO sets UDP_GRO on the socket.
+func enableGRO(b *testing.B, connection *net.UDPConn) {
 	b.Helper()
 	raw, err := connection.SyscallConn()
 	if err != nil {
--- a/internal/balancer/udpfront/socket.go
+++ b/internal/balancer/udpfront/socket.go
@@ -10,14 +10,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketBuffer is the size in bytes asked for each socket's receive and send
-// queue: some milliseconds of a fast link, which cover the time that the
-// scheduler may keep the process waiting. The kernel may grant less.
-const socketBuffer = 4 << 20
+// socketBufferSize is the requested size in bytes of each socket's receive and send
+// queues. It holds a few milliseconds of traffic of a fast link, which covers the
+// time for which the scheduler may delay the process. The kernel may grant less.
+const socketBufferSize = 4 << 20
 
-// listenShared opens an IPv4 UDP socket whose port other sockets of the
-// process share; the kernel spreads datagrams over them by the hash of their
-// addresses.
+// listenShared opens an IPv4 UDP socket whose port can be shared by other sockets of
+// the process (SO_REUSEPORT). The kernel distributes datagrams over the sockets by
+// the hash of their addresses.
 func listenShared(address netip.AddrPort) (*net.UDPConn, error) {
 	config := net.ListenConfig{Control: sharePort}
 	opened, err := config.ListenPacket(context.Background(), "udp4", address.String())
@@ -44,8 +44,8 @@
 }
 
 func setBuffers(connection *net.UDPConn) error {
-	if err := connection.SetReadBuffer(socketBuffer); err != nil {
+	if err := connection.SetReadBuffer(socketBufferSize); err != nil {
 		return errors.WithStack(err)
 	}
-	return errors.WithStack(connection.SetWriteBuffer(socketBuffer))
+	return errors.WithStack(connection.SetWriteBuffer(socketBufferSize))
 }
--- a/internal/balancer/udpfront/udpfront_suite_test.go
+++ b/internal/balancer/udpfront/udpfront_suite_test.go
@@ -14,7 +14,7 @@
 	RunSpecs(t, "udpfront")
 }
 
-const patience = 30 * time.Second
+const receiveTimeout = 30 * time.Second
 
 func listen() *net.UDPConn {
 	connection, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -26,7 +26,7 @@
 
 func receive(connection *net.UDPConn) []byte {
 	buffer := make([]byte, 1<<16)
-	Expect(connection.SetReadDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(connection.SetReadDeadline(time.Now().Add(receiveTimeout))).To(Succeed())
 	count, err := connection.Read(buffer)
 	Expect(err).NotTo(HaveOccurred())
 	return buffer[:count]
--- a/internal/balancer/udpfront/worker.go
+++ b/internal/balancer/udpfront/worker.go
@@ -10,32 +10,34 @@
 
 const (
 	// BatchSize is the largest number of datagrams that one system call
-	// receives, and of messages that one sends.
+	// receives, and the largest number of messages that one system call sends.
 	BatchSize = 64
-	// MaxDatagramSize is the room in bytes for one datagram. A longer one is cut
-	// to this size, which leaves more than the largest packet that is carried
-	// behind the largest Geneve header, so the handler sees it is oversized.
+	// MaxDatagramSize is the buffer size in bytes for one datagram. A longer
+	// datagram is truncated to this size. The size exceeds the largest packet
+	// with the largest Geneve header, so that the handler can recognize a
+	// truncated datagram as oversized.
 	MaxDatagramSize = 9472
 )
 
-// pump moves datagrams from one socket through a handler.
-type pump struct {
-	connection *ipv4.PacketConn
-	handler    Handler
-	received   []ipv4.Message
-	outputs    [][]byte
-	grouper    *grouper
-	single     []ipv4.Message
+// socketWorker passes the datagrams of one socket to a handler and sends the
+// results.
+type socketWorker struct {
+	connection    *ipv4.PacketConn
+	handler       Handler
+	received      []ipv4.Message
+	outputs       [][]byte
+	coalescer     *coalescer
+	singleMessage []ipv4.Message
 }
 
-func newPump(connection *net.UDPConn, handler Handler) *pump {
-	created := &pump{
-		connection: ipv4.NewPacketConn(connection),
-		handler:    handler,
-		received:   make([]ipv4.Message, BatchSize),
-		outputs:    make([][]byte, BatchSize),
-		grouper:    newGrouper(BatchSize),
-		single:     make([]ipv4.Message, 1),
+func newSocketWorker(connection *net.UDPConn, handler Handler) *socketWorker {
+	created := &socketWorker{
+		connection:    ipv4.NewPacketConn(connection),
+		handler:       handler,
+		received:      make([]ipv4.Message, BatchSize),
+		outputs:       make([][]byte, BatchSize),
+		coalescer:     newCoalescer(BatchSize),
+		singleMessage: make([]ipv4.Message, 1),
 	}
 	for i := range BatchSize {
 		created.received[i].Buffers = [][]byte{make([]byte, MaxDatagramSize)}
@@ -45,40 +47,41 @@
 }
 
 // run handles batches until the socket is closed or fails.
-func (p *pump) run() error {
+func (w *socketWorker) run() error {
 	for {
-		count, err := p.connection.ReadBatch(p.received, 0)
+		count, err := w.connection.ReadBatch(w.received, 0)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
 			return errors.WithStack(err)
 		}
-		p.handle(p.received[:count])
-		p.handler.BatchSent(p.send(p.grouper.finish()))
+		w.handle(w.received[:count])
+		w.handler.BatchSent(w.send(w.coalescer.takeMessages()))
 	}
 }
 
-// handle lets the handler decide about every received datagram and collects
-// what is to be sent.
-func (p *pump) handle(received []ipv4.Message) {
+// handle passes every received datagram to the handler and collects the datagrams to
+// send.
+func (w *socketWorker) handle(received []ipv4.Message) {
 	for i := range received {
 		message := &received[i]
-		datagram, forward := p.handler.Handle(message.Buffers[0][:message.N], p.outputs[i])
+		datagram, forward := w.handler.Handle(message.Buffers[0][:message.N], w.outputs[i])
 		if forward {
-			p.grouper.add(datagram)
+			w.coalescer.add(datagram)
 		}
 	}
 }
 
-// send returns how many datagrams the kernel refused. The kernel stops at the
-// first message that it refuses, so sending goes on behind that one.
-func (p *pump) send(messages []ipv4.Message) int {
+// send sends messages and returns the number of datagrams that the kernel refused.
+// The kernel stops at the first message that it refuses, so send continues with the
+// message after it.
+func (w *socketWorker) send(messages []ipv4.Message) int {
 	failed := 0
 	for len(messages) > 0 {
-		sent, err := p.connection.WriteBatch(messages, 0)
+		sent, err := w.connection.WriteBatch(messages, 0)
 		if err != nil {
-			failed += p.recover(&messages[0], err)
+			failed += w.retryRefused(&messages[0], err)
 			sent = 1
 		}
 		messages = messages[sent:]
@@ -86,27 +89,28 @@
 	return failed
 }
 
-// recover handles a message that the kernel refused, and returns how many of
-// its datagrams cannot be sent.
-func (p *pump) recover(refused *ipv4.Message, cause error) int {
+// retryRefused sends the datagrams of a refused message individually if there are
+// several. It returns the number of datagrams that cannot be sent.
+func (w *socketWorker) retryRefused(refused *ipv4.Message, cause error) int {
 	if len(refused.Buffers) == 1 {
 		return 1
 	}
 	if errors.Is(cause, unix.EIO) {
-		// The path has no checksum offload, so it never takes UDP_SEGMENT.
-		p.grouper.stopGrouping()
+		// The path has no checksum offload and therefore never accepts
+		// UDP_SEGMENT.
+		w.coalescer.disableCoalescing()
 	}
-	return p.sendSingly(refused)
+	return w.sendIndividually(refused)
 }
 
-// sendSingly sends the datagrams of a refused message without UDP_SEGMENT,
-// which some paths refuse for datagrams that they send otherwise, and returns
-// how many are refused again.
-func (p *pump) sendSingly(refused *ipv4.Message) int {
+// sendIndividually sends the datagrams of a refused message without UDP_SEGMENT and
+// returns the number of datagrams that are refused again. Some paths refuse
+// UDP_SEGMENT for datagrams that they send without it.
+func (w *socketWorker) sendIndividually(refused *ipv4.Message) int {
 	failed := 0
 	for i := range refused.Buffers {
-		p.single[0] = ipv4.Message{Buffers: refused.Buffers[i : i+1], Addr: refused.Addr}
-		if _, err := p.connection.WriteBatch(p.single, 0); err != nil {
+		w.singleMessage[0] = ipv4.Message{Buffers: refused.Buffers[i : i+1], Addr: refused.Addr}
+		if _, err := w.connection.WriteBatch(w.singleMessage, 0); err != nil {
 			failed++
 		}
 	}
--- a/internal/balancer/udpfront/worker_test.go
+++ b/internal/balancer/udpfront/worker_test.go
@@ -10,21 +10,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// forward sends every datagram to one destination.
-type forward struct {
+// forwardingHandler sends every datagram unchanged to one destination.
+type forwardingHandler struct {
 	destination netip.AddrPort
 	failed      int
 }
 
-func (f *forward) Handle(datagram, output []byte) (Datagram, bool) {
+func (f *forwardingHandler) Handle(datagram, output []byte) (Datagram, bool) {
 	return Datagram{Destination: f.destination, Payload: append(output, datagram...)}, true
 }
 
-func (f *forward) BatchSent(failed int) { f.failed += failed }
+func (f *forwardingHandler) BatchSent(failed int) { f.failed += failed }
 
-// refuseSegments makes the kernel refuse UDP_SEGMENT with EINVAL, as it does
-// for datagrams above the MTU of their path.
-func refuseSegments(connection *net.UDPConn) {
+// makeKernelRefuseSegments disables checksums on a socket, so that the kernel refuses
+// UDP_SEGMENT with EINVAL, as it does for datagrams above the MTU of their path.
+func makeKernelRefuseSegments(connection *net.UDPConn) {
 	raw, err := connection.SyscallConn()
 	Expect(err).NotTo(HaveOccurred())
 	var optionError error
@@ -34,20 +34,20 @@
 	Expect(optionError).NotTo(HaveOccurred())
 }
 
-var _ = Describe("pump", func() {
+var _ = Describe("socketWorker", func() {
 	sizes := []int{1000, 1000, 1000, 300, 1000, 1, 1, 9000, 9000}
 
-	// relayAll passes datagrams of those sizes through a pump as one batch.
-	relayAll := func(under *pump) {
+	// handleBatch passes datagrams of these sizes through a worker as one batch.
+	handleBatch := func(worker *socketWorker) {
 		for i, size := range sizes {
-			under.received[i].N = size
-			under.received[i].Buffers[0][0] = byte(i)
+			worker.received[i].N = size
+			worker.received[i].Buffers[0][0] = byte(i)
 		}
-		under.handle(under.received[:len(sizes)])
-		under.handler.BatchSent(under.send(under.grouper.finish()))
+		worker.handle(worker.received[:len(sizes)])
+		worker.handler.BatchSent(worker.send(worker.coalescer.takeMessages()))
 	}
 
-	expectAll := func(sink *net.UDPConn) {
+	expectAllReceived := func(sink *net.UDPConn) {
 		GinkgoHelper()
 		for i, size := range sizes {
 			datagram := receive(sink)
@@ -56,61 +56,61 @@
 		}
 	}
 
-	It("sends grouped datagrams as they were", func() {
+	It("sends coalesced datagrams with unchanged sizes and content", func() {
 		sink := listen()
-		handler := &forward{destination: sink.LocalAddr().(*net.UDPAddr).AddrPort()}
-		under := newPump(listen(), handler)
-		relayAll(under)
-		expectAll(sink)
+		handler := &forwardingHandler{destination: sink.LocalAddr().(*net.UDPAddr).AddrPort()}
+		worker := newSocketWorker(listen(), handler)
+		handleBatch(worker)
+		expectAllReceived(sink)
 		Expect(handler.failed).To(BeZero())
-		Expect(under.grouper.segments).To(Equal(maximumSegments))
+		Expect(worker.coalescer.maxSegments).To(Equal(maximumSegments))
 	})
 
-	It("sends singly where the kernel refuses groups", func() {
+	It("sends datagrams individually when the kernel refuses a coalesced message", func() {
 		sink := listen()
 		sending := listen()
-		refuseSegments(sending)
-		handler := &forward{destination: sink.LocalAddr().(*net.UDPAddr).AddrPort()}
-		under := newPump(sending, handler)
-		relayAll(under)
-		expectAll(sink)
+		makeKernelRefuseSegments(sending)
+		handler := &forwardingHandler{destination: sink.LocalAddr().(*net.UDPAddr).AddrPort()}
+		worker := newSocketWorker(sending, handler)
+		handleBatch(worker)
+		expectAllReceived(sink)
 		Expect(handler.failed).To(BeZero())
-		Expect(under.grouper.segments).To(Equal(maximumSegments), "other paths may take groups")
+		Expect(worker.coalescer.maxSegments).To(Equal(maximumSegments), "other paths may accept coalesced messages")
 	})
 
-	It("stops grouping where there is no checksum offload", func() {
+	It("disables coalescing when the path has no checksum offload", func() {
 		sink := listen()
-		handler := &forward{destination: sink.LocalAddr().(*net.UDPAddr).AddrPort()}
-		under := newPump(listen(), handler)
+		handler := &forwardingHandler{destination: sink.LocalAddr().(*net.UDPAddr).AddrPort()}
+		worker := newSocketWorker(listen(), handler)
 		for range 2 {
-			under.grouper.add(Datagram{Destination: handler.destination, Payload: make([]byte, 10)})
+			worker.coalescer.add(Datagram{Destination: handler.destination, Payload: make([]byte, 10)})
 		}
-		refused := under.grouper.finish()
+		refused := worker.coalescer.takeMessages()
 		Expect(refused).To(HaveLen(1))
-		Expect(under.recover(&refused[0], os.NewSyscallError("sendmmsg", unix.EIO))).To(BeZero())
-		Expect(under.grouper.segments).To(Equal(1))
-		relayAll(under)
+		Expect(worker.retryRefused(&refused[0], os.NewSyscallError("sendmmsg", unix.EIO))).To(BeZero())
+		Expect(worker.coalescer.maxSegments).To(Equal(1))
+		handleBatch(worker)
 		Expect(receive(sink)).To(HaveLen(10))
 		Expect(receive(sink)).To(HaveLen(10))
-		expectAll(sink)
+		expectAllReceived(sink)
 	})
 
 	It("counts every datagram that the kernel refuses", func() {
-		handler := &forward{destination: netip.MustParseAddrPort("127.0.0.1:0")}
-		relayAll(newPump(listen(), handler))
+		handler := &forwardingHandler{destination: netip.MustParseAddrPort("127.0.0.1:0")}
+		handleBatch(newSocketWorker(listen(), handler))
 		Expect(handler.failed).To(Equal(len(sizes)))
 	})
 })
 
 var _ = Describe("Listen", func() {
 	It("opens sockets that share a free port", func() {
-		front, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), 3)
+		listener, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), 3)
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(front.Close)
-		Expect(front.Connections()).To(HaveLen(3))
-		Expect(front.Address().Port()).NotTo(BeZero())
-		for _, connection := range front.Connections() {
-			Expect(connection.LocalAddr().(*net.UDPAddr).AddrPort()).To(Equal(front.Address()))
+		DeferCleanup(listener.Close)
+		Expect(listener.Connections()).To(HaveLen(3))
+		Expect(listener.Address().Port()).NotTo(BeZero())
+		for _, connection := range listener.Connections() {
+			Expect(connection.LocalAddr().(*net.UDPAddr).AddrPort()).To(Equal(listener.Address()))
 		}
 	})
 })
