--- a/internal/admission/locate.go
+++ b/internal/admission/locate.go
@@ -139,7 +139,7 @@
 	if exists && pending.purpose == PurposeOpen && query.Purpose == PurposeOpen &&
 		pending.sequence == query.Sequence && m.config.Row < from {
 		// Both rows are deciding about the same flow. The row with the lower
-		// identifier continues, the other one gives up.
+		// identifier continues. The other one forwards the flow to it.
 		return AnswerOwned, m.config.Row
 	}
 	return AnswerUnknown, 0
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -40,7 +40,7 @@
 	Address netip.AddrPort
 }
 
-// Metrics are the agent's counters and gauges.
+// Metrics holds the counters and gauges of an agent.
 type Metrics struct {
 	// DroppedPackets counts discarded packets. The label reason names the
 	// cause.
@@ -51,8 +51,9 @@
 	DeliveredPackets metrics.Counter
 	// MessagesSent counts queries and replies sent to other agents.
 	MessagesSent metrics.Counter
-	// RefusedFlows counts flows refused before their handshake completed,
-	// once for each packet that is answered with a reset.
+	// RefusedFlows counts the resets sent for flows refused before their
+	// handshake completed. It also counts resets sent for packets of unknown
+	// flows.
 	RefusedFlows metrics.Counter
 	// OpenFlows is the number of open flows.
 	OpenFlows metrics.Gauge
@@ -133,20 +134,20 @@
 
 // New opens the sockets of an agent. It fails if an address is in use.
 func New(config Config) (*Agent, error) {
-	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(config.Listen))
+	packetSocket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(config.Listen))
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", config.Listen)
 	}
-	enlargeSocketBuffers(socket)
-	heartbeats, err := net.ListenUDP("udp4", &net.UDPAddr{IP: config.Listen.Addr().AsSlice()})
+	enlargeSocketBuffers(packetSocket)
+	heartbeatSocket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: config.Listen.Addr().AsSlice()})
 	if err != nil {
-		_ = socket.Close()
+		_ = packetSocket.Close()
 		return nil, errors.Wrap(err, "open heartbeat socket")
 	}
-	refuser, err := netstack.New(nil)
+	resetStack, err := netstack.New(nil)
 	if err != nil {
-		_ = socket.Close()
-		_ = heartbeats.Close()
+		_ = packetSocket.Close()
+		_ = heartbeatSocket.Close()
 		return nil, err
 	}
 	started := time.Now()
@@ -154,9 +155,9 @@
 	return &Agent{
 		config:          config,
 		started:         started,
-		packetSocket:    socket,
-		heartbeatSocket: heartbeats,
-		resetStack:      refuser,
+		packetSocket:    packetSocket,
+		heartbeatSocket: heartbeatSocket,
+		resetStack:      resetStack,
 		controlClient:   control.NewClient(address, uint64(started.UnixNano()), config.Daemons),
 		rows:            make(map[rowKey]*row),
 		peers:           make(map[table.BackendID]peerRow),
@@ -229,8 +230,8 @@
 	// stopLingerTimeout bounds the wait of a planned stop for callers to
 	// acknowledge the last bytes of ended flows.
 	stopLingerTimeout = 3 * time.Second
-	// stoppedAnnouncements is how often a stopped agent sends its last
-	// heartbeat.
+	// stoppedAnnouncements is the number of times that a stopped agent
+	// announces its stop to the daemons.
 	stoppedAnnouncements = 3
 )
 
