--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -154,7 +154,7 @@
 // handleHandedOver opens a flow that the primary handed over to this row. Shortly
 // after an interruption of the lease it drops the packet instead: the packet may
 // be old and the primary may have decided otherwise since. The caller's
-// retransmission is handed over again.
+// retransmission reaches the row that the primary has chosen by then.
 func (m *Machine) handleHandedOver(now time.Duration, key FlowKey, packet Packet) {
 	if m.leaseRecentlyResumed(now) {
 		m.dropPacket(DropNoLease, packet)
--- a/internal/admission/effect.go
+++ b/internal/admission/effect.go
@@ -21,8 +21,9 @@
 	SendReset
 	// Drop discards the packet for the reason in Reason.
 	Drop
-	// RefreshTable requests the newest table, because a packet or a message
-	// shows that the table in use may be old.
+	// RefreshTable requests the newest table and a lease, because a packet or
+	// a message shows that the table in use may be old, or because a new flow
+	// arrived while the row holds no lease.
 	RefreshTable
 )
 
@@ -40,8 +41,8 @@
 	// DropNoLease: the row holds no lease, has only just regained it, or has
 	// no table that is recent enough to decide about the flow.
 	DropNoLease
-	// DropDuplicate: another opening packet, or one packet too many, of a flow
-	// whose owner is being decided.
+	// DropDuplicate: the owner of the flow is being decided, and the packet
+	// opens the flow again or exceeds the limit of held packets.
 	DropDuplicate
 	// DropClosed: the flow has ended, or was refused and cannot be answered
 	// with a reset.
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -30,9 +30,15 @@
 // refused or has ended. It is kept small because there is one for every open
 // flow.
 type flowRecord struct {
-	expires    time.Duration // when the record may be removed; zero for open flows
-	sequence   uint32
-	owner      table.BackendID
-	state      flowState
+	// expires is when the record may be removed. It is zero for open flows.
+	expires time.Duration
+	// sequence is the initial sequence number. It is zero for UDP flows and for
+	// flows whose owner was found by a search.
+	sequence uint32
+	// owner is the owner of a remote flow, or the row that is about to open a
+	// fenced flow.
+	owner table.BackendID
+	state flowState
+	// handedOver is set if this row handed the flow over to owner.
 	handedOver bool
 }
--- a/internal/admission/locate.go
+++ b/internal/admission/locate.go
@@ -40,17 +40,17 @@
 	m.concludeIfDone(now, key, pending)
 }
 
-// queryLikelyOwners adds the rows that are or were primary of the flow's slot and
-// the row that the flow would have been handed over to. In a small service it
-// adds all rows.
+// queryLikelyOwners adds queries to the rows that are or were primary of the flow's
+// slot, and to the row to which this row would have handed the flow over. In a
+// small service it adds queries to all rows.
 func (m *Machine) queryLikelyOwners(now time.Duration, pending *pendingFlow) {
 	if len(m.history.current.view.Rows) <= queryAllRowsLimit {
 		m.queryAllRows(now, pending)
 		return
 	}
 	deadline := now + m.config.LocateTimeout
-	for _, holder := range m.history.previousPrimaries(pending.hash, m.config.Row) {
-		m.addQuery(now, pending, holder, true, deadline)
+	for _, previous := range m.history.previousPrimaries(pending.hash, m.config.Row) {
+		m.addQuery(now, pending, previous, true, deadline)
 	}
 	if primary, exists := m.history.current.primary(pending.hash); exists {
 		m.addQuery(now, pending, primary, true, deadline)
@@ -60,8 +60,8 @@
 	}
 }
 
-// queryAllRows adds every row of the service, including drained and removed rows,
-// which may still own flows.
+// queryAllRows adds queries to all rows of the service, including drained and
+// removed rows, which may still own flows.
 func (m *Machine) queryAllRows(now time.Duration, pending *pendingFlow) {
 	pending.queriedAll = true
 	for _, row := range m.history.current.view.Rows {
@@ -71,7 +71,8 @@
 
 // concludeLocate ends a search in which no row claimed the flow. If only the
 // likely owners were queried, it queries the remaining rows. The caller is sent a
-// reset only if all rows denied the flow.
+// reset only if all rows denied the flow, and this row holds a lease and a table at
+// least as new as the one used for the packet.
 func (m *Machine) concludeLocate(now time.Duration, key FlowKey, pending *pendingFlow) {
 	if !pending.queriedAll {
 		m.queryAllRows(now, pending)
@@ -176,10 +177,10 @@
 }
 
 // isStaleRemote reports whether the record of another row's flow is too old to
-// answer for the owner, so that the owner itself must be queried. The caller still
-// sends opening packets, and no packet that was handed over can still be on its
-// way to the owner. Without this rule two rows that each remember the other as the
-// owner would keep the flow from opening until their records expire.
+// answer for the owner. A query to open the flow shows that the caller still sends
+// opening packets, none of which can still be on its way to the owner. The owner
+// itself must then be queried. Otherwise two rows that each remember the other as the
+// owner would keep the flow from opening.
 func (m *Machine) isStaleRemote(now time.Duration, record flowRecord) bool {
 	age := now + m.config.RemoteRetention - record.expires
 	return age > staleRemoteLeases*m.config.LeaseDuration
@@ -189,7 +190,9 @@
 // handed over can no longer arrive.
 const staleRemoteLeases = 2
 
-// fence records the promise not to open a flow that another row is about to open.
+// fence records the promise not to open a flow that another row is about to open,
+// and ends this row's own decision about the flow. It records nothing if the number
+// of remembered flows is at its limit.
 func (m *Machine) fence(now time.Duration, from table.BackendID, query Query) {
 	m.discardPending(query.Flow)
 	if _, remembered := m.flows[query.Flow]; !remembered && len(m.flows) >= m.config.FlowLimit {
--- a/internal/admission/machine.go
+++ b/internal/admission/machine.go
@@ -31,8 +31,9 @@
 	// RemoteRetention is how long the owner of a flow of another row is
 	// remembered after the flow's last packet.
 	RemoteRetention time.Duration
-	// HandoverMargin is the number of open flows by which a row of the same
-	// weight must be less loaded than this row to be handed a new flow.
+	// HandoverMargin is added to the open flows of another row when its load
+	// is compared with that of this row. A row of the same weight is handed a
+	// new flow only if it has fewer open flows by more than this margin.
 	HandoverMargin uint32
 	// FlowLimit is the largest number of remembered flows, including those
 	// that have ended.
@@ -78,8 +79,8 @@
 	// maximumHeldPackets bounds the packets that are kept for one undecided
 	// flow.
 	maximumHeldPackets = 4
-	// tickInterval is the longest interval between calls of Tick that is short
-	// enough for the timeouts in Config.
+	// tickInterval is the longest useful interval between calls of Tick. It is
+	// half of the shortest default timeout, ResendInterval.
 	tickInterval = 4 * time.Millisecond
 	// sweepInterval is the time between removals of expired flow records.
 	sweepInterval = time.Second
@@ -99,6 +100,7 @@
 	leaving        bool
 	flows          map[FlowKey]flowRecord
 	pending        map[FlowKey]*pendingFlow
+	// activeSearches is the number of pending flows with PurposeLocate.
 	activeSearches int
 	openFlows      uint32
 	nextSweep      time.Duration
@@ -119,7 +121,7 @@
 func (m *Machine) OpenFlows() uint32 { return m.openFlows }
 
 // RememberedFlows returns the number of flow records, including those of remote,
-// refused and ended flows.
+// fenced, refused and ended flows.
 func (m *Machine) RememberedFlows() int { return len(m.flows) }
 
 // UndecidedFlows returns the number of flows whose owner is being decided or
--- a/internal/admission/message.go
+++ b/internal/admission/message.go
@@ -61,7 +61,7 @@
 	Available bool `msg:"v"`
 }
 
-// Message is a datagram between rows. It holds either a query or a reply.
+// Message is sent from one row to another. It holds either a query or a reply.
 type Message struct {
 	From  table.BackendID `msg:"r"`
 	To    table.BackendID `msg:"t"`
--- a/internal/admission/open.go
+++ b/internal/admission/open.go
@@ -33,8 +33,8 @@
 	m.sendQueries(now, key, pending)
 }
 
-// queryPossibleOpeners adds every row of the service for RetransmissionTimeout
-// after a change of the view or an interruption of the lease. Any of them may have
+// queryPossibleOpeners adds queries to all rows of the service if the view changed or
+// the lease resumed less than RetransmissionTimeout ago. Any of the rows may have
 // been primary of the flow's slot, perhaps in a view that this row never received.
 // During the first LeaseDuration such a row may still hold a lease, so the
 // decision waits until that lease must have ended. Later the row can no longer
@@ -54,7 +54,8 @@
 	}
 }
 
-// queryRememberedOwner adds the row that owned an earlier flow with the same key.
+// queryRememberedOwner adds a query to the row that owned an earlier flow with the
+// same key.
 // The caller may be reusing a port whose earlier flow is still open there.
 func (m *Machine) queryRememberedOwner(now time.Duration, key FlowKey, pending *pendingFlow) {
 	record, exists := m.flows[key]
@@ -63,8 +64,8 @@
 	}
 }
 
-// queryLoad adds the second choice for the flow, or every candidate if this row
-// cannot take the flow.
+// queryLoad adds a query for the load of the second choice, or of every candidate if
+// this row cannot take the flow.
 func (m *Machine) queryLoad(now time.Duration, pending *pendingFlow) {
 	deadline := now + m.config.LoadTimeout
 	if !m.canTakeFlow() {
@@ -77,9 +78,9 @@
 	}
 }
 
-// queryAllCandidates adds every other row that accepts new flows and is alive. The
-// wait is longer than for a mere load, because without an answer the flow would be
-// refused.
+// queryAllCandidates adds queries to all other rows that accept new flows and whose
+// agents are neither down nor stopping. The wait is longer than in queryLoad,
+// because the flow cannot be opened unless one of these rows answers.
 func (m *Machine) queryAllCandidates(now time.Duration, pending *pendingFlow) {
 	pending.queriedAll = true
 	view := &m.history.current.view
@@ -109,8 +110,8 @@
 	}
 }
 
-// forwardToNewPrimaries forwards the undecided flows whose slot has moved to the
-// new primary of the slot. The new primary will query this row.
+// forwardToNewPrimaries forwards each undecided flow whose hash slot now has another
+// primary row to that row. The new primary will query this row.
 func (m *Machine) forwardToNewPrimaries() {
 	for _, key := range m.pendingKeys() {
 		pending := m.pending[key]
@@ -190,8 +191,8 @@
 
 // chooseOwner returns the least loaded of this row and the rows that answered. It
 // returns false if none of them can take the flow. The load of a row is its number
-// of open flows, including this one, divided by its weight. Another row must be
-// less loaded than this row by HandoverMargin.
+// of open flows, including this one, divided by its weight. HandoverMargin is added
+// to the open flows of a row that is compared with this row.
 func (m *Machine) chooseOwner(pending *pendingFlow) (table.BackendID, bool) {
 	view := &m.history.current.view
 	var best table.BackendID
@@ -332,7 +333,8 @@
 }
 
 // concludeIfDone concludes the decision or search if every query was answered or
-// has expired, and reports whether that is the case.
+// has expired, and reports whether that is the case. If a required row has not
+// answered, the decision waits for the caller's retransmission instead.
 func (m *Machine) concludeIfDone(now time.Duration, key FlowKey, pending *pendingFlow) bool {
 	if !pending.allDone() {
 		return false
--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -14,7 +14,7 @@
 	Version table.Version
 	Service table.ServiceID
 	Rows    []table.Backend
-	// Down lists the rows whose agent let its lease end without renewal.
+	// Down lists the rows whose agent's lease has ended without renewal.
 	Down []table.BackendID
 	// Leaving lists the rows whose agent is stopping but still answers.
 	Leaving []table.BackendID
@@ -39,7 +39,8 @@
 	return table.Backend{}, false
 }
 
-// assignedView is a view and the assignment of hash slots to its rows.
+// assignedView is a view together with the assignment of hash slots to its rows.
+// Each slot holds the index of its primary row in view.Rows, or lookup.NoCandidate.
 type assignedView struct {
 	view  View
 	slots []int16
@@ -51,47 +52,49 @@
 
 // primary returns the row that decides about new flows with the given hash. It
 // returns false if no row of the view accepts new flows.
-func (h *assignedView) primary(flowHash uint64) (table.BackendID, bool) {
-	if len(h.slots) == 0 {
+func (a *assignedView) primary(flowHash uint64) (table.BackendID, bool) {
+	if len(a.slots) == 0 {
 		return 0, false
 	}
-	index := h.slots[lookup.SlotOf(flowHash, len(h.slots))]
+	index := a.slots[lookup.SlotOf(flowHash, len(a.slots))]
 	if index == lookup.NoCandidate {
 		return 0, false
 	}
-	return h.view.Rows[index].ID, true
+	return a.view.Rows[index].ID, true
 }
 
 // secondChoice returns the row that would be primary for the hash if the given
 // primary did not take part.
-func (h *assignedView) secondChoice(flowHash uint64, primary table.BackendID) (table.BackendID, bool) {
-	candidates := make([]lookup.Candidate, len(h.view.Rows))
-	for index, row := range h.view.Rows {
+func (a *assignedView) secondChoice(flowHash uint64, primary table.BackendID) (table.BackendID, bool) {
+	candidates := make([]lookup.Candidate, len(a.view.Rows))
+	for index, row := range a.view.Rows {
 		candidates[index].Backend = row.ID
-		if row.ID != primary && row.AcceptsNewFlows() && h.view.mayTakeNewFlows(row.ID) {
+		if row.ID != primary && row.AcceptsNewFlows() && a.view.mayTakeNewFlows(row.ID) {
 			candidates[index].Weight = row.Weight
 		}
 	}
-	slot := lookup.SlotOf(flowHash, len(h.slots))
-	index := lookup.Primary(h.view.Service, slot, candidates)
+	slot := lookup.SlotOf(flowHash, len(a.slots))
+	index := lookup.Primary(a.view.Service, slot, candidates)
 	if index == lookup.NoCandidate {
 		return 0, false
 	}
-	return h.view.Rows[index].ID, true
+	return a.view.Rows[index].ID, true
 }
 
-// sameRouting reports whether view differs from the held one in its version only.
-func (h *assignedView) sameRouting(view View) bool {
-	return slices.Equal(h.view.Rows, view.Rows) &&
-		slices.Equal(h.view.Down, view.Down) &&
-		slices.Equal(h.view.Leaving, view.Leaving)
+// sameRouting reports whether the given view has the same rows and the same agent
+// states as this one. The versions may differ.
+func (a *assignedView) sameRouting(view View) bool {
+	return slices.Equal(a.view.Rows, view.Rows) &&
+		slices.Equal(a.view.Down, view.Down) &&
+		slices.Equal(a.view.Leaving, view.Leaving)
 }
 
 // viewHistory keeps the current view and its most recent predecessors.
 type viewHistory struct {
 	current *assignedView
 	past    []*assignedView
-	// changedAt is when the current view replaced one with other routing.
+	// changedAt is when the current view was installed. An update of only its
+	// version does not count.
 	changedAt time.Duration
 }
 
@@ -118,12 +121,12 @@
 // previousPrimaries returns the rows other than self that were primary for the
 // hash in an earlier view. The most recent comes first.
 func (h *viewHistory) previousPrimaries(flowHash uint64, self table.BackendID) []table.BackendID {
-	var holders []table.BackendID
+	var primaries []table.BackendID
 	for index := len(h.past) - 1; index >= 0; index-- {
-		holder, exists := h.past[index].primary(flowHash)
-		if exists && holder != self && !slices.Contains(holders, holder) {
-			holders = append(holders, holder)
+		primary, exists := h.past[index].primary(flowHash)
+		if exists && primary != self && !slices.Contains(primaries, primary) {
+			primaries = append(primaries, primary)
 		}
 	}
-	return holders
+	return primaries
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -98,7 +98,8 @@
 	started         time.Time
 	packetSocket    *net.UDPConn
 	heartbeatSocket *net.UDPConn
-	resetStack      *netstack.Stack
+	// resetStack refuses every flow with a TCP reset.
+	resetStack *netstack.Stack
 
 	// mutex guards everything below.
 	mutex         sync.Mutex
@@ -235,8 +236,8 @@
 	stoppedAnnouncements = 3
 )
 
-// stop performs a planned stop: it waits until open flows have ended and tells the
-// daemons that the agent has stopped.
+// stop performs a planned stop: it waits until open flows have ended, or for the stop
+// timeout, and tells the daemons that the agent has stopped.
 func (a *Agent) stop() {
 	a.mutex.Lock()
 	a.stopping = true
@@ -270,7 +271,7 @@
 
 // awaitFlowsEnded waits until all flows have ended and balancers have had
 // forwardingGracePeriod to send elsewhere. It waits no longer than the stop
-// timeout.
+// timeout, and for lingering flows no longer than stopLingerTimeout.
 func (a *Agent) awaitFlowsEnded() {
 	deadline := time.Now().Add(a.config.StopTimeout)
 	graceEnd := time.Now().Add(forwardingGracePeriod)
--- a/internal/agent/caller_test.go
+++ b/internal/agent/caller_test.go
@@ -23,7 +23,8 @@
 	"gvisor.dev/gvisor/pkg/tcpip/transport/udp"
 )
 
-// buildPacket serializes an IPv4 packet with correct lengths and checksums.
+// buildPacket serializes an IPv4 packet with correct lengths and checksums. The
+// layers must not be changed afterwards, because the checksums cover them.
 func buildPacket(protocol layers.IPProtocol, source, destination netip.AddrPort, upper ...gopacket.SerializableLayer) []byte {
 	internet := &layers.IPv4{
 		Version: 4, TTL: 64, Protocol: protocol,
--- a/internal/agent/environment_test.go
+++ b/internal/agent/environment_test.go
@@ -23,9 +23,9 @@
 	return startEnvironmentWith(at, immediateStopTimeout, adjust)
 }
 
-// startDrainingEnvironment is like startEnvironment, but a planned stop of the agent
+// startGracefulStopEnvironment is like startEnvironment, but a planned stop of the agent
 // lets open flows finish.
-func startDrainingEnvironment(at netip.AddrPort) *environment {
+func startGracefulStopEnvironment(at netip.AddrPort) *environment {
 	return startEnvironmentWith(at, waitTimeout, unchangedTable)
 }
 
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -100,7 +100,7 @@
 	dropped   = metric{name: "dropped"}
 	forwarded = metric{name: "forwarded"}
 	delivered = metric{name: "delivered"}
-	queries   = metric{name: "queries"}
+	messages  = metric{name: "messages"}
 	refused   = metric{name: "refused"}
 	openFlows = metric{name: "open_flows"}
 )
@@ -148,7 +148,7 @@
 		DroppedPackets:   counter{recorder{c, dropped}},
 		ForwardedPackets: counter{recorder{c, forwarded}},
 		DeliveredPackets: counter{recorder{c, delivered}},
-		MessagesSent:     counter{recorder{c, queries}},
+		MessagesSent:     counter{recorder{c, messages}},
 		RefusedFlows:     counter{recorder{c, refused}},
 		OpenFlows:        gauge{recorder{c, openFlows}},
 	}
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("an agent whose heartbeats no daemon answers", func() {
-	It("opens no flows after its lease, continues open ones, and opens flows again once answered", func() {
+	It("opens no flows after its lease has ended, continues open ones, and opens flows again once answered", func() {
 		service := startBackend()
 		env := startEnvironment(service.address(), unchangedTable)
 		callers := startCaller(env.network)
--- a/internal/agent/packets.go
+++ b/internal/agent/packets.go
@@ -211,14 +211,14 @@
 // fabric until the agent stops.
 func (a *Agent) sendResponses(source *netstack.Stack) error {
 	encoder := encap.NewEncoder()
-	var answer, datagram []byte
+	var response, datagram []byte
 	for {
 		var more bool
-		answer, more = source.ReadPacket(a.context, answer[:0])
+		response, more = source.ReadPacket(a.context, response[:0])
 		if !more {
 			return nil
 		}
-		datagram = encoder.AppendPlain(datagram[:0], answer)
+		datagram = encoder.AppendPlain(datagram[:0], response)
 		a.sendDatagram(datagram, a.config.Fabric)
 	}
 }
--- a/internal/agent/refusal_test.go
+++ b/internal/agent/refusal_test.go
@@ -14,52 +14,52 @@
 	const sequence = 1000
 
 	// expectReset sends the first packet of a flow and waits for another reset.
-	expectReset := func(environment *environment, caller netip.AddrPort, initial uint32) {
+	expectReset := func(env *environment, caller netip.AddrPort, initial uint32) {
 		GinkgoHelper()
-		before, _ := environment.network.countResponses(caller)
-		environment.network.send(openingSegment(caller, lookupAddress, initial))
+		before, _ := env.network.countResponses(caller)
+		env.network.send(openingSegment(caller, lookupAddress, initial))
 		Eventually(func() int {
-			resets, _ := environment.network.countResponses(caller)
+			resets, _ := env.network.countResponses(caller)
 			return resets
 		}, waitTimeout).Should(Equal(before + 1))
-		_, others := environment.network.countResponses(caller)
+		_, others := env.network.countResponses(caller)
 		Expect(others).To(BeZero())
 	}
 
 	It("stays refused when it is retransmitted after its dead back end has returned", func() {
 		address := deadAddress()
-		environment := startEnvironment(address, unchangedTable)
-		expectReset(environment, craftedCaller(2000), sequence)
+		env := startEnvironment(address, unchangedTable)
+		expectReset(env, craftedCaller(2000), sequence)
 		service := startBackendAt(address)
-		expectReset(environment, craftedCaller(2000), sequence)
-		flow := startCaller(environment.network).open(lookupAddress)
+		expectReset(env, craftedCaller(2000), sequence)
+		flow := startCaller(env.network).open(lookupAddress)
 		served := service.nextConnection()
 		_, err := flow.Write([]byte("first to run"))
 		Expect(err).NotTo(HaveOccurred())
 		expectMessage(served, "first to run")
 		Expect(service.accepted).To(BeEmpty())
-		Expect(environment.agent.counts.valueOf(refused)()).To(BeEquivalentTo(2))
+		Expect(env.agent.counts.valueOf(refused)()).To(BeEquivalentTo(2))
 	})
 
 	It("opens when its caller tries again with a new connection after the back end has returned", func() {
 		address := deadAddress()
-		environment := startEnvironment(address, unchangedTable)
-		expectReset(environment, craftedCaller(2000), sequence)
+		env := startEnvironment(address, unchangedTable)
+		expectReset(env, craftedCaller(2000), sequence)
 		service := startBackendAt(address)
-		environment.network.send(openingSegment(craftedCaller(2000), lookupAddress, sequence+1))
+		env.network.send(openingSegment(craftedCaller(2000), lookupAddress, sequence+1))
 		service.nextConnection()
 	})
 
 	It("does not reach the back end at the connection limit, and opens below the limit", func() {
 		service := startBackend()
-		environment := startEnvironment(service.address(), func(published *table.Table) {
+		env := startEnvironment(service.address(), func(published *table.Table) {
 			published.Backends[0].ConnectionLimit = 1
 		})
-		caller := startCaller(environment.network)
+		caller := startCaller(env.network)
 		first := caller.open(lookupAddress)
 		served := service.nextConnection()
-		expectReset(environment, craftedCaller(2000), sequence)
-		expectReset(environment, craftedCaller(2000), sequence)
+		expectReset(env, craftedCaller(2000), sequence)
+		expectReset(env, craftedCaller(2000), sequence)
 		_, err := caller.dial(lookupAddress)
 		Expect(err).To(MatchError(ContainSubstring((&tcpip.ErrConnectionRefused{}).String())))
 		_, err = first.Write([]byte("still here"))
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -36,7 +36,8 @@
 }
 
 // twoRowEnvironment is a service with two rows, each with an agent and a back end.
-// The second row is drained in table version 1.
+// The second row is drained in table version 1. A test publishes version 2, in which
+// both rows accept new flows.
 type twoRowEnvironment struct {
 	daemon        *testDaemon
 	network       *testNetwork
@@ -75,7 +76,7 @@
 var _ = Describe("a planned stop", func() {
 	It("opens no new flows, lets an open flow finish, and returns no error", func() {
 		service := startBackend()
-		env := startDrainingEnvironment(service.address())
+		env := startGracefulStopEnvironment(service.address())
 		stopped := env.agent
 		flow := startCaller(env.network).open(lookupAddress)
 		served := service.nextConnection()
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -90,9 +90,9 @@
 }
 
 // Handle decides about one datagram and counts the result.
-func (w *socketHandler) Handle(datagram, output []byte) (udpfront.Datagram, bool) {
-	decision := w.decider.Decide(w.balancer.table.Load(), datagram, output)
-	w.counts[decision.Reason]++
+func (h *socketHandler) Handle(datagram, output []byte) (udpfront.Datagram, bool) {
+	decision := h.decider.Decide(h.balancer.table.Load(), datagram, output)
+	h.counts[decision.Reason]++
 	if decision.Reason != Forwarded {
 		return udpfront.Datagram{}, false
 	}
@@ -101,10 +101,10 @@
 
 // BatchSent adds the counts of the batch to the metrics. Datagrams that the kernel
 // refused to send count as SendFailed instead of Forwarded.
-func (w *socketHandler) BatchSent(failed int) {
-	w.counts[Forwarded] -= uint32(failed)
-	w.counts[SendFailed] += uint32(failed)
-	w.balancer.counters.add(&w.counts)
+func (h *socketHandler) BatchSent(failed int) {
+	h.counts[Forwarded] -= uint32(failed)
+	h.counts[SendFailed] += uint32(failed)
+	h.balancer.counters.add(&h.counts)
 }
 
 func loggerOrDiscard(logger *log.Logger) *log.Logger {
--- a/internal/balancer/decider_test.go
+++ b/internal/balancer/decider_test.go
@@ -20,7 +20,7 @@
 	built := lookup.Build(configuration, lookup.AllAlive)
 	good := tcpPacket(5000, servicePort, 100)
 
-	DescribeTable("drops a datagram with the reason for its defect",
+	DescribeTable("drops a datagram that cannot be forwarded and returns the reason",
 		func(want balancer.Reason, datagram []byte) {
 			decision := balancer.NewDecider().Decide(built, datagram, nil)
 			Expect(decision).To(Equal(balancer.Decision{Reason: want}))
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -9,7 +9,7 @@
 // Reason.String.
 const ReasonLabel = "reason"
 
-// Metrics holds the counters of a balancer. Counters that are nil are not kept.
+// Metrics holds the counters of a balancer. A nil counter discards its values.
 type Metrics struct {
 	// Forwarded counts the packets sent to agents.
 	Forwarded metrics.Counter
--- a/internal/balancer/reason.go
+++ b/internal/balancer/reason.go
@@ -69,8 +69,8 @@
 // String returns the reason in the form used as a metric label.
 func (r Reason) String() string { return label.Of(reasonNames, r) }
 
-// These arrays map the outcomes of each step to reasons. An outcome that is missing
-// would be out of range and panic.
+// These arrays map the outcomes of each step to reasons. An outcome beyond the end of
+// its array violates an invariant, and the index expression panics.
 var (
 	reasonOfEncap = [...]Reason{
 		encap.Decoded:               Forwarded,
--- a/internal/balancer/udpfront/listener.go
+++ b/internal/balancer/udpfront/listener.go
@@ -22,8 +22,8 @@
 	Payload     []byte
 }
 
-// Handler handles the datagrams of one socket. Its methods are called from one
-// goroutine.
+// Handler decides for each datagram received on one socket which datagram to send.
+// Its methods are called from one goroutine.
 type Handler interface {
 	// Handle returns the datagram to send in response to a received one, or
 	// false to send nothing. It may build the payload in output, which has
