--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -6,31 +6,39 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
+// flowState is what a row knows about a flow.
 type flowState uint8
 
 const (
-	// stateOpen: the flow is this row's own.
-	stateOpen flowState = iota
-	// stateLingering: the flow was this row's own and has ended, but its
+	// flowOpen: this row owns the flow.
+	flowOpen flowState = iota
+	// flowLingering: this row owned the flow and it has ended, but its
 	// transport still answers the caller's last segments.
-	stateLingering
-	// stateRemote: the flow belongs to another row.
-	stateRemote
-	// stateFenced: another row said it is about to open the flow, and this
-	// row promised not to.
-	stateFenced
-	// stateClosed: the flow was this row's own and has ended.
-	stateClosed
-	// stateRefused: this row refused the flow.
-	stateRefused
+	flowLingering
+	// flowRemote: another row owns the flow.
+	flowRemote
+	// flowFenced: another row announced that it is about to open the flow,
+	// and this row promised not to open it.
+	flowFenced
+	// flowClosed: this row owned the flow and it has ended.
+	flowClosed
+	// flowRefused: this row refused the flow.
+	flowRefused
 )
 
-// flow is what a row remembers of a flow that it owns, passes along or has
-// ended. It is kept small: there is one for every open flow.
-type flow struct {
-	expires    time.Duration // zero for open flows
-	sequence   uint32
-	owner      table.BackendID
-	state      flowState
+// flowRecord is what a row remembers about a flow that it owns, forwards,
+// refused or has ended. It is kept small because there is one for every open
+// flow.
+type flowRecord struct {
+	// expires is when the record may be removed. It is zero for open flows.
+	expires time.Duration
+	// sequence is the initial sequence number. It is zero for UDP flows and for
+	// flows whose owner was found by a search.
+	sequence uint32
+	// owner is the owner of a remote flow, or the row that is about to open a
+	// fenced flow.
+	owner table.BackendID
+	state flowState
+	// handedOver is set if this row handed the flow over to owner.
 	handedOver bool
 }
