--- a/internal/cluster/liveness/digest.go
+++ b/internal/cluster/liveness/digest.go
@@ -85,13 +85,13 @@
 
 // reporterDigests returns the digests of the live daemons in the zones that
 // suit, this process included, ordered by address.
-func (m *Machine) reporterDigests(suits func(membership.Zone) bool) []ReporterDigest {
+func (m *Machine) reporterDigests(matches func(membership.Zone) bool) []ReporterDigest {
 	digests := []ReporterDigest{}
-	if suits(m.config.Self.Zone) {
+	if matches(m.config.Self.Zone) {
 		digests = append(digests, m.reporterDigest(m.config.Self))
 	}
 	for _, peer := range m.peers {
-		if suits(peer.Identity.Zone) {
+		if matches(peer.Identity.Zone) {
 			digests = append(digests, m.reporterDigest(peer.Identity))
 		}
 	}
--- a/internal/cluster/liveness/push.go
+++ b/internal/cluster/liveness/push.go
@@ -43,8 +43,8 @@
 	m.pushTo(records, ScopeZone, zoneFanout, func(peer Peer) bool { return peer.Identity.Zone == own.Zone })
 }
 
-func (m *Machine) pushTo(records []Record, scope Scope, count int, suits func(Peer) bool) {
-	for _, address := range m.choose(count, suits) {
+func (m *Machine) pushTo(records []Record, scope Scope, count int, matches func(Peer) bool) {
+	for _, address := range m.choose(count, matches) {
 		m.send(address, Message{Kind: KindPush, Scope: scope, Records: records})
 	}
 }
@@ -61,10 +61,10 @@
 }
 
 // choose returns up to count different reachable peers that suit.
-func (m *Machine) choose(count int, suits func(Peer) bool) []membership.Address {
+func (m *Machine) choose(count int, matches func(Peer) bool) []membership.Address {
 	var candidates []membership.Address
 	for _, peer := range m.peers {
-		if peer.Reachable && suits(peer) {
+		if peer.Reachable && matches(peer) {
 			candidates = append(candidates, peer.Identity.Address)
 		}
 	}
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// tickInterval suits both packages membership and dissemination.
+	// tickInterval matches both packages membership and dissemination.
 	tickInterval = membership.TickInterval
 	// metricsInterval is the time between two counts of the members.
 	metricsInterval = time.Second
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -64,11 +64,11 @@
 }
 
 // choose returns up to count different reachable peers that suit.
-func (p *peerList) choose(random *rand.Rand, count int, suits func(Peer) bool) []membership.Address {
+func (p *peerList) choose(random *rand.Rand, count int, matches func(Peer) bool) []membership.Address {
 	var candidates []membership.Address
 	for zone := range p.zones {
 		for _, peer := range p.zones[zone] {
-			if peer.Reachable && suits(peer) {
+			if peer.Reachable && matches(peer) {
 				candidates = append(candidates, peer.Identity.Address)
 			}
 		}
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -69,8 +69,8 @@
 		func(peer Peer) bool { return peer.Identity.Region == own.Region && ahead(peer) },
 		ahead,
 	}
-	for _, suits := range nearby {
-		if found := m.peers.choose(m.config.Random, 1, suits); len(found) > 0 {
+	for _, matches := range nearby {
+		if found := m.peers.choose(m.config.Random, 1, matches); len(found) > 0 {
 			return found[0], true
 		}
 	}
--- a/internal/dissemination/push.go
+++ b/internal/dissemination/push.go
@@ -44,9 +44,9 @@
 }
 
 // pushTo sends to some of the peers that suit and are not known to have it.
-func (m *Machine) pushTo(deltas []Delta, scope Scope, count int, suits func(Peer) bool) {
+func (m *Machine) pushTo(deltas []Delta, scope Scope, count int, matches func(Peer) bool) {
 	lacking := func(peer Peer) bool {
-		return suits(peer) && m.peers.status[peer.Identity.Address].Held < m.status.Held
+		return matches(peer) && m.peers.status[peer.Identity.Address].Held < m.status.Held
 	}
 	message := Message{Kind: KindPush, Scope: scope, Deltas: deltas}
 	if len(fitting(deltas)) < len(deltas) {
--- a/internal/membership/coldstart_test.go
+++ b/internal/membership/coldstart_test.go
@@ -1,5 +1,5 @@
-// This file measures how long the members of a fleet that starts at once take to know each
-// other, and what that costs.
+// This file measures how long the members of a fleet that starts all at once take to learn
+// of each other, and how many bytes they spend on it.
 
 package membership_test
 
@@ -15,75 +15,76 @@
 )
 
 const (
-	// startWithin is how much later than others a member may start.
-	startWithin = 200 * time.Millisecond
-	// startMeasured is the time over which the bytes of a start are counted.
-	startMeasured = time.Minute
-	// startBudget bounds the bytes a second of a member over startMeasured.
+	// startWindow is the time within which all members start.
+	startWindow = 200 * time.Millisecond
+	// startPeriod is the time over which the bytes of a start are counted.
+	startPeriod = time.Minute
+	// startBudget limits the bytes a second of a member over startPeriod.
 	startBudget = 3000
-	// startLoss is the part of datagrams that is lost.
+	// startLoss is the fraction of datagrams that is lost.
 	startLoss = 0.01
 )
 
-// fleetStart is what a start of a whole fleet came to.
-type fleetStart struct {
-	// median and last are when half of the members, and all, knew all.
+// startResult is the result of the start of a whole fleet.
+type startResult struct {
+	// median and last are the times until half of the members, and all of them, knew all
+	// members.
 	median, last time.Duration
-	// mean, worst and worstBesideSeeds are the bytes a second of a member over startMeasured.
-	mean, worst, worstBesideSeeds float64
+	// mean, worst and worstNonSeed are bytes a second of a member over startPeriod.
+	mean, worst, worstNonSeed float64
 }
 
-// measureStart starts all members at once, each of which knows the same seeds.
-func measureStart(members, seeds int, loss float64, limit time.Duration) fleetStart {
+// measureStart starts all members at once. All are given the same seeds.
+func measureStart(members, seeds int, loss float64, limit time.Duration) startResult {
 	starting := newFleet(measureSeed, targetLayout(members), virtualnet.Config{Loss: loss, Jitter: time.Millisecond})
 	starting.fixedSeeds = starting.addresses[:seeds]
-	starting.startAll(startWithin, 0)
-	var measured fleetStart
-	informed := make(map[membership.Address]bool)
-	for starting.network.Now() < limit && len(informed) < members {
+	starting.startAll(startWindow, 0)
+	var measured startResult
+	complete := make(map[membership.Address]bool)
+	for starting.network.Now() < limit && len(complete) < members {
 		for _, each := range starting.running() {
-			if !informed[each.address] && each.machine.LiveCount() == members {
-				informed[each.address] = true
+			if !complete[each.address] && each.machine.LiveCount() == members {
+				complete[each.address] = true
 				measured.last = starting.network.Now()
 			}
 		}
-		if measured.median == 0 && 2*len(informed) >= members {
+		if measured.median == 0 && 2*len(complete) >= members {
 			measured.median = starting.network.Now()
 		}
 		starting.network.Run(250 * time.Millisecond)
 	}
-	if len(informed) < members {
+	if len(complete) < members {
 		measured.last = limit
 	}
-	starting.network.Run(max(startMeasured-starting.network.Now(), 0))
+	starting.network.Run(max(startPeriod-starting.network.Now(), 0))
 	for _, each := range starting.running() {
 		traffic := starting.network.Traffic(virtualnet.NodeID(each.address))
-		bytes := traffic.Mean(0, startMeasured)
+		bytes := traffic.Mean(0, startPeriod)
 		measured.mean += bytes / float64(members)
 		measured.worst = max(measured.worst, bytes)
 		if !slices.Contains(starting.fixedSeeds, each.address) {
-			measured.worstBesideSeeds = max(measured.worstBesideSeeds, bytes)
+			measured.worstNonSeed = max(measured.worstNonSeed, bytes)
 		}
 	}
 	return measured
 }
 
-var _ = Describe("A fleet whose members start at once", func() {
-	// Seeds are asked by all others: three of 1,000 members take more than the budget
-	// (design 0025, limits), so that of those the others are checked.
-	DescribeTable("know each other soon, within their bytes", func(members, seeds int, within time.Duration, checksSeeds bool) {
+var _ = Describe("A fleet whose members all start at once", func() {
+	// Seeds are asked by all others. Three seeds of 1,000 members exceed the budget (design
+	// 0025, limits), so only the other members are checked in that case.
+	DescribeTable("learns of all members in time and within the byte budget", func(members, seeds int, within time.Duration, checksSeeds bool) {
 		measured := measureStart(members, seeds, startLoss, 5*time.Minute)
 		GinkgoWriter.Printf("%d members, %d seeds: half after %v, all after %v; bytes a second and member %.0f, %.0f of the busiest\n",
 			members, seeds, measured.median, measured.last, measured.mean, measured.worst)
 		Expect(measured.last).To(BeNumerically("<=", within))
 		Expect(measured.mean).To(BeNumerically("<=", startBudget))
-		Expect(measured.worstBesideSeeds).To(BeNumerically("<=", startBudget))
+		Expect(measured.worstNonSeed).To(BeNumerically("<=", startBudget))
 		if checksSeeds {
 			Expect(measured.worst).To(BeNumerically("<=", startBudget))
 		}
 	},
-		Entry("300", 300, 3, 15*time.Second, true),
-		Entry("1,000", 1000, 3, 30*time.Second, false),
-		Entry("1,000 with ten seeds", 1000, 10, 30*time.Second, true),
+		Entry("300 members with three seeds", 300, 3, 15*time.Second, true),
+		Entry("1,000 members with three seeds", 1000, 3, 30*time.Second, false),
+		Entry("1,000 members with ten seeds", 1000, 10, 30*time.Second, true),
 	)
 })
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -10,54 +10,52 @@
 )
 
 const (
-	// MaximumDatagramSize bounds an encoded message in bytes, without IP and UDP
+	// MaximumDatagramSize is the largest encoded message in bytes, without IP and UDP
 	// headers.
 	MaximumDatagramSize = 1200
-	// MaximumAttachmentSize bounds the attachment in bytes.
+	// MaximumAttachmentSize is the largest attachment in bytes.
 	MaximumAttachmentSize = 64
-	// maximumUpdateSize is the longest encoding of an update in bytes, by the
-	// msgp formats of its fields.
+	// maximumUpdateSize is the longest msgp encoding of an update in bytes.
 	maximumUpdateSize = 31
-	// syncUpdates is how many updates fit in a sync response beside the
-	// other fields: sender, digests of all zones and attachment.
-	syncUpdates = (MaximumDatagramSize - 64 - MaximumZones*8 - MaximumAttachmentSize) / maximumUpdateSize
-	// maximumUpdates bounds the updates that are read from one message.
-	maximumUpdates = MaximumDatagramSize / 20
-	// maximumSeeds bounds the seeds kept.
+	// updatesPerSyncResponse is the number of updates that fit in a sync response beside
+	// the sender, the digests of all zones and the attachment.
+	updatesPerSyncResponse = (MaximumDatagramSize - 64 - MaximumZones*8 - MaximumAttachmentSize) / maximumUpdateSize
+	// maximumUpdatesPerMessage limits the updates accepted in one message.
+	maximumUpdatesPerMessage = MaximumDatagramSize / 20
+	// maximumSeeds limits the seeds that are kept.
 	maximumSeeds = 64
 )
 
 // Config holds the settings of a Machine.
 type Config struct {
-	// Self names this process.
+	// Self is the identity of this process.
 	Self Identity
-	// Random decides whom to ping. The machine alone may use it.
+	// Random is used to choose peers. No other component may use it.
 	Random *rand.Rand
-	// ProbeInterval is the time between two probes of zone members.
+	// ProbeInterval is the time between two probes of members of the own zone.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct ping may take before others are asked
-	// to ping too.
+	// ProbeTimeout is the time to wait for the answer to a direct ping before other members
+	// are asked to ping the target.
 	ProbeTimeout time.Duration
-	// IndirectProbes is how many others are asked.
+	// IndirectProbes is the number of members that are asked.
 	IndirectProbes int
-	// SuspicionTimeout is how long a suspected member has for refuting.
+	// SuspicionTimeout is the time a suspected member has to refute the suspicion.
 	SuspicionTimeout time.Duration
 	// RemoteInterval is the time between two pings into other zones.
 	RemoteInterval time.Duration
-	// ReconnectInterval is the time between two pings of failed members or
-	// seeds.
+	// ReconnectInterval is the time between two pings of failed members or seeds.
 	ReconnectInterval time.Duration
-	// SyncInterval is the least time between two sync requests.
+	// SyncInterval is the minimum time between two sync requests.
 	SyncInterval time.Duration
-	// GossipBytes bounds the updates attached to one message.
+	// GossipBytes limits the size of the updates attached to one message.
 	GossipBytes int
-	// UnreachableTimeout is how long nothing may be heard of a zone, beside
-	// the expected time between two messages, before it is unreachable.
+	// UnreachableTimeout is how long, in addition to the expected interval between
+	// messages, a zone may be silent before it counts as unreachable.
 	UnreachableTimeout time.Duration
-	// Retention is how long failed members, members that left, and members of
-	// an unreachable zone are remembered.
+	// Retention is how long members are kept that failed or left, or whose zone is
+	// unreachable.
 	Retention time.Duration
-	// MemberLimit bounds the members remembered.
+	// MemberLimit limits the members that are kept.
 	MemberLimit int
 }
 
@@ -80,7 +78,7 @@
 	}
 }
 
-// Validate returns an error that names the first setting that cannot be used.
+// Validate returns an error that names the first invalid setting.
 func (c Config) Validate() error {
 	durations := []struct {
 		name  string
@@ -102,11 +100,11 @@
 	}
 	switch {
 	case c.Self.Address == 0:
-		return errors.New("membership: no own address")
+		return errors.New("membership: the address of this process is missing")
 	case c.Self.Zone >= MaximumZones:
-		return errors.Errorf("membership: zone %d must be below %d", c.Self.Zone, MaximumZones)
+		return errors.Errorf("membership: zone number %d must be below %d", c.Self.Zone, MaximumZones)
 	case c.Random == nil:
-		return errors.New("membership: no source of randomness")
+		return errors.New("membership: the source of randomness is missing")
 	case c.ProbeTimeout >= c.ProbeInterval:
 		return errors.New("membership: probe timeout must be below the probe interval")
 	case c.GossipBytes < maximumUpdateSize || c.GossipBytes > MaximumDatagramSize/2:
--- a/internal/membership/effect.go
+++ b/internal/membership/effect.go
@@ -1,16 +1,15 @@
-// This file defines what a Machine asks its caller to do.
+// This file defines the effects that a Machine returns to its caller.
 
 package membership
 
-// EffectKind tells what an effect is.
+// EffectKind is the type of an effect.
 type EffectKind uint8
 
 // The kinds of effects.
 const (
 	// EffectSend: transmit Message to To.
 	EffectSend EffectKind = iota
-	// EffectJoined: Member was heard of for the first time, with a new
-	// incarnation, or again after it had failed.
+	// EffectJoined: Member is new, has a new incarnation, or is back after it had failed.
 	EffectJoined
 	// EffectSuspected: Member may have failed.
 	EffectSuspected
@@ -20,16 +19,16 @@
 	EffectFailed
 	// EffectLeft: Member stopped as planned.
 	EffectLeft
-	// EffectZoneUnreachable: nothing was heard of Zone for too long.
+	// EffectZoneUnreachable: no message from Zone has arrived for too long.
 	EffectZoneUnreachable
-	// EffectZoneReachable: Zone was heard of again.
+	// EffectZoneReachable: messages from Zone arrive again.
 	EffectZoneReachable
 	// EffectAttachment: Member sent Attachment.
 	EffectAttachment
 )
 
-// Effect is one thing that the caller of the machine has to do or may want to
-// know. Which fields are set depends on Kind.
+// Effect is an action that the caller must carry out or an event that it may handle. Kind
+// determines which fields are set.
 type Effect struct {
 	Kind       EffectKind
 	To         Address
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// detectionLimit is the time in which a failure must be known everywhere.
+	// detectionLimit is the time within which all members must know of a failure.
 	detectionLimit = 30 * time.Second
-	// mergeLimit is the time in which views must agree after a partition.
-	mergeLimit = 90 * time.Second
-	hour       = time.Hour
+	// partitionMergeLimit is the time within which views must agree after a partition.
+	partitionMergeLimit = 90 * time.Second
+	hour                = time.Hour
 )
 
-var _ = ginkgo.Describe("a fleet with faults", func() {
+var _ = ginkgo.Describe("A fleet with faults", func() {
 	var cluster *fleet
 
 	agree := func(limit time.Duration) {
@@ -27,8 +27,8 @@
 		_, wrong := cluster.runUntilAgreed(limit)
 		gomega.Expect(wrong).To(gomega.BeEmpty())
 	}
-	total := func(kind membership.EffectKind) int { return countEffects(cluster, kind) }
-	forgetEffects := func() {
+	countAll := func(kind membership.EffectKind) int { return countEffects(cluster, kind) }
+	resetEffectCounts := func() {
 		for _, observed := range cluster.running() {
 			clear(observed.effects)
 		}
@@ -43,10 +43,10 @@
 		})
 		cluster.startAll(5*time.Second, 0)
 		agree(2 * time.Minute)
-		forgetEffects()
+		resetEffectCounts()
 	})
 
-	ginkgo.It("detects a failed member everywhere", func() {
+	ginkgo.It("detects a stopped member on every other member", func() {
 		victim := cluster.processes[cluster.addresses[5]]
 		cluster.kill(victim.address)
 		agree(detectionLimit)
@@ -55,17 +55,17 @@
 		}
 	})
 
-	ginkgo.It("learns of a planned stop without a suspicion", func() {
+	ginkgo.It("reports a planned stop as left, sooner than a suspicion would end", func() {
 		cluster.network.SetLoss(0)
 		cluster.leave(cluster.addresses[9])
 		taken, wrong := cluster.runUntilAgreed(detectionLimit)
 		gomega.Expect(wrong).To(gomega.BeEmpty())
 		gomega.Expect(taken).To(gomega.BeNumerically("<", cluster.suspicionTimeout()))
-		gomega.Expect(total(membership.EffectLeft)).To(gomega.Equal(len(cluster.running())))
-		gomega.Expect(total(membership.EffectFailed)).To(gomega.BeZero())
+		gomega.Expect(countAll(membership.EffectLeft)).To(gomega.Equal(len(cluster.running())))
+		gomega.Expect(countAll(membership.EffectFailed)).To(gomega.BeZero())
 	})
 
-	ginkgo.It("takes a restarted process for a new member", func() {
+	ginkgo.It("reports a failure and a new incarnation when a process restarts", func() {
 		before := cluster.processes[cluster.addresses[4]].identity
 		cluster.kill(before.Address)
 		after := cluster.start(before.Address).identity
@@ -78,7 +78,7 @@
 		}
 	})
 
-	ginkgo.It("lets a process whose clock was set back join", func() {
+	ginkgo.It("admits a process whose clock was set back, under a higher incarnation", func() {
 		address := cluster.addresses[4]
 		cluster.kill(address)
 		cluster.starts = -1000
@@ -87,32 +87,32 @@
 		gomega.Expect(restarted.machine.Self().Incarnation).To(gomega.BeNumerically(">", restarted.identity.Incarnation))
 	})
 
-	ginkgo.It("does not lose a member to a short pause", func() {
+	ginkgo.It("does not declare a member failed when it pauses for two seconds", func() {
 		address := cluster.addresses[10]
 		cluster.network.Pause(virtualnet.NodeID(address))
 		cluster.network.Run(2 * time.Second)
 		cluster.network.Resume(virtualnet.NodeID(address))
 		cluster.network.Run(detectionLimit)
 		agree(detectionLimit)
-		gomega.Expect(total(membership.EffectFailed)).To(gomega.BeZero())
+		gomega.Expect(countAll(membership.EffectFailed)).To(gomega.BeZero())
 	})
 
-	ginkgo.It("takes back a member after a long pause, and that one accuses nobody", func() {
+	ginkgo.It("readmits a member after a long pause, and the member itself suspects no one", func() {
 		sleeper := cluster.processes[cluster.addresses[10]]
 		cluster.network.Pause(virtualnet.NodeID(sleeper.address))
 		cluster.network.Run(detectionLimit)
-		gomega.Expect(total(membership.EffectFailed)).To(gomega.Equal(len(cluster.running()) - 1))
-		forgetEffects()
+		gomega.Expect(countAll(membership.EffectFailed)).To(gomega.Equal(len(cluster.running()) - 1))
+		resetEffectCounts()
 		cluster.network.Resume(virtualnet.NodeID(sleeper.address))
 		agree(detectionLimit)
 		gomega.Expect(sleeper.effects[membership.EffectSuspected]).To(gomega.BeZero())
 		gomega.Expect(sleeper.effects[membership.EffectFailed]).To(gomega.BeZero())
 	})
 
-	ginkgo.It("declares nobody failed while regions are cut off, and merges after an hour", func() {
+	ginkgo.It("declares no member failed while regions are partitioned, and merges after an hour", func() {
 		cluster.cutZones(func(zone membership.Zone) bool { return zone < 2 })
 		cluster.network.Run(hour)
-		gomega.Expect(total(membership.EffectFailed)).To(gomega.BeZero())
+		gomega.Expect(countAll(membership.EffectFailed)).To(gomega.BeZero())
 		for _, observer := range cluster.running() {
 			for _, other := range cluster.running() {
 				known, exists := observer.machine.Member(other.address)
@@ -125,27 +125,27 @@
 		cluster.start(cluster.addresses[7])
 		cluster.network.Run(detectionLimit)
 		cluster.network.SetPartition(nil)
-		agree(mergeLimit)
+		agree(partitionMergeLimit)
 	})
 
-	ginkgo.It("tells a zone that missed a failure as a whole", func() {
+	ginkgo.It("tells a zone about a failure that all of its members missed", func() {
 		cluster.cutZones(inZone(1))
 		cluster.kill(cluster.addresses[3])
 		cluster.network.Run(5 * time.Minute)
 		cluster.network.SetPartition(nil)
-		agree(mergeLimit)
+		agree(partitionMergeLimit)
 	})
 
-	ginkgo.It("merges a zone that was cut in two for an hour", func() {
+	ginkgo.It("merges a zone whose two halves were partitioned for an hour", func() {
 		side := func(id virtualnet.NodeID) bool { return membership.Address(id) < cluster.addresses[16] }
 		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool { return side(from) != side(to) })
 		cluster.network.Run(hour)
-		gomega.Expect(total(membership.EffectFailed)).To(gomega.BeNumerically(">", 0))
+		gomega.Expect(countAll(membership.EffectFailed)).To(gomega.BeNumerically(">", 0))
 		cluster.network.SetPartition(nil)
-		agree(mergeLimit)
+		agree(partitionMergeLimit)
 	})
 
-	ginkgo.It("keeps members that only their own zone cannot reach", func() {
+	ginkgo.It("readmits members that were unreachable only from their own zone", func() {
 		side := func(id virtualnet.NodeID) bool { return membership.Address(id) < cluster.addresses[16] }
 		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 			same := cluster.zoneAt(membership.Address(from)) == cluster.zoneAt(membership.Address(to))
@@ -153,18 +153,18 @@
 		})
 		cluster.network.Run(5 * time.Minute)
 		cluster.network.SetPartition(nil)
-		agree(mergeLimit)
+		agree(partitionMergeLimit)
 	})
 
-	ginkgo.It("holds a zone that died for unreachable and forgets it later", func() {
+	ginkgo.It("marks a stopped zone unreachable and removes its members after the retention", func() {
 		for index, address := range cluster.addresses {
 			if cluster.layout.zoneOf(index) == 3 {
 				cluster.kill(address)
 			}
 		}
 		cluster.network.Run(5 * time.Minute)
-		gomega.Expect(total(membership.EffectFailed)).To(gomega.BeZero())
-		gomega.Expect(total(membership.EffectZoneUnreachable)).To(gomega.Equal(len(cluster.running())))
+		gomega.Expect(countAll(membership.EffectFailed)).To(gomega.BeZero())
+		gomega.Expect(countAll(membership.EffectZoneUnreachable)).To(gomega.Equal(len(cluster.running())))
 		cluster.network.Run(2 * hour)
 		agree(detectionLimit)
 		cluster.network.Run(2*hour + detectionLimit)
@@ -173,31 +173,31 @@
 		}
 	})
 
-	ginkgo.It("notices a zone that comes back", func() {
+	ginkgo.It("reports a zone as reachable when its partition ends", func() {
 		cluster.cutZones(inZone(2))
 		cluster.network.Run(time.Minute)
-		forgetEffects()
+		resetEffectCounts()
 		cluster.network.SetPartition(nil)
-		agree(mergeLimit)
-		gomega.Expect(total(membership.EffectZoneReachable)).To(gomega.BeNumerically(">=", len(cluster.running())))
+		agree(partitionMergeLimit)
+		gomega.Expect(countAll(membership.EffectZoneReachable)).To(gomega.BeNumerically(">=", len(cluster.running())))
 	})
 
-	ginkgo.It("does not believe the list of machines", func() {
+	ginkgo.It("does not change the membership when the list of machines is wrong", func() {
 		unknown := cluster.addresses[31] + 100*addressStep
 		for _, observer := range cluster.running() {
 			observer.machine.SetSeeds([]membership.Address{unknown})
 		}
 		cluster.network.Run(time.Minute)
 		agree(detectionLimit)
-		gomega.Expect(total(membership.EffectJoined)).To(gomega.BeZero())
-		gomega.Expect(total(membership.EffectFailed)).To(gomega.BeZero())
+		gomega.Expect(countAll(membership.EffectJoined)).To(gomega.BeZero())
+		gomega.Expect(countAll(membership.EffectFailed)).To(gomega.BeZero())
 	})
 })
 
-var _ = ginkgo.Describe("separate fleets", func() {
+var _ = ginkgo.Describe("Two separate fleets", func() {
 	ginkgo.It("merge when one process learns of a seed on the other side", func() {
 		cluster := newFleet(3, layout{members: 12, zones: 3, zonesInRegion: 2}, virtualnet.Config{Loss: 0.02})
-		cluster.seeding = 12
+		cluster.seedCount = 12
 		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 			middle := virtualnet.NodeID(cluster.addresses[6])
 			return (from < middle) != (to < middle)
@@ -209,12 +209,12 @@
 		}
 		cluster.network.SetPartition(nil)
 		cluster.processes[cluster.addresses[0]].machine.SetSeeds(cluster.addresses[11:])
-		_, wrong := cluster.runUntilAgreed(mergeLimit)
+		_, wrong := cluster.runUntilAgreed(partitionMergeLimit)
 		gomega.Expect(wrong).To(gomega.BeEmpty())
 	})
 })
 
-var _ = ginkgo.Describe("a machine", func() {
+var _ = ginkgo.Describe("Machine", func() {
 	identity := func(number int) membership.Identity {
 		return membership.Identity{
 			Address: firstAddress + membership.Address(number)*addressStep, Incarnation: firstIncarnation,
@@ -229,7 +229,7 @@
 	}
 	alive := func(number int) membership.Update { return membership.Update{Member: identity(number)} }
 
-	ginkgo.It("remembers no more members than its limit", func() {
+	ginkgo.It("keeps no more members than its limit", func() {
 		machine := create(10)
 		for number := 1; number < 100; number++ {
 			sender := alive(number)
@@ -246,7 +246,7 @@
 			gomega.Expect(machine.Receive(0, alive(1).Member.Address, message)).To(gomega.BeEmpty())
 			gomega.Expect(machine.Members()).To(gomega.HaveLen(1))
 		},
-		ginkgo.Entry("of another sender", func(m *membership.Message) { m.Sender = alive(2) }),
+		ginkgo.Entry("from an address other than the sender's", func(m *membership.Message) { m.Sender = alive(2) }),
 		ginkgo.Entry("of an unknown kind", func(m *membership.Message) { m.Kind = membership.KindLeave + 1 }),
 		ginkgo.Entry("with a zone out of range", func(m *membership.Message) { m.Sender.Member.Zone = membership.MaximumZones }),
 		ginkgo.Entry("with a digest out of range", func(m *membership.Message) { m.Digest.Zone = membership.MaximumZones }),
@@ -256,11 +256,11 @@
 		ginkgo.Entry("with a request for a zone out of range", func(m *membership.Message) {
 			m.Kind, m.Digest.Zone = membership.KindSyncRequest, membership.MaximumZones+1
 		}),
-		ginkgo.Entry("with a summary that is too long", func(m *membership.Message) { m.KnownFilter = make([]byte, 801) }),
+		ginkgo.Entry("with a filter that is too long", func(m *membership.Message) { m.KnownFilter = make([]byte, 801) }),
 		ginkgo.Entry("with too many ages", func(m *membership.Message) { m.ZoneAges = make([]byte, membership.MaximumZones+1) }),
 	)
 
-	ginkgo.It("refutes what is said of it, once for each statement", func() {
+	ginkgo.It("raises its refutation count once when the same accusation arrives twice", func() {
 		machine := create(10)
 		accusation := membership.Update{Member: identity(0), Refutations: 4, State: membership.StateFailed}
 		message := membership.Message{Kind: membership.KindPing, Sender: alive(1), Updates: []membership.Update{accusation}}
@@ -270,13 +270,14 @@
 		}
 	})
 
-	ginkgo.It("answers no more requests for full states than its share of bytes allows", func() {
+	ginkgo.It("stops answering sync requests when its byte budget is used up", func() {
 		machine := create(200)
 		for number := 1; number <= 100; number++ {
 			sender := alive(number)
 			machine.Receive(0, sender.Member.Address, membership.Message{Kind: membership.KindPing, Sender: sender})
 		}
-		// bytes counts whole datagrams, as a network carries them.
+		// answered returns the bytes of the answers, counted as whole datagrams with
+		// headers.
 		answered := func(now time.Duration, known []byte) (bytes int) {
 			request := membership.Message{Kind: membership.KindSyncRequest, Sender: alive(1), KnownFilter: known}
 			for range 2000 {
@@ -288,24 +289,24 @@
 			}
 			return bytes
 		}
-		// A process that knows hardly anybody is only told of a few while this one catches up, and
-		// longer answers have a part of the credit to themselves.
+		// While this process catches up, one that knows hardly any member is only sent a few, and
+		// a part of the tokens is reserved for longer responses.
 		few, most := []byte(nil), make([]byte, 60)
-		introductions := answered(0, few)
-		gomega.Expect(introductions).To(gomega.BeNumerically("~", 19000, 4000))
+		shortResponses := answered(0, few)
+		gomega.Expect(shortResponses).To(gomega.BeNumerically("~", 19000, 4000))
 		gomega.Expect(answered(0, few)).To(gomega.BeZero())
-		// A member may send 3 KB/s in the mean over a minute.
+		// A member may send 3 KB/s on average over a minute.
 		const budget = 3000 * 60
-		burst := introductions + answered(0, most)
+		burst := shortResponses + answered(0, most)
 		gomega.Expect(burst).To(gomega.BeNumerically("<=", budget))
 		gomega.Expect(burst).To(gomega.BeNumerically("~", 56000, 6000))
 		gomega.Expect(answered(0, most)).To(gomega.BeZero())
 		gomega.Expect(answered(10*time.Second, most)).To(gomega.BeNumerically("<=", 5000))
-		gomega.Expect(answered(70*time.Second, few)).To(gomega.BeZero(), "it is left to longer answers")
+		gomega.Expect(answered(70*time.Second, few)).To(gomega.BeZero(), "the remaining tokens are reserved for longer responses")
 		gomega.Expect(answered(70*time.Second, most)).To(gomega.BeNumerically("~", 30000, 3000))
 	})
 
-	ginkgo.It("catches up only from a member that knows what others know", func() {
+	ginkgo.It("ends catching up only after the last part of a response from a caught-up member", func() {
 		machine := create(10)
 		digests := []membership.ZoneDigest{{Zone: identity(1).Zone}}
 		response := membership.Message{Kind: membership.KindSyncResponse, Sender: alive(1), CatchingUp: true, Digests: digests}
@@ -315,13 +316,13 @@
 		response.Digests = nil
 		machine.Tick(0)
 		machine.Receive(0, alive(1).Member.Address, response)
-		gomega.Expect(machine.CatchingUp()).To(gomega.BeTrue(), "further parts come")
+		gomega.Expect(machine.CatchingUp()).To(gomega.BeTrue(), "the response without digests is not the last part")
 		response.Digests = digests
 		machine.Receive(0, alive(1).Member.Address, response)
 		gomega.Expect(machine.CatchingUp()).To(gomega.BeFalse())
 	})
 
-	ginkgo.It("does nothing after it has left", func() {
+	ginkgo.It("returns no effects after it has left", func() {
 		machine := create(10)
 		machine.Receive(0, alive(1).Member.Address, membership.Message{Kind: membership.KindPing, Sender: alive(1)})
 		gomega.Expect(machine.Leave(0)).NotTo(gomega.BeEmpty())
@@ -329,7 +330,7 @@
 		gomega.Expect(machine.Leave(0)).To(gomega.BeEmpty())
 	})
 
-	ginkgo.It("refuses settings that cannot work", func() {
+	ginkgo.It("returns an error when the source of randomness is missing", func() {
 		config := membership.DefaultConfig(identity(0), nil)
 		_, err := membership.New(config)
 		gomega.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("randomness")))
--- a/internal/membership/fleet_bench_test.go
+++ b/internal/membership/fleet_bench_test.go
@@ -1,5 +1,5 @@
-// This file measures fleets of the sizes of the capacity target in virtual
-// time: go test -run '^$' -bench Fleet -benchtime 1x ./internal/membership
+// This file measures fleets of the sizes of the capacity target in virtual time: go test
+// -run '^$' -bench Fleet -benchtime 1x ./internal/membership
 
 package membership_test
 
@@ -15,14 +15,14 @@
 )
 
 const (
-	measureSeed  = 1
-	measuredTime = 2 * time.Minute
-	startSpread  = 30 * time.Second
-	settleLimit  = 10 * time.Minute
-	victims      = 9
+	measureSeed   = 1
+	measuredTime  = 2 * time.Minute
+	startSpread   = 30 * time.Second
+	settleLimit   = 10 * time.Minute
+	killedMembers = 9
 )
 
-// targetLayout is the fleet of the capacity target with a number of members.
+// targetLayout returns the layout of the capacity target with the given number of members.
 func targetLayout(members int) layout {
 	return layout{members: members, zones: 11, zonesInRegion: 2, regions: 5}
 }
@@ -43,7 +43,7 @@
 	heapBefore := heapInUse()
 	measured := newFleet(measureSeed, targetLayout(members), virtualnet.Config{Loss: loss, Jitter: time.Millisecond})
 	measured.startAll(startSpread, 0)
-	settled := mustAgree(b, measured)
+	settled := waitForAgreement(b, measured)
 	b.ReportMetric(settled.Seconds(), "cold-start-s")
 
 	began := measured.network.Now()
@@ -63,7 +63,7 @@
 	measureRestart(b, measured)
 	measureZoneReturn(b, measured)
 	measureRackLoss(b, measured)
-	b.ReportMetric(float64(measured.largest), "largest-datagram-B")
+	b.ReportMetric(float64(measured.largestDatagram), "largest-datagram-B")
 }
 
 func heapInUse() uint64 {
@@ -73,10 +73,10 @@
 	return stats.HeapAlloc
 }
 
-func mustAgree(b *testing.B, measured *fleet) time.Duration {
+func waitForAgreement(b *testing.B, measured *fleet) time.Duration {
 	taken, wrong := measured.runUntilAgreed(settleLimit)
 	if wrong != "" {
-		b.Fatalf("no agreement: %s", wrong)
+		b.Fatalf("views did not agree in time: %s", wrong)
 	}
 	return taken
 }
@@ -99,15 +99,15 @@
 	return mean, worst
 }
 
-// measureDetection kills members one after another and returns in ascending
-// order the times until all others knew it.
+// measureDetection kills members one after the other. It returns, in ascending order, the
+// times until all other members knew.
 func measureDetection(b *testing.B, measured *fleet) []time.Duration {
 	var times []time.Duration
-	for number := range victims {
+	for number := range killedMembers {
 		victim := measured.processes[measured.addresses[number*17+3]]
 		measured.kill(victim.address)
 		began := measured.network.Now()
-		mustAgree(b, measured)
+		waitForAgreement(b, measured)
 		times = append(times, lastFailure(measured, victim.identity)-began)
 	}
 	slices.Sort(times)
@@ -122,21 +122,21 @@
 	return last
 }
 
-// measureRestart restarts one member and measures the time until all views are
-// right again and its traffic meanwhile.
+// measureRestart restarts one member. It measures the time until all views are right again
+// and the traffic of the member in that time.
 func measureRestart(b *testing.B, measured *fleet) {
 	address := measured.addresses[len(measured.addresses)-1]
 	began := measured.network.Now()
 	measured.kill(address)
 	measured.start(address)
-	taken := mustAgree(b, measured)
+	taken := waitForAgreement(b, measured)
 	worst := measured.network.Traffic(virtualnet.NodeID(address)).Peak(began, began+30*time.Second)
 	b.ReportMetric(taken.Seconds(), "restart-known-everywhere-s")
 	b.ReportMetric(worst, "bytes/s-worst-10s-of-joiner")
 }
 
-// measureZoneReturn ends all processes of a zone, starts them again a minute
-// later within five seconds, and measures the time until all views are right.
+// measureZoneReturn stops all processes of a zone, starts them again a minute later within
+// five seconds, and measures the time until all views are right.
 func measureZoneReturn(b *testing.B, measured *fleet) {
 	const lost = membership.Zone(7)
 	var returning []membership.Address
@@ -154,14 +154,14 @@
 		})
 	}
 	measured.network.Run(5 * time.Second)
-	mustAgree(b, measured)
+	waitForAgreement(b, measured)
 	_, worst := trafficOf(measured, began, measured.network.Now())
 	b.ReportMetric((measured.network.Now() - began).Seconds(), "zone-return-s")
 	b.ReportMetric(worst, "zone-return-bytes/s-worst-10s")
 }
 
-// measureRackLoss ends two fifths of a zone at once and measures the time until
-// all others know it.
+// measureRackLoss stops two fifths of a zone at once and measures the time until all other
+// members know.
 func measureRackLoss(b *testing.B, measured *fleet) {
 	const zone = membership.Zone(4)
 	var members []membership.Address
@@ -174,7 +174,7 @@
 		measured.kill(address)
 	}
 	began := measured.network.Now()
-	taken := mustAgree(b, measured)
+	taken := waitForAgreement(b, measured)
 	_, worst := trafficOf(measured, began, measured.network.Now())
 	b.ReportMetric(taken.Seconds(), "rack-loss-known-everywhere-s")
 	b.ReportMetric(worst, "rack-loss-bytes/s-worst-10s")
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -1,4 +1,4 @@
-// This file runs many machines over a network in virtual time.
+// This file simulates a fleet of membership machines on a network in virtual time.
 
 package membership_test
 
@@ -16,7 +16,7 @@
 	firstAddress     = membership.Address(0x7f000001_0000 + 7000)
 	addressStep      = membership.Address(1 << 16)
 	firstIncarnation = membership.Incarnation(1_790_000_000_000)
-	// defaultSeeds is how many addresses a starting process is given.
+	// defaultSeeds is the number of seeds that a starting process is given.
 	defaultSeeds = 3
 )
 
@@ -24,9 +24,9 @@
 type layout struct {
 	members int
 	zones   int
-	// zonesInRegion is the number of zones in each region but the last.
+	// zonesInRegion is the number of zones in each region except the last.
 	zonesInRegion int
-	// regions is the number of regions; zero means as many as it takes.
+	// regions is the number of regions. Zero means as many as needed.
 	regions int
 }
 
@@ -47,7 +47,7 @@
 	identity membership.Identity
 	machine  *membership.Machine
 	started  time.Duration
-	// failures are the members that this process saw fail, with the time.
+	// failures holds the members that this process saw fail, with the time.
 	failures map[membership.Identity]time.Duration
 	// effects counts the effects by kind.
 	effects map[membership.EffectKind]int
@@ -62,14 +62,15 @@
 	processes map[membership.Address]*process
 	addresses []membership.Address
 	configure func(*membership.Config)
-	// filter may change or discard the effects of a process, as a fault.
-	filter  func(*process, []membership.Effect) []membership.Effect
-	seeding int
-	// fixedSeeds are those that every process is given, random ones if there are none.
-	fixedSeeds []membership.Address
-	starts     int
-	messages   int
-	largest    int
+	// mutate, if set, changes or drops the effects of a process, to inject a fault.
+	mutate    func(*process, []membership.Effect) []membership.Effect
+	seedCount int
+	// fixedSeeds are the seeds of every process. If there are none, each process gets
+	// random ones.
+	fixedSeeds      []membership.Address
+	starts          int
+	messages        int
+	largestDatagram int
 }
 
 func newFleet(seed uint64, shape layout, config virtualnet.Config) *fleet {
@@ -79,7 +80,7 @@
 		random:    rand.New(rand.NewPCG(seed, 2)),
 		processes: make(map[membership.Address]*process),
 		configure: func(*membership.Config) {},
-		seeding:   defaultSeeds,
+		seedCount: defaultSeeds,
 	}
 	config.Seed = seed
 	config.TickInterval = membership.TickInterval
@@ -95,7 +96,7 @@
 	return f.layout.zoneOf(int((address - firstAddress) / addressStep))
 }
 
-// delay is that of links within a zone, a region, and between regions.
+// delay returns the delay of links within a zone, within a region and between regions.
 func (f *fleet) delay(from, to virtualnet.NodeID) time.Duration {
 	a, b := f.zoneAt(membership.Address(from)), f.zoneAt(membership.Address(to))
 	switch {
@@ -107,7 +108,7 @@
 	return 60 * time.Millisecond
 }
 
-// start runs a new process, with amnesia, at an address.
+// start runs a new process, which has no memory of earlier ones, at an address.
 func (f *fleet) start(address membership.Address) *process {
 	f.starts++
 	zone := f.zoneAt(address)
@@ -119,7 +120,7 @@
 	f.configure(&config)
 	machine, err := membership.New(config)
 	if err != nil {
-		panic(fmt.Sprintf("start: %v", err))
+		panic(fmt.Sprintf("create a membership machine: %v", err))
 	}
 	machine.SetSeeds(f.seeds())
 	started := &process{
@@ -137,13 +138,13 @@
 		return f.fixedSeeds
 	}
 	var seeds []membership.Address
-	for _, index := range f.random.Perm(len(f.addresses))[:min(f.seeding, len(f.addresses))] {
+	for _, index := range f.random.Perm(len(f.addresses))[:min(f.seedCount, len(f.addresses))] {
 		seeds = append(seeds, f.addresses[index])
 	}
 	return seeds
 }
 
-// startAll starts every process within spread and runs until they settle.
+// startAll starts every process within spread, then runs for the time settle.
 func (f *fleet) startAll(spread, settle time.Duration) {
 	for _, address := range f.addresses {
 		f.network.After(time.Duration(f.random.Int64N(int64(spread))), func() { f.start(address) })
@@ -164,7 +165,7 @@
 	f.kill(address)
 }
 
-// cutZones separates the zones for which side is true from the others.
+// cutZones partitions the zones for which side is true from the others.
 func (f *fleet) cutZones(side func(membership.Zone) bool) {
 	f.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 		return side(f.zoneAt(membership.Address(from))) != side(f.zoneAt(membership.Address(to)))
@@ -182,7 +183,8 @@
 	return running
 }
 
-// disagreement returns a description of the first wrong view, or "".
+// disagreement describes the first wrong view of a member. It is empty if all views are
+// right.
 func (f *fleet) disagreement() string {
 	running := f.running()
 	for _, observer := range running {
@@ -197,20 +199,20 @@
 	for _, known := range p.machine.Members() {
 		_, runs := p.fleet.processes[known.Identity.Address]
 		if !runs && known.State != membership.StateFailed && known.State != membership.StateLeft {
-			return fmt.Sprintf("%s (zone %d) has %+v, which does not run", p.address, p.identity.Zone, known)
+			return fmt.Sprintf("%s (zone %d) lists %+v, which is not running", p.address, p.identity.Zone, known)
 		}
 	}
 	for _, other := range running {
 		known, exists := p.machine.Member(other.address)
 		if !exists || known.Identity != other.machine.Self() || known.State != membership.StateAlive || !known.Reachable {
-			return fmt.Sprintf("%s has %+v of %s (exists %t)", p.address, known, other.address, exists)
+			return fmt.Sprintf("%s lists %+v for %s (exists %t)", p.address, known, other.address, exists)
 		}
 	}
 	return ""
 }
 
-// runUntilAgreed runs until all views are right or the limit has passed, and
-// returns the time taken and the last disagreement.
+// runUntilAgreed runs until all views are right or the limit has passed. It returns the
+// time taken and the last disagreement.
 func (f *fleet) runUntilAgreed(limit time.Duration) (time.Duration, string) {
 	began := f.network.Now()
 	for {
@@ -233,8 +235,8 @@
 
 func (p *process) apply(effects []membership.Effect) {
 	effects = slices.Clone(effects)
-	if p.fleet.filter != nil {
-		effects = p.fleet.filter(p, effects)
+	if p.fleet.mutate != nil {
+		effects = p.fleet.mutate(p, effects)
 	}
 	for _, effect := range effects {
 		p.effects[effect.Kind]++
@@ -247,17 +249,17 @@
 	}
 }
 
-// transmit encodes the message, as the transport does, to count its bytes.
+// transmit encodes the message as the transport does, to count its bytes.
 func (p *process) transmit(effect membership.Effect) {
 	encoded, err := effect.Message.MarshalMsg(nil)
 	if err != nil {
-		panic(fmt.Sprintf("encode: %v", err))
+		panic(fmt.Sprintf("encode a membership message: %v", err))
 	}
 	if len(encoded) > membership.MaximumDatagramSize {
-		panic(fmt.Sprintf("message of %d bytes", len(encoded)))
+		panic(fmt.Sprintf("a message of %d bytes exceeds the maximum datagram size", len(encoded)))
 	}
 	p.fleet.messages++
-	p.fleet.largest = max(p.fleet.largest, len(encoded))
+	p.fleet.largestDatagram = max(p.fleet.largestDatagram, len(encoded))
 	p.fleet.network.Send(virtualnet.NodeID(p.address), virtualnet.NodeID(effect.To), len(encoded), effect.Message)
 }
 
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -1,4 +1,4 @@
-// This file implements the queue of updates that wait for being passed along.
+// This file implements the queue of updates to gossip.
 
 package membership
 
@@ -9,17 +9,17 @@
 )
 
 const (
-	// retransmissionFactor times the decimal logarithm of the members is how
-	// often a member passes an update along (Das et al. 2002, section 4.1).
+	// retransmissionFactor times the decimal logarithm of the number of members is how
+	// often a member sends an update (Das et al. 2002, section 4.1).
 	retransmissionFactor = 5
-	// gossipLifetime is how long an update is passed along. In a storm of
-	// changes the digests find what did not get its turn.
+	// gossipLifetime is how long an update is gossiped. Updates that were not sent in that
+	// time because of many changes are found by the digests.
 	gossipLifetime = 30 * time.Second
-	// gossipSlack is how many obsolete entries may stay queued.
-	gossipSlack = 64
+	// compactionSlack is the number of obsolete entries that may stay queued.
+	compactionSlack = 64
 )
 
-// queuedUpdate is an update and how often it was sent.
+// queuedUpdate is an update with the number of times it was sent.
 type queuedUpdate struct {
 	update   Update
 	audience audience
@@ -27,41 +27,41 @@
 	expires  time.Duration
 }
 
-// audience tells to whom an update is of use.
+// audience tells which members need an update.
 type audience uint8
 
 const (
-	// audienceProbers: the members that probe the one concerned.
+	// audienceProbers: the members that probe the member concerned.
 	audienceProbers audience = iota
 	// audienceAll: every member.
 	audienceAll
 )
 
-// gossip holds one current update for each address. Those sent least often go
-// first, among them the newest, so that a backlog does not hold up news.
-type gossip struct {
-	// bySent holds the queued updates by how often they were sent.
+// gossipQueue holds one current update for each address. Updates that were sent least often
+// go first, and among these the newest, so that a backlog does not delay new updates.
+type gossipQueue struct {
+	// bySent holds the queued updates by the number of times they were sent.
 	bySent [][]*queuedUpdate
 	queued int
-	// current is the newest entry of each address; others are obsolete.
+	// current is the newest entry of each address. All other entries are obsolete.
 	current map[Address]*queuedUpdate
 }
 
-func newGossip() *gossip {
-	return &gossip{current: make(map[Address]*queuedUpdate)}
+func newGossipQueue() *gossipQueue {
+	return &gossipQueue{current: make(map[Address]*queuedUpdate)}
 }
 
-// add queues an update in place of an older one of the same address.
-func (g *gossip) add(now time.Duration, update Update, audience audience) {
+// add queues an update and makes an older one of the same address obsolete.
+func (g *gossipQueue) add(now time.Duration, update Update, audience audience) {
 	added := &queuedUpdate{update: update, audience: audience, expires: now + gossipLifetime}
 	g.current[update.Member.Address] = added
 	g.push(added)
-	if g.queued > 2*len(g.current)+gossipSlack {
+	if g.queued > 2*len(g.current)+compactionSlack {
 		g.compact()
 	}
 }
 
-func (g *gossip) push(added *queuedUpdate) {
+func (g *gossipQueue) push(added *queuedUpdate) {
 	for len(g.bySent) <= added.sent {
 		g.bySent = append(g.bySent, nil)
 	}
@@ -69,7 +69,7 @@
 	g.queued++
 }
 
-func (g *gossip) compact() {
+func (g *gossipQueue) compact() {
 	g.queued = 0
 	for sent := range g.bySent {
 		g.bySent[sent] = slices.DeleteFunc(g.bySent[sent], g.obsolete)
@@ -77,15 +77,15 @@
 	}
 }
 
-func (g *gossip) obsolete(queued *queuedUpdate) bool {
+func (g *gossipQueue) obsolete(queued *queuedUpdate) bool {
 	return g.current[queued.update.Member.Address] != queued
 }
 
-// take returns at most count updates for a receiver and counts them as sent.
-// A receiver that is not among the probers gets only what is for all.
-func (g *gossip) take(now time.Duration, receiver audience, count int, members int) []Update {
+// take returns at most count updates for a receiver and counts them as sent. A receiver
+// that does not probe the member concerned gets only updates for all members.
+func (g *gossipQueue) take(now time.Duration, receiver audience, count int, members int) []Update {
 	var updates []Update
-	var again []*queuedUpdate
+	var requeued []*queuedUpdate
 	limit := retransmissions(members)
 	for len(updates) < count {
 		next, exists := g.pop()
@@ -99,20 +99,20 @@
 			delete(g.current, next.update.Member.Address)
 			continue
 		}
-		again = append(again, next)
+		requeued = append(requeued, next)
 		if receiver == audienceProbers || next.audience == audienceAll {
 			updates = append(updates, next.update)
 			next.sent++
 		}
 	}
-	for _, next := range again {
+	for _, next := range requeued {
 		g.push(next)
 	}
 	return updates
 }
 
-// pop removes the entry that is to be sent next.
-func (g *gossip) pop() (*queuedUpdate, bool) {
+// pop removes the entry to send next.
+func (g *gossipQueue) pop() (*queuedUpdate, bool) {
 	for sent, entries := range g.bySent {
 		last := len(entries) - 1
 		if last < 0 {
@@ -126,7 +126,7 @@
 	return nil, false
 }
 
-// retransmissions returns how often each member passes an update along.
+// retransmissions returns how often each member sends an update.
 func retransmissions(members int) int {
 	return retransmissionFactor * max(1, int(math.Ceil(math.Log10(float64(members+1)))))
 }
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -1,4 +1,4 @@
-// This file implements the machine's entry points and the messages it sends.
+// This file implements the entry points of the machine and the sending of messages.
 
 package membership
 
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// TickInterval is how often Tick shall be called.
+// TickInterval is the interval at which Tick must be called.
 const TickInterval = 100 * time.Millisecond
 
 const (
-	// leaveCopies is how many members of the own zone and of other zones are
-	// told of a planned stop.
-	leaveCopies = 5
-	// forgetInterval is the time between two searches for members that have
-	// been failed for longer than the retention.
-	forgetInterval = 10 * time.Second
+	// leaveFanout is the number of members, in the own zone and in other zones each, that
+	// are told of a planned stop.
+	leaveFanout = 5
+	// expiryInterval is the time between two searches for members whose retention has
+	// ended.
+	expiryInterval = 10 * time.Second
 )
 
 // Machine is the membership of one process. It is not safe for concurrent use.
 type Machine struct {
-	config  Config
-	random  *rand.Rand
-	self    Update
-	roster  *roster
-	gossip  *gossip
-	effects []Effect
+	config     Config
+	random     *rand.Rand
+	self       Update
+	memberList *memberList
+	gossip     *gossipQueue
+	effects    []Effect
 
 	attachment []byte
 	seeds      []Address
@@ -35,45 +35,44 @@
 	everTicked bool
 	stopped    bool
 	sequence   uint32
-	nextForget time.Duration
+	nextExpiry time.Duration
 
-	probe    probe
-	relays   []relay
-	suspects []*member
-	recovery recovery
-	sync     synchronization
-	remote   remoteContact
-	health   localHealth
-	// digestTurn is the zone whose digest goes into the next message.
-	digestTurn Zone
+	probe        probeState
+	relayedPings []relayedPing
+	suspects     []*member
+	recovery     recovery
+	sync         syncState
+	remote       remotePingState
+	health       localHealth
+	// lastDigestZone is the zone whose digest was sent last.
+	lastDigestZone Zone
 }
 
-// New returns the machine of a process that knows nobody yet. It fails if the
-// configuration cannot be used.
+// New returns the machine of a process that knows no other member. It returns an error if
+// the configuration is invalid.
 func New(config Config) (*Machine, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
 	created := &Machine{
-		config: config,
-		random: config.Random,
-		self:   Update{Member: config.Self},
-		roster: newRoster(),
-		gossip: newGossip(),
+		config:     config,
+		random:     config.Random,
+		self:       Update{Member: config.Self},
+		memberList: newMemberList(),
+		gossip:     newGossipQueue(),
 	}
-	created.sync.credit = answerBurst
-	created.roster.put(0, created.self)
+	created.sync.tokens = responseBurst
+	created.memberList.put(0, created.self)
 	created.gossip.add(0, created.self, audienceAll)
 	return created, nil
 }
 
-// Self returns the identity under which the process is known.
+// Self returns the current identity of this process.
 func (m *Machine) Self() Identity { return m.self.Member }
 
-// SetSeeds replaces the addresses that are pinged if no member is known there,
-// such as the platform's list of machines. The list decides nothing else: a
-// member is neither alive nor failed for being listed or not. A random choice
-// is kept if there are too many.
+// SetSeeds replaces the addresses that are pinged if no member is known there, such as the
+// platform's list of machines. Being listed or not does not change the state of a member.
+// If there are too many seeds, a random subset is kept.
 func (m *Machine) SetSeeds(seeds []Address) {
 	kept := slices.DeleteFunc(slices.Clone(seeds), func(seed Address) bool {
 		return seed == 0 || seed == m.self.Member.Address
@@ -82,54 +81,55 @@
 	m.seeds = kept[:min(len(kept), maximumSeeds)]
 }
 
-// SetAttachment sets what every message carries for another protocol. What is
-// longer than MaximumAttachment breaks an invariant of the caller.
+// SetAttachment sets the data of another protocol that every message carries. It panics if
+// the attachment is longer than MaximumAttachmentSize.
 func (m *Machine) SetAttachment(attachment []byte) {
 	if len(attachment) > MaximumAttachmentSize {
-		panic("membership: attachment too long")
+		panic("membership: the attachment exceeds the maximum size")
 	}
 	m.attachment = slices.Clone(attachment)
 }
 
-// Tick must be called every TickInterval. The returned effects are valid until
-// the next call.
+// Tick must be called every TickInterval. The returned effects are valid until the next
+// call.
 func (m *Machine) Tick(now time.Duration) []Effect {
 	m.effects = m.effects[:0]
 	if m.stopped {
 		return nil
 	}
-	m.observeTime(now)
+	m.detectPause(now)
 	m.catchUp(now)
-	m.probeNext(now)
-	m.expireRelays(now)
+	m.advanceProbe(now)
+	m.expireRelayedPings(now)
 	m.expireSuspicions(now)
 	m.pingRemote(now)
 	m.reconnect(now)
 	m.synchronize(now)
-	m.judgeZones(now)
-	m.forget(now)
+	m.detectUnreachableZones(now)
+	m.expireMembers(now)
 	return m.effects
 }
 
-// Receive handles a message from another process. The returned effects are
-// valid until the next call.
+// Receive handles a message from another process. The returned effects are valid until the
+// next call.
 func (m *Machine) Receive(now time.Duration, from Address, message Message) []Effect {
 	m.effects = m.effects[:0]
-	if m.stopped || !message.acceptable(from) || from == m.self.Member.Address {
+	if m.stopped || !message.validFrom(from) || from == m.self.Member.Address {
 		return nil
 	}
-	m.observeTime(now)
-	// What a process that has just started sees, or learns from a state, is no news.
-	catchingUp := m.syncsQuickly(now)
-	m.merge(now, message.Sender, !catchingUp || now >= m.recovery.began+joinRush)
-	m.hear(now, message)
-	m.noteContact(now, from)
-	m.noteInformed(from, message)
+	m.detectPause(now)
+	// While this process catches up, the members it learns of are not new to the others, so
+	// their updates are not gossiped.
+	catchingUp := m.inQuickSync(now)
+	m.merge(now, message.Sender, !catchingUp || now >= m.recovery.began+simultaneousStartWindow)
+	m.recordContact(now, message)
+	m.retryAfterFirstContact(now, from)
+	m.recordCaughtUp(from, message)
 	spread := message.Kind != KindSyncResponse || !catchingUp
 	for _, update := range message.Updates {
 		m.merge(now, update, spread)
 	}
-	m.compare(now, from, message)
+	m.compareDigests(now, from, message)
 	if len(message.Attachment) > 0 {
 		m.emit(Effect{Kind: EffectAttachment, Member: message.Sender.Member, Attachment: message.Attachment})
 	}
@@ -152,13 +152,13 @@
 	}
 }
 
-// acceptable reports whether the message is well formed and comes from the
-// address that it claims.
-func (m Message) acceptable(from Address) bool {
+// validFrom reports whether the message is well formed and names the address it came from
+// as its sender.
+func (m Message) validFrom(from Address) bool {
 	if !m.Sender.valid() || m.Sender.Member.Address != from || m.Kind > KindLeave {
 		return false
 	}
-	if len(m.KnownFilter) > maximumSummary || len(m.Updates) > maximumUpdates || len(m.ZoneAges) > MaximumZones || len(m.Digests) > MaximumZones {
+	if len(m.KnownFilter) > maximumFilterSize || len(m.Updates) > maximumUpdatesPerMessage || len(m.ZoneAges) > MaximumZones || len(m.Digests) > MaximumZones {
 		return false
 	}
 	for _, digest := range m.Digests {
@@ -166,8 +166,8 @@
 			return false
 		}
 	}
-	synchronizes := m.Kind == KindSyncRequest || m.Kind == KindSyncResponse
-	if m.Digest.Zone >= MaximumZones && !(synchronizes && m.Digest.Zone == allZones) {
+	isSync := m.Kind == KindSyncRequest || m.Kind == KindSyncResponse
+	if m.Digest.Zone >= MaximumZones && !(isSync && m.Digest.Zone == allZones) {
 		return false
 	}
 	return !slices.ContainsFunc(m.Updates, func(update Update) bool {
@@ -175,7 +175,7 @@
 	})
 }
 
-// Leave tells others that the process stops. The machine does nothing
+// Leave announces to other members that the process stops. The machine does nothing
 // afterwards.
 func (m *Machine) Leave(now time.Duration) []Effect {
 	m.effects = m.effects[:0]
@@ -183,51 +183,51 @@
 		return nil
 	}
 	m.self.State = StateLeft
-	for range leaveCopies {
-		if told, exists := m.roster.randomMember(m.random, m.self.Member.Zone, m.isLivePeer); exists {
-			m.send(now, told.update.Member.Address, Message{Kind: KindLeave})
+	for range leaveFanout {
+		if receiver, exists := m.memberList.randomMember(m.random, m.self.Member.Zone, m.isLivePeer); exists {
+			m.send(now, receiver.update.Member.Address, Message{Kind: KindLeave})
 		}
-		if told, exists := m.nextRemote(m.isLivePeer); exists {
-			m.send(now, told.update.Member.Address, Message{Kind: KindLeave})
+		if receiver, exists := m.nextRemoteMember(m.isLivePeer); exists {
+			m.send(now, receiver.update.Member.Address, Message{Kind: KindLeave})
 		}
 	}
 	m.stopped = true
 	return m.effects
 }
 
-// send emits a message completed with what every message carries.
+// send emits a message after adding the fields that every message carries.
 func (m *Machine) send(now time.Duration, to Address, message Message) {
 	message.Sender = m.self
 	message.Attachment = m.attachment
-	message.CatchingUp = m.syncsQuickly(now)
-	knowsFew := message.Kind == KindSyncRequest && m.roster.live < manyMembers
-	if message.Kind != KindSyncResponse && !knowsFew {
+	message.CatchingUp = m.inQuickSync(now)
+	knowsFewMembers := message.Kind == KindSyncRequest && m.memberList.live < bootstrapMembers
+	if message.Kind != KindSyncResponse && !knowsFewMembers {
 		message.Updates = m.updatesFor(now, to)
 	}
 	if message.Kind == KindPing || message.Kind == KindAck {
 		message.Digest = m.nextDigest()
 		if m.inZone(to, m.self.Member.Zone) {
-			message.ZoneAges = m.ages(now)
+			message.ZoneAges = m.zoneAges(now)
 		}
 	}
 	m.emit(Effect{Kind: EffectSend, To: to, Message: message})
 }
 
-// updatesFor returns the updates to attach to a message. A member that is
-// suspected or failed is told first, so that it can refute.
+// updatesFor returns the updates to attach to a message. If the receiver is suspected or
+// declared failed, that update comes first, so that the receiver can refute it.
 func (m *Machine) updatesFor(now time.Duration, to Address) []Update {
 	count := m.config.GossipBytes / maximumUpdateSize
 	var updates []Update
-	known, exists := m.roster.byAddress[to]
+	known, exists := m.memberList.byAddress[to]
 	if exists && known.update.State != StateAlive {
 		updates = append(updates, known.update)
 		count--
 	}
 	receiver := audienceAll
-	if exists && m.probes(known.update.Member) {
+	if exists && m.shouldProbe(known.update.Member) {
 		receiver = audienceProbers
 	}
-	return append(updates, m.gossip.take(now, receiver, count, m.roster.live)...)
+	return append(updates, m.gossip.take(now, receiver, count, m.memberList.live)...)
 }
 
 func (m *Machine) emit(effect Effect) { m.effects = append(m.effects, effect) }
@@ -239,38 +239,38 @@
 
 // inZone reports whether the member at an address is known to be in the zone.
 func (m *Machine) inZone(address Address, zone Zone) bool {
-	known, exists := m.roster.byAddress[address]
+	known, exists := m.memberList.byAddress[address]
 	return exists && known.update.Member.Zone == zone
 }
 
-// isLivePeer reports whether another process runs as far as is known.
+// isLivePeer reports whether a member is another process in a live state.
 func (m *Machine) isLivePeer(candidate *member) bool {
 	return candidate.update.State.live() && candidate.update.Member.Address != m.self.Member.Address
 }
 
-// forget removes members that have been failed for long. Live members of a
-// zone that was unreachable for as long are declared failed: they can still
-// refute it.
-func (m *Machine) forget(now time.Duration) {
-	if now < m.nextForget {
+// expireMembers removes members that are not live once their retention has ended. Live
+// members of a zone that was unreachable for that long are declared failed, which they can
+// still refute.
+func (m *Machine) expireMembers(now time.Duration) {
+	if now < m.nextExpiry {
 		return
 	}
-	m.nextForget = now + forgetInterval
-	for zone := range m.roster.zones {
-		lost := m.zoneLost(now, Zone(zone))
-		for _, known := range slices.Clone(m.roster.zones[zone].members) {
+	m.nextExpiry = now + expiryInterval
+	for zone := range m.memberList.zones {
+		expired := m.unreachableTooLong(now, Zone(zone))
+		for _, known := range slices.Clone(m.memberList.zones[zone].members) {
 			switch {
 			case !known.update.State.live() && now >= known.since+m.config.Retention:
-				m.roster.remove(now, known)
-			case known.update.State.live() && lost:
+				m.memberList.remove(now, known)
+			case known.update.State.live() && expired:
 				m.declareFailed(now, known)
 			}
 		}
 	}
 }
 
-func (m *Machine) zoneLost(now time.Duration, zone Zone) bool {
-	record := &m.roster.zones[zone]
+func (m *Machine) unreachableTooLong(now time.Duration, zone Zone) bool {
+	record := &m.memberList.zones[zone]
 	expired := now >= record.unreachableSince+m.config.Retention
 	return expired && !record.reachable && !m.recovery.active && zone != m.self.Member.Zone
 }
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -1,4 +1,4 @@
-// This file implements the roster: the members known, by address and by zone.
+// This file implements the list of known members, by address and by zone.
 
 package membership
 
@@ -15,99 +15,99 @@
 	update Update
 	// position is the index in the members of the zone.
 	position int
-	// since is when the state began.
+	// since is when the member entered its state.
 	since time.Duration
-	// informed is set if the last message from the member itself said that it
-	// knows what others know.
-	informed bool
-	// verifications counts the pings that asked a suspect whether it lives.
-	verifications int
+	// caughtUp is set if the last message from the member said that it has the full state.
+	caughtUp bool
+	// suspectPings counts the pings sent to the member while it is suspected.
+	suspectPings int
 }
 
-// zoneRecord is what is known of one zone.
-type zoneRecord struct {
+// zoneState holds the members of one zone and its reachability.
+type zoneState struct {
 	members []*member
 	live    int
-	// digest is the exclusive or of the hashes of live members.
+	// digest is the exclusive or of the hashes of the live members.
 	digest uint32
-	// changed is when a member of the zone last changed.
-	changed time.Duration
-	// heard is when the zone was last heard of, and reachable whether that
-	// was lately.
-	heard     time.Duration
+	// lastChanged is when a member of the zone last changed.
+	lastChanged time.Duration
+	// lastHeard is when the zone was last heard from. reachable tells whether that was
+	// recent enough.
+	lastHeard time.Duration
 	reachable bool
-	// unreachableSince is when the zone was found or became unreachable.
+	// unreachableSince is when the zone was first seen or became unreachable.
 	unreachableSince time.Duration
 }
 
-// roster holds the members. Its iteration order depends on nothing but the
-// order of insertions.
-type roster struct {
+// memberList holds the members. Its iteration order depends only on the order of insertions
+// and removals, so that runs are reproducible.
+type memberList struct {
 	byAddress map[Address]*member
-	zones     [MaximumZones]zoneRecord
+	zones     [MaximumZones]zoneState
 	live      int
 }
 
-func newRoster() *roster {
-	return &roster{byAddress: make(map[Address]*member)}
+func newMemberList() *memberList {
+	return &memberList{byAddress: make(map[Address]*member)}
 }
 
-// put adds or replaces what is known of a member.
-func (r *roster) put(now time.Duration, update Update) *member {
-	known, exists := r.byAddress[update.Member.Address]
+// put adds or replaces a member.
+func (l *memberList) put(now time.Duration, update Update) *member {
+	known, exists := l.byAddress[update.Member.Address]
 	if exists && known.update.Member.Zone != update.Member.Zone {
-		r.remove(now, known)
+		l.remove(now, known)
 		exists = false
 	}
-	zone := &r.zones[update.Member.Zone]
+	zone := &l.zones[update.Member.Zone]
 	if len(zone.members) == 0 {
 		zone.unreachableSince = now
 	}
 	if !exists {
 		known = &member{position: len(zone.members)}
 		zone.members = append(zone.members, known)
-		r.byAddress[update.Member.Address] = known
+		l.byAddress[update.Member.Address] = known
 	} else {
-		r.discount(zone, known)
+		l.removeFromTotals(zone, known)
 	}
 	known.update = update
 	known.since = now
-	known.verifications = 0
-	known.informed = false
-	zone.changed = now
-	r.count(zone, known)
+	known.suspectPings = 0
+	known.caughtUp = false
+	zone.lastChanged = now
+	l.addToTotals(zone, known)
 	return known
 }
 
-func (r *roster) remove(now time.Duration, removed *member) {
-	zone := &r.zones[removed.update.Member.Zone]
-	r.discount(zone, removed)
+func (l *memberList) remove(now time.Duration, removed *member) {
+	zone := &l.zones[removed.update.Member.Zone]
+	l.removeFromTotals(zone, removed)
 	last := zone.members[len(zone.members)-1]
 	last.position = removed.position
 	zone.members[removed.position] = last
 	zone.members = zone.members[:len(zone.members)-1]
-	zone.changed = now
-	delete(r.byAddress, removed.update.Member.Address)
+	zone.lastChanged = now
+	delete(l.byAddress, removed.update.Member.Address)
 }
 
-func (r *roster) count(zone *zoneRecord, counted *member) {
+func (l *memberList) addToTotals(zone *zoneState, counted *member) {
 	if counted.update.State.live() {
 		zone.live++
-		r.live++
+		l.live++
 		zone.digest ^= counted.update.hash()
 	}
 }
 
-func (r *roster) discount(zone *zoneRecord, counted *member) {
+func (l *memberList) removeFromTotals(zone *zoneState, counted *member) {
 	if counted.update.State.live() {
 		zone.live--
-		r.live--
+		l.live--
 		zone.digest ^= counted.update.hash()
 	}
 }
 
-// hash covers what must agree between members: which processes run.
-// Suspicions and their refutations pass among those who probe the member.
+// hash covers only what all members must agree on: which processes run. Suspicions and
+// refutations are left out, since they spread only among the members that probe the
+// suspect.
 func (u Update) hash() uint32 {
 	var encoded [16]byte
 	binary.BigEndian.PutUint64(encoded[0:], uint64(u.Member.Address))
@@ -115,16 +115,16 @@
 	return uint32(xxhash.Sum64(encoded[:]))
 }
 
-// randomMember returns a member of the zone that suits, if there is one.
-func (r *roster) randomMember(random *rand.Rand, zone Zone, suits func(*member) bool) (*member, bool) {
-	members := r.zones[zone].members
+// randomMember returns a random member of the zone that matches, if there is one.
+func (l *memberList) randomMember(random *rand.Rand, zone Zone, matches func(*member) bool) (*member, bool) {
+	members := l.zones[zone].members
 	if len(members) == 0 {
 		return nil, false
 	}
 	start := random.IntN(len(members))
 	for offset := range members {
 		candidate := members[(start+offset)%len(members)]
-		if suits(candidate) {
+		if matches(candidate) {
 			return candidate, true
 		}
 	}
@@ -132,16 +132,16 @@
 }
 
 // digestOf returns the digest of a zone.
-func (r *roster) digestOf(zone Zone) ZoneDigest {
-	return ZoneDigest{Zone: zone, Hash: r.zones[zone].digest}
+func (l *memberList) digestOf(zone Zone) ZoneDigest {
+	return ZoneDigest{Zone: zone, Hash: l.zones[zone].digest}
 }
 
 // digests returns the digests of all zones that have members.
-func (r *roster) digests() []ZoneDigest {
+func (l *memberList) digests() []ZoneDigest {
 	var all []ZoneDigest
-	for zone := range r.zones {
-		if len(r.zones[zone].members) > 0 {
-			all = append(all, r.digestOf(Zone(zone)))
+	for zone := range l.zones {
+		if len(l.zones[zone].members) > 0 {
+			all = append(all, l.digestOf(Zone(zone)))
 		}
 	}
 	return all
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -1,40 +1,39 @@
-// This file gives the caller a view of the members.
+// This file gives the caller read access to the members.
 
 package membership
 
-// Member is what a process knows of a member.
+// Member is a member as known to this process.
 type Member struct {
 	Identity Identity
 	State    State
-	// Reachable is false for a live member of a zone that cannot be reached,
-	// and for every member that is not live.
+	// Reachable is false for a live member of an unreachable zone and for every member that
+	// is not live.
 	Reachable bool
 }
 
-// Members returns all members that are remembered, this process included, in
-// no stated order.
+// Members returns all known members, this process included, in no particular order.
 func (m *Machine) Members() []Member {
-	members := make([]Member, 0, len(m.roster.byAddress))
-	for zone := range m.roster.zones {
-		for _, known := range m.roster.zones[zone].members {
-			members = append(members, m.view(known))
+	members := make([]Member, 0, len(m.memberList.byAddress))
+	for zone := range m.memberList.zones {
+		for _, known := range m.memberList.zones[zone].members {
+			members = append(members, m.describe(known))
 		}
 	}
 	return members
 }
 
-// Member returns what is known of the member at an address.
+// Member returns the member at an address.
 func (m *Machine) Member(address Address) (Member, bool) {
-	known, exists := m.roster.byAddress[address]
+	known, exists := m.memberList.byAddress[address]
 	if !exists {
 		return Member{}, false
 	}
-	return m.view(known), true
+	return m.describe(known), true
 }
 
-func (m *Machine) view(known *member) Member {
+func (m *Machine) describe(known *member) Member {
 	identity := known.update.Member
-	reachable := identity.Zone == m.self.Member.Zone || m.roster.zones[identity.Zone].reachable
+	reachable := identity.Zone == m.self.Member.Zone || m.memberList.zones[identity.Zone].reachable
 	return Member{
 		Identity:  identity,
 		State:     known.update.State,
@@ -43,8 +42,8 @@
 }
 
 // LiveCount returns the number of live members, this process included.
-func (m *Machine) LiveCount() int { return m.roster.live }
+func (m *Machine) LiveCount() int { return m.memberList.live }
 
-// CatchingUp reports whether the process has not yet learned what others know
-// since it started or was paused.
+// CatchingUp reports whether the process has not yet fetched the state of the others since
+// it started or was paused.
 func (m *Machine) CatchingUp() bool { return !m.everTicked || m.recovery.active }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -1,4 +1,4 @@
-// This file decides which of two statements about a member holds.
+// This file merges received updates into the member list.
 
 package membership
 
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// merge takes in a statement about a member if it is newer than what is known.
-// If spread is set, it is passed along.
+// merge records an update if it supersedes what is known. If spread is set, the update is
+// gossiped.
 func (m *Machine) merge(now time.Duration, update Update, spread bool) {
 	if update.Member.Address == m.self.Member.Address {
-		m.mergeSelf(now, update)
+		m.refute(now, update)
 		return
 	}
-	known, exists := m.roster.byAddress[update.Member.Address]
+	known, exists := m.memberList.byAddress[update.Member.Address]
 	if exists && !update.supersedes(known.update) {
-		m.correct(now, known.update, update)
+		m.repeatRefutation(now, known.update, update)
 		return
 	}
-	if !exists && (!update.State.live() || len(m.roster.byAddress) >= m.config.MemberLimit) {
-		// The end of an unknown member is no news, and remembering it would
-		// keep it going around for ever.
+	if !exists && (!update.State.live() || len(m.memberList.byAddress) >= m.config.MemberLimit) {
+		// An unknown member that is not live is not recorded: no member needs the update, and
+		// recording it would keep it circulating forever.
 		return
 	}
 	before := Update{Member: update.Member, State: StateLeft}
 	if exists {
 		before = known.update
 	}
-	m.install(now, update)
-	m.report(before, update)
+	m.record(now, update)
+	m.emitChange(before, update)
 	if spread {
-		m.gossip.add(now, update, audienceOf(before, update))
+		m.gossip.add(now, update, changeAudience(before, update))
 	}
 }
 
-// audienceOf returns who must learn of a change: suspicions and what refutes
-// them matter only to those who probe the member.
-func audienceOf(before, after Update) audience {
+// changeAudience returns which members need a change. Suspicions and refutations matter
+// only to the members that probe the member concerned.
+func changeAudience(before, after Update) audience {
 	sameProcess := before.Member.Incarnation == after.Member.Incarnation
 	if sameProcess && before.State.live() && after.State.live() {
 		return audienceProbers
@@ -45,28 +45,28 @@
 	return audienceAll
 }
 
-// correct passes a refutation along to all if a statement shows that somebody
-// takes the member for failed.
-func (m *Machine) correct(now time.Duration, known, obsolete Update) {
+// repeatRefutation gossips the live state of a member to all members if an obsolete update
+// shows that some member takes it for failed.
+func (m *Machine) repeatRefutation(now time.Duration, known, obsolete Update) {
 	sameProcess := known.Member.Incarnation == obsolete.Member.Incarnation
 	if sameProcess && known.State.live() && obsolete.State == StateFailed {
 		m.gossip.add(now, known, audienceAll)
 	}
 }
 
-// install records an update, which must supersede what is known.
-func (m *Machine) install(now time.Duration, update Update) {
-	installed := m.roster.put(now, update)
+// record stores an update that supersedes what is known.
+func (m *Machine) record(now time.Duration, update Update) {
+	recorded := m.memberList.put(now, update)
 	m.suspects = slices.DeleteFunc(m.suspects, func(suspect *member) bool {
 		return suspect.update.Member.Address == update.Member.Address
 	})
 	if update.State == StateSuspect {
-		m.suspects = append(m.suspects, installed)
+		m.suspects = append(m.suspects, recorded)
 	}
 }
 
-// report emits the effects of a change.
-func (m *Machine) report(before, after Update) {
+// emitChange emits the effects of a change.
+func (m *Machine) emitChange(before, after Update) {
 	replaced := before.Member.Incarnation != after.Member.Incarnation
 	wasLive := before.State.live()
 	if replaced && wasLive {
@@ -75,7 +75,7 @@
 	}
 	switch after.State {
 	case StateAlive:
-		m.reportAlive(wasLive, before, after)
+		m.emitAlive(wasLive, before, after)
 	case StateSuspect:
 		if !wasLive {
 			m.emit(Effect{Kind: EffectJoined, Member: after.Member})
@@ -92,7 +92,7 @@
 	}
 }
 
-func (m *Machine) reportAlive(wasLive bool, before, after Update) {
+func (m *Machine) emitAlive(wasLive bool, before, after Update) {
 	if !wasLive {
 		m.emit(Effect{Kind: EffectJoined, Member: after.Member})
 		return
@@ -102,12 +102,13 @@
 	}
 }
 
-// mergeSelf refutes what others say about this process unless it is true.
-func (m *Machine) mergeSelf(now time.Duration, update Update) {
+// refute raises the incarnation or the refutation count of this process if an update
+// contradicts its state.
+func (m *Machine) refute(now time.Duration, update Update) {
 	own := m.self
 	switch {
 	case update.Member.Incarnation > own.Member.Incarnation:
-		// An earlier process at this address had a clock that was ahead.
+		// The clock of an earlier process at this address was ahead.
 		own.Member.Incarnation = update.Member.Incarnation + 1
 		own.Refutations = 0
 	case update.Member.Incarnation == own.Member.Incarnation &&
@@ -119,14 +120,14 @@
 		return
 	}
 	m.self = own
-	m.roster.put(now, own)
-	m.gossip.add(now, own, selfAudience(update))
+	m.memberList.put(now, own)
+	m.gossip.add(now, own, refutationAudience(update))
 }
 
-// selfAudience returns who must learn of a refutation: after a mere suspicion
-// those who could have heard it.
-func selfAudience(accusation Update) audience {
-	if accusation.State == StateSuspect {
+// refutationAudience returns which members need a refutation. A suspicion was only sent to
+// the probers, so its refutation is as well.
+func refutationAudience(refuted Update) audience {
+	if refuted.State == StateSuspect {
 		return audienceProbers
 	}
 	return audienceAll
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -1,5 +1,4 @@
-// This file defines the identifiers and the messages that daemons exchange
-// about membership.
+// This file defines the identifiers and messages of the membership protocol.
 
 package membership
 
@@ -12,14 +11,14 @@
 //msgp:limit arrays:128
 //msgp:tuple Identity Update ZoneDigest Message
 
-// Address is an IPv4 address and UDP port in one number: the address in bits
-// 16 to 47, the port in bits 0 to 15. Zero means none.
+// Address is an IPv4 address and UDP port in one number: the address in bits 16 to 47, the
+// port in bits 0 to 15. Zero means no address.
 type Address uint64
 
 const portBits = 16
 
-// AddressOf converts an IPv4 address and port. It returns false for any other
-// kind of address.
+// AddressOf converts an IPv4 address and port. It returns false for any other kind of
+// address.
 func AddressOf(endpoint netip.AddrPort) (Address, bool) {
 	ip := endpoint.Addr().Unmap()
 	if !ip.Is4() {
@@ -30,7 +29,7 @@
 	return Address(number)<<portBits | Address(endpoint.Port()), true
 }
 
-// AddrPort returns the address in the form of the standard library.
+// AddrPort returns the address as a netip.AddrPort.
 func (a Address) AddrPort() netip.AddrPort {
 	var octets [4]byte
 	binary.BigEndian.PutUint32(octets[:], uint32(a>>portBits))
@@ -40,25 +39,25 @@
 // String returns the address as "192.0.2.1:7000".
 func (a Address) String() string { return a.AddrPort().String() }
 
-// Region numbers the regions of the fleet.
+// Region is the number of a region of the fleet.
 type Region uint8
 
-// Zone numbers the zones of the fleet, across all regions, below MaximumZones.
+// Zone is the number of a zone, unique across all regions and below MaximumZones.
 type Zone uint8
 
-// MaximumZones bounds the number of zones.
+// MaximumZones is the largest supported number of zones.
 const MaximumZones = 32
 
-// allZones stands for every zone in a sync request and the answer to it.
+// allZones means every zone in a sync request and its response.
 const allZones Zone = MaximumZones
 
-// Incarnation tells apart successive processes at one address: the time the
-// process started, in milliseconds since 1970. A process that hears of a
-// higher incarnation at its own address takes the next higher one, so that a
-// clock that was set back does not matter.
+// Incarnation distinguishes successive processes at one address. It is the start time of
+// the process in milliseconds since 1970. A process that learns of a higher incarnation at
+// its own address takes the next higher one, so that a clock that was set back does no
+// harm.
 type Incarnation uint64
 
-// State is what is known of a member.
+// State is the state of a member as known to a process.
 type State uint8
 
 // The states of a member. For one incarnation and refutation the later one
@@ -66,15 +65,15 @@
 const (
 	// StateAlive: the member answers.
 	StateAlive State = iota
-	// StateSuspect: the member did not answer and has not yet refuted it.
+	// StateSuspect: the member did not answer and has not yet refuted the suspicion.
 	StateSuspect
 	// StateFailed: the member did not refute the suspicion in time.
 	StateFailed
-	// StateLeft: the member said that it stops.
+	// StateLeft: the member announced that it stops.
 	StateLeft
 )
 
-// String returns the state in the form used as a metric label.
+// String returns the state as used in a metric label.
 func (s State) String() string {
 	names := [...]string{"alive", "suspect", "failed", "left"}
 	if int(s) < len(names) {
@@ -86,7 +85,7 @@
 // live reports whether a member in the state counts as running.
 func (s State) live() bool { return s <= StateSuspect }
 
-// Identity names one process and where it runs.
+// Identity identifies one process and its location.
 type Identity struct {
 	Address     Address
 	Region      Region
@@ -94,7 +93,7 @@
 	Incarnation Incarnation
 }
 
-// Update says that a member is in a state.
+// Update states that a member is in a state.
 type Update struct {
 	Member Identity
 	// Refutations counts how often the process has refuted a suspicion.
@@ -102,8 +101,7 @@
 	State       State
 }
 
-// supersedes reports whether u is newer than known, which concerns the same
-// address.
+// supersedes reports whether u is newer than known. Both concern the same address.
 func (u Update) supersedes(known Update) bool {
 	if u.Member.Incarnation != known.Member.Incarnation {
 		return u.Member.Incarnation > known.Member.Incarnation
@@ -114,33 +112,33 @@
 	return u.State > known.State
 }
 
-// valid reports whether an update that came from the network can be used.
+// valid reports whether an update received from the network is well formed.
 func (u Update) valid() bool {
 	return u.Member.Address != 0 && u.Member.Zone < MaximumZones && u.State <= StateLeft
 }
 
-// Kind is the purpose of a message.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
 	// KindPing asks for a KindAck with the same sequence.
 	KindPing Kind = iota
-	// KindAck answers a ping, or passes on the answer of Target.
+	// KindAck answers a ping, or forwards the answer of Target.
 	KindAck
 	// KindPingRequest asks the receiver to ping Target.
 	KindPingRequest
-	// KindSyncRequest asks for what is known of zone Digest.Zone, or allZones, and not in
-	// Known.
+	// KindSyncRequest asks for the members of zone Digest.Zone, or of all zones, that are
+	// not in KnownFilter.
 	KindSyncRequest
-	// KindSyncResponse is one part of the answer to a sync request.
+	// KindSyncResponse is one part of the response to a sync request.
 	KindSyncResponse
-	// KindLeave says that the sender stops.
+	// KindLeave announces that the sender stops.
 	KindLeave
 )
 
-// ZoneDigest is a hash over the live members of a zone. It differs, but for
-// chance, between members that know the zone differently.
+// ZoneDigest is a hash over the live members of a zone. Except for hash collisions it
+// differs between members whose views of the zone differ.
 type ZoneDigest struct {
 	Zone Zone
 	Hash uint32
@@ -153,22 +151,22 @@
 	Sequence uint32
 	// Target is the member that an indirect ping concerns, otherwise zero.
 	Target Address
-	// Updates are changes passed along, or in a sync response the members.
+	// Updates are gossiped changes, or the members in a sync response.
 	Updates []Update
-	// Digest is the sender's view of one zone.
+	// Digest is the sender's digest of one zone.
 	Digest ZoneDigest
-	// CatchingUp is set while the sender still learns what others know; its
-	// digest then tells nothing.
+	// CatchingUp is set while the sender still fetches the state of the others. Receivers
+	// ignore its digests then, unless they catch up themselves.
 	CatchingUp bool
-	// ZoneAges gives, between members of one zone, for each zone by number how
-	// long ago the sender's zone heard of it, in units of ageUnit;
-	// ageUnknown means too long or never.
+	// ZoneAges, sent between members of one zone, tells for each zone number how long ago
+	// the sender's zone last heard from that zone, in units of ageUnit. ageUnknown means
+	// too long ago or never.
 	ZoneAges []byte
-	// Digests are the sender's views of all zones, only in sync responses.
+	// Digests are the sender's digests of all zones, only in sync responses.
 	Digests []ZoneDigest
-	// KnownFilter is the summary of what the sender of a sync request knows of the zone, salted
-	// by Sequence.
+	// KnownFilter is a Bloom filter of the members that the sender of a sync request knows,
+	// salted by Sequence.
 	KnownFilter []byte
-	// Attachment is opaque; the sender set it by SetAttachment.
+	// Attachment is opaque data that the sender set by SetAttachment.
 	Attachment []byte
 }
--- a/internal/membership/message_test.go
+++ b/internal/membership/message_test.go
@@ -10,14 +10,14 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-var _ = ginkgo.Describe("a message", func() {
-	ginkgo.It("is refused if it claims more updates than a datagram holds", func() {
+var _ = ginkgo.Describe("Message", func() {
+	ginkgo.It("returns an error when decoding an update count larger than a datagram can hold", func() {
 		sender, err := (&membership.Update{}).MarshalMsg(nil)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		valid, err := (&membership.Message{}).MarshalMsg(nil)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
-		// Before the updates stand the header, the kind, the sender, the
-		// sequence and the target; all but the sender take one byte.
+		// The header, the kind, the sender, the sequence and the target
+		// precede the updates. All but the sender take one byte.
 		updates := 4 + len(sender)
 		forged := msgp.AppendArrayHeader(valid[:updates:updates], 1<<31)
 		forged = append(forged, valid[updates+1:]...)
@@ -29,7 +29,7 @@
 		gomega.Expect(rest).To(gomega.BeEmpty())
 	})
 
-	ginkgo.DescribeTable("addresses are IPv4 with a port",
+	ginkgo.DescribeTable("AddressOf converts IPv4 addresses and rejects others",
 		func(text string, usable bool) {
 			endpoint := netip.MustParseAddrPort(text)
 			address, converted := membership.AddressOf(endpoint)
@@ -38,9 +38,9 @@
 				gomega.Expect(address.String()).To(gomega.Equal(text))
 			}
 		},
-		ginkgo.Entry("least", "0.0.0.0:1", true),
-		ginkgo.Entry("usual", "192.0.2.7:7000", true),
-		ginkgo.Entry("greatest", "255.255.255.255:65535", true),
-		ginkgo.Entry("IPv6", "[2001:db8::1]:7000", false),
+		ginkgo.Entry("lowest address and port", "0.0.0.0:1", true),
+		ginkgo.Entry("typical address", "192.0.2.7:7000", true),
+		ginkgo.Entry("highest address and port", "255.255.255.255:65535", true),
+		ginkgo.Entry("IPv6 address", "[2001:db8::1]:7000", false),
 	)
 })
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,5 +1,5 @@
-// This file implements failure detection among the members that a process
-// probes: ping, indirect ping, suspicion and its expiry.
+// This file implements failure detection by probing: ping, indirect ping, suspicion and the
+// end of a suspicion.
 
 package membership
 
@@ -9,20 +9,20 @@
 )
 
 const (
-	// minimumGroup is how many members a zone, or else a region, must have
-	// for its members to probe only each other.
-	minimumGroup = 5
-	// maximumRelays bounds the indirect pings on behalf of others.
-	maximumRelays = 64
-	// maximumHealthScore bounds the local health score.
+	// minimumProbeGroup is the number of live members from which the members of a zone, or
+	// else of a region, probe only each other.
+	minimumProbeGroup = 5
+	// maximumRelayedPings limits the pings sent on behalf of other members at a time.
+	maximumRelayedPings = 64
+	// maximumHealthScore limits the local health score.
 	maximumHealthScore = 8
-	// suspectPings is how often each prober itself pings a suspect before it
-	// declares it failed, in case it missed the refutation.
-	suspectPings = 3
+	// maximumSuspectPings is how often each prober pings a suspect before it declares it
+	// failed. The answer carries a refutation that the prober may have missed.
+	maximumSuspectPings = 3
 )
 
-// probe is the current probe and the order of those to come.
-type probe struct {
+// probeState is the current probe and the order of the next ones.
+type probeState struct {
 	queue    []Address
 	next     time.Duration
 	target   Identity
@@ -33,36 +33,36 @@
 	indirect bool
 }
 
-// relay is an indirect ping on behalf of another member.
-type relay struct {
-	requester Address
-	requested uint32
-	target    Address
-	sequence  uint32
-	expires   time.Duration
+// relayedPing is a ping sent on behalf of another member.
+type relayedPing struct {
+	requester       Address
+	requestSequence uint32
+	target          Address
+	sequence        uint32
+	expires         time.Duration
 }
 
-// localHealth counts recent probes without an answer, after Lifeguard (Dadgar
-// et al. 2018): a process whose probes fail gives others more time, since the
-// fault may be its own.
+// localHealth counts recent probes without an answer, after Lifeguard (Dadgar et al. 2018).
+// A process whose probes fail gives others more time to answer, since the fault may be its
+// own.
 type localHealth struct{ score int }
 
 func (h *localHealth) failed()    { h.score = min(h.score+1, maximumHealthScore) }
 func (h *localHealth) succeeded() { h.score = max(h.score-1, 0) }
 
-// scale lengthens a duration by the score, at most to twice its length.
+// scale extends a duration in proportion to the score, at most to twice its length.
 func (h *localHealth) scale(duration time.Duration) time.Duration {
 	return duration + duration*time.Duration(h.score)/maximumHealthScore
 }
 
-// probes reports whether this process probes the member: if it is in the own
-// zone, or the region if the zone is small, or anywhere if the region is.
-func (m *Machine) probes(candidate Identity) bool {
+// shouldProbe reports whether this process probes the member. It probes its own zone, the
+// whole region if the zone is small, and all members if the region is small as well.
+func (m *Machine) shouldProbe(candidate Identity) bool {
 	own := m.self.Member
-	if m.roster.zones[own.Zone].live >= minimumGroup {
+	if m.memberList.zones[own.Zone].live >= minimumProbeGroup {
 		return candidate.Zone == own.Zone
 	}
-	if m.liveInRegion(own.Region) >= minimumGroup {
+	if m.liveInRegion(own.Region) >= minimumProbeGroup {
 		return candidate.Region == own.Region
 	}
 	return true
@@ -70,8 +70,8 @@
 
 func (m *Machine) liveInRegion(region Region) int {
 	live := 0
-	for zone := range m.roster.zones {
-		record := &m.roster.zones[zone]
+	for zone := range m.memberList.zones {
+		record := &m.memberList.zones[zone]
 		if len(record.members) > 0 && record.members[0].update.Member.Region == region {
 			live += record.live
 		}
@@ -79,14 +79,15 @@
 	return live
 }
 
-// probeNext advances the current probe and starts the next one when it is due. A process that
-// does not know what others know would accuse nobody, and may know none but the seeds.
-func (m *Machine) probeNext(now time.Duration) {
+// advanceProbe advances the current probe and starts the next one when it is due. While the
+// process catches up it does not probe: it must not suspect any member then, and may know
+// only the seeds.
+func (m *Machine) advanceProbe(now time.Duration) {
 	if m.recovery.active {
 		return
 	}
 	if m.probe.pending {
-		m.urgeProbe(now)
+		m.escalateProbe(now)
 	}
 	if now < m.probe.next {
 		return
@@ -108,9 +109,9 @@
 	m.send(now, target.Address, Message{Kind: KindPing, Sequence: m.probe.sequence})
 }
 
-// urgeProbe repeats the ping after half the timeout, since one lost datagram
-// costs less to repeat than to ask others, and asks others after all of it.
-func (m *Machine) urgeProbe(now time.Duration) {
+// escalateProbe repeats the ping after half the timeout, because a lost datagram is cheaper
+// to repeat than to ask other members. After the full timeout it asks other members.
+func (m *Machine) escalateProbe(now time.Duration) {
 	timeout := min(m.health.scale(m.config.ProbeTimeout), m.config.ProbeInterval*3/4)
 	if !m.probe.repeated && now >= m.probe.started+timeout/2 {
 		m.probe.repeated = true
@@ -121,8 +122,8 @@
 	}
 }
 
-// nextTarget takes the next live member from a shuffled list, as in SWIM's
-// round-robin selection, which bounds the time to the first probe.
+// nextTarget returns the next live member of a shuffled list, as in SWIM's round-robin
+// selection, which limits the time until a member is probed.
 func (m *Machine) nextTarget() (Identity, bool) {
 	if len(m.probe.queue) == 0 {
 		m.fillProbeQueue()
@@ -130,8 +131,8 @@
 	for len(m.probe.queue) > 0 {
 		address := m.probe.queue[0]
 		m.probe.queue = m.probe.queue[1:]
-		known, exists := m.roster.byAddress[address]
-		if exists && m.isLivePeer(known) && m.probes(known.update.Member) {
+		known, exists := m.memberList.byAddress[address]
+		if exists && m.isLivePeer(known) && m.shouldProbe(known.update.Member) {
 			return known.update.Member, true
 		}
 	}
@@ -139,9 +140,9 @@
 }
 
 func (m *Machine) fillProbeQueue() {
-	for zone := range m.roster.zones {
-		for _, candidate := range m.roster.zones[zone].members {
-			if m.isLivePeer(candidate) && m.probes(candidate.update.Member) {
+	for zone := range m.memberList.zones {
+		for _, candidate := range m.memberList.zones[zone].members {
+			if m.isLivePeer(candidate) && m.shouldProbe(candidate.update.Member) {
 				m.probe.queue = append(m.probe.queue, candidate.update.Member.Address)
 			}
 		}
@@ -151,20 +152,20 @@
 	})
 }
 
-// probeIndirectly asks others to ping the target, one of them in another zone
-// if there is one, since the own zone's network may be at fault.
+// probeIndirectly asks other members to ping the target. One of them is in another zone if
+// possible, since the network of the own zone may be at fault.
 func (m *Machine) probeIndirectly(now time.Duration) {
 	m.probe.indirect = true
 	var asked []Address
-	if helper, exists := m.nextRemote(m.isLivePeer); exists && helper.update.Member.Address != m.probe.target.Address {
+	if helper, exists := m.nextRemoteMember(m.isLivePeer); exists && helper.update.Member.Address != m.probe.target.Address {
 		asked = append(asked, helper.update.Member.Address)
 	}
-	suits := func(candidate *member) bool {
+	matches := func(candidate *member) bool {
 		address := candidate.update.Member.Address
 		return m.isLivePeer(candidate) && address != m.probe.target.Address && !slices.Contains(asked, address)
 	}
 	for len(asked) < m.config.IndirectProbes {
-		helper, exists := m.roster.randomMember(m.random, m.self.Member.Zone, suits)
+		helper, exists := m.memberList.randomMember(m.random, m.self.Member.Zone, matches)
 		if !exists {
 			break
 		}
@@ -179,25 +180,26 @@
 
 // relayPing pings a target on behalf of another member.
 func (m *Machine) relayPing(now time.Duration, from Address, message Message) {
-	if len(m.relays) >= maximumRelays || message.Target == 0 || message.Target == m.self.Member.Address {
+	if len(m.relayedPings) >= maximumRelayedPings || message.Target == 0 || message.Target == m.self.Member.Address {
 		return
 	}
-	added := relay{
-		requester: from,
-		requested: message.Sequence,
-		target:    message.Target,
-		sequence:  m.nextSequence(),
-		expires:   now + m.config.ProbeInterval,
+	added := relayedPing{
+		requester:       from,
+		requestSequence: message.Sequence,
+		target:          message.Target,
+		sequence:        m.nextSequence(),
+		expires:         now + m.config.ProbeInterval,
 	}
-	m.relays = append(m.relays, added)
+	m.relayedPings = append(m.relayedPings, added)
 	m.send(now, added.target, Message{Kind: KindPing, Sequence: added.sequence})
 }
 
-func (m *Machine) expireRelays(now time.Duration) {
-	m.relays = slices.DeleteFunc(m.relays, func(waiting relay) bool { return now >= waiting.expires })
+func (m *Machine) expireRelayedPings(now time.Duration) {
+	m.relayedPings = slices.DeleteFunc(m.relayedPings, func(waiting relayedPing) bool { return now >= waiting.expires })
 }
 
-// receiveAck ends the probe that is answered, or passes the answer on.
+// receiveAck completes the current probe or forwards the answer to the member that
+// requested the ping.
 func (m *Machine) receiveAck(now time.Duration, from Address, message Message) {
 	answering := from
 	if message.Target != 0 {
@@ -207,22 +209,22 @@
 		m.probe.pending = false
 		m.health.succeeded()
 	}
-	for index, waiting := range m.relays {
+	for index, waiting := range m.relayedPings {
 		if waiting.sequence == message.Sequence && waiting.target == from {
-			m.relays = slices.Delete(m.relays, index, index+1)
+			m.relayedPings = slices.Delete(m.relayedPings, index, index+1)
 			m.send(now, waiting.requester, Message{
-				Kind: KindAck, Sequence: waiting.requested, Target: waiting.target,
+				Kind: KindAck, Sequence: waiting.requestSequence, Target: waiting.target,
 			})
 			return
 		}
 	}
 }
 
-// failProbe suspects the target of a probe that nobody answered.
+// failProbe marks the target of an unanswered probe as suspect.
 func (m *Machine) failProbe(now time.Duration) {
 	m.probe.pending = false
 	m.health.failed()
-	known, exists := m.roster.byAddress[m.probe.target.Address]
+	known, exists := m.memberList.byAddress[m.probe.target.Address]
 	if !exists || m.recovery.active || known.update.State != StateAlive ||
 		known.update.Member != m.probe.target {
 		return
@@ -230,38 +232,39 @@
 	suspicion := known.update
 	suspicion.State = StateSuspect
 	m.merge(now, suspicion, true)
-	// The suspect learns of it at once and can refute.
+	// Pings the suspect, so that it learns of the suspicion at once and can refute it.
 	m.send(now, suspicion.Member.Address, Message{Kind: KindPing, Sequence: m.nextSequence()})
 }
 
-// expireSuspicions declares suspects failed that did not refute in time. Only
-// those who probe a member do so: others need not hear of its refutation.
+// expireSuspicions declares suspects failed that did not refute in time. Only members that
+// probe the suspect do so, because refutations are not sent to the others.
 func (m *Machine) expireSuspicions(now time.Duration) {
 	if m.recovery.active {
 		return
 	}
 	timeout := m.health.scale(m.config.SuspicionTimeout)
 	for _, suspect := range slices.Clone(m.suspects) {
-		probes := m.probes(suspect.update.Member)
+		probes := m.shouldProbe(suspect.update.Member)
 		expired := now >= suspect.since+timeout
 		switch {
 		case probes && expired:
 			m.declareFailed(now, suspect)
 		case probes:
-			m.verifySuspect(now, suspect, timeout)
+			m.pingSuspect(now, suspect, timeout)
 		case expired:
 			m.dropSuspicion(now, suspect)
 		}
 	}
 }
 
-// dropSuspicion forgets a suspicion that is for others to decide.
+// dropSuspicion returns a member to alive that this process does not probe. Its probers
+// decide about the suspicion.
 func (m *Machine) dropSuspicion(now time.Duration, suspect *member) {
 	before := suspect.update
 	after := before
 	after.State = StateAlive
-	m.install(now, after)
-	m.report(before, after)
+	m.record(now, after)
+	m.emitChange(before, after)
 }
 
 func (m *Machine) declareFailed(now time.Duration, known *member) {
@@ -270,14 +273,14 @@
 	m.merge(now, failure, true)
 }
 
-// verifySuspect pings a suspect in the second half of its time. A refutation
-// that went around, but missed this process, arrives with the answer.
-func (m *Machine) verifySuspect(now time.Duration, suspect *member, timeout time.Duration) {
-	spacing := timeout / (2 * (suspectPings + 1))
-	due := suspect.since + timeout/2 + spacing*time.Duration(suspect.verifications)
-	if suspect.verifications >= suspectPings || now < due {
+// pingSuspect pings a suspect in the second half of its timeout. If this process missed the
+// refutation, it arrives with the answer.
+func (m *Machine) pingSuspect(now time.Duration, suspect *member, timeout time.Duration) {
+	spacing := timeout / (2 * (maximumSuspectPings + 1))
+	due := suspect.since + timeout/2 + spacing*time.Duration(suspect.suspectPings)
+	if suspect.suspectPings >= maximumSuspectPings || now < due {
 		return
 	}
-	suspect.verifications++
+	suspect.suspectPings++
 	m.send(now, suspect.update.Member.Address, Message{Kind: KindPing, Sequence: m.nextSequence()})
 }
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -1,129 +1,130 @@
-// This file implements contact between zones: random pings into other zones,
-// and the judgement whether a zone can be reached.
+// This file implements contact between zones: random pings to members of other zones and
+// the detection of unreachable zones.
 
 package membership
 
 import "time"
 
 const (
-	// ageUnit is the unit of Message.Ages.
+	// ageUnit is the unit of Message.ZoneAges.
 	ageUnit = 250 * time.Millisecond
-	// ageUnknown stands for an age that is too long to be told, or unknown.
+	// ageUnknown stands for an age that is unknown or too long to be encoded.
 	ageUnknown = 255
-	// missedMessages is how many expected messages of a zone may be missing
-	// before it is unreachable.
-	missedMessages = 4
+	// maximumMissedMessages is the number of expected messages of a zone that may be
+	// missing before it counts as unreachable.
+	maximumMissedMessages = 4
 )
 
-// remoteContact is the state of pinging other zones.
-type remoteContact struct {
+// remotePingState is the state of pinging other zones.
+type remotePingState struct {
 	next time.Duration
-	// turn is the zone that was pinged last.
-	turn Zone
+	// lastZone is the zone that was pinged last.
+	lastZone Zone
 }
 
-// pingRemote pings a random member of the next other zone, reachable or not.
+// pingRemote pings a random member of the next other zone, whether reachable or not.
 func (m *Machine) pingRemote(now time.Duration) {
-	// A process that knows hardly anybody would ping seeds, which it asks already.
-	if m.recovery.active && m.roster.live < manyMembers {
+	// A process that knows few members would ping the seeds, to which it sends requests anyway.
+	if m.recovery.active && m.memberList.live < bootstrapMembers {
 		return
 	}
 	if now < m.remote.next {
 		return
 	}
 	m.remote.next = now + m.config.RemoteInterval
-	if target, exists := m.nextRemote(m.isLivePeer); exists {
+	if target, exists := m.nextRemoteMember(m.isLivePeer); exists {
 		m.send(now, target.update.Member.Address, Message{Kind: KindPing, Sequence: m.nextSequence()})
 	}
 }
 
-// nextRemote returns a random member that suits, of the other zones in turn.
-func (m *Machine) nextRemote(suits func(*member) bool) (*member, bool) {
+// nextRemoteMember returns a random matching member of the next other zone that has one.
+func (m *Machine) nextRemoteMember(matches func(*member) bool) (*member, bool) {
 	for range MaximumZones {
-		m.remote.turn = (m.remote.turn + 1) % MaximumZones
-		if m.remote.turn == m.self.Member.Zone {
+		m.remote.lastZone = (m.remote.lastZone + 1) % MaximumZones
+		if m.remote.lastZone == m.self.Member.Zone {
 			continue
 		}
-		if found, exists := m.roster.randomMember(m.random, m.remote.turn, suits); exists {
+		if found, exists := m.memberList.randomMember(m.random, m.remote.lastZone, matches); exists {
 			return found, true
 		}
 	}
 	return nil, false
 }
 
-// hear notes that the sender's zone can be reached and, from a member of the
-// own zone, when others last heard of further zones.
-func (m *Machine) hear(now time.Duration, message Message) {
+// recordContact records that the sender's zone is reachable. If the sender is in the own
+// zone, it also records when the sender last heard from other zones.
+func (m *Machine) recordContact(now time.Duration, message Message) {
 	zone := message.Sender.Member.Zone
-	m.hearZone(now, zone, now)
+	m.markZoneHeard(now, zone, now)
 	if zone != m.self.Member.Zone {
 		return
 	}
 	for other, age := range message.ZoneAges {
 		if age != ageUnknown && Zone(other) != zone {
-			// One unit more than told, so that the time on the way cannot
-			// make an old message young again.
-			m.hearZone(now, Zone(other), now-time.Duration(age+1)*ageUnit)
+			// One unit is added, so that the transmission time cannot make an old
+			// message look recent again.
+			m.markZoneHeard(now, Zone(other), now-time.Duration(age+1)*ageUnit)
 		}
 	}
 }
 
-func (m *Machine) hearZone(now time.Duration, zone Zone, heard time.Duration) {
-	record := &m.roster.zones[zone]
-	record.heard = max(record.heard, heard)
-	if !record.reachable && now < record.heard+m.unreachableAfter() {
+func (m *Machine) markZoneHeard(now time.Duration, zone Zone, heard time.Duration) {
+	record := &m.memberList.zones[zone]
+	record.lastHeard = max(record.lastHeard, heard)
+	if !record.reachable && now < record.lastHeard+m.unreachableAfter() {
 		record.reachable = true
 		m.emit(Effect{Kind: EffectZoneReachable, Zone: zone})
 	}
 }
 
-// ages returns how long ago each zone was heard of.
-func (m *Machine) ages(now time.Duration) []byte {
+// zoneAges returns how long ago each zone was heard from.
+func (m *Machine) zoneAges(now time.Duration) []byte {
 	length := 0
-	for zone := range m.roster.zones {
-		if m.roster.zones[zone].reachable {
+	for zone := range m.memberList.zones {
+		if m.memberList.zones[zone].reachable {
 			length = zone + 1
 		}
 	}
 	ages := make([]byte, length)
 	for zone := range ages {
-		ages[zone] = m.ageOf(now, Zone(zone))
+		ages[zone] = m.zoneAge(now, Zone(zone))
 	}
 	return ages
 }
 
-func (m *Machine) ageOf(now time.Duration, zone Zone) byte {
-	record := &m.roster.zones[zone]
-	units := (now - record.heard + ageUnit - 1) / ageUnit
+func (m *Machine) zoneAge(now time.Duration, zone Zone) byte {
+	record := &m.memberList.zones[zone]
+	units := (now - record.lastHeard + ageUnit - 1) / ageUnit
 	if !record.reachable || units >= ageUnknown {
 		return ageUnknown
 	}
 	return byte(units)
 }
 
-// unreachableAfter is how long nothing may be heard of a zone: the members of
-// the own zone share the pings, so a small zone waits longer.
+// unreachableAfter returns how long a zone may be silent before it counts as unreachable.
+// The members of the own zone share the pings into other zones, so a small zone waits
+// longer.
 func (m *Machine) unreachableAfter() time.Duration {
 	others := 0
-	for zone := range m.roster.zones {
-		if m.roster.zones[zone].live > 0 {
+	for zone := range m.memberList.zones {
+		if m.memberList.zones[zone].live > 0 {
 			others++
 		}
 	}
-	own := max(m.roster.zones[m.self.Member.Zone].live, 1)
+	own := max(m.memberList.zones[m.self.Member.Zone].live, 1)
 	expected := m.config.RemoteInterval * time.Duration(others) / time.Duration(own)
-	return m.config.UnreachableTimeout + missedMessages*expected
+	return m.config.UnreachableTimeout + maximumMissedMessages*expected
 }
 
-// judgeZones finds the zones of which nothing was heard for too long.
-func (m *Machine) judgeZones(now time.Duration) {
+// detectUnreachableZones marks the zones that have been silent for too long.
+func (m *Machine) detectUnreachableZones(now time.Duration) {
 	if m.recovery.active {
 		return
 	}
 	limit := m.unreachableAfter()
-	for zone := range m.roster.zones {
-		record := &m.roster.zones[zone]
-		if !record.reachable || Zone(zone) == m.self.Member.Zone || now < record.heard+limit {
+	for zone := range m.memberList.zones {
+		record := &m.memberList.zones[zone]
+		if !record.reachable || Zone(zone) == m.self.Member.Zone || now < record.lastHeard+limit {
 			continue
 		}
 		record.reachable = false
--- a/internal/membership/recovery.go
+++ b/internal/membership/recovery.go
@@ -1,5 +1,5 @@
-// This file implements catching up: after the start and after a pause, a
-// process accuses nobody before it has fetched what others know.
+// This file implements catching up: after its start or a pause, a process suspects no
+// member before it has fetched the state of the others.
 
 package membership
 
@@ -9,33 +9,37 @@
 )
 
 const (
-	// pauseThreshold is the time between ticks from which the process is
-	// taken to have been paused.
+	// pauseThreshold is the time between calls above which the process is considered to
+	// have been paused.
 	pauseThreshold = time.Second
-	// recoveryTimeout ends catching up if nobody answers: the process may be
-	// the only one.
+	// recoveryTimeout ends catching up if no member answers, since the process may be the
+	// only one.
 	recoveryTimeout = 10 * time.Second
-	// quickSyncTime is how long after catching up differences are fetched
+	// quickSyncDuration is how long after the start or a pause differences are fetched
 	// without delay.
-	quickSyncTime = 20 * time.Second
-	// quickSyncExtension is how much longer that may take.
+	quickSyncDuration = 20 * time.Second
+	// quickSyncExtension is how much longer this lasts while differences remain.
 	quickSyncExtension = time.Minute
-	// quickSyncInterval is the time between two requests meanwhile; it keeps
-	// a starting process within its bytes a second.
+	// quickSyncInterval is the time between two requests in that period. It keeps a
+	// starting process within its limit of bytes a second.
 	quickSyncInterval = 300 * time.Millisecond
-	// seedInterval is the least time between two requests to seeds, which all others ask at
-	// the same time. Meanwhile those that were answered ask those that were not.
+	// seedInterval is the minimum time between two requests to seeds, which all other
+	// processes ask at the same time. Meanwhile processes that got no answer can ask those
+	// that did.
 	seedInterval = 1200 * time.Millisecond
-	// manyMembers is how many members a process knows that may ask seeds again.
-	manyMembers = 32
-	// joinRush is how long after its start a process takes whom it hears of for one that
-	// started with it, of whom others learn without it.
-	joinRush = 3 * time.Second
-	// longestQuickSync bounds it while nobody answers, and is the time to the next request if
-	// the other knew nothing more.
-	longestQuickSync = 2400 * time.Millisecond
-	// mostDoublings is how often quickSyncInterval is doubled up to longestQuickSync.
-	mostDoublings = 3
+	// bootstrapMembers is the number of known members below which a process avoids asking
+	// seeds again.
+	bootstrapMembers = 32
+	// simultaneousStartWindow is how long after its start a process assumes that the
+	// members it hears from started at the same time. It does not gossip them, since the
+	// others learn of them directly.
+	simultaneousStartWindow = 3 * time.Second
+	// maximumQuickSyncInterval limits the interval while no member answers. It is also the
+	// time to the next request if the other member had nothing new.
+	maximumQuickSyncInterval = 2400 * time.Millisecond
+	// maximumDoublings is how often quickSyncInterval is doubled up to
+	// maximumQuickSyncInterval.
+	maximumDoublings = 3
 )
 
 // recovery is the state of catching up.
@@ -44,14 +48,14 @@
 	began  time.Duration
 }
 
-// observeTime notices the first call and pauses of the process.
-func (m *Machine) observeTime(now time.Duration) {
+// detectPause starts catching up at the first call and after a pause of the process.
+func (m *Machine) detectPause(now time.Duration) {
 	paused := m.everTicked && now-m.lastTick > pauseThreshold
 	if !m.everTicked || paused {
 		m.beginRecovery(now)
 	}
 	if paused {
-		m.discountPause(now)
+		m.restartTimeouts(now)
 	}
 	m.everTicked = true
 	m.lastTick = max(m.lastTick, now)
@@ -61,27 +65,28 @@
 	m.recovery = recovery{active: true, began: now}
 	m.sync.next = now
 	m.sync.unanswered = 0
-	m.sync.quickUntil = now + quickSyncTime
+	m.sync.quickUntil = now + quickSyncDuration
 	m.probe.pending = false
 	m.probe.next = now + time.Duration(m.random.Int64N(int64(m.config.ProbeInterval)))
 	m.remote.next = now + time.Duration(m.random.Int64N(int64(m.config.RemoteInterval)))
 	m.sync.nextReconnect = now + time.Duration(m.random.Int64N(int64(m.config.ReconnectInterval)))
 }
 
-// discountPause keeps the time of the pause from counting against others.
-func (m *Machine) discountPause(now time.Duration) {
-	m.relays = nil
+// restartTimeouts restarts the timeouts of suspects and zones, so that the time of a pause
+// is not counted.
+func (m *Machine) restartTimeouts(now time.Duration) {
+	m.relayedPings = nil
 	for _, suspect := range m.suspects {
 		suspect.since = now
 	}
-	for zone := range m.roster.zones {
-		if m.roster.zones[zone].reachable {
-			m.roster.zones[zone].heard = now
+	for zone := range m.memberList.zones {
+		if m.memberList.zones[zone].reachable {
+			m.memberList.zones[zone].lastHeard = now
 		}
 	}
 }
 
-// catchUp asks one member after another for what it knows.
+// catchUp asks one member after the other for its full state.
 func (m *Machine) catchUp(now time.Duration) {
 	if !m.recovery.active || now < m.sync.next {
 		return
@@ -90,20 +95,21 @@
 		m.recovery.active = false
 		return
 	}
-	if asked, exists := m.recoverySource(); exists {
-		m.requestAll(now, asked)
+	if asked, exists := m.syncSource(); exists {
+		m.requestAllZones(now, asked)
 	}
 }
 
-// recoverySource returns a random member that knows what others know, in the
-// own zone or else elsewhere. Where all start at once it is any member, and only if none
-// is known a seed, which all others ask.
-func (m *Machine) recoverySource() (Address, bool) {
-	if known, exists := m.roster.randomMember(m.random, m.self.Member.Zone, m.isInformedPeer); exists {
+// syncSource returns a random member that has the full state, from the own zone if
+// possible. If there is none, as when all processes start at once, it returns any member
+// that is not a seed, and only if no such member is known a seed, which all other processes
+// ask.
+func (m *Machine) syncSource() (Address, bool) {
+	if known, exists := m.memberList.randomMember(m.random, m.self.Member.Zone, m.isCaughtUpPeer); exists {
 		return known.update.Member.Address, true
 	}
-	for _, suits := range []func(*member) bool{m.isInformedPeer, m.isPeerBesideSeeds} {
-		if known, exists := m.randomAnywhere(suits); exists {
+	for _, matches := range []func(*member) bool{m.isCaughtUpPeer, m.isNonSeedPeer} {
+		if known, exists := m.randomInAnyZone(matches); exists {
 			return known.update.Member.Address, true
 		}
 	}
@@ -113,28 +119,28 @@
 	return 0, false
 }
 
-// randomAnywhere returns a member of any zone that suits, if there is one. Zones with more
-// members are chosen more often.
-func (m *Machine) randomAnywhere(suits func(*member) bool) (*member, bool) {
-	position := m.random.IntN(max(len(m.roster.byAddress), 1))
+// randomInAnyZone returns a random member of any zone that matches, if there is one. Zones
+// with more members are chosen more often.
+func (m *Machine) randomInAnyZone(matches func(*member) bool) (*member, bool) {
+	position := m.random.IntN(max(len(m.memberList.byAddress), 1))
 	first := Zone(0)
-	for first < MaximumZones-1 && position >= len(m.roster.zones[first].members) {
-		position -= len(m.roster.zones[first].members)
+	for first < MaximumZones-1 && position >= len(m.memberList.zones[first].members) {
+		position -= len(m.memberList.zones[first].members)
 		first++
 	}
 	for offset := range Zone(MaximumZones) {
 		zone := (first + offset) % MaximumZones
-		if found, exists := m.roster.randomMember(m.random, zone, suits); exists {
+		if found, exists := m.memberList.randomMember(m.random, zone, matches); exists {
 			return found, true
 		}
 	}
 	return nil, false
 }
 
-// isPeerBesideSeeds reports whether another process runs, as far as is known, that is not one
-// of the seeds, which all others ask as well. Once many are known a seed is asked as rarely as
-// any of them, and what it knows must not stay with it.
-func (m *Machine) isPeerBesideSeeds(candidate *member) bool {
-	spared := m.roster.live < manyMembers && slices.Contains(m.seeds, candidate.update.Member.Address)
-	return m.isLivePeer(candidate) && !spared
+// isNonSeedPeer reports whether a member is another live process and not a seed, since all
+// processes ask the seeds. Once this process knows many members, it treats seeds like any
+// other member: it asks them no more often, and what only a seed knows must spread.
+func (m *Machine) isNonSeedPeer(candidate *member) bool {
+	avoided := m.memberList.live < bootstrapMembers && slices.Contains(m.seeds, candidate.update.Member.Address)
+	return m.isLivePeer(candidate) && !avoided
 }
--- a/internal/membership/schedule_test.go
+++ b/internal/membership/schedule_test.go
@@ -1,5 +1,5 @@
-// This file checks random schedules of faults: after they end, every view must
-// become right within a bound of virtual time.
+// This file checks random schedules of faults. Once the faults have ended, the view of
+// every member must become correct within a limit of virtual time.
 
 package membership_test
 
@@ -15,8 +15,8 @@
 
 const scheduleLimit = 3 * time.Minute
 
-// TestRandomSchedules checks that no running member stays declared dead, and
-// that no dead one stays declared alive, once the faults have ended.
+// TestRandomSchedules checks that once the faults have ended no running member remains
+// declared failed, and no stopped one remains declared alive.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if wrong := runRandomSchedule(t, nil); wrong != "" {
@@ -25,11 +25,11 @@
 	})
 }
 
-func runRandomSchedule(t *rapid.T, sabotage func(*process, []membership.Effect) []membership.Effect) string {
+func runRandomSchedule(t *rapid.T, mutate func(*process, []membership.Effect) []membership.Effect) string {
 	cluster := newFleet(rapid.Uint64().Draw(t, "seed"), layout{members: 14, zones: 3, zonesInRegion: 2},
 		virtualnet.Config{Loss: 0.02, Duplication: 0.02, Jitter: 5 * time.Millisecond})
-	cluster.seeding = len(cluster.addresses)
-	cluster.filter = sabotage
+	cluster.seedCount = len(cluster.addresses)
+	cluster.mutate = mutate
 	cluster.startAll(time.Second, 20*time.Second)
 	for range rapid.IntRange(1, 10).Draw(t, "faults") {
 		injectFault(t, cluster)
@@ -76,22 +76,23 @@
 	}
 }
 
-// TestRandomSchedulesFindPlantedFaults checks that the check above can fail.
-func TestRandomSchedulesFindPlantedFaults(t *testing.T) {
-	planted := map[string]func(*process, []membership.Effect) []membership.Effect{
-		"a refutation is not sent":    withoutRefutations,
-		"a failure is not passed on":  withoutFailures,
-		"failed members stay unasked": withoutReconnects,
+// TestRandomSchedulesDetectInjectedFaults checks that the check above can fail: some random
+// schedule must detect each fault that is injected into the machine.
+func TestRandomSchedulesDetectInjectedFaults(t *testing.T) {
+	faults := map[string]func(*process, []membership.Effect) []membership.Effect{
+		"refutations are not sent":      withoutRefutations,
+		"failures are not gossiped":     withoutFailures,
+		"failed members are not pinged": withoutReconnects,
 	}
-	for name, sabotage := range planted {
+	for name, mutate := range faults {
 		t.Run(name, func(t *testing.T) {
 			found := false
 			for seed := 0; seed < 40 && !found; seed++ {
-				generated := rapid.Custom(func(t *rapid.T) bool { return runRandomSchedule(t, sabotage) != "" })
+				generated := rapid.Custom(func(t *rapid.T) bool { return runRandomSchedule(t, mutate) != "" })
 				found = generated.Example(seed)
 			}
 			if !found {
-				t.Error("no schedule found the fault")
+				t.Error("no schedule of 40 detected the injected fault")
 			}
 		})
 	}
--- a/internal/membership/synchronize.go
+++ b/internal/membership/synchronize.go
@@ -1,5 +1,5 @@
-// This file implements the exchange of full zone states: digests tell members
-// that they know a zone differently, and one then fetches it from the other.
+// This file implements the synchronization of full zone states. Digests show which members
+// have different views of a zone, and one of them then fetches the zone from the other.
 
 package membership
 
@@ -8,79 +8,86 @@
 	"time"
 )
 
-// settleTime is how long a zone must differ, without a change, before it is
-// fetched: while an update travels, digests differ for a moment.
+// settleTime is how long a zone must differ, and not have changed, before it is fetched.
+// Digests differ for a moment while an update spreads.
 const settleTime = 5 * time.Second
 
-// longDifference is how long a zone may differ while it keeps changing.
-const longDifference = 10 * time.Second
+// maximumDifferenceAge is how long a zone may differ before it is fetched even if it keeps
+// changing.
+const maximumDifferenceAge = 10 * time.Second
 
 const (
-	// answerRate is how many bytes a second a member spends on answering sync
-	// requests, and answerBurst how many at once; other requests are dropped
-	// and repeated elsewhere.
-	answerRate  = 500
-	answerBurst = 60000
-	// estimatedUpdateSize and estimatedDigestSize are the usual encodings of an update and of a
-	// digest in bytes, and estimatedHead that of an answer without either, headers included.
+	// responseRate is how many bytes a second a member spends on sync responses, and
+	// responseBurst how many at once. Requests beyond that are dropped, and the requesters
+	// ask other members.
+	responseRate  = 500
+	responseBurst = 60000
+	// estimatedUpdateSize and estimatedDigestSize are typical encoded sizes of an update
+	// and a digest in bytes. estimatedOverhead is the size of a response without either,
+	// headers included.
 	estimatedUpdateSize = 24
 	estimatedDigestSize = 8
-	estimatedHead       = 100
-	// introduction is how many updates an answer holds to a process that knows hardly anybody,
-	// while this one catches up itself: somebody else to ask.
-	introduction = 4
-	// introductionReserve is the credit that introductions leave for longer answers, in bytes.
-	introductionReserve = 40000
-	// answerShare is the part of the credit that another answer may take, as a divisor.
-	answerShare = 4
-	// requestRate bounds the bytes a second that a process that catches up spends on
+	estimatedOverhead   = 100
+	// bootstrapUpdates is the number of updates in the response to a process that knows
+	// hardly any member, while the responder catches up itself. It tells that process of
+	// other members to ask.
+	bootstrapUpdates = 4
+	// bootstrapReserve is the number of tokens that these short responses leave for longer
+	// ones.
+	bootstrapReserve = 40000
+	// responseShare is the divisor that gives the part of the tokens that one response may
+	// use.
+	responseShare = 4
+	// requestRate limits the bytes a second that a process that catches up spends on
 	// requests.
 	requestRate = 1000
 )
 
-// difference is a zone that another member knows differently.
-type difference struct {
-	peer  Address
-	since time.Duration
-	known bool
+// zoneDifference records that another member has a different digest of a zone. pending is
+// set until the zone is fetched.
+type zoneDifference struct {
+	peer    Address
+	since   time.Duration
+	pending bool
 }
 
-// synchronization is the state of the exchange.
-type synchronization struct {
-	differences [MaximumZones]difference
-	// next is the earliest time for another request.
+// syncState is the state of the synchronization.
+type syncState struct {
+	differences [MaximumZones]zoneDifference
+	// next is the earliest time of the next request.
 	next time.Duration
-	// quickUntil is until when differences are fetched without delay.
+	// quickUntil is the end of the period in which differences are fetched without delay.
 	quickUntil time.Duration
-	// turn is the zone from which to look for a difference.
-	turn          Zone
+	// lastZone is the zone that was checked for a difference last.
+	lastZone      Zone
 	nextReconnect time.Duration
-	// unanswered is how many requests were made since the last answer.
+	// unanswered is the number of requests since the last response.
 	unanswered int
-	// askedSeed is set after a request to a seed which all others may ask as well.
+	// askedSeed is set if the last request went to a seed, which all other processes may be
+	// asking as well.
 	askedSeed bool
-	// answered is set once the last request was answered in full.
+	// answered is set once the last request has been answered in full.
 	answered bool
-	// credit is how many bytes may be spent on answers, as of creditTime.
-	credit     int
-	creditTime time.Duration
+	// tokens is the number of bytes that may be spent on responses, as of tokensUpdated.
+	tokens        int
+	tokensUpdated time.Duration
 }
 
-// nextDigest returns the digests of the zones in turn.
+// nextDigest returns the digests of the zones that have members, one after the other.
 func (m *Machine) nextDigest() ZoneDigest {
 	for range MaximumZones {
-		m.digestTurn = (m.digestTurn + 1) % MaximumZones
-		if len(m.roster.zones[m.digestTurn].members) > 0 {
+		m.lastDigestZone = (m.lastDigestZone + 1) % MaximumZones
+		if len(m.memberList.zones[m.lastDigestZone].members) > 0 {
 			break
 		}
 	}
-	return m.roster.digestOf(m.digestTurn)
+	return m.memberList.digestOf(m.lastDigestZone)
 }
 
-// compare notes the zones that the sender of a message knows differently.
-func (m *Machine) compare(now time.Duration, from Address, message Message) {
-	// What a process that catches up does not know is of no use but to another that does.
-	if message.CatchingUp && !m.syncsQuickly(now) {
+// compareDigests records the zones for which the sender of a message has another digest.
+func (m *Machine) compareDigests(now time.Duration, from Address, message Message) {
+	// A process that catches up lacks members, so only another such process learns from it.
+	if message.CatchingUp && !m.inQuickSync(now) {
 		return
 	}
 	switch message.Kind {
@@ -93,16 +100,16 @@
 	}
 }
 
-// compareDigest notes a difference until the zone is fetched, also if others
-// agree meanwhile: a whole zone may have missed a change of another. Members
-// of the zone concerned know it best.
+// compareDigest records a difference until the zone is fetched, even if other members agree
+// in the meantime: a whole zone may have missed a change in another zone. Members of the
+// zone concerned are preferred as the source, since they know it best.
 func (m *Machine) compareDigest(now time.Duration, from Address, digest ZoneDigest) {
-	if m.roster.zones[digest.Zone].digest == digest.Hash {
+	if m.memberList.zones[digest.Zone].digest == digest.Hash {
 		return
 	}
 	noted := &m.sync.differences[digest.Zone]
-	if !noted.known {
-		noted.known = true
+	if !noted.pending {
+		noted.pending = true
 		noted.since = now
 		noted.peer = from
 		return
@@ -112,54 +119,53 @@
 	}
 }
 
-// synchronize fetches one zone that differs, if the time has come.
+// synchronize requests one zone that differs once a request is due.
 func (m *Machine) synchronize(now time.Duration) {
 	if now < m.sync.next || m.recovery.active {
 		return
 	}
-	if m.syncsQuickly(now) {
-		m.synchronizeAll(now)
+	if m.inQuickSync(now) {
+		m.synchronizeAllZones(now)
 		return
 	}
 	for range MaximumZones {
-		m.sync.turn = (m.sync.turn + 1) % MaximumZones
-		noted := &m.sync.differences[m.sync.turn]
-		if !noted.known || !m.settled(now, m.sync.turn, noted) {
+		m.sync.lastZone = (m.sync.lastZone + 1) % MaximumZones
+		noted := &m.sync.differences[m.sync.lastZone]
+		if !noted.pending || !m.settled(now, m.sync.lastZone, noted) {
 			continue
 		}
-		noted.known = false
-		m.requestSync(now, noted.peer, m.sync.turn)
+		noted.pending = false
+		m.requestSync(now, noted.peer, m.sync.lastZone)
 		m.sync.next = now + m.config.SyncInterval
 		return
 	}
 }
 
-// synchronizeAll lets a process that catches up fetch what it lacks of all zones, as long as
-// somebody knows one differently.
-func (m *Machine) synchronizeAll(now time.Duration) {
-	if !m.differs() {
+// synchronizeAllZones requests all zones while the process catches up and any zone differs.
+func (m *Machine) synchronizeAllZones(now time.Duration) {
+	if !m.hasDifferences() {
 		return
 	}
-	if source, exists := m.recoverySource(); exists {
-		m.requestAll(now, source)
+	if source, exists := m.syncSource(); exists {
+		m.requestAllZones(now, source)
 	}
 }
 
-// requestAll asks another member for what it knows of all zones. The next request comes the
-// later the longer this one is.
-func (m *Machine) requestAll(now time.Duration, to Address) {
-	agreed := m.sync.answered && !m.differs()
+// requestAllZones asks another member for all zones. The longer this request is, the later
+// the next one is sent.
+func (m *Machine) requestAllZones(now time.Duration, to Address) {
+	agreed := m.sync.answered && !m.hasDifferences()
 	m.sync.answered = false
 	for zone := range m.sync.differences {
-		m.sync.differences[zone].known = false
+		m.sync.differences[zone].pending = false
 	}
 	m.requestSync(now, to, allZones)
-	bytes := min(m.roster.live*summaryBits/8, maximumSummary)
-	interval := min(quickSyncInterval<<min(m.sync.unanswered, mostDoublings), longestQuickSync)
-	m.sync.askedSeed = slices.Contains(m.seeds, to) && m.roster.live < manyMembers
+	bytes := min(m.memberList.live*filterBitsPerMember/8, maximumFilterSize)
+	interval := min(quickSyncInterval<<min(m.sync.unanswered, maximumDoublings), maximumQuickSyncInterval)
+	m.sync.askedSeed = slices.Contains(m.seeds, to) && m.memberList.live < bootstrapMembers
 	switch {
 	case agreed:
-		interval = longestQuickSync
+		interval = maximumQuickSyncInterval
 	case m.sync.askedSeed:
 		interval = max(interval, seedInterval)
 	}
@@ -167,40 +173,41 @@
 	m.sync.unanswered++
 }
 
-// syncsQuickly reports whether the process still learns what others know: for
-// some time after its start or a pause, and longer while differences remain.
-func (m *Machine) syncsQuickly(now time.Duration) bool {
+// inQuickSync reports whether the process still fetches the state of the others: for some
+// time after its start or a pause, and longer while differences remain.
+func (m *Machine) inQuickSync(now time.Duration) bool {
 	if now < m.sync.quickUntil {
 		return true
 	}
-	return now < m.sync.quickUntil+quickSyncExtension && m.differs()
+	return now < m.sync.quickUntil+quickSyncExtension && m.hasDifferences()
 }
 
-func (m *Machine) differs() bool {
+func (m *Machine) hasDifferences() bool {
 	for zone := range m.sync.differences {
-		if m.sync.differences[zone].known {
+		if m.sync.differences[zone].pending {
 			return true
 		}
 	}
 	return false
 }
 
-// noteInformed records whether the sender of a message can be asked.
-func (m *Machine) noteInformed(from Address, message Message) {
-	if known, exists := m.roster.byAddress[from]; exists {
-		known.informed = !message.CatchingUp
+// recordCaughtUp records whether the sender of a message has the full state and can be
+// asked for it.
+func (m *Machine) recordCaughtUp(from Address, message Message) {
+	if known, exists := m.memberList.byAddress[from]; exists {
+		known.caughtUp = !message.CatchingUp
 	}
 }
 
-func (m *Machine) isInformedPeer(candidate *member) bool {
-	return m.isLivePeer(candidate) && candidate.informed
+func (m *Machine) isCaughtUpPeer(candidate *member) bool {
+	return m.isLivePeer(candidate) && candidate.caughtUp
 }
 
-func (m *Machine) settled(now time.Duration, zone Zone, noted *difference) bool {
-	if now >= noted.since+longDifference {
+func (m *Machine) settled(now time.Duration, zone Zone, noted *zoneDifference) bool {
+	if now >= noted.since+maximumDifferenceAge {
 		return true
 	}
-	changed := m.roster.zones[zone].changed
+	changed := m.memberList.zones[zone].lastChanged
 	return now >= noted.since+settleTime && now >= changed+settleTime
 }
 
@@ -208,50 +215,51 @@
 	sequence := m.nextSequence()
 	digest := ZoneDigest{Zone: zone}
 	if zone != allZones {
-		digest = m.roster.digestOf(zone)
+		digest = m.memberList.digestOf(zone)
 	}
 	m.send(now, to, Message{
 		Kind: KindSyncRequest, Sequence: sequence, Digest: digest,
-		KnownFilter: m.roster.summaryOf(zone, sequence),
+		KnownFilter: m.memberList.filterOf(zone, sequence),
 	})
 }
 
-// answerSync sends what is known of the zone and the other lacks, in as many messages as it
-// takes and the credit allows.
+// answerSync sends the members that the requester lacks, in as many messages as needed and
+// allowed by the tokens.
 func (m *Machine) answerSync(now time.Duration, from Address, request Message) {
 	allowance := m.allowance(now, request)
 	if allowance == 0 {
 		return
 	}
 	missing := m.missing(request)
-	introduces := allowance == introduction && len(missing) > allowance
+	truncated := allowance == bootstrapUpdates && len(missing) > allowance
 	missing = missing[:min(len(missing), allowance)]
 	for first := true; first || len(missing) > 0; first = false {
-		part := missing[:min(len(missing), syncUpdates)]
+		part := missing[:min(len(missing), updatesPerSyncResponse)]
 		missing = missing[len(part):]
 		response := Message{
 			Kind: KindSyncResponse, Sequence: request.Sequence, Updates: part,
 			Digest: ZoneDigest{Zone: request.Digest.Zone},
 		}
-		if len(missing) == 0 && !introduces {
-			response.Digests = m.roster.digests()
+		if len(missing) == 0 && !truncated {
+			response.Digests = m.memberList.digests()
 		}
-		m.sync.credit -= estimatedHead + len(part)*estimatedUpdateSize + len(response.Digests)*estimatedDigestSize
+		m.sync.tokens -= estimatedOverhead + len(part)*estimatedUpdateSize + len(response.Digests)*estimatedDigestSize
 		m.send(now, from, response)
 	}
 }
 
-// missing returns what the sender of a request lacks, from a random member on: where the credit
-// does not suffice for all, those who ask get different parts, and can ask each other.
+// missing returns the members that the requester lacks, starting at a random one. If the
+// tokens do not suffice for all of them, different requesters get different parts and can
+// ask each other.
 func (m *Machine) missing(request Message) []Update {
 	zone := request.Digest.Zone
-	if zone != allZones && request.Digest == m.roster.digestOf(zone) {
+	if zone != allZones && request.Digest == m.memberList.digestOf(zone) {
 		return nil
 	}
 	var updates []Update
-	for _, record := range m.roster.recordsOf(zone) {
+	for _, record := range m.memberList.zoneStates(zone) {
 		for _, known := range record.members {
-			if summary(request.KnownFilter).lacks(known.update, request.Sequence) {
+			if bloomFilter(request.KnownFilter).lacks(known.update, request.Sequence) {
 				updates = append(updates, known.update)
 			}
 		}
@@ -263,26 +271,27 @@
 	return slices.Concat(updates[first:], updates[:first])
 }
 
-// allowance returns how many updates an answer may hold, zero if earlier answers have used the
-// credit up. Where all start at once and ask the seeds, many get a few, and learn whom else to
-// ask.
+// allowance returns how many updates a response may hold. It is zero once earlier responses
+// have used up the tokens. If all processes start at once and ask the seeds, many of them
+// get a few updates and learn of other members to ask.
 func (m *Machine) allowance(now time.Duration, request Message) int {
-	earned := int((now - m.sync.creditTime) * answerRate / time.Second)
+	earned := int((now - m.sync.tokensUpdated) * responseRate / time.Second)
 	if earned > 0 {
-		m.sync.credit = min(m.sync.credit+earned, answerBurst)
-		m.sync.creditTime = now
+		m.sync.tokens = min(m.sync.tokens+earned, responseBurst)
+		m.sync.tokensUpdated = now
 	}
-	if m.sync.credit < estimatedHead+introduction*estimatedUpdateSize {
+	if m.sync.tokens < estimatedOverhead+bootstrapUpdates*estimatedUpdateSize {
 		return 0
 	}
-	if m.syncsQuickly(now) && len(request.KnownFilter) <= introduction*summaryBits/8 {
-		return introduction * min(m.sync.credit/introductionReserve, 1)
+	if m.inQuickSync(now) && len(request.KnownFilter) <= bootstrapUpdates*filterBitsPerMember/8 {
+		return bootstrapUpdates * min(m.sync.tokens/bootstrapReserve, 1)
 	}
-	return max(m.sync.credit/(answerShare*estimatedUpdateSize), introduction)
+	return max(m.sync.tokens/(responseShare*estimatedUpdateSize), bootstrapUpdates)
 }
 
-// noteContact lets a process that has only asked a seed ask the first other that it hears of.
-func (m *Machine) noteContact(now time.Duration, from Address) {
+// retryAfterFirstContact brings the next request forward when a process that has only asked
+// seeds receives a message from another member.
+func (m *Machine) retryAfterFirstContact(now time.Duration, from Address) {
 	if m.sync.askedSeed && !slices.Contains(m.seeds, from) {
 		m.sync.askedSeed = false
 		m.sync.unanswered = 0
@@ -290,8 +299,8 @@
 	}
 }
 
-// receiveSync ends the wait for the state of others, if the sender knows it; the updates have
-// been merged already.
+// receiveSync ends catching up if the sender has the full state and this is the last part
+// of its response. The updates have been merged already.
 func (m *Machine) receiveSync(message Message) {
 	m.sync.unanswered = 0
 	last := len(message.Digests) > 0
@@ -301,8 +310,8 @@
 	}
 }
 
-// reconnect pings one member that has failed, or a seed where no member is
-// known to run: after a partition both sides find each other again this way.
+// reconnect pings one failed member, or a seed at whose address no member is known to run.
+// Both sides of a partition find each other again this way.
 func (m *Machine) reconnect(now time.Duration) {
 	if now < m.sync.nextReconnect || m.recovery.active {
 		return
@@ -315,15 +324,15 @@
 
 func (m *Machine) reconnectTarget() (Address, bool) {
 	var candidates []Address
-	for zone := range m.roster.zones {
-		for _, known := range m.roster.zones[zone].members {
+	for zone := range m.memberList.zones {
+		for _, known := range m.memberList.zones[zone].members {
 			if known.update.State == StateFailed {
 				candidates = append(candidates, known.update.Member.Address)
 			}
 		}
 	}
 	for _, seed := range m.seeds {
-		known, exists := m.roster.byAddress[seed]
+		known, exists := m.memberList.byAddress[seed]
 		if !exists || known.update.State == StateLeft {
 			candidates = append(candidates, seed)
 		}
--- a/internal/membership/transport/endpoint.go
+++ b/internal/membership/transport/endpoint.go
@@ -1,5 +1,6 @@
-// Package transport carries the messages of package membership over UDP. It
-// drives the state machine with the clock and the socket and decides nothing.
+// Package transport sends and receives the messages of package membership over UDP. It
+// drives the state machine with the clock and the socket, and reports the changes of the
+// membership to its caller.
 package transport
 
 import (
@@ -17,54 +18,53 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-// metricsInterval is the time between two counts of the members.
+// metricsInterval is the interval at which the members are counted.
 const metricsInterval = time.Second
 
-// receiveBuffer is larger than any message, so that longer datagrams are
-// noticed and not cut.
+// receiveBuffer is larger than any message, so that longer datagrams are detected rather
+// than truncated.
 const receiveBuffer = 2 * membership.MaximumDatagramSize
 
 // Config holds the settings of an Endpoint.
 type Config struct {
-	// Listen is the IPv4 address and UDP port under which other daemons reach
-	// this one. Port 0 takes a free port.
+	// Listen is the IPv4 address and UDP port at which other daemons reach this one. Port 0
+	// selects a free port.
 	Listen netip.AddrPort
-	// Membership are the settings of the machine. The address of Self is set
-	// from Listen.
+	// Membership holds the settings of the machine. Self.Address is set from Listen.
 	Membership membership.Config
-	// OnEvent receives every effect but EffectSend, in order and never
+	// OnEvent is called with every effect except EffectSend, in order and never
 	// concurrently. It may call the endpoint.
 	OnEvent func(membership.Effect)
 	Logger  *log.Logger
 	Metrics Metrics
 }
 
-// Endpoint is a member on a UDP socket. It is safe for concurrent use.
+// Endpoint runs a membership machine on a UDP socket. It is safe for concurrent use.
 type Endpoint struct {
 	config  Config
 	socket  *net.UDPConn
 	started time.Time
-	// pending tells that events wait.
-	pending chan struct{}
+	// wake signals that events are waiting for delivery.
+	wake chan struct{}
 
 	mutex   sync.Mutex
 	machine *membership.Machine
 	events  []membership.Effect
 }
 
-// New binds the socket. It fails if the address is in use or not a single IPv4
-// address, or if the settings of the machine cannot be used.
+// New binds the socket. It returns an error if Listen is not a single IPv4 address or in
+// use, or if the settings of the machine are invalid.
 func New(config Config) (*Endpoint, error) {
 	if !config.Listen.Addr().Is4() || config.Listen.Addr().IsUnspecified() {
-		return nil, errors.Errorf("membership address %s: must be one IPv4 address", config.Listen)
+		return nil, errors.Errorf("membership address %s must be a single IPv4 address", config.Listen)
 	}
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(config.Listen))
 	if err != nil {
-		return nil, errors.Wrapf(err, "listen on %s", config.Listen)
+		return nil, errors.Wrapf(err, "listen for membership on %s", config.Listen)
 	}
 	bound := socket.LocalAddr().(*net.UDPAddr).AddrPort()
 	config.Membership.Self.Address, _ = membership.AddressOf(bound)
-	config.Metrics.fill()
+	config.Metrics.setDefaults()
 	machine, err := membership.New(config.Membership)
 	if err != nil {
 		_ = socket.Close()
@@ -74,34 +74,34 @@
 		config:  config,
 		socket:  socket,
 		started: time.Now(),
-		pending: make(chan struct{}, 1),
+		wake:    make(chan struct{}, 1),
 		machine: machine,
 	}, nil
 }
 
-// Self returns the identity under which this process is known.
+// Self returns the current identity of this process.
 func (e *Endpoint) Self() membership.Identity {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.machine.Self()
 }
 
-// SetSeeds replaces the addresses to try where no member is known.
+// SetSeeds replaces the addresses that are pinged if no member is known there.
 func (e *Endpoint) SetSeeds(seeds []membership.Address) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.machine.SetSeeds(seeds)
 }
 
-// SetAttachment sets what every message carries, at most
-// membership.MaximumAttachment bytes.
+// SetAttachment sets the data that every message carries, at most
+// membership.MaximumAttachmentSize bytes.
 func (e *Endpoint) SetAttachment(attachment []byte) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.machine.SetAttachment(attachment)
 }
 
-// Members returns the members that are remembered, in no stated order.
+// Members returns all known members, in no particular order.
 func (e *Endpoint) Members() []membership.Member {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -115,8 +115,8 @@
 	return e.machine.LiveCount()
 }
 
-// Run takes part until ctx ends; it then tells the others, closes the socket
-// and returns nil. It must be called once.
+// Run takes part in the membership until ctx ends. It then announces that it leaves, closes
+// the socket and returns nil. It must be called once.
 func (e *Endpoint) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return e.tick(ctx) })
@@ -142,7 +142,7 @@
 			e.execute(e.machine.Tick(e.now()))
 			e.mutex.Unlock()
 		case <-count.C:
-			e.config.Metrics.observe(e.Members())
+			e.config.Metrics.setMembers(e.Members())
 		}
 	}
 }
@@ -161,14 +161,14 @@
 			return nil
 		}
 		if err != nil {
-			e.config.Logger.Debug("membership datagram not received", "error", err)
+			e.config.Logger.Debug("cannot receive a membership datagram", "error", err)
 			continue
 		}
 		e.accept(from, buffer[:count])
 	}
 }
 
-// accept hands a datagram to the machine if it can be decoded.
+// accept decodes a datagram and passes it to the machine.
 func (e *Endpoint) accept(from netip.AddrPort, datagram []byte) {
 	sender, isIPv4 := membership.AddressOf(from)
 	var message membership.Message
@@ -196,7 +196,7 @@
 		return
 	}
 	select {
-	case e.pending <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
@@ -204,39 +204,39 @@
 func (e *Endpoint) transmit(effect membership.Effect) {
 	encoded, err := effect.Message.MarshalMsg(nil)
 	if err != nil {
-		panic("membership: cannot encode a message: " + err.Error())
+		panic("membership: cannot encode an outgoing message: " + err.Error())
 	}
-	// A lost datagram is made up for by later ones.
+	// A lost datagram needs no retry: later ones compensate for it.
 	if _, err := e.socket.WriteToUDPAddrPort(encoded, effect.To.AddrPort()); err != nil {
-		e.config.Logger.Debug("membership datagram not sent", "to", effect.To.String(), "error", err)
+		e.config.Logger.Debug("cannot send a membership datagram", "to", effect.To.String(), "error", err)
 		return
 	}
 	e.config.Metrics.count(directionSent, len(encoded))
 }
 
-// deliver passes events on without the mutex, so that their receiver may call
-// the endpoint.
+// deliver calls OnEvent without holding the mutex, so that the callback may call the
+// endpoint.
 func (e *Endpoint) deliver(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-e.pending:
+		case <-e.wake:
 		}
 		e.mutex.Lock()
 		events := slices.Clone(e.events)
 		e.events = e.events[:0]
 		e.mutex.Unlock()
 		for _, event := range events {
-			e.report(event)
+			e.logEvent(event)
 			e.config.OnEvent(event)
 		}
 	}
 }
 
-// report logs changes of the membership.
-func (e *Endpoint) report(event membership.Effect) {
-	text, logged := description(event.Kind)
+// logEvent logs changes of the membership.
+func (e *Endpoint) logEvent(event membership.Effect) {
+	text, logged := logMessage(event.Kind)
 	if !logged {
 		return
 	}
@@ -247,8 +247,9 @@
 	e.config.Logger.Info(text, "member", event.Member.Address.String(), "member_zone", event.Member.Zone)
 }
 
-// description returns the log message of an event that is worth one.
-func description(kind membership.EffectKind) (string, bool) {
+// logMessage returns the log message of an event. It returns false if the event is not
+// logged.
+func logMessage(kind membership.EffectKind) (string, bool) {
 	switch kind {
 	case membership.EffectJoined:
 		return "member joined", true
--- a/internal/membership/transport/endpoint_test.go
+++ b/internal/membership/transport/endpoint_test.go
@@ -19,15 +19,15 @@
 	"github.com/vanetiller/vanetiller/internal/membership/transport"
 )
 
-// patience bounds what real sockets need; nothing is judged by speed.
-const patience = time.Minute
+// eventTimeout is generous, since real sockets are involved and no test checks speed.
+const eventTimeout = time.Minute
 
 func TestTransport(t *testing.T) {
 	gomega.RegisterFailHandler(ginkgo.Fail)
 	ginkgo.RunSpecs(t, "membership transport")
 }
 
-// runner is an endpoint that runs, and the events it reported.
+// runner is a running endpoint and the events it reported.
 type runner struct {
 	endpoint *transport.Endpoint
 	cancel   context.CancelFunc
@@ -43,7 +43,7 @@
 	endpoint, err := transport.New(transport.Config{
 		Listen:     netip.MustParseAddrPort("127.0.0.1:0"),
 		Membership: membership.DefaultConfig(self, rand.New(rand.NewPCG(number, 0))),
-		OnEvent:    started.note,
+		OnEvent:    started.record,
 		Logger:     log.New(io.Discard),
 	})
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
@@ -55,13 +55,13 @@
 	return started
 }
 
-func (r *runner) note(event membership.Effect) {
+func (r *runner) record(event membership.Effect) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.events[event.Kind] = append(r.events[event.Kind], event.Member.Address)
 }
 
-func (r *runner) noted(kind membership.EffectKind) func() []membership.Address {
+func (r *runner) recorded(kind membership.EffectKind) func() []membership.Address {
 	return func() []membership.Address {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
@@ -71,40 +71,40 @@
 
 func (r *runner) stop() {
 	r.cancel()
-	gomega.Eventually(r.ended, patience).Should(gomega.Receive(gomega.BeNil()))
+	gomega.Eventually(r.ended, eventTimeout).Should(gomega.Receive(gomega.BeNil()))
 }
 
 func (r *runner) address() membership.Address { return r.endpoint.Self().Address }
 
-var _ = ginkgo.Describe("an endpoint", func() {
+var _ = ginkgo.Describe("Endpoint", func() {
 	ginkgo.BeforeEach(func() {
 		leaks := goleak.IgnoreCurrent()
 		ginkgo.DeferCleanup(func() { gomega.Expect(goleak.Find(leaks)).To(gomega.Succeed()) })
 	})
 
-	ginkgo.It("joins through a seed, carries attachments and leaves", func() {
+	ginkgo.It("joins through a seed, delivers attachments and announces that it leaves", func() {
 		first := start(0)
 		second := start(1, first.address())
 		third := start(2, first.address())
 		for _, member := range []*runner{first, second, third} {
-			gomega.Eventually(member.endpoint.Members, patience).Should(gomega.HaveLen(3))
+			gomega.Eventually(member.endpoint.Members, eventTimeout).Should(gomega.HaveLen(3))
 		}
 		third.endpoint.SetAttachment([]byte("version"))
-		gomega.Eventually(first.noted(membership.EffectAttachment), patience).Should(gomega.ContainElement(third.address()))
+		gomega.Eventually(first.recorded(membership.EffectAttachment), eventTimeout).Should(gomega.ContainElement(third.address()))
 
 		departing := third.address()
 		third.stop()
 		for _, member := range []*runner{first, second} {
 			ended := func() []membership.Address {
-				return append(member.noted(membership.EffectLeft)(), member.noted(membership.EffectFailed)()...)
+				return append(member.recorded(membership.EffectLeft)(), member.recorded(membership.EffectFailed)()...)
 			}
-			gomega.Eventually(ended, patience).Should(gomega.ContainElement(departing))
+			gomega.Eventually(ended, eventTimeout).Should(gomega.ContainElement(departing))
 		}
 		first.stop()
 		second.stop()
 	})
 
-	ginkgo.It("survives datagrams that are no messages", func() {
+	ginkgo.It("continues to work after datagrams that are not messages", func() {
 		first := start(0)
 		connection, err := net.Dial("udp4", first.address().String())
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
@@ -114,17 +114,17 @@
 		}
 		gomega.Expect(connection.Close()).To(gomega.Succeed())
 		second := start(1, first.address())
-		gomega.Eventually(first.endpoint.Members, patience).Should(gomega.HaveLen(2))
+		gomega.Eventually(first.endpoint.Members, eventTimeout).Should(gomega.HaveLen(2))
 		second.stop()
 		first.stop()
 	})
 
-	ginkgo.DescribeTable("refuses an address that others cannot use",
+	ginkgo.DescribeTable("returns an error for an address that other daemons cannot use",
 		func(listen string) {
 			_, err := transport.New(transport.Config{Listen: netip.MustParseAddrPort(listen)})
 			gomega.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("IPv4")))
 		},
-		ginkgo.Entry("every interface", "0.0.0.0:7000"),
-		ginkgo.Entry("IPv6", "[::1]:7000"),
+		ginkgo.Entry("unspecified address", "0.0.0.0:7000"),
+		ginkgo.Entry("IPv6 address", "[::1]:7000"),
 	)
 })
--- a/internal/membership/transport/metrics.go
+++ b/internal/membership/transport/metrics.go
@@ -9,9 +9,9 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-// Labels of the metrics. DirectionLabel is "sent" or "received"; StateLabel is
-// the text of a membership.State, or "unreachable" for a live member of a zone
-// that cannot be reached.
+// DirectionLabel and StateLabel are labels of the metrics. DirectionLabel is "sent" or
+// "received". StateLabel is the text of a membership.State, or "unreachable" for a live
+// member of an unreachable zone.
 const (
 	DirectionLabel = "direction"
 	StateLabel     = "state"
@@ -26,20 +26,19 @@
 	stateUnreachable  = "unreachable"
 )
 
-// Metrics are the metrics of an Endpoint. Nil ones are discarded.
+// Metrics holds the metrics of an Endpoint. Metrics that are nil are discarded.
 type Metrics struct {
-	// Datagrams and Bytes count by DirectionLabel; bytes include the IPv4 and
-	// UDP headers.
+	// Datagrams and Bytes count by DirectionLabel. Bytes includes the IPv4 and UDP headers.
 	Datagrams metrics.Counter
 	Bytes     metrics.Counter
-	// Malformed counts datagrams that could not be read.
+	// Malformed counts datagrams that could not be decoded.
 	Malformed metrics.Counter
 	// Members is the number of members by StateLabel.
 	Members metrics.Gauge
 }
 
-// fill replaces the metrics that are nil.
-func (m *Metrics) fill() {
+// setDefaults replaces nil metrics by ones that discard.
+func (m *Metrics) setDefaults() {
 	for _, counter := range []*metrics.Counter{&m.Datagrams, &m.Bytes, &m.Malformed} {
 		if *counter == nil {
 			*counter = discard.NewCounter()
@@ -55,21 +54,21 @@
 	m.Bytes.With(DirectionLabel, direction).Add(float64(bytes + headerBytes))
 }
 
-func (m *Metrics) observe(members []membership.Member) {
+func (m *Metrics) setMembers(members []membership.Member) {
 	counts := map[string]int{
 		membership.StateAlive.String(): 0, membership.StateSuspect.String(): 0,
 		membership.StateFailed.String(): 0, membership.StateLeft.String(): 0,
 		stateUnreachable: 0,
 	}
 	for _, member := range members {
-		counts[stateText(member)]++
+		counts[stateLabel(member)]++
 	}
 	for state, count := range counts {
 		m.Members.With(StateLabel, state).Set(float64(count))
 	}
 }
 
-func stateText(member membership.Member) string {
+func stateLabel(member membership.Member) string {
 	live := member.State == membership.StateAlive || member.State == membership.StateSuspect
 	if live && !member.Reachable {
 		return stateUnreachable
--- a/internal/membership/virtualnet/network.go
+++ b/internal/membership/virtualnet/network.go
@@ -1,8 +1,8 @@
-// Package virtualnet implements a datagram network in virtual time, for
-// running many deterministic state machines in one process: loss, duplication,
-// delay, cuts, paused processes, and an account of the bytes of each node.
+// Package virtualnet simulates a datagram network in virtual time, so that tests can run
+// many deterministic state machines in one process. It simulates loss, duplication, delay,
+// partitions and paused processes, and counts the bytes of each node.
 //
-// A run with the same seed and the same calls gives the same result.
+// Runs with the same seed and the same calls have the same result.
 package virtualnet
 
 import (
@@ -12,11 +12,11 @@
 )
 
 const (
-	// HeaderSize is the size of the IPv4 and UDP headers of a datagram.
+	// HeaderSize is the size of the IPv4 and UDP headers of a datagram in bytes.
 	HeaderSize = 28
-	// socketBuffer is how many datagrams wait for a paused process; more are
-	// lost.
-	socketBuffer = 256
+	// socketBufferSize is the number of datagrams that are queued for a paused process.
+	// Further ones are lost.
+	socketBufferSize = 256
 )
 
 // NodeID identifies a node.
@@ -38,41 +38,40 @@
 	// Loss and Duplication are probabilities from 0 to 1 for each datagram.
 	Loss        float64
 	Duplication float64
-	// Jitter is the longest random delay added to Delay.
+	// Jitter is the maximum random delay added to Delay.
 	Jitter time.Duration
-	// Delay is the delay from one node to another; nil means none.
+	// Delay returns the delay from one node to another. Nil means no delay.
 	Delay func(from, to NodeID) time.Duration
 }
 
-// Network is a datagram network. It is not safe for concurrent use.
+// Network is a simulated datagram network. It is not safe for concurrent use.
 type Network[Message any] struct {
-	config Config
-	random *rand.Rand
-	now    time.Duration
-	order  uint64
-	queue  eventQueue[Message]
-	nodes  map[NodeID]*attached[Message]
-	cut    func(from, to NodeID) bool
+	config      Config
+	random      *rand.Rand
+	now         time.Duration
+	nextOrder   uint64
+	queue       eventQueue[Message]
+	nodes       map[NodeID]*nodeState[Message]
+	partitioned func(from, to NodeID) bool
 }
 
-// attached is a node and its state on the network.
-type attached[Message any] struct {
+// nodeState is a node and its state on the network.
+type nodeState[Message any] struct {
 	node   Node[Message]
 	paused bool
-	// waiting are datagrams in the socket of a paused process.
+	// waiting holds the datagrams in the socket of a paused process.
 	waiting []*event[Message]
 	traffic Traffic
 }
 
-// event is a datagram, a tick, or a call, at a time.
+// event is a datagram, a tick or a function call at a point in time.
 type event[Message any] struct {
 	at    time.Duration
 	order uint64
 	from  NodeID
 	to    NodeID
-	// target is set for ticks, which do not reach a process that took the
-	// place of another.
-	target  *attached[Message]
+	// target is the receiver of a tick. Ticks of a process that was replaced are dropped.
+	target  *nodeState[Message]
 	size    int
 	message Message
 	call    func()
@@ -84,43 +83,43 @@
 	return &Network[Message]{
 		config: config,
 		random: rand.New(rand.NewPCG(config.Seed, 0)),
-		nodes:  make(map[NodeID]*attached[Message]),
+		nodes:  make(map[NodeID]*nodeState[Message]),
 	}
 }
 
 // Now returns the virtual time.
 func (n *Network[Message]) Now() time.Duration { return n.now }
 
-// SetLoss changes the probability of losing a datagram.
+// SetLoss changes the probability that a datagram is lost.
 func (n *Network[Message]) SetLoss(loss float64) { n.config.Loss = loss }
 
-// SetPartition sets which datagrams are lost for a partition; nil means none.
-func (n *Network[Message]) SetPartition(cut func(from, to NodeID) bool) { n.cut = cut }
+// SetPartition sets which datagrams a partition drops. Nil ends the partition.
+func (n *Network[Message]) SetPartition(cut func(from, to NodeID) bool) { n.partitioned = cut }
 
-// Attach starts a node, in place of one with the same identifier. Its first
-// tick comes within one interval.
+// Attach starts a node and replaces the one with the same identifier. The first tick comes
+// within one interval.
 func (n *Network[Message]) Attach(id NodeID, node Node[Message]) {
-	added := &attached[Message]{node: node}
+	added := &nodeState[Message]{node: node}
 	if former, exists := n.nodes[id]; exists {
 		added.traffic = former.traffic
 	}
 	n.nodes[id] = added
-	phase := time.Duration(n.random.Int64N(int64(n.config.TickInterval)))
-	n.schedule(event[Message]{at: n.now + phase, to: id, target: added, tick: true})
+	firstTickDelay := time.Duration(n.random.Int64N(int64(n.config.TickInterval)))
+	n.schedule(event[Message]{at: n.now + firstTickDelay, to: id, target: added, tick: true})
 }
 
-// Detach stops a node without notice.
+// Detach stops a node without notice to the others.
 func (n *Network[Message]) Detach(id NodeID) { delete(n.nodes, id) }
 
-// Pause stops a process; datagrams wait in its socket.
+// Pause pauses a process. Datagrams to it wait in its socket.
 func (n *Network[Message]) Pause(id NodeID) {
 	if paused, exists := n.nodes[id]; exists {
 		paused.paused = true
 	}
 }
 
-// Resume continues a process. As the worst case it handles the waiting
-// datagrams before its clock ticks.
+// Resume continues a process. It handles the waiting datagrams before its next tick, which
+// is the worst case.
 func (n *Network[Message]) Resume(id NodeID) {
 	resumed, exists := n.nodes[id]
 	if !exists || !resumed.paused {
@@ -134,17 +133,17 @@
 	}
 }
 
-// After calls a function at a later time.
+// After calls a function after a delay in virtual time.
 func (n *Network[Message]) After(delay time.Duration, call func()) {
 	n.schedule(event[Message]{at: n.now + delay, call: call})
 }
 
-// Send transmits a datagram of a size in bytes, without headers.
+// Send transmits a datagram. The size is in bytes, without headers.
 func (n *Network[Message]) Send(from, to NodeID, size int, message Message) {
 	if sender, exists := n.nodes[from]; exists {
 		sender.traffic.add(n.now, size+HeaderSize)
 	}
-	if n.cut != nil && n.cut(from, to) {
+	if n.partitioned != nil && n.partitioned(from, to) {
 		return
 	}
 	copies := 1
@@ -215,18 +214,18 @@
 		receiver.node.Receive(n.now, next.from, next.message)
 		return
 	}
-	if len(receiver.waiting) < socketBuffer {
+	if len(receiver.waiting) < socketBufferSize {
 		receiver.waiting = append(receiver.waiting, next)
 	}
 }
 
 func (n *Network[Message]) schedule(added event[Message]) {
-	n.order++
-	added.order = n.order
+	n.nextOrder++
+	added.order = n.nextOrder
 	heap.Push(&n.queue, &added)
 }
 
-// Traffic returns the account of a node, also after it was replaced.
+// Traffic returns the byte counts of a node. They continue when the node is replaced.
 func (n *Network[Message]) Traffic(id NodeID) *Traffic {
 	node, exists := n.nodes[id]
 	if !exists {
--- a/internal/membership/virtualnet/network_test.go
+++ b/internal/membership/virtualnet/network_test.go
@@ -15,7 +15,7 @@
 	ginkgo.RunSpecs(t, "virtualnet")
 }
 
-// recorder notes what reaches it and when.
+// recorder records the messages it receives and the times.
 type recorder struct {
 	ticks    int
 	received []string
@@ -29,7 +29,7 @@
 	r.at = append(r.at, now)
 }
 
-var _ = ginkgo.Describe("a network", func() {
+var _ = ginkgo.Describe("Network", func() {
 	var network *virtualnet.Network[string]
 	var receiver *recorder
 
@@ -41,7 +41,7 @@
 		network.Attach(2, receiver)
 	}
 
-	ginkgo.It("delivers after the delay and counts both ends", func() {
+	ginkgo.It("delivers a datagram after the delay and counts its bytes at both ends", func() {
 		build(virtualnet.Config{Delay: func(virtualnet.NodeID, virtualnet.NodeID) time.Duration { return time.Second }})
 		network.Send(1, 2, 72, "hello")
 		network.Run(2 * time.Second)
@@ -50,7 +50,7 @@
 		gomega.Expect(network.Traffic(2).Peak(0, 20*time.Second)).To(gomega.Equal(10.0))
 	})
 
-	ginkgo.It("keeps datagrams for a paused process and stops its clock", func() {
+	ginkgo.It("queues datagrams for a paused process and does not tick it", func() {
 		build(virtualnet.Config{})
 		network.Pause(2)
 		network.Send(1, 2, 1, "waiting")
@@ -63,20 +63,20 @@
 		gomega.Expect(receiver.ticks).To(gomega.Equal(10))
 	})
 
-	ginkgo.DescribeTable("loses and repeats datagrams",
-		func(config virtualnet.Config, cut bool, expected int) {
+	ginkgo.DescribeTable("delivers, drops or duplicates a datagram as configured",
+		func(config virtualnet.Config, partitioned bool, expected int) {
 			build(config)
-			if cut {
+			if partitioned {
 				network.SetPartition(func(from, _ virtualnet.NodeID) bool { return from == 1 })
 			}
 			network.Send(1, 2, 1, "once")
 			network.Run(time.Second)
 			gomega.Expect(receiver.received).To(gomega.HaveLen(expected))
 		},
-		ginkgo.Entry("neither", virtualnet.Config{}, false, 1),
-		ginkgo.Entry("loss", virtualnet.Config{Loss: 1}, false, 0),
-		ginkgo.Entry("duplication", virtualnet.Config{Duplication: 1}, false, 2),
-		ginkgo.Entry("cut", virtualnet.Config{}, true, 0),
+		ginkgo.Entry("without faults", virtualnet.Config{}, false, 1),
+		ginkgo.Entry("with loss", virtualnet.Config{Loss: 1}, false, 0),
+		ginkgo.Entry("with duplication", virtualnet.Config{Duplication: 1}, false, 2),
+		ginkgo.Entry("with a partition", virtualnet.Config{}, true, 0),
 	)
 
 	ginkgo.It("does not tick a node that was replaced", func() {
--- a/internal/membership/virtualnet/traffic.go
+++ b/internal/membership/virtualnet/traffic.go
@@ -1,11 +1,11 @@
-// This file implements the account of a node's traffic.
+// This file implements the byte counts of a node.
 
 package virtualnet
 
 import "time"
 
-// worstWindow is the length in seconds of the window of Traffic.Worst.
-const worstWindow = 10
+// peakWindow is the length in seconds of the window of Traffic.Peak.
+const peakWindow = 10
 
 // Traffic counts the bytes that a node sent and received, headers included,
 // for each second of virtual time.
@@ -19,7 +19,7 @@
 	t.seconds[second] += bytes
 }
 
-// Mean returns the bytes a second over the whole seconds from begin to end.
+// Mean returns the average bytes a second over the whole seconds from begin to end.
 func (t *Traffic) Mean(begin, end time.Duration) float64 {
 	total := 0
 	first, last := int(begin/time.Second), int(end/time.Second)
@@ -29,18 +29,18 @@
 	return float64(total) / float64(max(last-first, 1))
 }
 
-// Peak returns the bytes a second in the worst ten seconds from begin to end.
+// Peak returns the bytes a second in the busiest ten seconds from begin to end.
 func (t *Traffic) Peak(begin, end time.Duration) float64 {
-	worst, window := 0, 0
+	peak, window := 0, 0
 	first, last := int(begin/time.Second), int(end/time.Second)
 	for second := first; second < last; second++ {
 		window += t.at(second)
-		if second >= first+worstWindow {
-			window -= t.at(second - worstWindow)
+		if second >= first+peakWindow {
+			window -= t.at(second - peakWindow)
 		}
-		worst = max(worst, window)
+		peak = max(peak, window)
 	}
-	return float64(worst) / worstWindow
+	return float64(peak) / peakWindow
 }
 
 func (t *Traffic) at(second int) int {
