--- a/internal/dissemination/config.go
+++ b/internal/dissemination/config.go
@@ -12,46 +12,44 @@
 )
 
 const (
-	// MaximumDatagramSize bounds an encoded message in bytes, without IP and UDP
+	// MaximumDatagramSize is the largest encoded message in bytes, without IP and UDP
 	// headers.
 	MaximumDatagramSize = membership.MaximumDatagramSize
-	// messageOverhead bounds the encoding of a message without deltas and
-	// names.
+	// messageOverhead is an upper bound of the encoding of a message without deltas and
+	// members.
 	messageOverhead = 64
-	// deltaOverhead bounds the encoding of a delta beside its payload.
+	// deltaOverhead is an upper bound of the encoding of a delta without its payload.
 	deltaOverhead = 15
-	// namedMembers bounds the members named in one zone report; an address
-	// takes nine bytes.
-	namedMembers = 100
+	// maximumBehindMembers limits the members listed in one zone report. An address takes
+	// nine bytes.
+	maximumBehindMembers = 100
 )
 
 // Config holds the settings of a Machine.
 type Config struct {
-	// Self names this process.
+	// Self is the identity of this process.
 	Self membership.Identity
-	// Random decides whom to push to and pull from. The machine alone may use
-	// it.
+	// Random is used to choose peers. No other component may use it.
 	Random *rand.Rand
-	// ZoneFanout is to how many members of its zone each member pushes.
+	// ZoneFanout is the number of members of its own zone to which a member pushes.
 	ZoneFanout int
-	// RemoteFanout is to how many members of another zone or region one member
+	// RemoteFanout is the number of members of another zone or region to which a member
 	// pushes.
 	RemoteFanout int
 	// PullDelay is the longest time to wait for a push before a pull.
 	PullDelay time.Duration
 	// PullTimeout is the time after which a pull is repeated.
 	PullTimeout time.Duration
-	// FetchTimeout is the time after which a fetch over a connection is given
-	// up.
+	// FetchTimeout is the time after which a fetch over a connection is abandoned.
 	FetchTimeout time.Duration
-	// HistoryBytes bounds the payloads kept for others.
+	// HistoryBytes limits the payloads that are kept to serve pulls.
 	HistoryBytes int
-	// StatusTimeout is the time after which a status request is repeated, up
-	// to StatusTries in all.
+	// StatusTimeout is the time after which a status request is repeated, up to
+	// StatusAttempts requests in all.
 	StatusTimeout  time.Duration
 	StatusAttempts int
-	// ReportTimeout is the time after which other members of a zone are asked
-	// for a report, up to ReportTries times, ReportFanout at a time.
+	// ReportTimeout is the time after which other members of a zone are asked for its
+	// report, up to ReportAttempts times, ReportFanout members at a time.
 	ReportTimeout  time.Duration
 	ReportAttempts int
 	ReportFanout   int
@@ -76,21 +74,21 @@
 	}
 }
 
-// Validate returns an error that names the first setting that cannot be used.
+// Validate returns an error that names the first invalid setting.
 func (c Config) Validate() error {
 	switch {
 	case c.Self.Address == 0 || c.Self.Zone >= membership.MaximumZones:
-		return errors.New("dissemination: no usable identity")
+		return errors.New("dissemination: the identity of this process has no address or an invalid zone")
 	case c.Random == nil:
-		return errors.New("dissemination: no source of randomness")
+		return errors.New("dissemination: the source of randomness is missing")
 	case c.ZoneFanout < 1 || c.RemoteFanout < 1:
-		return errors.New("dissemination: fanouts must be positive")
+		return errors.New("dissemination: zone and remote fanout must be positive")
 	case c.PullDelay <= 0 || c.PullTimeout <= 0 || c.FetchTimeout <= 0:
-		return errors.New("dissemination: pull and fetch times must be positive")
+		return errors.New("dissemination: pull delay, pull timeout and fetch timeout must be positive")
 	case c.StatusTimeout <= 0 || c.ReportTimeout <= 0:
-		return errors.New("dissemination: survey times must be positive")
+		return errors.New("dissemination: status timeout and report timeout must be positive")
 	case c.StatusAttempts < 1 || c.ReportAttempts < 1 || c.ReportFanout < 1:
-		return errors.New("dissemination: survey tries and fanout must be positive")
+		return errors.New("dissemination: status attempts, report attempts and report fanout must be positive")
 	}
 	return nil
 }
--- a/internal/dissemination/effect.go
+++ b/internal/dissemination/effect.go
@@ -1,4 +1,4 @@
-// This file defines what a Machine asks its caller to do.
+// This file defines the effects that a Machine returns to its caller.
 
 package dissemination
 
@@ -7,25 +7,23 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// EffectKind tells what an effect is.
+// EffectKind is the type of an effect.
 type EffectKind uint8
 
 // The kinds of effects.
 const (
 	// EffectSend: transmit Message to To.
 	EffectSend EffectKind = iota
-	// EffectApply: put Delta in force, then call InForce. Deltas come in
-	// order and each once.
+	// EffectApply: apply Delta, then call Applied. Deltas come in order and each once.
 	EffectApply
 	// EffectFetch: fetch from To, over a connection, the deltas after Version
 	// or a full table, then call Installed or FetchFailed.
 	EffectFetch
-	// EffectSurveyDone: Survey has ended.
+	// EffectSurveyDone: Survey is the result of a survey.
 	EffectSurveyDone
 )
 
-// Effect is one thing that the caller of the machine has to do. Which fields
-// are set depends on Kind.
+// Effect is an action that the caller must carry out. Kind determines which fields are set.
 type Effect struct {
 	Kind    EffectKind
 	To      membership.Address
@@ -35,27 +33,27 @@
 	Survey  Survey
 }
 
-// Survey tells how far a version has come into force.
+// Survey tells which members have applied a version.
 type Survey struct {
 	Version table.Version
-	// Zones lists every zone with a member, in order.
+	// Zones lists every zone that has a member, in order.
 	Zones []ZoneSurvey
 }
 
 // ZoneSurvey is the part of a survey for one zone.
 type ZoneSurvey struct {
 	Zone membership.Zone
-	// Answered is false if no member of the zone answered; its members then
-	// count as behind.
+	// Answered is false if no member of the zone answered. Its members then count as
+	// behind.
 	Answered     bool
 	AppliedCount int
-	// BehindCount counts the members that have not put the version in force or did
-	// not answer. Missing names them, as many as fit in a message.
+	// BehindCount counts the members that have not applied the version or did not answer.
+	// BehindMembers lists them, as many as fit in a message.
 	BehindCount   int
 	BehindMembers []membership.Address
 }
 
-// Complete reports whether the version is in force on every member.
+// Complete reports whether every member has applied the version.
 func (s Survey) Complete() bool {
 	for _, zone := range s.Zones {
 		if zone.BehindCount > 0 {
--- a/internal/dissemination/faults_test.go
+++ b/internal/dissemination/faults_test.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// inForceLimit is the time in which a version must be in force on every
-	// daemon that can be reached.
-	inForceLimit = 7 * time.Second
-	mergeLimit   = 30 * time.Second
-	surveyLimit  = 10 * time.Second
-	regions      = 3
+	// applyLimit is the time within which every reachable daemon must have applied a
+	// version.
+	applyLimit  = 7 * time.Second
+	mergeLimit  = 30 * time.Second
+	surveyLimit = 10 * time.Second
+	regions     = 3
 )
 
-var _ = ginkgo.Describe("a fleet", func() {
+var _ = ginkgo.Describe("A fleet", func() {
 	var cluster *fleet
 
-	reach := func(version table.Version, limit time.Duration) {
+	expectApplied := func(version table.Version, limit time.Duration) {
 		ginkgo.GinkgoHelper()
-		_, lagging := cluster.runUntilReached(version, limit)
+		_, lagging := cluster.runUntilApplied(version, limit)
 		gomega.Expect(lagging).To(gomega.BeEmpty())
 		gomega.Expect(cluster.violations).To(gomega.BeEmpty())
 	}
@@ -56,52 +56,52 @@
 		gomega.Expect(cluster.daemons[cluster.addresses[0]].members.LiveCount()).To(gomega.Equal(36))
 	})
 
-	ginkgo.It("has twenty versions in force everywhere over links that lose", func() {
+	ginkgo.It("applies twenty versions on every daemon over lossy links", func() {
 		for number := range 20 {
-			reach(cluster.publish(cluster.addresses[number]), inForceLimit)
+			expectApplied(cluster.publish(cluster.addresses[number]), applyLimit)
 		}
 	})
 
-	ginkgo.It("sends a version to another region once or twice", func() {
+	ginkgo.It("sends each version to another region at most twice", func() {
 		cluster.network.SetLoss(0)
 		cluster.betweenRegions = 0
-		reach(cluster.publish(cluster.addresses[0]), inForceLimit)
+		expectApplied(cluster.publish(cluster.addresses[0]), applyLimit)
 		gomega.Expect(cluster.betweenRegions).To(gomega.BeNumerically(">=", regions-1))
 		gomega.Expect(cluster.betweenRegions).To(gomega.BeNumerically("<=", 2*(regions-1)))
 	})
 
-	ginkgo.It("announces a delta that does not fit and lets it be fetched", func() {
-		cluster.payload = 5000
-		reach(cluster.publish(cluster.addresses[0]), inForceLimit)
+	ginkgo.It("announces a delta that does not fit in a datagram, and daemons fetch it", func() {
+		cluster.payloadSize = 5000
+		expectApplied(cluster.publish(cluster.addresses[0]), applyLimit)
 		gomega.Expect(cluster.daemons[cluster.addresses[7]].fetches).To(gomega.BeNumerically(">", 0))
 	})
 
-	ginkgo.It("lets a restarted process catch up and a stale fetch change nothing", func() {
+	ginkgo.It("brings a restarted process up to date and ignores a stale fetch", func() {
 		for range 3 {
-			reach(cluster.publish(cluster.addresses[0]), inForceLimit)
+			expectApplied(cluster.publish(cluster.addresses[0]), applyLimit)
 		}
 		cluster.kill(cluster.addresses[8])
 		cluster.start(cluster.addresses[8])
-		reach(3, mergeLimit)
+		expectApplied(3, mergeLimit)
 		restarted := cluster.daemons[cluster.addresses[8]].machine
 		restarted.Installed(cluster.network.Now(), 2)
 		gomega.Expect(restarted.Status()).To(gomega.Equal(dissemination.Status{Held: 3, Applied: 3}))
 	})
 
-	ginkgo.It("lets a zone that was cut off for an hour catch up", func() {
+	ginkgo.It("brings a zone up to date that was partitioned for an hour", func() {
 		cutZone(4)
 		for range 5 {
 			cluster.publish(cluster.addresses[0])
 			cluster.network.Run(12 * time.Minute)
 		}
-		gomega.Expect(cluster.lagging(1)).To(gomega.HaveLen(6))
+		gomega.Expect(cluster.behind(1)).To(gomega.HaveLen(6))
 		cluster.network.SetPartition(nil)
-		reach(5, mergeLimit)
+		expectApplied(5, mergeLimit)
 	})
 
-	ginkgo.It("names exactly the members that lag", func() {
+	ginkgo.It("lists exactly the members that are behind in a survey", func() {
 		version := cluster.publish(cluster.addresses[0])
-		reach(version, inForceLimit)
+		expectApplied(version, applyLimit)
 		gomega.Expect(surveyFrom(cluster.addresses[9], version).Complete()).To(gomega.BeTrue())
 		paused := []membership.Address{cluster.addresses[10], cluster.addresses[16], cluster.addresses[3]}
 		for _, address := range paused {
@@ -110,19 +110,19 @@
 		version = cluster.publish(cluster.addresses[0])
 		cluster.network.Run(2 * time.Second)
 		survey := surveyFrom(cluster.addresses[9], version)
-		var missing []membership.Address
-		reached := 0
+		var behindMembers []membership.Address
+		appliedCount := 0
 		for _, zone := range survey.Zones {
-			missing = append(missing, zone.BehindMembers...)
-			reached += zone.AppliedCount
+			behindMembers = append(behindMembers, zone.BehindMembers...)
+			appliedCount += zone.AppliedCount
 			gomega.Expect(zone.Answered).To(gomega.BeTrue())
 			gomega.Expect(zone.BehindCount).To(gomega.Equal(len(zone.BehindMembers)))
 		}
-		gomega.Expect(missing).To(gomega.ConsistOf(paused))
-		gomega.Expect(reached).To(gomega.Equal(33))
+		gomega.Expect(behindMembers).To(gomega.ConsistOf(paused))
+		gomega.Expect(appliedCount).To(gomega.Equal(33))
 	})
 
-	ginkgo.It("names the members of a zone that does not answer", func() {
+	ginkgo.It("counts the members of a zone that does not answer as behind", func() {
 		cutZone(2)
 		version := cluster.publish(cluster.addresses[0])
 		survey := surveyFrom(cluster.addresses[1], version)
@@ -135,7 +135,7 @@
 	})
 })
 
-var _ = ginkgo.Describe("a machine", func() {
+var _ = ginkgo.Describe("Machine", func() {
 	identity := func(number int) membership.Identity {
 		return membership.Identity{Address: firstAddress + membership.Address(number)*addressStep}
 	}
@@ -195,10 +195,10 @@
 		gomega.Expect(sent).To(gomega.BeEmpty())
 	})
 
-	ginkgo.It("asks another peer when a fetch fails or takes too long", func() {
+	ginkgo.It("asks another peer when a fetch fails or times out", func() {
 		machine.ReceiveAttachment(0, address(2), encodedStatus(9))
-		bulk := dissemination.Message{Kind: dissemination.KindFetchRequired, Status: dissemination.Status{Held: 9}}
-		effects := machine.Receive(0, address(1), bulk)
+		fetchRequired := dissemination.Message{Kind: dissemination.KindFetchRequired, Status: dissemination.Status{Held: 9}}
+		effects := machine.Receive(0, address(1), fetchRequired)
 		gomega.Expect(effects).To(gomega.HaveLen(1))
 		gomega.Expect(effects[0].Kind).To(gomega.Equal(dissemination.EffectFetch))
 		gomega.Expect(machine.Tick(time.Second)).To(gomega.BeEmpty())
@@ -206,12 +206,12 @@
 		effects = machine.Tick(2 * time.Second)
 		gomega.Expect(effects).To(gomega.HaveLen(1))
 		gomega.Expect(effects[0].To).To(gomega.Equal(address(2)))
-		machine.Receive(2*time.Second, address(2), bulk)
+		machine.Receive(2*time.Second, address(2), fetchRequired)
 		gomega.Expect(machine.Tick(3 * time.Second)).To(gomega.BeEmpty())
 		gomega.Expect(machine.Tick(time.Minute)).To(gomega.HaveLen(1))
 	})
 
-	ginkgo.It("serves what it keeps and else refers to a fetch", func() {
+	ginkgo.It("answers a pull with the deltas it keeps, and otherwise requires a fetch", func() {
 		for version := table.Version(1); version <= 5; version++ {
 			push(version, delta(version))
 		}
@@ -225,7 +225,7 @@
 		gomega.Expect(sent).To(gomega.Equal([]dissemination.Kind{dissemination.KindFetchRequired}))
 	})
 
-	ginkgo.It("has no more than a few surveys under way", func() {
+	ginkgo.It("returns ErrTooManySurveys for the ninth survey at a time", func() {
 		for range 8 {
 			_, err := machine.Survey(0, 1)
 			gomega.Expect(err).NotTo(gomega.HaveOccurred())
@@ -234,7 +234,7 @@
 		gomega.Expect(err).To(gomega.MatchError(dissemination.ErrTooManySurveys))
 	})
 
-	ginkgo.It("ignores an attachment that cannot be read", func() {
+	ginkgo.It("ignores an attachment that cannot be decoded", func() {
 		machine.ReceiveAttachment(0, address(1), []byte{0xc1, 0xff})
 		gomega.Expect(machine.Tick(time.Second)).To(gomega.BeEmpty())
 	})
--- a/internal/dissemination/fleet_bench_test.go
+++ b/internal/dissemination/fleet_bench_test.go
@@ -1,5 +1,5 @@
-// This file measures daemons with membership and dissemination in virtual time:
-// go test -run '^$' -bench Fleet -benchtime 1x ./internal/dissemination
+// This file measures daemons with membership and dissemination in virtual time: go test
+// -run '^$' -bench Fleet -benchtime 1x ./internal/dissemination
 
 package dissemination_test
 
@@ -16,12 +16,12 @@
 
 const (
 	measureSeed = 1
-	// settleLimit bounds the start of the fleet, drainTime is for what the
-	// start left in queues.
+	// settleLimit limits the time in which the fleet starts. drainTime is for the messages
+	// that the start left in queues.
 	settleLimit = 15 * time.Minute
 	drainTime   = 40 * time.Second
-	// measuredVersions are published at versionInterval, the mean interval of
-	// the target of 1,500 changes a day.
+	// measuredVersions versions are published at versionInterval, the mean interval of the
+	// target of 1,500 changes a day.
 	measuredVersions = 5
 	versionInterval  = 58 * time.Second
 	versionLimit     = time.Minute
@@ -45,7 +45,7 @@
 	measured.startAll(30*time.Second, time.Minute)
 	for !measured.settled() {
 		if measured.network.Now() > settleLimit {
-			b.Fatal("the fleet did not settle")
+			b.Fatal("not every daemon knew every other one in time")
 		}
 		measured.network.Run(time.Second)
 	}
@@ -70,9 +70,9 @@
 	var times []time.Duration
 	for number := range measuredVersions {
 		version := measured.publish(measured.addresses[number*31])
-		taken, lagging := measured.runUntilReached(version, versionLimit)
+		taken, lagging := measured.runUntilApplied(version, versionLimit)
 		if len(lagging) > 0 || len(measured.violations) > 0 {
-			b.Fatalf("version %d: %d lag, %v", version, len(lagging), measured.violations)
+			b.Fatalf("version %d: %d daemons have not applied it, violations %v", version, len(lagging), measured.violations)
 		}
 		times = append(times, taken)
 		measured.network.Run(versionInterval - taken)
@@ -92,10 +92,11 @@
 	b.ReportMetric(worst, "bytes/s-worst-10s")
 }
 
-// measureSurvey pauses one daemon and lets another one find it.
+// measureSurvey pauses one daemon and measures how long another one takes to find it by a
+// survey.
 func measureSurvey(b *testing.B, measured *fleet) {
-	missing := measured.addresses[5]
-	measured.network.Pause(virtualnet.NodeID(missing))
+	paused := measured.addresses[5]
+	measured.network.Pause(virtualnet.NodeID(paused))
 	version := measured.publish(measured.addresses[0])
 	measured.network.Run(2 * time.Second)
 	asking := measured.daemons[measured.addresses[0]]
@@ -110,9 +111,9 @@
 	for _, zone := range asking.surveys[0].Zones {
 		named = append(named, zone.BehindMembers...)
 	}
-	if !slices.Contains(named, missing) {
-		known, _ := asking.members.Member(missing)
-		b.Errorf("the survey names %v and not %v, which is %s, after %s", named, missing, known.State, measured.network.Now()-began)
+	if !slices.Contains(named, paused) {
+		known, _ := asking.members.Member(paused)
+		b.Errorf("the survey lists %v and not %v, which is %s, after %s", named, paused, known.State, measured.network.Now()-began)
 	}
 	b.ReportMetric((measured.network.Now() - began).Seconds(), "survey-s")
 	b.ReportMetric(float64(len(named)), "survey-named")
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -1,5 +1,5 @@
-// This file runs many daemons, each with its membership and its dissemination,
-// over a network in virtual time.
+// This file simulates a fleet of daemons, each with membership and dissemination, on a
+// network in virtual time.
 
 package dissemination_test
 
@@ -25,13 +25,13 @@
 	fetchTime        = 200 * time.Millisecond
 )
 
-// datagram carries one of the two protocols.
+// datagram carries a message of one of the two protocols.
 type datagram struct {
 	membership    *membership.Message
 	dissemination *dissemination.Message
 }
 
-// contents stands for the table: each version follows from the one before.
+// contents stands for the table. Each version follows from the one before.
 type contents struct {
 	version table.Version
 	hash    uint64
@@ -44,16 +44,16 @@
 
 // daemon is one process on the network.
 type daemon struct {
-	fleet    *fleet
-	identity membership.Identity
-	members  *membership.Machine
-	machine  *dissemination.Machine
-	contents contents
-	reached  map[table.Version]time.Duration
-	surveys  []dissemination.Survey
-	fetches  int
-	// stalePeers is set when the membership has changed.
-	stalePeers bool
+	fleet     *fleet
+	identity  membership.Identity
+	members   *membership.Machine
+	machine   *dissemination.Machine
+	contents  contents
+	appliedAt map[table.Version]time.Duration
+	surveys   []dissemination.Survey
+	fetches   int
+	// peersChanged is set when the membership has changed.
+	peersChanged bool
 }
 
 // fleet is a set of daemons on one network.
@@ -62,14 +62,14 @@
 	random        *rand.Rand
 	zones         int
 	zonesInRegion int
-	// regions is the number of regions; zero means as many as it takes.
-	regions   int
-	payload   int
-	network   *virtualnet.Network[datagram]
-	daemons   map[membership.Address]*daemon
-	addresses []membership.Address
-	starts    int
-	sabotage  func(*dissemination.Message)
+	// regions is the number of regions. Zero means as many as needed.
+	regions     int
+	payloadSize int
+	network     *virtualnet.Network[datagram]
+	daemons     map[membership.Address]*daemon
+	addresses   []membership.Address
+	starts      int
+	mutate      func(*dissemination.Message)
 	// violations describes broken invariants.
 	violations []string
 	// betweenRegions counts the pushes and deltas sent to other regions.
@@ -79,7 +79,7 @@
 func newFleet(seed uint64, members, zones, zonesInRegion int, config virtualnet.Config) *fleet {
 	created := &fleet{
 		seed: seed, random: rand.New(rand.NewPCG(seed, 3)),
-		zones: zones, zonesInRegion: zonesInRegion, payload: 150,
+		zones: zones, zonesInRegion: zonesInRegion, payloadSize: 150,
 		daemons: make(map[membership.Address]*daemon),
 	}
 	config.Seed = seed
@@ -129,7 +129,7 @@
 	members.SetSeeds(seeds)
 	started := &daemon{
 		fleet: f, identity: identity, members: members, machine: machine,
-		reached: make(map[table.Version]time.Duration),
+		appliedAt: make(map[table.Version]time.Duration),
 	}
 	f.daemons[address] = started
 	f.network.Attach(virtualnet.NodeID(address), started)
@@ -163,14 +163,14 @@
 	return running
 }
 
-// deltaOf returns the delta to a version, the same wherever it is published.
+// deltaOf returns the delta to a version. It is the same on every daemon.
 func (f *fleet) deltaOf(version table.Version) dissemination.Delta {
-	payload := make([]byte, f.payload)
+	payload := make([]byte, f.payloadSize)
 	binary.BigEndian.PutUint64(payload, uint64(version))
 	return dissemination.Delta{Version: version, Payload: payload}
 }
 
-// publish lets a daemon publish the version after the one it holds.
+// publish makes a daemon publish the version after the one it holds.
 func (f *fleet) publish(address membership.Address) table.Version {
 	origin := f.daemons[address]
 	version := origin.machine.Status().Held + 1
@@ -178,8 +178,8 @@
 	return version
 }
 
-// lagging returns the daemons that do not have the version in force.
-func (f *fleet) lagging(version table.Version) []membership.Address {
+// behind returns the daemons that have not applied the version.
+func (f *fleet) behind(version table.Version) []membership.Address {
 	var lagging []membership.Address
 	for _, observed := range f.running() {
 		if observed.machine.Status().Applied < version {
@@ -189,11 +189,11 @@
 	return lagging
 }
 
-// runUntilReached runs until all daemons have the version in force.
-func (f *fleet) runUntilReached(version table.Version, limit time.Duration) (time.Duration, []membership.Address) {
+// runUntilApplied runs until all daemons have applied the version or the limit has passed.
+func (f *fleet) runUntilApplied(version table.Version, limit time.Duration) (time.Duration, []membership.Address) {
 	began := f.network.Now()
 	for {
-		lagging := f.lagging(version)
+		lagging := f.behind(version)
 		taken := f.network.Now() - began
 		if len(lagging) == 0 || taken >= limit {
 			return taken, lagging
@@ -214,8 +214,8 @@
 func (d *daemon) Tick(now time.Duration) {
 	d.members.SetAttachment(d.machine.Attachment())
 	d.applyMembership(now, d.members.Tick(now))
-	if d.stalePeers {
-		d.stalePeers = false
+	if d.peersChanged {
+		d.peersChanged = false
 		d.machine.SetPeers(d.peers())
 	}
 	d.apply(d.machine.Tick(now))
@@ -251,7 +251,7 @@
 		case membership.EffectAttachment:
 			d.machine.ReceiveAttachment(now, effect.Member.Address, effect.Attachment)
 		default:
-			d.stalePeers = true
+			d.peersChanged = true
 		}
 	}
 }
@@ -273,13 +273,13 @@
 
 func (d *daemon) transmit(effect dissemination.Effect) {
 	message := effect.Message
-	if d.fleet.sabotage != nil {
-		d.fleet.sabotage(&message)
+	if d.fleet.mutate != nil {
+		d.fleet.mutate(&message)
 	}
 	encoded, err := message.MarshalMsg(nil)
 	must(err)
 	if len(encoded) > dissemination.MaximumDatagramSize {
-		panic(fmt.Sprintf("message of %d bytes", len(encoded)))
+		panic(fmt.Sprintf("a message of %d bytes exceeds the maximum datagram size", len(encoded)))
 	}
 	if len(message.Deltas) > 0 && d.fleet.regionOf(effect.To) != d.identity.Region {
 		d.fleet.betweenRegions++
@@ -291,21 +291,21 @@
 	d.fleet.network.Send(virtualnet.NodeID(d.identity.Address), virtualnet.NodeID(to), size, message)
 }
 
-// install puts contents in force and checks them.
+// install applies contents and checks them.
 func (d *daemon) install(next contents) {
 	if next.version <= d.contents.version {
-		d.violate("goes back to version %d", next.version)
+		d.violate("returned to version %d", next.version)
 	}
 	var expected contents
 	for version := range next.version {
 		expected = expected.apply(d.fleet.deltaOf(version + 1))
 	}
 	if next != expected {
-		d.violate("has wrong contents at version %d", next.version)
+		d.violate("applied wrong contents at version %d", next.version)
 	}
 	d.contents = next
 	d.machine.Applied(next.version)
-	d.reached[next.version] = d.fleet.network.Now()
+	d.appliedAt[next.version] = d.fleet.network.Now()
 }
 
 func (d *daemon) violate(format string, arguments ...any) {
@@ -313,7 +313,7 @@
 	d.fleet.violations = append(d.fleet.violations, fmt.Sprintf("%s %s", d.identity.Address, description))
 }
 
-// fetch stands for a connection: it takes a while and fails if the other
+// fetch stands for a fetch over a connection: it takes fetchTime and fails if the other
 // process has gone.
 func (d *daemon) fetch(from membership.Address) {
 	d.fetches++
--- a/internal/dissemination/history.go
+++ b/internal/dissemination/history.go
@@ -1,18 +1,18 @@
-// This file implements the deltas that a member keeps for others.
+// This file implements the deltas that a member keeps to serve pulls.
 
 package dissemination
 
 import "github.com/vanetiller/vanetiller/internal/table"
 
-// history holds consecutive deltas, the last one leading to the version held.
-type history struct {
+// deltaHistory holds consecutive deltas. The last one leads to the version held.
+type deltaHistory struct {
 	deltas []Delta
 	bytes  int
 	limit  int
 }
 
-// add appends the next delta and forgets the oldest ones beyond the limit.
-func (h *history) add(delta Delta) {
+// add appends the next delta and discards the oldest ones beyond the limit.
+func (h *deltaHistory) add(delta Delta) {
 	h.deltas = append(h.deltas, delta)
 	h.bytes += len(delta.Payload) + deltaOverhead
 	for h.bytes > h.limit {
@@ -21,14 +21,14 @@
 	}
 }
 
-func (h *history) reset() {
+func (h *deltaHistory) reset() {
 	h.deltas = nil
 	h.bytes = 0
 }
 
-// after returns the deltas that lead from a version to the one held. It
-// returns false if some are not kept.
-func (h *history) after(version, held table.Version) ([]Delta, bool) {
+// after returns the deltas from a version to the one held. It returns false if some of them
+// are not kept.
+func (h *deltaHistory) after(version, held table.Version) ([]Delta, bool) {
 	if version >= held {
 		return nil, version == held
 	}
@@ -39,12 +39,12 @@
 	return h.deltas[len(h.deltas)-int(missing):], true
 }
 
-// fitting returns as many of the deltas, from the first, as fit in a message.
-func fitting(deltas []Delta) []Delta {
-	room := MaximumDatagramSize - messageOverhead
+// deltasThatFit returns as many of the deltas, from the first on, as fit in a message.
+func deltasThatFit(deltas []Delta) []Delta {
+	available := MaximumDatagramSize - messageOverhead
 	for index, delta := range deltas {
-		room -= len(delta.Payload) + deltaOverhead
-		if room < 0 {
+		available -= len(delta.Payload) + deltaOverhead
+		if available < 0 {
 			return deltas[:index]
 		}
 	}
--- a/internal/dissemination/message.go
+++ b/internal/dissemination/message.go
@@ -1,4 +1,4 @@
-// This file defines the messages that daemons exchange about table versions.
+// This file defines the messages that daemons exchange about versions of the table.
 
 package dissemination
 
@@ -11,57 +11,55 @@
 //msgp:limit arrays:1200
 //msgp:tuple Delta Status Message
 
-// Delta is the change from the version before to Version. Its payload is
-// opaque.
+// Delta is the change from the previous version to Version. Its payload is opaque.
 type Delta struct {
 	Version table.Version
 	Payload []byte
 }
 
-// Status is what a member says of itself. It travels with every message, and
-// with the pings of package membership.
+// Status tells the versions of a member. It is part of every message and of the pings of
+// package membership.
 type Status struct {
 	// Held is the newest version that the member can give to others.
 	Held table.Version
-	// Applied is the newest version that the member has put in force.
+	// Applied is the newest version that the member has applied.
 	Applied table.Version
 }
 
-// Kind is the purpose of a message.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	// KindPush carries new deltas, or announces them if they are too long.
+	// KindPush carries new deltas, or announces them without content if they are too long.
 	KindPush Kind = iota
 	// KindPull asks for the deltas after Status.Held.
 	KindPull
 	// KindDeltas answers a pull.
 	KindDeltas
-	// KindFetchRequired answers a pull that takes more than a datagram: the asking
-	// member shall fetch over a connection.
+	// KindFetchRequired answers a pull whose deltas do not fit in a datagram or are no
+	// longer kept. The requester must fetch over a connection.
 	KindFetchRequired
 	// KindStatusRequest asks for the receiver's status.
 	KindStatusRequest
 	// KindStatus answers a status request.
 	KindStatus
-	// KindZoneRequest asks who in the receiver's zone has not put Version in
-	// force.
+	// KindZoneRequest asks which members of the receiver's zone have not applied Version.
 	KindZoneRequest
 	// KindZoneReport answers a zone request.
 	KindZoneReport
 )
 
-// Scope tells how far the receiver of a push shall pass it on.
+// Scope is the part of the fleet in which the receiver of a push must distribute it.
 type Scope uint8
 
 // The scopes of a push.
 const (
-	// ScopeZone: within its zone.
+	// ScopeZone: the zone of the receiver.
 	ScopeZone Scope = iota
-	// ScopeRegion: to all zones of its region.
+	// ScopeRegion: all zones of the receiver's region.
 	ScopeRegion
-	// ScopeFleet: to all regions.
+	// ScopeFleet: all regions.
 	ScopeFleet
 )
 
@@ -71,12 +69,12 @@
 	Status Status
 	Scope  Scope
 	Deltas []Delta
-	// Sequence ties an answer to a status request or zone request.
+	// Sequence matches an answer to a status request or zone request.
 	Sequence uint32
-	// Version is what a zone request or report concerns.
+	// Version is the version that a zone request or report concerns.
 	Version table.Version
-	// AppliedCount counts members with the version in force, Behind those without;
-	// Missing names the latter, as many as fit.
+	// AppliedCount counts the members that have applied the version, BehindCount those that
+	// have not. BehindMembers lists the latter, as many as fit.
 	AppliedCount  uint32
 	BehindCount   uint32
 	BehindMembers []membership.Address
--- a/internal/dissemination/message_test.go
+++ b/internal/dissemination/message_test.go
@@ -11,8 +11,8 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-var _ = ginkgo.Describe("a message", func() {
-	ginkgo.It("survives encoding with as much as fits in a datagram", func() {
+var _ = ginkgo.Describe("Message", func() {
+	ginkgo.It("is unchanged by encoding and decoding when it fills a datagram", func() {
 		sent := dissemination.Message{
 			Kind:   dissemination.KindPush,
 			Status: dissemination.Status{Held: 1 << 40, Applied: 7},
@@ -29,7 +29,7 @@
 		gomega.Expect(received.Status).To(gomega.Equal(sent.Status))
 	})
 
-	ginkgo.It("is refused if it claims more than a datagram holds", func() {
+	ginkgo.It("returns an error when decoding more members than a datagram can hold", func() {
 		forged := dissemination.Message{BehindMembers: make([]membership.Address, 2000)}
 		encoded, err := forged.MarshalMsg(nil)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -1,4 +1,4 @@
-// This file implements the list of peers, by zone and region.
+// This file implements the list of peers by zone and region.
 
 package dissemination
 
@@ -9,32 +9,32 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-// Peer is another live member, as package membership knows it.
+// Peer is another live member of package membership.
 type Peer struct {
 	Identity membership.Identity
-	// Reachable is false while its zone cannot be reached.
+	// Reachable is false while the zone of the peer is unreachable.
 	Reachable bool
 }
 
-// peerList holds the peers and the last status heard of each.
+// peerList holds the peers and the last status received from each.
 type peerList struct {
-	zones    [membership.MaximumZones][]Peer
-	identity map[membership.Address]Peer
-	status   map[membership.Address]Status
+	zones     [membership.MaximumZones][]Peer
+	byAddress map[membership.Address]Peer
+	status    map[membership.Address]Status
 }
 
 func newPeerList() *peerList {
 	return &peerList{
-		identity: make(map[membership.Address]Peer),
-		status:   make(map[membership.Address]Status),
+		byAddress: make(map[membership.Address]Peer),
+		status:    make(map[membership.Address]Status),
 	}
 }
 
-// set replaces the peers. The status of a process that was replaced is
-// forgotten.
+// set replaces the peers. It discards the status of peers that have gone or were replaced
+// by another process.
 func (p *peerList) set(peers []Peer, self membership.Address) {
-	before := p.identity
-	p.identity = make(map[membership.Address]Peer, len(peers))
+	before := p.byAddress
+	p.byAddress = make(map[membership.Address]Peer, len(peers))
 	p.zones = [membership.MaximumZones][]Peer{}
 	for _, peer := range peers {
 		address := peer.Identity.Address
@@ -42,18 +42,19 @@
 			continue
 		}
 		p.zones[peer.Identity.Zone] = append(p.zones[peer.Identity.Zone], peer)
-		p.identity[address] = peer
+		p.byAddress[address] = peer
 	}
 	for address, known := range before {
-		if p.identity[address].Identity != known.Identity {
+		if p.byAddress[address].Identity != known.Identity {
 			delete(p.status, address)
 		}
 	}
 }
 
-// hear records a status. An older one that was delayed does not replace it.
-func (p *peerList) hear(from membership.Address, status Status) {
-	if _, exists := p.identity[from]; !exists {
+// recordStatus records a status. An older one that arrives late does not lower the
+// versions.
+func (p *peerList) recordStatus(from membership.Address, status Status) {
+	if _, exists := p.byAddress[from]; !exists {
 		return
 	}
 	known := p.status[from]
@@ -63,7 +64,7 @@
 	}
 }
 
-// choose returns up to count different reachable peers that suit.
+// choose returns up to count different reachable peers that match, at random.
 func (p *peerList) choose(random *rand.Rand, count int, matches func(Peer) bool) []membership.Address {
 	var candidates []membership.Address
 	for zone := range p.zones {
@@ -81,7 +82,7 @@
 	return candidates[:count]
 }
 
-// regions returns the regions with a peer, in order.
+// regions returns the regions that have a peer, in the order of their zones.
 func (p *peerList) regions() []membership.Region {
 	var regions []membership.Region
 	for zone := range p.zones {
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -1,4 +1,4 @@
-// This file implements fetching versions that this process misses.
+// This file implements pulling versions that this process lacks.
 
 package dissemination
 
@@ -10,11 +10,11 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// pull is the state of fetching.
-type pull struct {
+// pullState is the state of pulling and fetching.
+type pullState struct {
 	// wanted is the newest version that another member holds.
 	wanted table.Version
-	// scope is how far to push what is fetched.
+	// scope is the scope in which pulled deltas are pushed on.
 	scope Scope
 	next  time.Duration
 	// fetching is set while the caller fetches over a connection.
@@ -22,14 +22,15 @@
 	fetchDeadline time.Duration
 }
 
-// hear notes the status of another member.
-func (m *Machine) hear(now time.Duration, from membership.Address, status Status, scope Scope) {
-	m.peers.hear(from, status)
+// recordStatus records the status of another member and schedules a pull if it holds a
+// newer version.
+func (m *Machine) recordStatus(now time.Duration, from membership.Address, status Status, scope Scope) {
+	m.peers.recordStatus(from, status)
 	if status.Held <= m.pull.wanted {
 		return
 	}
 	if m.pull.wanted <= m.status.Held {
-		// A push is probably on its way.
+		// A push of the version probably arrives soon, so the pull is delayed.
 		m.pull.next = now + time.Duration(m.config.Random.Int64N(int64(m.config.PullDelay)))
 		m.pull.scope = ScopeZone
 	}
@@ -37,7 +38,7 @@
 	m.pull.scope = max(m.pull.scope, scope)
 }
 
-// pullIfBehind asks a peer for what this process misses.
+// pullIfBehind asks a peer for the versions that this process lacks.
 func (m *Machine) pullIfBehind(now time.Duration) {
 	if m.pull.fetching && now >= m.pull.fetchDeadline {
 		m.pull.fetching = false
@@ -46,30 +47,30 @@
 		return
 	}
 	m.pull.next = now + m.config.PullTimeout
-	if source, exists := m.source(); exists {
+	if source, exists := m.pullSource(); exists {
 		m.send(source, Message{Kind: KindPull})
 	}
 }
 
-// continuePull asks for the rest at once.
+// continuePull asks for the remaining versions without delay.
 func (m *Machine) continuePull(now time.Duration) {
 	m.pull.next = now
 	m.pullIfBehind(now)
 }
 
-// source returns a random peer that holds more than this process, in the own
-// zone, else in the own region, else anywhere.
-func (m *Machine) source() (membership.Address, bool) {
+// pullSource returns a random peer that holds a newer version than this process, from the
+// own zone, else from the own region, else from anywhere.
+func (m *Machine) pullSource() (membership.Address, bool) {
 	own := m.config.Self
 	ahead := func(peer Peer) bool {
 		return m.peers.status[peer.Identity.Address].Held > m.status.Held
 	}
-	nearby := []func(Peer) bool{
+	preferences := []func(Peer) bool{
 		func(peer Peer) bool { return peer.Identity.Zone == own.Zone && ahead(peer) },
 		func(peer Peer) bool { return peer.Identity.Region == own.Region && ahead(peer) },
 		ahead,
 	}
-	for _, matches := range nearby {
+	for _, matches := range preferences {
 		if found := m.peers.choose(m.config.Random, 1, matches); len(found) > 0 {
 			return found[0], true
 		}
@@ -77,13 +78,13 @@
 	return 0, false
 }
 
-// answerPull sends what the asking member misses.
+// answerPull sends the deltas that the requester lacks.
 func (m *Machine) answerPull(to membership.Address, request Message) {
 	if request.Status.Held >= m.status.Held {
 		return
 	}
 	deltas, kept := m.history.after(request.Status.Held, m.status.Held)
-	sent := fitting(deltas)
+	sent := deltasThatFit(deltas)
 	if !kept || len(sent) == 0 {
 		m.send(to, Message{Kind: KindFetchRequired})
 		return
@@ -91,8 +92,8 @@
 	m.send(to, Message{Kind: KindDeltas, Deltas: sent})
 }
 
-// receiveDeltas takes in the deltas that continue what is held; others are old
-// or leave a gap, which a pull will close.
+// receiveDeltas applies the deltas that follow the version held. Others are old, or there
+// is a gap before them that a pull will close.
 func (m *Machine) receiveDeltas(now time.Duration, message Message) {
 	next := m.status.Held + 1
 	start := slices.IndexFunc(message.Deltas, func(delta Delta) bool { return delta.Version == next })
@@ -110,14 +111,14 @@
 	if message.Kind == KindDeltas {
 		scope = m.pull.scope
 	}
-	m.advance(accepted, scope)
+	m.applyDeltas(accepted, scope)
 	if message.Kind == KindDeltas {
 		m.continuePull(now)
 	}
 }
 
-// beginFetch asks the caller to fetch over a connection.
-func (m *Machine) beginFetch(now time.Duration, from membership.Address, message Message) {
+// requestFetch asks the caller to fetch over a connection.
+func (m *Machine) requestFetch(now time.Duration, from membership.Address, message Message) {
 	if m.pull.fetching || message.Status.Held <= m.status.Held {
 		return
 	}
--- a/internal/dissemination/push.go
+++ b/internal/dissemination/push.go
@@ -1,11 +1,11 @@
-// This file implements pushing new versions onwards.
+// This file implements pushing new versions to peers.
 
 package dissemination
 
 import "github.com/vanetiller/vanetiller/internal/membership"
 
-// advance takes in the next deltas and pushes them on.
-func (m *Machine) advance(deltas []Delta, scope Scope) {
+// applyDeltas records the next deltas, has the caller apply them and pushes them on.
+func (m *Machine) applyDeltas(deltas []Delta, scope Scope) {
 	for _, delta := range deltas {
 		m.status.Held = delta.Version
 		m.history.add(delta)
@@ -14,10 +14,10 @@
 	m.push(deltas, scope)
 }
 
-// push sends the deltas, or an announcement if they are too long, to a few
-// members of every part of the fleet that the scope covers. Only the first
-// member of a part that gets them pushes into its smaller parts, so that the
-// links between regions carry each version EntryFanout times.
+// push sends the deltas, or an announcement if they are too long, to a few members of every
+// part of the fleet that the scope covers. Only the first member of a part that receives
+// them pushes to its smaller parts, so that each version crosses the link to another region
+// only RemoteFanout times.
 func (m *Machine) push(deltas []Delta, scope Scope) {
 	own := m.config.Self
 	if scope == ScopeFleet {
@@ -43,13 +43,13 @@
 	})
 }
 
-// pushTo sends to some of the peers that suit and are not known to have it.
+// pushTo sends the deltas to some of the matching peers that are not known to hold them.
 func (m *Machine) pushTo(deltas []Delta, scope Scope, count int, matches func(Peer) bool) {
 	lacking := func(peer Peer) bool {
 		return matches(peer) && m.peers.status[peer.Identity.Address].Held < m.status.Held
 	}
 	message := Message{Kind: KindPush, Scope: scope, Deltas: deltas}
-	if len(fitting(deltas)) < len(deltas) {
+	if len(deltasThatFit(deltas)) < len(deltas) {
 		message.Deltas = nil
 	}
 	for _, address := range m.peers.choose(m.config.Random, count, lacking) {
--- a/internal/dissemination/schedule_test.go
+++ b/internal/dissemination/schedule_test.go
@@ -1,5 +1,5 @@
-// This file checks random schedules of faults and changes: no daemon goes back
-// to an older version, and afterwards all reach the newest one.
+// This file checks random schedules of faults and changes: no daemon returns to an older
+// version, and all reach the newest one after the faults have ended.
 
 package dissemination_test
 
@@ -25,10 +25,10 @@
 	})
 }
 
-func runRandomSchedule(t *rapid.T, sabotage func(*dissemination.Message)) string {
+func runRandomSchedule(t *rapid.T, mutate func(*dissemination.Message)) string {
 	cluster := newFleet(rapid.Uint64().Draw(t, "seed"), 12, 3, 2,
 		virtualnet.Config{Loss: 0.05, Duplication: 0.05, Jitter: 20 * time.Millisecond})
-	cluster.sabotage = sabotage
+	cluster.mutate = mutate
 	cluster.startAll(time.Second, 15*time.Second)
 	for range rapid.IntRange(1, 12).Draw(t, "events") {
 		injectEvent(t, cluster)
@@ -39,12 +39,12 @@
 	for _, address := range cluster.addresses {
 		cluster.network.Resume(virtualnet.NodeID(address))
 	}
-	_, lagging := cluster.runUntilReached(cluster.newest(), scheduleLimit)
+	_, lagging := cluster.runUntilApplied(cluster.newest(), scheduleLimit)
 	if len(cluster.violations) > 0 {
 		return cluster.violations[0]
 	}
 	if len(lagging) > 0 {
-		return lagging[0].String() + " lags"
+		return lagging[0].String() + " has not applied the newest version"
 	}
 	return ""
 }
@@ -78,31 +78,32 @@
 	}
 }
 
-// TestRandomSchedulesFindPlantedFaults checks that the check above can fail.
-func TestRandomSchedulesFindPlantedFaults(t *testing.T) {
-	planted := map[string]func(*dissemination.Message){
+// TestRandomSchedulesDetectInjectedFaults checks that the check above can fail: some random
+// schedule must detect each fault that is injected into the messages.
+func TestRandomSchedulesDetectInjectedFaults(t *testing.T) {
+	faults := map[string]func(*dissemination.Message){
 		"pulls are not answered": func(message *dissemination.Message) {
 			if message.Kind == dissemination.KindDeltas || message.Kind == dissemination.KindFetchRequired {
 				message.Kind = dissemination.KindStatus
 				message.Deltas = nil
 			}
 		},
-		"a delta gets the number of the next": func(message *dissemination.Message) {
+		"a delta has the version number of its predecessor": func(message *dissemination.Message) {
 			if len(message.Deltas) > 1 {
 				message.Deltas = slices.Clone(message.Deltas[1:])
 				message.Deltas[0].Version--
 			}
 		},
 	}
-	for name, sabotage := range planted {
+	for name, mutate := range faults {
 		t.Run(name, func(t *testing.T) {
 			found := false
 			for seed := 0; seed < 40 && !found; seed++ {
-				generated := rapid.Custom(func(t *rapid.T) bool { return runRandomSchedule(t, sabotage) != "" })
+				generated := rapid.Custom(func(t *rapid.T) bool { return runRandomSchedule(t, mutate) != "" })
 				found = generated.Example(seed)
 			}
 			if !found {
-				t.Error("no schedule found the fault")
+				t.Error("no schedule of 40 detected the injected fault")
 			}
 		})
 	}
--- a/internal/dissemination/survey.go
+++ b/internal/dissemination/survey.go
@@ -1,4 +1,4 @@
-// This file implements surveys: which members have put a version in force.
+// This file implements surveys, which find out which members have applied a version.
 
 package dissemination
 
@@ -12,123 +12,124 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// maximumSurveys bounds the surveys that one process has under way.
+// maximumSurveys limits the surveys that one process runs at a time.
 const maximumSurveys = 8
 
-// ErrTooManySurveys is returned by Survey while maximumSurveys are under way.
-var ErrTooManySurveys = errors.New("dissemination: too many surveys under way")
+// ErrTooManySurveys is returned by Survey while maximumSurveys are running.
+var ErrTooManySurveys = errors.New("dissemination: the maximum number of surveys is already running")
 
-// survey is one survey under way.
+// survey is one running survey.
 type survey struct {
 	sequence uint32
 	version  table.Version
-	zones    []*zoneInquiry
+	zones    []*zoneRequest
 }
 
-// zoneInquiry is the part of a survey for one zone.
-type zoneInquiry struct {
+// zoneRequest is the part of a survey that concerns one zone.
+type zoneRequest struct {
 	result   ZoneSurvey
 	done     bool
-	tries    int
+	attempts int
 	asked    []membership.Address
 	deadline time.Duration
 }
 
-// Survey begins to find out which members have a version in force. A member
-// that is declared failed meanwhile is none and is not counted. The result
-// comes as an EffectSurveyed after at most ReportTries times ReportTimeout. It
-// returns ErrTooManySurveys if too many are under way.
+// Survey starts to find out which members have applied a version. Members that are declared
+// failed in the meantime are not counted. The result is an EffectSurveyDone after at most
+// ReportAttempts times ReportTimeout. Survey returns ErrTooManySurveys if too many surveys
+// are running.
 func (m *Machine) Survey(now time.Duration, version table.Version) ([]Effect, error) {
-	m.begin()
+	m.resetEffects()
 	if len(m.surveys) >= maximumSurveys {
 		return nil, ErrTooManySurveys
 	}
 	started := &survey{sequence: m.nextSequence(), version: version}
 	for zone := range membership.Zone(membership.MaximumZones) {
 		if zone == m.config.Self.Zone || len(m.peers.zones[zone]) > 0 {
-			started.zones = append(started.zones, &zoneInquiry{result: ZoneSurvey{Zone: zone}, deadline: now})
+			started.zones = append(started.zones, &zoneRequest{result: ZoneSurvey{Zone: zone}, deadline: now})
 		}
 	}
 	m.surveys = append(m.surveys, started)
-	m.startTask(now, &zoneTask{sequence: started.sequence, version: version})
+	m.startZonePoll(now, &zonePoll{sequence: started.sequence, version: version})
 	m.advanceSurveys(now)
 	return m.effects, nil
 }
 
 func (m *Machine) advanceSurveys(now time.Duration) {
 	for _, running := range m.surveys {
-		for _, inquiry := range running.zones {
-			m.advanceInquiry(now, running, inquiry)
+		for _, request := range running.zones {
+			m.advanceRequest(now, running, request)
 		}
 	}
 	m.surveys = slices.DeleteFunc(m.surveys, m.finishSurvey)
 }
 
-// advanceInquiry asks further members of a zone if the last ones were silent.
-// Two at a time make up for lost datagrams; the first answer counts. The own
-// zone is the matter of a task of this process.
-func (m *Machine) advanceInquiry(now time.Duration, running *survey, inquiry *zoneInquiry) {
-	zone := inquiry.result.Zone
-	if inquiry.done || now < inquiry.deadline || zone == m.config.Self.Zone {
+// advanceRequest asks further members of a zone if the previous ones did not answer. Asking
+// two at a time compensates for lost datagrams, and the first answer counts. The own zone
+// is polled by this process itself.
+func (m *Machine) advanceRequest(now time.Duration, running *survey, request *zoneRequest) {
+	zone := request.result.Zone
+	if request.done || now < request.deadline || zone == m.config.Self.Zone {
 		return
 	}
 	found := m.peers.choose(m.config.Random, m.config.ReportFanout, func(peer Peer) bool {
-		return peer.Identity.Zone == zone && !slices.Contains(inquiry.asked, peer.Identity.Address)
+		return peer.Identity.Zone == zone && !slices.Contains(request.asked, peer.Identity.Address)
 	})
-	if inquiry.tries >= m.config.ReportAttempts || len(found) == 0 {
-		m.concludeUnanswered(inquiry)
+	if request.attempts >= m.config.ReportAttempts || len(found) == 0 {
+		m.endUnanswered(request)
 		return
 	}
-	inquiry.tries++
-	inquiry.asked = append(inquiry.asked, found...)
-	inquiry.deadline = now + m.config.ReportTimeout
+	request.attempts++
+	request.asked = append(request.asked, found...)
+	request.deadline = now + m.config.ReportTimeout
 	for _, address := range found {
 		m.send(address, Message{Kind: KindZoneRequest, Sequence: running.sequence, Version: running.version})
 	}
 }
 
-// concludeUnanswered names all members of a zone that did not answer.
-func (m *Machine) concludeUnanswered(inquiry *zoneInquiry) {
-	inquiry.done = true
-	for _, peer := range m.peers.zones[inquiry.result.Zone] {
-		inquiry.result.BehindCount++
-		if len(inquiry.result.BehindMembers) < namedMembers {
-			inquiry.result.BehindMembers = append(inquiry.result.BehindMembers, peer.Identity.Address)
+// endUnanswered counts all members of a zone as behind, since none of them answered.
+func (m *Machine) endUnanswered(request *zoneRequest) {
+	request.done = true
+	for _, peer := range m.peers.zones[request.result.Zone] {
+		request.result.BehindCount++
+		if len(request.result.BehindMembers) < maximumBehindMembers {
+			request.result.BehindMembers = append(request.result.BehindMembers, peer.Identity.Address)
 		}
 	}
 }
 
-// receiveReport takes in the answer of a member that was asked.
+// receiveReport handles the report of a member that was asked.
 func (m *Machine) receiveReport(from membership.Address, message Message) {
 	for _, running := range m.surveys {
 		if running.sequence != message.Sequence {
 			continue
 		}
-		for _, inquiry := range running.zones {
-			if !inquiry.done && slices.Contains(inquiry.asked, from) {
-				m.concludeAnswered(inquiry, message)
+		for _, request := range running.zones {
+			if !request.done && slices.Contains(request.asked, from) {
+				m.endAnswered(request, message)
 			}
 		}
 	}
 	m.surveys = slices.DeleteFunc(m.surveys, m.finishSurvey)
 }
 
-func (m *Machine) concludeAnswered(inquiry *zoneInquiry, report Message) {
-	inquiry.done = true
-	inquiry.result.Answered = true
-	inquiry.result.AppliedCount = int(report.AppliedCount)
-	inquiry.result.BehindCount = int(report.BehindCount)
-	inquiry.result.BehindMembers = report.BehindMembers
+func (m *Machine) endAnswered(request *zoneRequest, report Message) {
+	request.done = true
+	request.result.Answered = true
+	request.result.AppliedCount = int(report.AppliedCount)
+	request.result.BehindCount = int(report.BehindCount)
+	request.result.BehindMembers = report.BehindMembers
 }
 
-// finishSurvey reports a survey if all zones are done, and returns whether.
+// finishSurvey emits the result of a survey if all zones are done. It reports whether they
+// are.
 func (m *Machine) finishSurvey(running *survey) bool {
 	result := Survey{Version: running.version}
-	for _, inquiry := range running.zones {
-		if !inquiry.done {
+	for _, request := range running.zones {
+		if !request.done {
 			return false
 		}
-		result.Zones = append(result.Zones, inquiry.result)
+		result.Zones = append(result.Zones, request.result)
 	}
 	m.effects = append(m.effects, Effect{Kind: EffectSurveyDone, Survey: result})
 	return true
--- a/internal/dissemination/zonepoll.go
+++ b/internal/dissemination/zonepoll.go
@@ -1,4 +1,4 @@
-// This file implements a member's part in a survey: asking its own zone.
+// This file implements the poll of a member's own zone on behalf of a survey.
 
 package dissemination
 
@@ -10,91 +10,93 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// maximumTasks bounds the zone requests that one process works on.
-const maximumTasks = 16
+// maximumZonePolls limits the zone polls that one process runs at a time.
+const maximumZonePolls = 16
 
-// zoneTask asks the members of the own zone on behalf of a survey.
-type zoneTask struct {
+// zonePoll asks the members of the own zone for their status on behalf of a survey.
+type zonePoll struct {
 	// requester is zero for a survey of this process.
 	requester membership.Address
-	// sequence is that of the survey, request that of the status requests.
-	sequence uint32
-	request  uint32
-	version  table.Version
-	tries    int
-	next     time.Duration
+	// sequence is the sequence of the survey, statusSequence that of the status requests.
+	sequence       uint32
+	statusSequence uint32
+	version        table.Version
+	attempts       int
+	next           time.Duration
 }
 
-// beginTask starts the work on a zone request, unless it is a repetition.
-func (m *Machine) beginTask(now time.Duration, from membership.Address, message Message) {
-	repeated := slices.ContainsFunc(m.tasks, func(running *zoneTask) bool {
+// receiveZoneRequest starts a poll for a zone request, unless one is running for it
+// already.
+func (m *Machine) receiveZoneRequest(now time.Duration, from membership.Address, message Message) {
+	repeated := slices.ContainsFunc(m.zonePolls, func(running *zonePoll) bool {
 		return running.requester == from && running.sequence == message.Sequence
 	})
-	if repeated || len(m.tasks) >= maximumTasks {
+	if repeated || len(m.zonePolls) >= maximumZonePolls {
 		return
 	}
-	m.startTask(now, &zoneTask{requester: from, sequence: message.Sequence, version: message.Version})
+	m.startZonePoll(now, &zonePoll{requester: from, sequence: message.Sequence, version: message.Version})
 }
 
-func (m *Machine) startTask(now time.Duration, started *zoneTask) {
-	started.request = m.nextSequence()
+func (m *Machine) startZonePoll(now time.Duration, started *zonePoll) {
+	started.statusSequence = m.nextSequence()
 	started.next = now
-	m.tasks = append(m.tasks, started)
-	m.advanceTasks(now)
+	m.zonePolls = append(m.zonePolls, started)
+	m.advanceZonePolls(now)
 }
 
-func (m *Machine) advanceTasks(now time.Duration) {
-	m.tasks = slices.DeleteFunc(m.tasks, func(running *zoneTask) bool { return m.advanceTask(now, running) })
+func (m *Machine) advanceZonePolls(now time.Duration) {
+	m.zonePolls = slices.DeleteFunc(m.zonePolls, func(running *zonePoll) bool { return m.advanceZonePoll(now, running) })
 }
 
-// receiveStatus may end tasks; the status itself has been recorded.
-func (m *Machine) receiveStatus(now time.Duration, _ membership.Address) { m.advanceTasks(now) }
+// receiveStatus advances the polls, some of which may be done. The status itself has been
+// recorded already.
+func (m *Machine) receiveStatus(now time.Duration, _ membership.Address) { m.advanceZonePolls(now) }
 
-// advanceTask asks the members that are not known to have the version, and
-// returns whether the task has ended.
-func (m *Machine) advanceTask(now time.Duration, running *zoneTask) bool {
-	missing := m.behind(running.version)
-	if len(missing) == 0 || now >= running.next && running.tries >= m.config.StatusAttempts {
-		m.report(running, missing)
+// advanceZonePoll asks the members that are not known to have applied the version. It
+// reports whether the poll is done.
+func (m *Machine) advanceZonePoll(now time.Duration, running *zonePoll) bool {
+	behindMembers := m.behindMembers(running.version)
+	if len(behindMembers) == 0 || now >= running.next && running.attempts >= m.config.StatusAttempts {
+		m.sendReport(running, behindMembers)
 		return true
 	}
 	if now < running.next {
 		return false
 	}
-	running.tries++
+	running.attempts++
 	running.next = now + m.config.StatusTimeout
-	for _, address := range missing {
+	for _, address := range behindMembers {
 		if address != m.config.Self.Address {
-			m.send(address, Message{Kind: KindStatusRequest, Sequence: running.request})
+			m.send(address, Message{Kind: KindStatusRequest, Sequence: running.statusSequence})
 		}
 	}
 	return false
 }
 
-// behind returns the members of the own zone, this process included, that are
-// not known to have put the version in force.
-func (m *Machine) behind(version table.Version) []membership.Address {
-	var missing []membership.Address
+// behindMembers returns the members of the own zone, this process included, that are not
+// known to have applied the version.
+func (m *Machine) behindMembers(version table.Version) []membership.Address {
+	var behindMembers []membership.Address
 	if m.status.Applied < version {
-		missing = append(missing, m.config.Self.Address)
+		behindMembers = append(behindMembers, m.config.Self.Address)
 	}
 	for _, peer := range m.peers.zones[m.config.Self.Zone] {
 		if m.peers.status[peer.Identity.Address].Applied < version {
-			missing = append(missing, peer.Identity.Address)
+			behindMembers = append(behindMembers, peer.Identity.Address)
 		}
 	}
-	return missing
+	return behindMembers
 }
 
-func (m *Machine) report(ended *zoneTask, missing []membership.Address) {
+func (m *Machine) sendReport(ended *zonePoll, behindMembers []membership.Address) {
 	members := 1 + len(m.peers.zones[m.config.Self.Zone])
 	report := Message{
 		Kind:          KindZoneReport,
 		Sequence:      ended.sequence,
 		Version:       ended.version,
-		AppliedCount:  uint32(members - len(missing)),
-		BehindCount:   uint32(len(missing)),
-		BehindMembers: missing[:min(len(missing), namedMembers)],
+		AppliedCount:  uint32(members - len(behindMembers)),
+		BehindCount:   uint32(len(behindMembers)),
+		BehindMembers: behindMembers[:min(len(behindMembers), maximumBehindMembers)],
 	}
 	if ended.requester != 0 {
 		m.send(ended.requester, report)
@@ -102,15 +104,15 @@
 	}
 	for _, running := range m.surveys {
 		if running.sequence == ended.sequence {
-			m.concludeOwnZone(running, report)
+			m.endOwnZone(running, report)
 		}
 	}
 }
 
-func (m *Machine) concludeOwnZone(running *survey, report Message) {
-	for _, inquiry := range running.zones {
-		if inquiry.result.Zone == m.config.Self.Zone {
-			m.concludeAnswered(inquiry, report)
+func (m *Machine) endOwnZone(running *survey, report Message) {
+	for _, request := range running.zones {
+		if request.result.Zone == m.config.Self.Zone {
+			m.endAnswered(request, report)
 		}
 	}
 }
