--- a/internal/relay/room.go
+++ b/internal/relay/capacity.go
@@ -51,7 +51,7 @@
 // overloaded reports whether the endpoint would take longer for the requests
 // that wait than a client waits for an answer, so that a new flow is better
 // offered to another or refused before anything of it has run.
-func (a *Agent) overloaded(terms Terms) bool {
+func (a *Agent) overloaded(terms FlowParameters) bool {
 	a.pace.slots = terms.Slots
 	if terms.Slots == 0 || terms.Timeout == 0 {
 		return false
@@ -63,7 +63,7 @@
 // busy reports whether a new request would have to wait. A balancer knows only the flows
 // that it has placed itself, among hundreds next to nothing, so that it may find one that is
 // not.
-func (a *Agent) busy(terms Terms) bool {
+func (a *Agent) busy(terms FlowParameters) bool {
 	return terms.Slots > 0 && a.pending() >= a.pace.limit()
 }
 
@@ -75,7 +75,7 @@
 		rests := a.now-flow.opened >= openingLasts
 		return !flow.running() || flow.work.served || len(flow.work.held) > 0 || rests
 	})
-	return a.pace.occupied + a.queue.inTime(a.now, a.capacity().Work) + uint32(len(a.opening))
+	return a.pace.occupied + a.queue.inTime(a.now, a.capacity().ProcessingTime) + uint32(len(a.opening))
 }
 
 // noteStarts notes which requests the endpoint has begun to work on: it takes them in the
@@ -93,6 +93,6 @@
 // answer, without the time for which the request has waited there.
 func (a *Agent) measure(now time.Duration, key segment.FlowKey, known *agentFlow) {
 	if known.work.occupies && known.started >= known.work.since {
-		a.meter.Answered(key.Service, now-known.started)
+		a.meter.Observe(key.Service, now-known.started)
 	}
 }
