--- a/internal/dissemination/faults_test.go
+++ b/internal/dissemination/faults_test.go
@@ -27,8 +27,8 @@
 
 	expectApplied := func(version table.Version, limit time.Duration) {
 		ginkgo.GinkgoHelper()
-		_, lagging := cluster.runUntilApplied(version, limit)
-		gomega.Expect(lagging).To(gomega.BeEmpty())
+		_, behind := cluster.runUntilApplied(version, limit)
+		gomega.Expect(behind).To(gomega.BeEmpty())
 		gomega.Expect(cluster.violations).To(gomega.BeEmpty())
 	}
 	surveyFrom := func(address membership.Address, version table.Version) dissemination.Survey {
--- a/internal/dissemination/fleet_bench_test.go
+++ b/internal/dissemination/fleet_bench_test.go
@@ -70,9 +70,9 @@
 	var times []time.Duration
 	for number := range measuredVersions {
 		version := measured.publish(measured.addresses[number*31])
-		taken, lagging := measured.runUntilApplied(version, versionLimit)
-		if len(lagging) > 0 || len(measured.violations) > 0 {
-			b.Fatalf("version %d: %d daemons have not applied it, violations %v", version, len(lagging), measured.violations)
+		taken, behind := measured.runUntilApplied(version, versionLimit)
+		if len(behind) > 0 || len(measured.violations) > 0 {
+			b.Fatalf("version %d: %d daemons have not applied it, violations %v", version, len(behind), measured.violations)
 		}
 		times = append(times, taken)
 		measured.network.Run(versionInterval - taken)
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -180,23 +180,23 @@
 
 // behind returns the daemons that have not applied the version.
 func (f *fleet) behind(version table.Version) []membership.Address {
-	var lagging []membership.Address
+	var behind []membership.Address
 	for _, observed := range f.running() {
 		if observed.machine.Status().Applied < version {
-			lagging = append(lagging, observed.identity.Address)
+			behind = append(behind, observed.identity.Address)
 		}
 	}
-	return lagging
+	return behind
 }
 
 // runUntilApplied runs until all daemons have applied the version or the limit has passed.
 func (f *fleet) runUntilApplied(version table.Version, limit time.Duration) (time.Duration, []membership.Address) {
 	began := f.network.Now()
 	for {
-		lagging := f.behind(version)
+		behind := f.behind(version)
 		taken := f.network.Now() - began
-		if len(lagging) == 0 || taken >= limit {
-			return taken, lagging
+		if len(behind) == 0 || taken >= limit {
+			return taken, behind
 		}
 		f.network.Run(100 * time.Millisecond)
 	}
--- a/internal/dissemination/schedule_test.go
+++ b/internal/dissemination/schedule_test.go
@@ -39,12 +39,12 @@
 	for _, address := range cluster.addresses {
 		cluster.network.Resume(virtualnet.NodeID(address))
 	}
-	_, lagging := cluster.runUntilApplied(cluster.newest(), scheduleLimit)
+	_, behind := cluster.runUntilApplied(cluster.newest(), scheduleLimit)
 	if len(cluster.violations) > 0 {
 		return cluster.violations[0]
 	}
-	if len(lagging) > 0 {
-		return lagging[0].String() + " has not applied the newest version"
+	if len(behind) > 0 {
+		return behind[0].String() + " has not applied the newest version"
 	}
 	return ""
 }
--- a/internal/dissemination/zonepoll.go
+++ b/internal/dissemination/zonepoll.go
@@ -55,9 +55,9 @@
 // advanceZonePoll asks the members that are not known to have applied the version. It
 // reports whether the poll is done.
 func (m *Machine) advanceZonePoll(now time.Duration, running *zonePoll) bool {
-	behindMembers := m.behindMembers(running.version)
-	if len(behindMembers) == 0 || now >= running.next && running.attempts >= m.config.StatusAttempts {
-		m.sendReport(running, behindMembers)
+	behind := m.behindMembers(running.version)
+	if len(behind) == 0 || now >= running.next && running.attempts >= m.config.StatusAttempts {
+		m.report(running, behind)
 		return true
 	}
 	if now < running.next {
@@ -65,7 +65,7 @@
 	}
 	running.attempts++
 	running.next = now + m.config.StatusTimeout
-	for _, address := range behindMembers {
+	for _, address := range behind {
 		if address != m.config.Self.Address {
 			m.send(address, Message{Kind: KindStatusRequest, Sequence: running.statusSequence})
 		}
@@ -76,19 +76,19 @@
 // behindMembers returns the members of the own zone, this process included, that are not
 // known to have applied the version.
 func (m *Machine) behindMembers(version table.Version) []membership.Address {
-	var behindMembers []membership.Address
+	var behind []membership.Address
 	if m.status.Applied < version {
-		behindMembers = append(behindMembers, m.config.Self.Address)
+		behind = append(behind, m.config.Self.Address)
 	}
 	for _, peer := range m.peers.zones[m.config.Self.Zone] {
 		if m.peers.status[peer.Identity.Address].Applied < version {
-			behindMembers = append(behindMembers, peer.Identity.Address)
+			behind = append(behind, peer.Identity.Address)
 		}
 	}
-	return behindMembers
+	return behind
 }
 
-func (m *Machine) sendReport(ended *zonePoll, behindMembers []membership.Address) {
+func (m *Machine) report(ended *zonePoll, behindMembers []membership.Address) {
 	members := 1 + len(m.peers.zones[m.config.Self.Zone])
 	report := Message{
 		Kind:          KindZoneReport,
