--- a/internal/control/changeindex.go
+++ b/internal/control/changeindex.go
@@ -6,21 +6,20 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// changeIndex keeps at which version each service, and the services of each
-// agent, changed last, so that an agent is sent its part of the table only when
-// that part has changed.
+// changeIndex records the version at which each service, and the set of services of each
+// agent, changed last. An agent is sent its part of the table only if that part has
+// changed.
 type changeIndex struct {
-	// base is the first version that this process had: what changed before is
-	// not known.
-	base     table.Version
-	services map[table.ServiceID]table.Version
-	agents   map[table.Endpoint]table.Version
+	// firstVersion is the first version that this process had. Earlier changes are unknown.
+	firstVersion table.Version
+	services     map[table.ServiceID]table.Version
+	agents       map[table.Endpoint]table.Version
 }
 
-// record compares two successive tables; previous is nil for the first one.
+// record compares two successive tables. The previous one is nil for the first table.
 func (i *changeIndex) record(previous, configuration *table.Table) {
 	if previous == nil {
-		i.base = configuration.Version
+		i.firstVersion = configuration.Version
 		i.services = make(map[table.ServiceID]table.Version)
 		i.agents = make(map[table.Endpoint]table.Version)
 		return
@@ -33,17 +32,17 @@
 	}
 	for service, part := range before {
 		if _, exists := after[service]; !exists {
-			part.touchAgents(i.agents, configuration.Version)
+			part.markAgents(i.agents, configuration.Version)
 		} else {
-			part.touchAgentsGone(after[service], i.agents, configuration.Version)
+			part.markRemovedAgents(after[service], i.agents, configuration.Version)
 		}
 	}
 }
 
-// since reports whether the part of the table with the agent's services may
-// differ from that of the given version.
-func (i *changeIndex) since(version table.Version, agent table.Endpoint, services []table.ServiceID) bool {
-	if version < i.base || version < i.agents[agent] {
+// changedSince reports whether the part of the table with the agent's services may differ
+// from that of the given version.
+func (i *changeIndex) changedSince(version table.Version, agent table.Endpoint, services []table.ServiceID) bool {
+	if version < i.firstVersion || version < i.agents[agent] {
 		return true
 	}
 	return slices.ContainsFunc(services, func(service table.ServiceID) bool {
@@ -51,7 +50,7 @@
 	})
 }
 
-// servicePart is one service with its rows.
+// servicePart is a service with its rows.
 type servicePart struct {
 	service table.Service
 	rows    []table.Backend
@@ -74,15 +73,15 @@
 	return p.service == other.service && slices.Equal(p.rows, other.rows)
 }
 
-// touchAgents marks all agents of the part.
-func (p servicePart) touchAgents(agents map[table.Endpoint]table.Version, version table.Version) {
+// markAgents records the version for all agents of the part.
+func (p servicePart) markAgents(agents map[table.Endpoint]table.Version, version table.Version) {
 	for _, row := range p.rows {
 		agents[row.Agent] = version
 	}
 }
 
-// touchAgentsGone marks the agents that have no row in the later part.
-func (p servicePart) touchAgentsGone(later servicePart, agents map[table.Endpoint]table.Version, version table.Version) {
+// markRemovedAgents records the version for the agents that have no row in the later part.
+func (p servicePart) markRemovedAgents(later servicePart, agents map[table.Endpoint]table.Version, version table.Version) {
 	for _, row := range p.rows {
 		remains := slices.ContainsFunc(later.rows, func(other table.Backend) bool { return other.Agent == row.Agent })
 		if !remains {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -8,76 +8,76 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// outstandingHeartbeats is how many sent heartbeats are remembered for each
-// daemon, to count a lease from the time its heartbeat was sent.
-const outstandingHeartbeats = 8
+// maximumOutstanding is the number of unanswered heartbeats remembered for each daemon.
+// Their sending times are needed because a lease counts from then.
+const maximumOutstanding = 8
 
-// refreshSpacing is the least time between heartbeats to one daemon, whatever
-// makes them due.
-const refreshSpacing = 20 * time.Millisecond
+// minimumHeartbeatSpacing is the minimum time between two heartbeats to one daemon, even if
+// Renew is called.
+const minimumHeartbeatSpacing = 20 * time.Millisecond
 
 type sentHeartbeat struct {
 	sequence uint64
 	at       time.Duration
 }
 
-type daemonRecord struct {
-	address  netip.AddrPort
-	due      time.Duration
-	last     time.Duration // when a heartbeat was sent last
-	interval time.Duration
-	sent     []sentHeartbeat
-	granted  time.Duration
-	lease    time.Duration
-	heard    bool
-	down     []table.BackendID
-	leaving  []table.BackendID
-	unknown  []table.BackendID
+type daemonState struct {
+	address    netip.AddrPort
+	due        time.Duration
+	lastSent   time.Duration // when the last heartbeat was sent
+	interval   time.Duration
+	sent       []sentHeartbeat
+	granted    time.Duration
+	lease      time.Duration
+	hasGranted bool
+	down       []table.BackendID
+	leaving    []table.BackendID
+	unknown    []table.BackendID
 }
 
-// hears reports whether the daemon has a recent heartbeat of the row's agent.
-func (d *daemonRecord) hears(row table.BackendID) bool {
+// reportsAlive reports whether the daemon has a recent heartbeat of the row's agent.
+func (d *daemonState) reportsAlive(row table.BackendID) bool {
 	return !slices.Contains(d.down, row) && !slices.Contains(d.unknown, row)
 }
 
-// OutgoingHeartbeat is a heartbeat to be sent to a daemon.
+// OutgoingHeartbeat is a heartbeat to send to a daemon.
 type OutgoingHeartbeat struct {
 	Daemon    netip.AddrPort
 	Heartbeat Heartbeat
 }
 
-// ClientState is what an agent holds from its daemons.
+// ClientState is what an agent has received from its daemons.
 type ClientState struct {
-	// Table is the agent's part of the newest table received, nil before the
-	// first grant.
+	// Table is the agent's part of the newest table received. It is nil before the first
+	// grant.
 	Table *table.Table
-	// Down lists the rows that a daemon heard from recently reports so, while
-	// no other hears their agent.
+	// Down lists the rows that a daemon with an unexpired grant reports as down, while no
+	// other such daemon hears their agent.
 	Down []table.BackendID
-	// Leaving lists the rows that any daemon heard from recently reports so.
+	// Leaving lists the rows that any daemon with an unexpired grant reports as leaving.
 	Leaving []table.BackendID
 	// LeaseUntil is when the lease ends.
 	LeaseUntil time.Duration
 }
 
-// Client keeps an agent's leases. It is not safe for concurrent use.
+// Client maintains the leases of an agent. It is not safe for concurrent use.
 type Client struct {
 	agent    table.Endpoint
 	start    uint64
 	sequence uint64
 	leaving  bool
 	left     bool
-	daemons  []*daemonRecord
+	daemons  []*daemonState
 	held     *table.Table
 	lease    time.Duration
 }
 
-// NewClient returns the client of the agent with the given address. Start must
-// differ from that of earlier processes at the address.
+// NewClient returns the client of the agent at an address. Start must differ from that of
+// earlier processes at the address.
 func NewClient(agent table.Endpoint, start uint64, daemons []netip.AddrPort) *Client {
 	client := &Client{agent: agent, start: start}
 	for _, address := range daemons {
-		client.daemons = append(client.daemons, &daemonRecord{address: address, interval: minimumInterval})
+		client.daemons = append(client.daemons, &daemonState{address: address, interval: minimumInterval})
 	}
 	return client
 }
@@ -94,10 +94,10 @@
 	c.Renew()
 }
 
-// Renew makes all heartbeats due, unless they were sent a moment ago.
+// Renew makes all heartbeats due, except those to daemons that were sent one a moment ago.
 func (c *Client) Renew() {
 	for _, daemon := range c.daemons {
-		daemon.due = min(daemon.due, daemon.last+refreshSpacing)
+		daemon.due = min(daemon.due, daemon.lastSent+minimumHeartbeatSpacing)
 	}
 }
 
@@ -110,9 +110,9 @@
 		}
 		c.sequence++
 		daemon.due = now + daemon.interval
-		daemon.last = now
+		daemon.lastSent = now
 		daemon.sent = append(daemon.sent, sentHeartbeat{sequence: c.sequence, at: now})
-		if len(daemon.sent) > outstandingHeartbeats {
+		if len(daemon.sent) > maximumOutstanding {
 			daemon.sent = slices.Delete(daemon.sent, 0, 1)
 		}
 		outgoing = append(outgoing, OutgoingHeartbeat{Daemon: daemon.address, Heartbeat: c.heartbeat()})
@@ -134,18 +134,17 @@
 	return heartbeat
 }
 
-// Receive handles a grant. It returns false if the grant answers no heartbeat
-// that is remembered.
+// Receive handles a grant. It returns false if the grant answers no outstanding heartbeat.
 func (c *Client) Receive(now time.Duration, from netip.AddrPort, grant Grant) bool {
 	daemon := c.daemon(from)
 	if daemon == nil {
 		return false
 	}
-	sent, remembered := daemon.take(grant.Sequence)
+	sent, remembered := daemon.takeSent(grant.Sequence)
 	if !remembered {
 		return false
 	}
-	daemon.heard = true
+	daemon.hasGranted = true
 	daemon.granted = now
 	daemon.interval = time.Duration(grant.IntervalMillis) * time.Millisecond
 	daemon.lease = time.Duration(grant.LeaseMillis) * time.Millisecond
@@ -153,13 +152,13 @@
 	daemon.leaving = grant.Leaving
 	daemon.unknown = grant.Unknown
 	c.lease = max(c.lease, sent+daemon.lease)
-	c.hold(grant)
+	c.updateTable(grant)
 	return true
 }
 
-// hold takes over a newer table. A newer version without a table says that the
+// updateTable takes over a newer table. A newer version without a table means that the
 // agent's part has not changed.
-func (c *Client) hold(grant Grant) {
+func (c *Client) updateTable(grant Grant) {
 	switch {
 	case grant.Table != nil && (c.held == nil || grant.Version > c.held.Version):
 		c.held = grant.Table
@@ -170,7 +169,7 @@
 	}
 }
 
-func (c *Client) daemon(address netip.AddrPort) *daemonRecord {
+func (c *Client) daemon(address netip.AddrPort) *daemonState {
 	for _, daemon := range c.daemons {
 		if daemon.address == address {
 			return daemon
@@ -179,8 +178,9 @@
 	return nil
 }
 
-// take returns when the heartbeat was sent and forgets it and earlier ones.
-func (d *daemonRecord) take(sequence uint64) (time.Duration, bool) {
+// takeSent returns when a heartbeat was sent, and removes it and earlier ones from the
+// outstanding heartbeats.
+func (d *daemonState) takeSent(sequence uint64) (time.Duration, bool) {
 	for index, sent := range d.sent {
 		if sent.sequence == sequence {
 			d.sent = slices.Delete(d.sent, 0, index+1)
@@ -190,12 +190,12 @@
 	return 0, false
 }
 
-// State returns what the agent holds now.
+// State returns the current state of the client.
 func (c *Client) State(now time.Duration) ClientState {
 	state := ClientState{Table: c.held, LeaseUntil: c.lease}
-	var recent []*daemonRecord
+	var recent []*daemonState
 	for _, daemon := range c.daemons {
-		if daemon.heard && now < daemon.granted+daemon.lease {
+		if daemon.hasGranted && now < daemon.granted+daemon.lease {
 			recent = append(recent, daemon)
 		}
 	}
@@ -204,12 +204,12 @@
 		state.Leaving = union(state.Leaving, daemon.leaving)
 	}
 	state.Down = slices.DeleteFunc(state.Down, func(row table.BackendID) bool {
-		return slices.ContainsFunc(recent, func(daemon *daemonRecord) bool { return daemon.hears(row) })
+		return slices.ContainsFunc(recent, func(daemon *daemonState) bool { return daemon.reportsAlive(row) })
 	})
 	return state
 }
 
-// union returns the rows in either list, sorted.
+// union returns the sorted rows that are in either list.
 func union(a, b []table.BackendID) []table.BackendID {
 	for _, row := range b {
 		if !slices.Contains(a, row) {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -29,19 +29,19 @@
 	}
 }
 
-// tickTo calls Tick at the usual interval until the given time.
+// tickTo calls Tick at the usual interval from one time until another.
 func tickTo(registry *Registry, from, until time.Duration) {
 	for now := from; now <= until; now += serverTickInterval {
 		registry.Tick(now)
 	}
 }
 
-// heard lets the agent send a heartbeat.
-func heard(registry *Registry, now time.Duration, agent table.Endpoint) (Grant, bool) {
+// sendHeartbeat delivers a heartbeat of the agent to the registry.
+func sendHeartbeat(registry *Registry, now time.Duration, agent table.Endpoint) (Grant, bool) {
 	return registry.Receive(now, Heartbeat{Agent: agent, Start: 1, Sequence: 1, Version: 3})
 }
 
-var _ = Describe("a registry", func() {
+var _ = Describe("Registry", func() {
 	var registry *Registry
 
 	BeforeEach(func() {
@@ -50,16 +50,16 @@
 		registry.Publish(0, testTable())
 	})
 
-	It("gives the agent's part of the table only when the agent lacks it", func() {
+	It("sends the agent's part of the table only if the agent holds an older version", func() {
 		grant, granted := registry.Receive(0, Heartbeat{Agent: firstAgent, Sequence: 9})
 		Expect(granted).To(BeTrue())
 		Expect(grant.Sequence).To(Equal(uint64(9)))
 		Expect(grant.Table.Backends).To(HaveLen(2))
-		grant, _ = heard(registry, 0, firstAgent)
+		grant, _ = sendHeartbeat(registry, 0, firstAgent)
 		Expect(grant.Table).To(BeNil())
 	})
 
-	DescribeTable("sends the agent's part again",
+	DescribeTable("sends the agent's part of the table again only if it has changed",
 		func(change func(next *table.Table), agent table.Endpoint, expected bool) {
 			next := testTable()
 			next.Services = append(next.Services, table.Service{ID: 2, Name: "lookup", Address: "198.51.100.2:80"})
@@ -73,84 +73,84 @@
 			Expect(grant.Version).To(Equal(later.Version))
 			Expect(grant.Table != nil).To(Equal(expected))
 		},
-		Entry("not if nothing changed", func(*table.Table) {}, firstAgent, false),
-		Entry("not if another service changed", func(t *table.Table) { t.Backends[2].Weight = 9 }, firstAgent, false),
-		Entry("if a row of its service changed", func(t *table.Table) { t.Backends[1].Weight = 9 }, firstAgent, true),
-		Entry("if its service changed", func(t *table.Table) { t.Services[0].Owner = "b" }, firstAgent, true),
-		Entry("if its row is gone", func(t *table.Table) { t.Backends = t.Backends[:2] }, thirdAgent, true),
-		Entry("if its service is gone", func(t *table.Table) {
+		Entry("nothing changed: not sent", func(*table.Table) {}, firstAgent, false),
+		Entry("another service changed: not sent", func(t *table.Table) { t.Backends[2].Weight = 9 }, firstAgent, false),
+		Entry("a row of its service changed: sent", func(t *table.Table) { t.Backends[1].Weight = 9 }, firstAgent, true),
+		Entry("its service changed: sent", func(t *table.Table) { t.Services[0].Owner = "b" }, firstAgent, true),
+		Entry("its row was removed: sent", func(t *table.Table) { t.Backends = t.Backends[:2] }, thirdAgent, true),
+		Entry("its service was removed: sent", func(t *table.Table) {
 			t.Services, t.Backends = t.Services[:1], t.Backends[:2]
 		}, thirdAgent, true),
-		Entry("if a row moves to it", func(t *table.Table) { t.Backends[2].Agent = firstAgent }, firstAgent, true),
+		Entry("a row was moved to it: sent", func(t *table.Table) { t.Backends[2].Agent = firstAgent }, firstAgent, true),
 	)
 
-	It("abstains about agents it has not had the time to hear", func() {
-		grant, _ := heard(registry, 0, firstAgent)
+	It("reports agents without heartbeats as unknown during warm-up and as down afterwards", func() {
+		grant, _ := sendHeartbeat(registry, 0, firstAgent)
 		Expect(grant.Unknown).To(Equal([]table.BackendID{2}))
 		Expect(grant.Down).To(BeEmpty())
 		tickTo(registry, 0, WarmupPeriod)
-		grant, _ = heard(registry, WarmupPeriod, firstAgent)
+		grant, _ = sendHeartbeat(registry, WarmupPeriod, firstAgent)
 		Expect(grant.Unknown).To(BeEmpty())
 		Expect(grant.Down).To(Equal([]table.BackendID{2}))
 	})
 
-	It("takes an agent for down only after its lease has ended", func() {
+	It("reports an agent as unavailable only after its lease and the margin have ended", func() {
 		tickTo(registry, 0, WarmupPeriod)
-		grant, _ := heard(registry, WarmupPeriod, secondAgent)
+		grant, _ := sendHeartbeat(registry, WarmupPeriod, secondAgent)
 		lease := time.Duration(grant.LeaseMillis) * time.Millisecond
-		heard(registry, WarmupPeriod+lease, firstAgent)
+		sendHeartbeat(registry, WarmupPeriod+lease, firstAgent)
 		Expect(registry.Unavailable(WarmupPeriod + lease)).To(BeEmpty())
-		Expect(registry.Unavailable(WarmupPeriod + lease + livenessMargin)).To(Equal([]table.BackendID{2}))
+		Expect(registry.Unavailable(WarmupPeriod + lease + leaseMargin)).To(Equal([]table.BackendID{2}))
 	})
 
-	It("reports a leaving agent and takes it back after a restart", func() {
+	It("reports a leaving agent as unavailable until it restarts", func() {
 		tickTo(registry, 0, WarmupPeriod)
-		heard(registry, WarmupPeriod, firstAgent)
+		sendHeartbeat(registry, WarmupPeriod, firstAgent)
 		registry.Receive(WarmupPeriod, Heartbeat{Agent: secondAgent, Start: 1, Leaving: true})
 		Expect(registry.Unavailable(WarmupPeriod)).To(Equal([]table.BackendID{2}))
 		registry.Receive(WarmupPeriod, Heartbeat{Agent: secondAgent, Start: 2})
 		Expect(registry.Unavailable(WarmupPeriod)).To(BeEmpty())
 	})
 
-	It("takes an agent for down at once when it has left, and takes it back", func() {
+	It("reports an agent as down as soon as it has left, until it restarts", func() {
 		tickTo(registry, 0, WarmupPeriod)
-		heard(registry, WarmupPeriod, firstAgent)
-		heard(registry, WarmupPeriod, secondAgent)
+		sendHeartbeat(registry, WarmupPeriod, firstAgent)
+		sendHeartbeat(registry, WarmupPeriod, secondAgent)
 		Expect(registry.Unavailable(WarmupPeriod)).To(BeEmpty())
 		_, granted := registry.Receive(WarmupPeriod, Heartbeat{Agent: secondAgent, Start: 1, Leaving: true, Left: true})
 		Expect(granted).To(BeFalse())
 		Expect(registry.Unavailable(WarmupPeriod)).To(Equal([]table.BackendID{2}))
 		registry.Receive(WarmupPeriod, Heartbeat{Agent: secondAgent, Start: 1, Leaving: true})
-		grant, _ := heard(registry, WarmupPeriod, firstAgent)
+		grant, _ := sendHeartbeat(registry, WarmupPeriod, firstAgent)
 		Expect(grant.Down).To(Equal([]table.BackendID{2}))
 		registry.Receive(WarmupPeriod, Heartbeat{Agent: secondAgent, Start: 2})
 		Expect(registry.Unavailable(WarmupPeriod)).To(BeEmpty())
 	})
 
-	It("grants nothing after a pause until its table is confirmed, and keeps what it knew", func() {
+	It("grants no lease after a pause until its table is confirmed, and keeps the unavailable rows", func() {
 		tickTo(registry, 0, WarmupPeriod)
-		heard(registry, WarmupPeriod, firstAgent)
+		sendHeartbeat(registry, WarmupPeriod, firstAgent)
 		Expect(registry.Unavailable(WarmupPeriod)).To(Equal([]table.BackendID{2}))
 		resumed := WarmupPeriod + time.Minute
 		registry.Tick(resumed)
-		_, granted := heard(registry, resumed, firstAgent)
+		_, granted := sendHeartbeat(registry, resumed, firstAgent)
 		Expect(granted).To(BeFalse())
 		Expect(registry.Unavailable(resumed)).To(Equal([]table.BackendID{2}))
 		registry.ConfirmTable()
-		_, granted = heard(registry, resumed, firstAgent)
+		_, granted = sendHeartbeat(registry, resumed, firstAgent)
 		Expect(granted).To(BeTrue())
 	})
 
-	It("grants again after a while if nobody can confirm its table", func() {
+	It("grants leases again after pauseGrace if its table is not confirmed", func() {
 		registry.Tick(time.Minute)
-		_, granted := heard(registry, time.Minute, firstAgent)
+		_, granted := sendHeartbeat(registry, time.Minute, firstAgent)
 		Expect(granted).To(BeFalse())
 		tickTo(registry, time.Minute, time.Minute+pauseGrace+serverTickInterval)
-		_, granted = heard(registry, time.Minute+pauseGrace+serverTickInterval, firstAgent)
+		_, granted = sendHeartbeat(registry, time.Minute+pauseGrace+serverTickInterval, firstAgent)
 		Expect(granted).To(BeTrue())
 	})
 
-	It("reckons with the size that heartbeats and grants have", func() {
+	It("uses a heartbeat cost within ten percent of the size of encoded messages", func() {
 		const headers = 28
 		heartbeat := Heartbeat{Agent: "192.168.100.100:60810", Start: 1 << 60, Sequence: 1 << 20, Version: 1 << 20}
 		grant := Grant{Sequence: 1 << 20, Version: 1 << 20, LeaseMillis: 3000, IntervalMillis: 1000}
@@ -162,10 +162,10 @@
 		Expect(heartbeatCost).To(BeNumerically("~", size, size/10))
 	})
 
-	It("does not allocate what a forged length claims", func() {
+	It("returns an error when decoding a forged array length", func() {
 		granted, err := (&Datagram{Grant: &Grant{Down: []table.BackendID{1}}}).MarshalMsg(nil)
 		Expect(err).NotTo(HaveOccurred())
-		// Array of one element, the element 1.
+		// Replaces the header and element of an array that holds only the element 1.
 		forged := bytes.Replace(granted, []byte{0x91, 0x01}, []byte{0xdd, 0x10, 0, 0, 0}, 1)
 		Expect(forged).NotTo(Equal(granted))
 		var datagram Datagram
@@ -173,24 +173,24 @@
 		Expect(err).To(MatchError(msgp.ErrLimitExceeded))
 	})
 
-	It("slows heartbeats as agents grow in number, within bounds", func() {
+	It("extends the heartbeat interval from minimum to maximum as the number of agents grows", func() {
 		Expect(registry.interval()).To(Equal(minimumInterval))
 		for port := range uint16(200) {
 			agent := table.Endpoint(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port+1).String())
-			heard(registry, 0, agent)
+			sendHeartbeat(registry, 0, agent)
 		}
 		Expect(registry.interval()).To(Equal(maximumInterval))
 	})
 })
 
-var _ = Describe("a client", func() {
+var _ = Describe("Client", func() {
 	daemons := []netip.AddrPort{
 		netip.MustParseAddrPort("127.0.0.1:7000"),
 		netip.MustParseAddrPort("127.0.0.1:7001"),
 	}
 	var client *Client
 
-	// answer lets a daemon answer the heartbeat it was sent at the given time.
+	// answer sends the due heartbeats and delivers the grant of one daemon 100 ms later.
 	answer := func(now time.Duration, daemon int, grant Grant) bool {
 		for _, outgoing := range client.Tick(now) {
 			if outgoing.Daemon == daemons[daemon] {
@@ -204,18 +204,18 @@
 
 	BeforeEach(func() { client = NewClient(firstAgent, 1, daemons) })
 
-	It("counts the lease from when the heartbeat was sent", func() {
+	It("counts the lease from the time the heartbeat was sent", func() {
 		Expect(answer(0, 0, Grant{})).To(BeTrue())
 		Expect(client.State(time.Second / 2).LeaseUntil).To(Equal(time.Second))
 	})
 
-	It("ignores a grant that answers no heartbeat, and a repeated one", func() {
+	It("ignores a grant that answers no heartbeat or one that was already granted", func() {
 		Expect(client.Receive(0, daemons[0], Grant{Sequence: 77, LeaseMillis: 1000})).To(BeFalse())
 		Expect(answer(0, 0, Grant{})).To(BeTrue())
 		Expect(client.Receive(0, daemons[0], Grant{Sequence: 1, LeaseMillis: 1000})).To(BeFalse())
 	})
 
-	It("never goes back to an older table", func() {
+	It("keeps its table when a grant carries an older one", func() {
 		newer, older := testTable(), testTable()
 		older.Version = 2
 		answer(0, 0, Grant{Table: newer, Version: 3})
@@ -223,7 +223,7 @@
 		Expect(client.State(time.Second).Table).To(BeIdenticalTo(newer))
 	})
 
-	It("does not flood daemons when newer tables are asked for again and again", func() {
+	It("limits heartbeats to one per 20 ms and daemon when Renew is called every millisecond", func() {
 		Expect(client.Tick(0)).To(HaveLen(len(daemons)))
 		sent := 0
 		for now := time.Millisecond; now <= 100*time.Millisecond; now += time.Millisecond {
@@ -236,7 +236,7 @@
 		Expect(sent).To(Equal(5 * len(daemons)))
 	})
 
-	It("keeps its part of the table under a newer version", func() {
+	It("keeps its part of the table when a newer version carries no table", func() {
 		answer(0, 0, Grant{Table: testTable(), Version: 3})
 		answer(time.Second, 1, Grant{Version: 4})
 		held := client.State(time.Second).Table
@@ -244,7 +244,7 @@
 		Expect(held.Backends).To(Equal(testTable().Backends))
 	})
 
-	DescribeTable("believes that a row is down",
+	DescribeTable("reports a row as down if a daemon does and no other hears its agent",
 		func(first, second Grant, expected bool) {
 			answer(0, 0, first)
 			answer(300*time.Millisecond, 1, second)
@@ -255,11 +255,11 @@
 			}
 			Expect(down).To(BeEmpty())
 		},
-		Entry("not if both daemons hear it", Grant{}, Grant{}, false),
-		Entry("not if one hears it", Grant{Down: []table.BackendID{2}}, Grant{}, false),
-		Entry("if both report it", Grant{Down: []table.BackendID{2}}, Grant{Down: []table.BackendID{2}}, true),
-		Entry("if one reports it and the other does not know",
+		Entry("both daemons hear it: not down", Grant{}, Grant{}, false),
+		Entry("one hears it: not down", Grant{Down: []table.BackendID{2}}, Grant{}, false),
+		Entry("both report it as down: down", Grant{Down: []table.BackendID{2}}, Grant{Down: []table.BackendID{2}}, true),
+		Entry("one reports it as down, unknown to the other: down",
 			Grant{Down: []table.BackendID{2}}, Grant{Unknown: []table.BackendID{2}}, true),
-		Entry("not if none knows", Grant{Unknown: []table.BackendID{2}}, Grant{Unknown: []table.BackendID{2}}, false),
+		Entry("unknown to both: not down", Grant{Unknown: []table.BackendID{2}}, Grant{Unknown: []table.BackendID{2}}, false),
 	)
 })
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -1,15 +1,18 @@
-// Package control implements how agents and daemons keep in touch: agents send
-// heartbeats, daemons answer with a lease and the agent's part of the table.
+// Package control implements the leases between agents and daemons. An agent sends
+// heartbeats to its daemons. A daemon answers each with a lease, the agent's part of the
+// table and the conditions of the other agents of its services. From the heartbeats, and
+// from what other daemons report, a daemon decides which rows of the table must not be
+// given new flows.
 //
-// Registry (daemon side) and Client (agent side) are deterministic state
-// machines; Server and Dialer carry their messages over UDP.
+// Registry (on the daemon) and Client (on the agent) are deterministic state machines.
+// Server carries the messages of a Registry over UDP; the agent does so for its Client.
 package control
 
 import "github.com/vanetiller/vanetiller/internal/table"
 
 //go:generate go tool msgp -tests=false
 
-// The messages are encoded as arrays rather than maps: names of members would be
+// The messages are encoded as arrays rather than maps: the names of the fields would be
 // a third of the traffic.
 //
 //msgp:tuple Heartbeat Grant
@@ -18,41 +21,42 @@
 //
 //msgp:limit arrays:65536
 
-// Heartbeat is what an agent tells a daemon at regular intervals.
+// Heartbeat is sent by an agent to its daemons at regular intervals.
 type Heartbeat struct {
-	// Agent is the address in the agent column of the rows it serves.
+	// Agent is the address in the agent column of the rows that the agent serves.
 	Agent table.Endpoint `msg:"a"`
-	// Start tells apart successive processes at one address.
+	// Start distinguishes successive processes at one address.
 	Start uint64 `msg:"i"`
-	// Sequence tells apart heartbeats; the grant repeats it.
+	// Sequence identifies the heartbeat. The grant repeats it.
 	Sequence uint64 `msg:"s"`
-	// Version is the table version that the agent holds.
+	// Version is the version of the table that the agent holds.
 	Version table.Version `msg:"v"`
 	// Leaving is set while the agent is stopping.
 	Leaving bool `msg:"l"`
-	// Left is set in the last heartbeats of an agent that stops as planned: it
-	// opens no flow any more and answers nobody.
+	// Left is set in the last heartbeats of an agent that stops as planned. It opens no
+	// more flows and answers no more requests.
 	Left bool `msg:"e"`
 }
 
-// Grant is a daemon's answer to a heartbeat. It renews the agent's lease,
-// counted from the time the heartbeat was sent.
+// Grant is the answer of a daemon to a heartbeat. It renews the lease of the agent, counted
+// from the time the heartbeat was sent.
 type Grant struct {
 	Sequence uint64        `msg:"s"`
 	Version  table.Version `msg:"v"`
 	// LeaseMillis is the duration of the lease in milliseconds.
 	LeaseMillis uint32 `msg:"d"`
-	// IntervalMillis is when the agent shall send its next heartbeat.
+	// IntervalMillis is the time in milliseconds until the agent must send its next
+	// heartbeat.
 	IntervalMillis uint32 `msg:"n"`
-	// Table is the part of the table with the agent's services, absent if it
-	// is the same as at the version that the agent holds.
+	// Table is the part of the table with the agent's services. It is nil if that part has
+	// not changed since the version that the agent holds.
 	Table *table.Table `msg:"t"`
-	// Down lists rows of these services whose lease has ended.
+	// Down lists the rows of these services whose lease has ended.
 	Down []table.BackendID `msg:"x"`
-	// Leaving lists rows of these services whose agent is stopping.
+	// Leaving lists the rows of these services whose agent is stopping.
 	Leaving []table.BackendID `msg:"g"`
-	// Unknown lists rows of these services of whose agent the daemon has not
-	// heard since it started or was resumed a moment ago.
+	// Unknown lists the rows of these services whose agent the daemon has not heard from,
+	// because it started or was resumed a moment ago.
 	Unknown []table.BackendID `msg:"u"`
 }
 
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -10,109 +10,109 @@
 const (
 	// minimumInterval is the heartbeat interval of agents in a small fleet.
 	minimumInterval = 100 * time.Millisecond
-	// maximumInterval bounds the heartbeat interval.
+	// maximumInterval is the longest heartbeat interval.
 	maximumInterval = time.Second
-	// leaseIntervals is the lease duration in heartbeat intervals.
+	// leaseIntervals is the duration of a lease in heartbeat intervals.
 	leaseIntervals = 3
 	// MaximumLease is the longest lease that a daemon grants.
 	MaximumLease = leaseIntervals * maximumInterval
-	// livenessMargin is added to the lease before a row counts as down, so
-	// that the agent's own clock has run out first.
-	livenessMargin = 200 * time.Millisecond
-	// heartbeatCost is the size of one heartbeat and its grant on the wire in
-	// bytes, IP and UDP headers included; a test compares it with messages.
+	// leaseMargin is added to the lease before a row counts as down, so that the lease has
+	// ended by the agent's own clock first.
+	leaseMargin = 200 * time.Millisecond
+	// heartbeatCost is the size of a heartbeat and its grant on the wire in bytes, IP and
+	// UDP headers included. A test compares it with encoded messages.
 	heartbeatCost = 130
-	// heartbeatBudget is the bytes a second a daemon spends on its agents.
+	// heartbeatBudget is the bytes a second that a daemon spends on its agents.
 	heartbeatBudget = 2000
-	// pauseThreshold is the time between ticks from which the process is taken
-	// to have been paused.
+	// pauseThreshold is the time between ticks above which the process is considered to
+	// have been paused.
 	pauseThreshold = time.Second
-	// pauseGrace bounds how long a resumed daemon grants no lease while it
-	// cannot confirm its table.
+	// pauseGrace limits how long a resumed daemon grants no lease because it cannot confirm
+	// its table.
 	pauseGrace = 3 * time.Second
-	// WarmupPeriod is how long a daemon that starts or was resumed listens for
-	// heartbeats before it takes an agent it has not heard from for down.
-	WarmupPeriod = maximumInterval + livenessMargin
-	// forgetAgentAfter is when the record of an agent without rows is removed.
-	forgetAgentAfter = time.Minute
+	// WarmupPeriod is how long a daemon receives heartbeats after its start or a pause
+	// before it considers an agent down that it has not heard from.
+	WarmupPeriod = maximumInterval + leaseMargin
+	// agentRetention is how long the state of an agent without rows is kept after its last
+	// heartbeat.
+	agentRetention = time.Minute
 )
 
-type agentRecord struct {
-	heard   time.Duration
-	lease   time.Duration
-	start   uint64
-	leaving bool
-	left    bool
+type agentState struct {
+	lastHeartbeat time.Duration
+	lease         time.Duration
+	start         uint64
+	leaving       bool
+	left          bool
 }
 
-// Registry keeps what a daemon knows of agents and answers their heartbeats.
-// It is not safe for concurrent use.
+// Registry holds the state of the agents known to a daemon and answers their heartbeats. It
+// is not safe for concurrent use.
 type Registry struct {
 	configuration *table.Table
-	agents        map[table.Endpoint]*agentRecord
+	agents        map[table.Endpoint]*agentState
 	rows          rowIndex
 	changes       changeIndex
-	// unavailable is what Unavailable returned last. It holds until recheck
-	// unless it is invalidated.
+	// unavailable is the last result of Unavailable. It is valid until recheckAt unless it
+	// is invalidated.
 	unavailable []table.BackendID
-	recheck     time.Duration
+	recheckAt   time.Duration
 	lastTick    time.Duration
 	suspended   bool
-	// listening is when the registry began to hear heartbeats: its start, or
-	// its resumption after a pause.
-	listening  time.Duration
-	everTicked bool
-	remote     remoteView
+	// warmupStart is when the registry began to receive heartbeats: its start or the end of
+	// the last pause.
+	warmupStart time.Duration
+	everTicked  bool
+	remote      remoteState
 }
 
-// NewRegistry returns a registry without a table; it grants no leases before
-// Publish.
+// NewRegistry returns a registry without a table. It grants no leases before Publish.
 func NewRegistry() *Registry {
-	return &Registry{agents: make(map[table.Endpoint]*agentRecord)}
+	return &Registry{agents: make(map[table.Endpoint]*agentState)}
 }
 
-// Publish installs a table. It must not be older than the one before.
+// Publish installs a table. It must not be older than the previous one.
 func (r *Registry) Publish(now time.Duration, configuration *table.Table) {
 	r.changes.record(r.configuration, configuration)
 	r.configuration = configuration
 	r.rows = newRowIndex(configuration)
 	r.invalidate()
 	for agent, record := range r.agents {
-		if !r.rows.lists(agent) && now >= record.heard+forgetAgentAfter {
+		if !r.rows.hasAgent(agent) && now >= record.lastHeartbeat+agentRetention {
 			delete(r.agents, agent)
 		}
 	}
 }
 
-// ConfirmTable tells the registry that its table is known to be the newest that can
-// be had; a resumed daemon grants leases again.
+// ConfirmTable tells the registry that its table is the newest available. A daemon resumed
+// after a pause grants leases again.
 func (r *Registry) ConfirmTable() { r.suspended = false }
 
-// Tick must be called several times a second. It detects that the process was
-// paused: a resumed daemon grants no lease on a table that may be old.
+// Tick must be called several times a second. It detects that the process was paused. A
+// resumed daemon grants no lease based on a table that may be outdated.
 func (r *Registry) Tick(now time.Duration) {
 	if r.everTicked && now-r.lastTick > pauseThreshold {
 		r.suspended = true
-		r.listening = now
+		r.warmupStart = now
 		r.invalidate()
 	}
 	if !r.everTicked {
-		r.listening = now
+		r.warmupStart = now
 	}
 	r.everTicked = true
 	r.lastTick = now
-	if r.suspended && now-r.listening > pauseGrace {
+	if r.suspended && now-r.warmupStart > pauseGrace {
 		r.suspended = false
 	}
 }
 
-// WarmedUp reports whether the daemon has listened for heartbeats long enough to
-// know which agents are down.
+// WarmedUp reports whether the daemon has received heartbeats for long enough to know which
+// agents are down.
 func (r *Registry) WarmedUp(now time.Duration) bool {
-	return r.everTicked && now >= r.listening+WarmupPeriod
+	return r.everTicked && now >= r.warmupStart+WarmupPeriod
 }
 
-// Receive handles a heartbeat. It returns false if no lease can be granted.
+// Receive handles a heartbeat. It returns false if no lease is granted.
 func (r *Registry) Receive(now time.Duration, heartbeat Heartbeat) (Grant, bool) {
 	if r.configuration == nil {
 		return Grant{}, false
@@ -123,12 +123,12 @@
 	interval := r.interval()
 	lease := leaseIntervals * interval
 	before := r.condition(now, heartbeat.Agent)
-	r.agents[heartbeat.Agent] = &agentRecord{
-		heard:   now,
-		lease:   lease,
-		start:   heartbeat.Start,
-		leaving: heartbeat.Leaving,
-		left:    heartbeat.Left,
+	r.agents[heartbeat.Agent] = &agentState{
+		lastHeartbeat: now,
+		lease:         lease,
+		start:         heartbeat.Start,
+		leaving:       heartbeat.Leaving,
+		left:          heartbeat.Left,
 	}
 	if r.condition(now, heartbeat.Agent) != before {
 		r.invalidate()
@@ -143,22 +143,22 @@
 		IntervalMillis: uint32(interval / time.Millisecond),
 	}
 	services := r.rows.services[heartbeat.Agent]
-	if r.changes.since(heartbeat.Version, heartbeat.Agent, services) {
+	if r.changes.changedSince(heartbeat.Version, heartbeat.Agent, services) {
 		grant.Table = r.configuration.ForServices(services)
 	}
 	r.addConditions(now, services, &grant)
 	return grant, true
 }
 
-// outdated reports whether a heartbeat was overtaken by the last ones of the same
-// process.
+// outdated reports whether a heartbeat was overtaken by one in which the same process
+// announced that it left.
 func (r *Registry) outdated(heartbeat Heartbeat) bool {
 	record, heard := r.agents[heartbeat.Agent]
 	return heard && record.left && record.start == heartbeat.Start && !heartbeat.Left
 }
 
-// interval returns the heartbeat interval that keeps the traffic of all agents
-// within the budget.
+// interval returns the heartbeat interval that keeps the traffic of all agents within
+// heartbeatBudget.
 func (r *Registry) interval() time.Duration {
 	needed := time.Duration(len(r.agents)) * heartbeatCost * time.Second / heartbeatBudget
 	return min(max(needed, minimumInterval), maximumInterval)
@@ -188,9 +188,10 @@
 	conditionUnknown
 )
 
-// heardCondition returns what the heartbeats of an agent say. A daemon that
-// could not hear anything for a while does not take silence for death.
-func (r *Registry) heardCondition(now time.Duration, agent table.Endpoint) condition {
+// localCondition returns the condition of an agent according to the heartbeats received
+// here. During warm-up, when the daemon may have missed heartbeats, a missing heartbeat
+// does not mean that the agent is down.
+func (r *Registry) localCondition(now time.Duration, agent table.Endpoint) condition {
 	record, heard := r.agents[agent]
 	listened := r.WarmedUp(now)
 	if !heard {
@@ -199,10 +200,10 @@
 		}
 		return conditionUnknown
 	}
-	if record.heard < r.listening && !listened {
+	if record.lastHeartbeat < r.warmupStart && !listened {
 		return conditionUnknown
 	}
-	if record.left || now >= record.heard+record.lease+livenessMargin {
+	if record.left || now >= record.lastHeartbeat+record.lease+leaseMargin {
 		return conditionDown
 	}
 	if record.leaving {
@@ -211,11 +212,11 @@
 	return conditionAlive
 }
 
-// Unavailable returns, in table order, the rows that must not be given new
-// flows because their agent is down or leaving. A row of which nothing is known
-// keeps the condition it had before. The result must not be changed.
+// Unavailable returns, in table order, the rows that must not be given new flows because
+// their agent is down or leaving. A row whose agent's condition is unknown stays as it was
+// in the previous result. The caller must not change the result.
 func (r *Registry) Unavailable(now time.Duration) []table.BackendID {
-	if r.configuration == nil || now < r.recheck {
+	if r.configuration == nil || now < r.recheckAt {
 		return r.unavailable
 	}
 	var rows []table.BackendID
@@ -230,21 +231,21 @@
 		}
 	}
 	r.unavailable = rows
-	r.recheck = r.nextExpiry(now)
+	r.recheckAt = r.nextExpiry(now)
 	return rows
 }
 
-// invalidate makes Unavailable look at all rows again.
-func (r *Registry) invalidate() { r.recheck = 0 }
+// invalidate makes Unavailable compute its result again.
+func (r *Registry) invalidate() { r.recheckAt = 0 }
 
-// nextExpiry returns when a condition can change without a heartbeat.
+// nextExpiry returns the next time at which a condition can change without a heartbeat.
 func (r *Registry) nextExpiry(now time.Duration) time.Duration {
 	next := now + MaximumLease
 	if !r.WarmedUp(now) {
-		next = min(next, r.listening+WarmupPeriod)
+		next = min(next, r.warmupStart+WarmupPeriod)
 	}
 	for _, record := range r.agents {
-		expiry := record.heard + record.lease + livenessMargin
+		expiry := record.lastHeartbeat + record.lease + leaseMargin
 		if expiry > now {
 			next = min(next, expiry)
 		}
--- a/internal/control/registry_bench_test.go
+++ b/internal/control/registry_bench_test.go
@@ -14,7 +14,8 @@
 	benchAgents   = 22
 )
 
-// targetRegistry holds the table of the target size; it hears a few agents.
+// targetRegistry returns a registry with a table of the target size, and the few agents
+// that report to it.
 func targetRegistry() (*Registry, []table.Endpoint) {
 	configuration := &table.Table{Version: 1}
 	var agents []table.Endpoint
--- a/internal/control/remote.go
+++ b/internal/control/remote.go
@@ -1,5 +1,5 @@
-// This file implements what a daemon knows of agents from other daemons, and
-// what it has to tell them.
+// This file implements the exchange of agent conditions with other daemons: what they
+// report about agents, and what this daemon reports to them.
 
 package control
 
@@ -11,8 +11,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// AgentCondition is what a daemon knows of an agent that reports to it, or
-// hears of one that reports to others.
+// AgentCondition is the condition of an agent as observed by a daemon.
 type AgentCondition uint8
 
 // The conditions of an agent.
@@ -21,60 +20,59 @@
 	AgentDown AgentCondition = iota
 	// AgentAlive: the agent has a lease.
 	AgentAlive
-	// AgentLeaving: the agent has a lease, and takes no new flows.
+	// AgentLeaving: the agent has a lease and takes no new flows.
 	AgentLeaving
 )
 
-// Observation is the condition of the process of an agent.
+// Observation is the condition of an agent process.
 type Observation struct {
 	Agent table.Endpoint
-	// Start is that of the agent's heartbeats.
+	// Start is the start of the process, as in its heartbeats.
 	Start     uint64
 	Condition AgentCondition
 }
 
-// remoteView is what other daemons say.
-type remoteView struct {
-	// awaited is set until it is known which agents report to other daemons.
-	awaited bool
-	agents  map[table.Endpoint]Observation
+// remoteState holds what other daemons report.
+type remoteState struct {
+	// awaiting is set until it is known which agents report to other daemons.
+	awaiting bool
+	agents   map[table.Endpoint]Observation
 }
 
-// AwaitRemote tells that other daemons hear agents too. Until EndAwaitRemote,
-// an agent that was never heard of is not taken for down.
+// AwaitRemote tells the registry that agents may report to other daemons. Until RemoteReady
+// is called, an agent that no daemon has reported is not considered down.
 func (r *Registry) AwaitRemote() {
-	r.remote.awaited = true
+	r.remote.awaiting = true
 	r.invalidate()
 }
 
-// RemoteReady tells that Remote has been called for all agents that others
-// hear.
+// RemoteReady tells the registry that ApplyRemote has been called for all agents that
+// report to other daemons.
 func (r *Registry) RemoteReady() {
-	r.remote.awaited = false
+	r.remote.awaiting = false
 	r.invalidate()
 }
 
-// ApplyRemote takes in what other daemons together say of an agent, until they say
-// otherwise. A heartbeat that this daemon hears itself says more.
-func (r *Registry) ApplyRemote(said Observation) {
+// ApplyRemote records what the other daemons jointly report about an agent. It holds until
+// the next report. Heartbeats that this daemon receives itself take precedence.
+func (r *Registry) ApplyRemote(observation Observation) {
 	if r.remote.agents == nil {
 		r.remote.agents = make(map[table.Endpoint]Observation)
 	}
-	if r.remote.agents[said.Agent] == said {
+	if r.remote.agents[observation.Agent] == observation {
 		return
 	}
-	r.remote.agents[said.Agent] = said
+	r.remote.agents[observation.Agent] = observation
 	r.invalidate()
 }
 
-// Observations returns the agents that have reported to this daemon, ordered by
-// address. One of which nothing can be said, since the daemon has just been
-// resumed, is left out.
+// Observations returns the agents that have reported to this daemon, ordered by address.
+// Agents of unknown condition, which there are after a pause, are left out.
 func (r *Registry) Observations(now time.Duration) []Observation {
 	observed := make([]Observation, 0, len(r.agents))
 	for agent, record := range r.agents {
 		observation := Observation{Agent: agent, Start: record.start}
-		switch r.heardCondition(now, agent) {
+		switch r.localCondition(now, agent) {
 		case conditionAlive:
 			observation.Condition = AgentAlive
 		case conditionLeaving:
@@ -88,56 +86,57 @@
 	return observed
 }
 
-// condition joins what this daemon hears with what others say.
+// condition combines the heartbeats received here with the reports of other daemons.
 func (r *Registry) condition(now time.Duration, agent table.Endpoint) condition {
-	heard := r.heardCondition(now, agent)
-	said, known := r.remote.agents[agent]
+	heard := r.localCondition(now, agent)
+	remote, known := r.remote.agents[agent]
 	switch {
 	case heard == conditionLeaving:
 		return conditionLeaving
 	case heard == conditionAlive:
-		return r.aliveCondition(agent, said)
-	case known && said.Condition == AgentAlive:
+		return r.aliveCondition(agent, remote)
+	case known && remote.Condition == AgentAlive:
 		return conditionAlive
-	case known && said.Condition == AgentLeaving:
+	case known && remote.Condition == AgentLeaving:
 		return conditionLeaving
-	case r.remote.awaited && !known && r.agents[agent] == nil:
+	case r.remote.awaiting && !known && r.agents[agent] == nil:
 		return conditionUnknown
 	}
 	return heard
 }
 
-// aliveCondition believes others who have heard the same process say that it
-// stops: a process does not take that back.
-func (r *Registry) aliveCondition(agent table.Endpoint, said Observation) condition {
-	if said.Condition == AgentLeaving && said.Start == r.agents[agent].start {
+// aliveCondition returns the condition of an agent that is alive according to its
+// heartbeats. If other daemons have heard the same process announce that it stops, it is
+// leaving, since a process does not revoke that.
+func (r *Registry) aliveCondition(agent table.Endpoint, remote Observation) condition {
+	if remote.Condition == AgentLeaving && remote.Start == r.agents[agent].start {
 		return conditionLeaving
 	}
 	return conditionAlive
 }
 
-// ApplyRemote takes in what other daemons say of agents.
-func (s *Server) ApplyRemote(said []Observation) {
+// ApplyRemote records what other daemons report about agents.
+func (s *Server) ApplyRemote(observations []Observation) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, observation := range said {
+	for _, observation := range observations {
 		s.registry.ApplyRemote(observation)
 	}
-	s.report()
+	s.reportUnavailable()
 }
 
-// RemoteReady tells that Remote has been called for all agents that others
-// hear.
+// RemoteReady tells the server that ApplyRemote has been called for all agents that report
+// to other daemons.
 func (s *Server) RemoteReady() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.registry.RemoteReady()
-	s.report()
+	s.reportUnavailable()
 }
 
-// observe passes on what has changed of the agents that report here. The mutex
-// must be held.
-func (s *Server) observe() {
+// reportObservations calls OnObservations if the observations have changed. The mutex must
+// be held.
+func (s *Server) reportObservations() {
 	if s.config.OnObservations == nil {
 		return
 	}
--- a/internal/control/rowindex.go
+++ b/internal/control/rowindex.go
@@ -6,16 +6,16 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// indexedRow is what the registry needs of a table row.
+// indexedRow holds the columns of a table row that the registry needs.
 type indexedRow struct {
 	id    table.BackendID
 	agent table.Endpoint
 }
 
-// rowIndex finds the rows of services and the services of agents, so that a
-// heartbeat costs no pass over the whole table.
+// rowIndex finds the rows of services and the services of agents, so that handling a
+// heartbeat does not scan the whole table.
 type rowIndex struct {
-	// all is in table order.
+	// all holds the rows in table order.
 	all       []indexedRow
 	byService map[table.ServiceID][]indexedRow
 	services  map[table.Endpoint][]table.ServiceID
@@ -38,8 +38,8 @@
 	return index
 }
 
-// lists reports whether the table has a row with the agent.
-func (i *rowIndex) lists(agent table.Endpoint) bool {
+// hasAgent reports whether a row of the table names the agent.
+func (i *rowIndex) hasAgent(agent table.Endpoint) bool {
 	_, listed := i.services[agent]
 	return listed
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -21,18 +21,18 @@
 
 // ServerConfig holds the settings of a Server.
 type ServerConfig struct {
-	// Listen receives heartbeats.
+	// Listen is the UDP address that receives heartbeats.
 	Listen netip.AddrPort
-	// OnUnavailable is called, never concurrently, with the rows that must not
-	// be given new flows, whenever they or the table have changed.
+	// OnUnavailable is called, never concurrently, with the rows that must not be given new
+	// flows whenever they or the table have changed.
 	OnUnavailable func(configuration *table.Table, rows []table.BackendID)
-	// OnObservations is called, never concurrently, with the agents that report to
-	// this daemon, whenever one of them or its condition has changed. It must
-	// not call the Server. If it is nil, no other daemon hears agents.
+	// OnObservations is called, never concurrently, with the agents that report to this
+	// daemon whenever one of them or its condition has changed. It must not call the
+	// Server. If it is nil, agents report to no other daemon.
 	OnObservations func([]Observation)
 }
 
-// Server answers agents' heartbeats over UDP.
+// Server answers the heartbeats of agents over UDP.
 type Server struct {
 	config  ServerConfig
 	socket  *net.UDPConn
@@ -43,15 +43,15 @@
 	configuration *table.Table
 	reported      []table.BackendID
 	changed       bool
-	listened      bool
+	warmedUp      bool
 	observed      []Observation
 }
 
-// NewServer binds the control socket. It fails if the address is in use.
+// NewServer binds the UDP socket. It returns an error if the address cannot be used.
 func NewServer(config ServerConfig) (*Server, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(config.Listen))
 	if err != nil {
-		return nil, errors.Wrapf(err, "listen on %s", config.Listen)
+		return nil, errors.Wrapf(err, "listen for heartbeats on %s", config.Listen)
 	}
 	created := &Server{
 		config:   config,
@@ -65,7 +65,7 @@
 	return created, nil
 }
 
-// Publish installs a table unless it is older than the one held.
+// Publish installs a table unless it is older than the current one.
 func (s *Server) Publish(configuration *table.Table) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -76,17 +76,17 @@
 	s.configuration = configuration
 	s.changed = true
 	s.registry.Publish(s.now(), configuration)
-	s.report()
+	s.reportUnavailable()
 }
 
-// ConfirmTable tells the server that its table is the newest that can be had.
+// ConfirmTable tells the server that its table is the newest available.
 func (s *Server) ConfirmTable() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.registry.ConfirmTable()
 }
 
-// Run answers heartbeats until ctx ends; it then returns nil.
+// Run answers heartbeats until ctx ends. It then returns nil.
 func (s *Server) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -110,22 +110,22 @@
 		case <-ticker.C:
 			s.mutex.Lock()
 			s.registry.Tick(s.now())
-			s.report()
-			s.observe()
+			s.reportUnavailable()
+			s.reportObservations()
 			s.mutex.Unlock()
 		}
 	}
 }
 
-// report tells about changed availability. A daemon that has just started first
-// listens, so that it does not send flows to agents that are down. The mutex
-// must be held.
-func (s *Server) report() {
+// reportUnavailable calls OnUnavailable if the rows or the table have changed. It does not
+// do so before the first warm-up has ended: until then, agents that are down would be given
+// flows. The mutex must be held.
+func (s *Server) reportUnavailable() {
 	if s.configuration == nil {
 		return
 	}
-	s.listened = s.listened || s.registry.WarmedUp(s.now())
-	if !s.listened {
+	s.warmedUp = s.warmedUp || s.registry.WarmedUp(s.now())
+	if !s.warmedUp {
 		return
 	}
 	unavailable := s.registry.Unavailable(s.now())
@@ -160,15 +160,15 @@
 	now := s.now()
 	s.registry.Tick(now)
 	grant, granted := s.registry.Receive(now, heartbeat)
-	s.report()
+	s.reportUnavailable()
 	s.mutex.Unlock()
 	if !granted {
 		return
 	}
 	encoded, err := (&Datagram{Grant: &grant}).MarshalMsg(nil)
 	if err != nil {
-		panic("control: cannot encode a grant: " + err.Error())
+		panic("control: cannot encode a grant for an agent: " + err.Error())
 	}
-	// A lost grant is repeated with the next heartbeat.
+	// A lost grant needs no retry: the next heartbeat is granted again.
 	_, _ = s.socket.WriteToUDPAddrPort(encoded, to)
 }
