--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -1,5 +1,4 @@
-// This file shows the daemons and the table of a Node to the administration
-// API.
+// This file presents the members and the table of a Node to the administration API.
 
 package cluster
 
@@ -18,10 +17,10 @@
 // surveyTimeout is longer than any survey takes.
 const surveyTimeout = 10 * time.Second
 
-// memberLive is the state in which the API shows a member that runs.
+// memberLive is the state that the API shows for a live member.
 const memberLive = "live"
 
-// MachineName is the name of a machine of the platform's list, by its address.
+// MachineName is the name of a machine on the platform's list, with its address.
 type MachineName struct {
 	Address netip.Addr
 	Name    string
@@ -30,7 +29,7 @@
 // nameList holds names sorted by address.
 type nameList []MachineName
 
-func (l nameList) of(address membership.Address) string {
+func (l nameList) lookup(address membership.Address) string {
 	endpoint := address.AddrPort()
 	position, exists := slices.BinarySearchFunc(l, endpoint.Addr(), func(named MachineName, wanted netip.Addr) int {
 		return named.Address.Compare(wanted)
@@ -41,9 +40,9 @@
 	return l[position].Name
 }
 
-// SetMachines takes in the platform's list of machines. They are shown by
-// their names, and asked like seeds where no member is known; the list decides
-// nothing else. A member without a name is shown by address.
+// SetMachines replaces the platform's list of machines. It provides the names under which
+// members are shown and additional seeds. It does not affect the membership. A member
+// without a name is shown by its address.
 func (n *Node) SetMachines(listed []MachineName) {
 	sorted := slices.Clone(listed)
 	slices.SortFunc(sorted, func(a, b MachineName) int { return a.Address.Compare(b.Address) })
@@ -53,8 +52,7 @@
 	n.members.SetSeeds(n.seedsWith(listed))
 }
 
-// seedsWith returns the seeds of the settings and those machines that are
-// none.
+// seedsWith returns the seeds of the settings and the machines that are not among them.
 func (n *Node) seedsWith(listed []MachineName) []membership.Address {
 	seeds := slices.Clone(n.seeds)
 	for _, machine := range listed {
@@ -66,20 +64,20 @@
 	return seeds
 }
 
-// statusList holds the last status heard of each daemon.
+// statusList holds the last status received from each daemon.
 type statusList struct {
 	byAddress map[membership.Address]dissemination.Status
 }
 
-func (l *statusList) hear(from membership.Address, status dissemination.Status) {
+func (l *statusList) set(from membership.Address, status dissemination.Status) {
 	if l.byAddress == nil {
 		l.byAddress = make(map[membership.Address]dissemination.Status)
 	}
 	l.byAddress[from] = status
 }
 
-// keep forgets the daemons that are no members.
-func (l *statusList) keep(members []membership.Member) {
+// retain removes the status of daemons that are not members.
+func (l *statusList) retain(members []membership.Member) {
 	kept := make(map[membership.Address]dissemination.Status, len(members))
 	for _, member := range members {
 		if status, known := l.byAddress[member.Identity.Address]; known {
@@ -89,17 +87,17 @@
 	l.byAddress = kept
 }
 
-// inquiry is a survey that someone waits for.
-type inquiry struct {
+// pendingSurvey is a survey whose result a caller waits for.
+type pendingSurvey struct {
 	version table.Version
 	result  chan dissemination.Survey
 }
 
-// survey finds out where a version is in force. It returns false if it could
-// not be found out.
+// survey finds out which members have applied a version. It returns false if there is no
+// result.
 func (n *Node) survey(version table.Version) (dissemination.Survey, bool) {
 	result := make(chan dissemination.Survey, 1)
-	if !n.beginInquiry(inquiry{version: version, result: result}) {
+	if !n.startSurvey(pendingSurvey{version: version, result: result}) {
 		return dissemination.Survey{}, false
 	}
 	timeout := time.NewTimer(surveyTimeout)
@@ -112,39 +110,39 @@
 	}
 }
 
-func (n *Node) beginInquiry(begun inquiry) bool {
+func (n *Node) startSurvey(begun pendingSurvey) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	// Registered first: a survey of a single process ends at once.
-	n.inquiries = append(n.inquiries, begun)
-	effects, err := n.spread.Survey(n.now(), begun.version)
+	// The survey is registered before it starts, since that of a single process ends at once.
+	n.pendingSurveys = append(n.pendingSurveys, begun)
+	effects, err := n.disseminator.Survey(n.now(), begun.version)
 	if err != nil {
-		n.inquiries = n.inquiries[:len(n.inquiries)-1]
+		n.pendingSurveys = n.pendingSurveys[:len(n.pendingSurveys)-1]
 		return false
 	}
-	n.executeSpread(effects)
+	n.executeDissemination(effects)
 	return true
 }
 
-// concludeInquiry hands on a result to the first that waits for it. The mutex
-// must be held.
-func (n *Node) concludeInquiry(surveyed dissemination.Survey) {
-	position := slices.IndexFunc(n.inquiries, func(waiting inquiry) bool { return waiting.version == surveyed.Version })
+// completeSurvey passes a result to the first caller that waits for it. The mutex must be
+// held.
+func (n *Node) completeSurvey(surveyed dissemination.Survey) {
+	position := slices.IndexFunc(n.pendingSurveys, func(waiting pendingSurvey) bool { return waiting.version == surveyed.Version })
 	if position < 0 {
 		return
 	}
-	n.inquiries[position].result <- surveyed
-	n.inquiries = slices.Delete(n.inquiries, position, position+1)
+	n.pendingSurveys[position].result <- surveyed
+	n.pendingSurveys = slices.Delete(n.pendingSurveys, position, position+1)
 }
 
-// Members implements adminapi.Fleet. The version of a member is the last one
-// that this process has heard of from it.
+// Members implements adminapi.Fleet. The version of a member is the last one that this
+// process received from it.
 func (n *Node) Members() []adminapi.Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	var shown []adminapi.Member
 	for _, member := range n.members.Members() {
-		shown = append(shown, n.show(member))
+		shown = append(shown, n.describe(member))
 	}
 	slices.SortFunc(shown, func(a, b adminapi.Member) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
@@ -152,21 +150,21 @@
 	return shown
 }
 
-// surveyedMembers returns the members with the versions that a survey finds.
+// surveyedMembers returns the members with the versions found by a survey.
 func (n *Node) surveyedMembers() []adminapi.Member {
 	n.mutex.Lock()
-	version := n.spread.Status().Applied
+	version := n.disseminator.Status().Applied
 	n.mutex.Unlock()
 	surveyed, done := n.survey(version)
 	if done {
-		n.noteSurvey(surveyed)
+		n.recordSurvey(surveyed)
 	}
 	return n.Members()
 }
 
-// noteSurvey takes in which members have a version in force. Of a zone that
-// names not all members without it, nothing is known of the others.
-func (n *Node) noteSurvey(surveyed dissemination.Survey) {
+// recordSurvey records which members have applied a version. If a zone does not list all
+// members that are behind, nothing is recorded for its members.
+func (n *Node) recordSurvey(surveyed dissemination.Survey) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, member := range n.members.Members() {
@@ -181,28 +179,28 @@
 		if zone.BehindCount > len(zone.BehindMembers) || slices.Contains(zone.BehindMembers, address) {
 			continue
 		}
-		status := n.heard.byAddress[address]
+		status := n.statuses.byAddress[address]
 		status.Applied = max(status.Applied, surveyed.Version)
-		n.heard.hear(address, status)
+		n.statuses.set(address, status)
 	}
 }
 
-// show returns a member in the form of the API. The mutex must be held.
-func (n *Node) show(member membership.Member) adminapi.Member {
+// describe converts a member to the form of the API. The mutex must be held.
+func (n *Node) describe(member membership.Member) adminapi.Member {
 	address := member.Identity.Address
-	state := stateText(member)
+	state := stateLabel(member)
 	if member.State == membership.StateAlive && member.Reachable {
 		state = memberLive
 	}
 	shown := adminapi.Member{
-		Name:    n.names.of(address),
+		Name:    n.names.lookup(address),
 		Zone:    n.zones.name(member.Identity.Zone),
 		State:   state,
-		Version: n.heard.byAddress[address].Applied,
+		Version: n.statuses.byAddress[address].Applied,
 	}
 	if address == n.address {
 		shown.Name = n.config.Name
-		shown.Version = n.spread.Status().Applied
+		shown.Version = n.disseminator.Status().Applied
 	}
 	return shown
 }
@@ -214,5 +212,5 @@
 	if address == n.address {
 		return n.config.Name
 	}
-	return n.names.of(address)
+	return n.names.lookup(address)
 }
--- a/internal/cluster/agents.go
+++ b/internal/cluster/agents.go
@@ -1,4 +1,4 @@
-// This file joins package liveness to a Node.
+// This file connects package liveness to a Node.
 
 package cluster
 
@@ -9,8 +9,8 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-// ReportAgents tells other daemons what this one knows of agents that report to it.
-// Claims that have not changed cost nothing.
+// ReportAgents tells other daemons the conditions of the agents that report to this one.
+// Claims that have not changed are not sent.
 func (n *Node) ReportAgents(claims []liveness.Claim) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -32,15 +32,14 @@
 			n.socket.send(effect.To.AddrPort(), encode(&Datagram{Liveness: &effect.Message}))
 			continue
 		}
-		n.told.add(effect)
+		n.agentEffects.add(effect)
 	}
 }
 
-// tellAgents tells the listener what others say, without locks, until ctx
-// ends.
-func (n *Node) tellAgents(ctx context.Context) error {
+// notifyAgentListener calls the listener, without holding the mutex, until ctx ends.
+func (n *Node) notifyAgentListener(ctx context.Context) error {
 	for {
-		effect, waiting := n.told.next(ctx)
+		effect, waiting := n.agentEffects.next(ctx)
 		switch {
 		case !waiting:
 			return nil
--- a/internal/cluster/dispatch.go
+++ b/internal/cluster/dispatch.go
@@ -1,4 +1,4 @@
-// This file carries the messages of the state machines.
+// This file passes messages between the network and the state machines.
 
 package cluster
 
@@ -14,12 +14,12 @@
 func encode(message msgp.Marshaler) []byte {
 	encoded, err := message.MarshalMsg(nil)
 	if err != nil {
-		panic("cluster: cannot encode a message: " + err.Error())
+		panic("cluster: cannot encode an outgoing message: " + err.Error())
 	}
 	return encoded
 }
 
-// accept handles a datagram of another daemon.
+// accept decodes a datagram of another daemon and passes it to its machine.
 func (n *Node) accept(from netip.AddrPort, encoded []byte) {
 	address, isIPv4 := membership.AddressOf(from)
 	var datagram Datagram
@@ -33,7 +33,7 @@
 	case datagram.Membership != nil:
 		n.acceptMembership(address, *datagram.Membership)
 	case datagram.Dissemination != nil:
-		n.acceptSpread(address, *datagram.Dissemination)
+		n.acceptDissemination(address, *datagram.Dissemination)
 	case datagram.Liveness != nil:
 		n.acceptLiveness(address, *datagram.Liveness)
 	}
@@ -45,12 +45,12 @@
 	n.executeMembership(n.members.Receive(n.now(), from, message))
 }
 
-func (n *Node) acceptSpread(from membership.Address, message dissemination.Message) {
+func (n *Node) acceptDissemination(from membership.Address, message dissemination.Message) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.heard.hear(from, message.Status)
-	n.executeSpread(n.spread.Receive(n.now(), from, message))
-	n.attach()
+	n.statuses.set(from, message.Status)
+	n.executeDissemination(n.disseminator.Receive(n.now(), from, message))
+	n.updateAttachment()
 }
 
 // executeMembership carries out effects. The mutex must be held.
@@ -60,31 +60,32 @@
 		case membership.EffectSend:
 			n.socket.send(effect.To.AddrPort(), encode(&Datagram{Membership: &effect.Message}))
 		case membership.EffectAttachment:
-			n.hearAttachment(effect.Member.Address, effect.Attachment)
+			n.acceptAttachment(effect.Member.Address, effect.Attachment)
 		default:
-			n.changed = true
-			n.report(effect)
+			n.membersChanged = true
+			n.logEvent(effect)
 		}
 	}
 }
 
-// hearAttachment takes in the status that came with a message of another
-// daemon. The mutex must be held.
-func (n *Node) hearAttachment(from membership.Address, attachment []byte) {
+// acceptAttachment records the dissemination status in an attachment. The mutex must be
+// held.
+func (n *Node) acceptAttachment(from membership.Address, attachment []byte) {
 	var status dissemination.Status
 	if _, err := status.UnmarshalMsg(attachment); err != nil {
 		n.config.Metrics.Malformed.Add(1)
 		return
 	}
-	n.heard.hear(from, status)
-	n.spread.ReceiveAttachment(n.now(), from, attachment)
+	n.statuses.set(from, status)
+	n.disseminator.ReceiveAttachment(n.now(), from, attachment)
 }
 
-// attach renews what the messages of membership carry. The mutex must be held.
-func (n *Node) attach() { n.members.SetAttachment(n.spread.Attachment()) }
+// updateAttachment sets the dissemination status that membership messages carry. The mutex
+// must be held.
+func (n *Node) updateAttachment() { n.members.SetAttachment(n.disseminator.Attachment()) }
 
-// executeSpread carries out effects. The mutex must be held.
-func (n *Node) executeSpread(effects []dissemination.Effect) {
+// executeDissemination carries out effects. The mutex must be held.
+func (n *Node) executeDissemination(effects []dissemination.Effect) {
 	for _, effect := range effects {
 		switch effect.Kind {
 		case dissemination.EffectSend:
@@ -92,13 +93,13 @@
 		case dissemination.EffectFetch:
 			n.fetches.add(fetchTask{from: effect.To, version: effect.Version})
 		case dissemination.EffectSurveyDone:
-			n.concludeInquiry(effect.Survey)
+			n.completeSurvey(effect.Survey)
 		}
 	}
 }
 
-// report logs changes of the membership that are worth it.
-func (n *Node) report(event membership.Effect) {
+// logEvent logs changes of the membership.
+func (n *Node) logEvent(event membership.Effect) {
 	zone := n.zones.name(event.Zone)
 	member := event.Member.Address.String()
 	memberZone := n.zones.name(event.Member.Zone)
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -1,5 +1,4 @@
-// This file takes in newer tables, from the configuration service and from
-// other daemons.
+// This file installs newer tables, from the configuration service and from other daemons.
 
 package cluster
 
@@ -13,35 +12,35 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// errNothing is the error of a fetch that brought nothing newer.
-var errNothing = errors.New("cluster: the fetched state is not newer")
+// errNotNewer is the error of a fetch that returned no newer table.
+var errNotNewer = errors.New("cluster: the other daemon has no newer table")
 
-// fetchTask asks another daemon for a table newer than a version.
+// fetchTask is a pending fetch of a table newer than a version from another daemon.
 type fetchTask struct {
 	from    membership.Address
 	version table.Version
 }
 
-// UpdateTable takes in a table of the configuration service, and tells the other
-// daemons that this one has it. It reports whether the table is newer than the
-// one held; a table that is not valid is an error.
+// UpdateTable installs a table of the configuration service and announces the version to
+// the other daemons. It reports whether the table is newer than the one held. It returns an
+// error if the table is not valid.
 func (n *Node) UpdateTable(newer *table.Table) (bool, error) {
-	followed, err := n.store.follow(newer)
+	followed, err := n.store.update(newer)
 	if followed {
-		n.installed(n.store.version())
+		n.announceInstalled(n.store.version())
 	}
 	return followed, err
 }
 
-// installed tells others of a version that this process holds now.
-func (n *Node) installed(version table.Version) {
+// announceInstalled tells the other daemons that this process holds a version.
+func (n *Node) announceInstalled(version table.Version) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.executeSpread(n.spread.Installed(n.now(), version))
-	n.attach()
+	n.executeDissemination(n.disseminator.Installed(n.now(), version))
+	n.updateAttachment()
 }
 
-// fetchTables carries out fetches, one after the other, until ctx ends.
+// fetchTables carries out the pending fetches one after the other until ctx ends.
 func (n *Node) fetchTables(ctx context.Context) error {
 	for {
 		next, waiting := n.fetches.next(ctx)
@@ -52,21 +51,21 @@
 	}
 }
 
-// fetch asks another daemon for what this one misses.
+// fetch carries out one fetch and reports the outcome to the dissemination.
 func (n *Node) fetch(ctx context.Context, wanted fetchTask) {
 	version, err := n.fetchFrom(ctx, wanted)
 	if err == nil {
 		n.config.Logger.Info("table fetched", "from", wanted.from.String(), "version", uint64(version))
-		n.installed(version)
+		n.announceInstalled(version)
 		return
 	}
-	n.config.Logger.Debug("table not fetched", "from", wanted.from.String(), "error", err)
+	n.config.Logger.Debug("cannot fetch the table", "from", wanted.from.String(), "error", err)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.spread.FetchFailed(n.now(), wanted.from)
+	n.disseminator.FetchFailed(n.now(), wanted.from)
 }
 
-// fetchFrom fetches from a daemon, puts it in force and returns the version.
+// fetchFrom fetches a table from a daemon, installs it and returns its version.
 func (n *Node) fetchFrom(ctx context.Context, wanted fetchTask) (table.Version, error) {
 	request := FetchRequest{Version: wanted.version}
 	encoded, err := n.socket.exchange(ctx, wanted.from.AddrPort(), encode(&request))
@@ -75,10 +74,10 @@
 	}
 	var answer FetchResponse
 	if _, err := answer.UnmarshalMsg(encoded); err != nil {
-		return 0, errors.Wrap(err, "cluster: fetched state")
+		return 0, errors.Wrap(err, "cluster: decode the fetch response")
 	}
 	if len(answer.State) == 0 {
-		return 0, errNothing
+		return 0, errNotNewer
 	}
 	if err := n.store.Install(answer.State); err != nil {
 		return 0, err
@@ -86,8 +85,8 @@
 	return n.store.version(), nil
 }
 
-// answer serves the request of a connection.
-func (n *Node) answer(from netip.AddrPort, encoded []byte) []byte {
+// serveFetch answers the fetch request of a connection.
+func (n *Node) serveFetch(from netip.AddrPort, encoded []byte) []byte {
 	var request FetchRequest
 	if _, err := request.UnmarshalMsg(encoded); err != nil {
 		n.config.Metrics.Malformed.Add(1)
@@ -98,7 +97,7 @@
 	}
 	state, err := n.store.Snapshot()
 	if err != nil {
-		n.config.Logger.Warn("table not encoded", "for", from, "error", err)
+		n.config.Logger.Warn("cannot encode the table", "for", from, "error", err)
 		return nil
 	}
 	return encode(&FetchResponse{State: state})
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	// patience bounds what real sockets need; nothing is judged
-	// by speed.
-	patience = 2 * time.Minute
-	// port is the port of all nodes, each of which has its own address.
+	// eventTimeout is generous, since real sockets are involved and no test checks speed.
+	eventTimeout = 2 * time.Minute
+	// port is the port of all nodes. Each node has its own address.
 	port = 17100
 )
 
 var zoneNames = []string{"casablanca-1", "casablanca-2", "kolkata-1"}
 
-// fleets counts the fleets of this process, so that each has its own network
-// of loopback addresses. Tests that run at the same time differ by process.
+// fleets counts the fleets of this process, so that successive fleets use different
+// networks of loopback addresses. Concurrent test processes use different networks by their
+// process ids.
 var fleets atomic.Uint32
 
-// fleet is a set of nodes over real sockets, in the zones in turn.
+// fleet is a set of nodes on real sockets, assigned to the zones in turn.
 type fleet struct {
 	network [3]byte
 	seeds   []netip.AddrPort
@@ -55,46 +55,46 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(octets), port)
 }
 
-// agentNotes is an AgentListener that remembers what it was told.
-type agentNotes struct {
-	mutex sync.Mutex
-	ready bool
-	said  map[table.Endpoint]liveness.Claim
+// agentRecorder is an AgentListener that records its calls.
+type agentRecorder struct {
+	mutex  sync.Mutex
+	ready  bool
+	claims map[table.Endpoint]liveness.Claim
 }
 
-func (a *agentNotes) ClaimChanged(claim liveness.Claim) {
+func (a *agentRecorder) ClaimChanged(claim liveness.Claim) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.said == nil {
-		a.said = make(map[table.Endpoint]liveness.Claim)
+	if a.claims == nil {
+		a.claims = make(map[table.Endpoint]liveness.Claim)
 	}
-	a.said[claim.Agent] = claim
+	a.claims[claim.Agent] = claim
 }
 
-func (a *agentNotes) Ready() {
+func (a *agentRecorder) Ready() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.ready = true
 }
 
-func (a *agentNotes) of(agent table.Endpoint) liveness.Claim {
+func (a *agentRecorder) of(agent table.Endpoint) liveness.Claim {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.said[agent]
+	return a.claims[agent]
 }
 
-func (a *agentNotes) isReady() bool {
+func (a *agentRecorder) isReady() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.ready
 }
 
-// node is a node that runs and puts every table in force.
+// node is a running node that applies every table.
 type node struct {
 	*cluster.Node
 	name    string
-	inForce atomic.Uint64
-	agents  agentNotes
+	applied atomic.Uint64
+	agents  agentRecorder
 	cancel  context.CancelFunc
 	ended   chan error
 }
@@ -115,7 +115,7 @@
 
 func (f *fleet) start(number int) *node {
 	started := &node{name: fmt.Sprint("balancer-", number), ended: make(chan error, 1)}
-	config := f.config(number, started.putInForce)
+	config := f.config(number, started.applyTable)
 	config.Agents = &started.agents
 	created, err := cluster.New(config)
 	Expect(err).NotTo(HaveOccurred())
@@ -129,7 +129,7 @@
 	}()
 	DeferCleanup(func() {
 		cancel()
-		Eventually(done, patience).Should(BeClosed())
+		Eventually(done, eventTimeout).Should(BeClosed())
 	})
 	return started
 }
@@ -142,17 +142,17 @@
 	return nodes
 }
 
-func (n *node) putInForce(changed *table.Table) {
-	n.inForce.Store(uint64(changed.Version))
+func (n *node) applyTable(changed *table.Table) {
+	n.applied.Store(uint64(changed.Version))
 	n.Applied(changed.Version)
 }
 
 func (n *node) stop() {
 	n.cancel()
-	Eventually(n.ended, patience).Should(Receive(BeNil()))
+	Eventually(n.ended, eventTimeout).Should(Receive(BeNil()))
 }
 
-// tableOf returns a table of the configuration service with that many rows.
+// tableOf returns a table of the configuration service with the given number of rows.
 func tableOf(version table.Version, rows int) *table.Table {
 	created := &table.Table{Version: version, Services: []table.Service{{
 		ID: 1, Name: "lookup", Protocol: table.ProtocolTCP, Address: "198.51.100.1:80", Owner: "gateway",
@@ -166,19 +166,19 @@
 	return created
 }
 
-// follow gives a node a table of the configuration service.
-func (n *node) follow(newer *table.Table) {
+// updateTable gives a node a newer table of the configuration service.
+func (n *node) updateTable(newer *table.Table) {
 	GinkgoHelper()
 	followed, err := n.UpdateTable(newer)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(followed).To(BeTrue())
 }
 
-func (n *node) version() table.Version { return table.Version(n.inForce.Load()) }
+func (n *node) version() table.Version { return table.Version(n.applied.Load()) }
 
-func expectInForce(nodes []*node, version table.Version) {
+func expectApplied(nodes []*node, version table.Version) {
 	GinkgoHelper()
 	for _, running := range nodes {
-		Eventually(running.version, patience).Should(Equal(version), running.name)
+		Eventually(running.version, eventTimeout).Should(Equal(version), running.name)
 	}
 }
--- a/internal/cluster/liveness/claims.go
+++ b/internal/cluster/liveness/claims.go
@@ -1,4 +1,4 @@
-// This file implements the claims that a process knows of.
+// This file implements the store of all known claims.
 
 package liveness
 
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maximumClaims bounds the claims kept of one daemon.
+	// maximumClaims limits the claims kept of one daemon.
 	maximumClaims = 4096
-	// maximumReporters bounds the daemons whose claims are kept.
+	// maximumReporters limits the daemons whose claims are kept.
 	maximumReporters = 4096
 )
 
@@ -30,7 +30,7 @@
 	return &reporter{incarnation: incarnation, records: make(map[table.Endpoint]Record)}
 }
 
-// put takes in a record and returns whether it was news.
+// put stores a record. It reports whether the record was new.
 func (r *reporter) put(record Record) bool {
 	known, exists := r.records[record.Claim.Agent]
 	if exists && known.Sequence >= record.Sequence || !exists && len(r.records) >= maximumClaims {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// sorted returns the records in a fixed order.
+// sorted returns the records ordered by agent.
 func (r *reporter) sorted() []Record {
 	records := make([]Record, 0, len(r.records))
 	for _, record := range r.records {
@@ -59,7 +59,7 @@
 	return records
 }
 
-// hash covers what must agree between daemons.
+// hash covers what daemons must agree on.
 func (r Record) hash() uint64 {
 	var encoded [24]byte
 	binary.BigEndian.PutUint64(encoded[0:], uint64(r.Reporter))
@@ -71,15 +71,15 @@
 	return digest.Sum64()
 }
 
-// valid reports whether a record that came from the network can be used.
+// valid reports whether a record received from the network is well formed.
 func (r Record) valid() bool {
 	return r.Reporter != 0 && r.Claim.Condition <= Leaving && r.Claim.Agent != ""
 }
 
-// claims holds what all processes claim.
+// claims holds the claims of all processes.
 type claims struct {
 	reporters map[membership.Address]*reporter
-	// byAgent lists who claims something of an agent.
+	// byAgent lists the daemons that claim a condition of each agent.
 	byAgent map[table.Endpoint][]membership.Address
 }
 
@@ -90,8 +90,8 @@
 	}
 }
 
-// put takes in a record and returns whether it was news. The first record of a
-// later process ends all claims of the earlier one.
+// put stores a record. It reports whether the record was new. The first record of a later
+// process discards all claims of the earlier one.
 func (c *claims) put(record Record) bool {
 	from, known := c.reporters[record.Reporter]
 	switch {
@@ -114,7 +114,7 @@
 	return true
 }
 
-// drop forgets all claims of a daemon.
+// drop removes all claims of a daemon.
 func (c *claims) drop(address membership.Address) {
 	from, known := c.reporters[address]
 	if !known {
--- a/internal/cluster/liveness/digest.go
+++ b/internal/cluster/liveness/digest.go
@@ -1,4 +1,5 @@
-// This file implements finding what pushes have missed.
+// This file implements the exchange of digests, which detects records that pushes have
+// missed.
 
 package liveness
 
@@ -10,52 +11,50 @@
 )
 
 const (
-	// digestInterval is the time between two exchanges of digests, and
-	// quickDigestInterval the time while this process is not ready.
+	// digestInterval is the time between two exchanges of digests, and quickDigestInterval
+	// the time while this process is not ready.
 	digestInterval      = 2 * time.Second
 	quickDigestInterval = 500 * time.Millisecond
-	// remoteTurn is how many exchanges there are for one with another zone.
-	remoteTurn = 4
-	// settleTime is how long the own digest of a zone must not have changed
-	// before the zone is compared: while news travel, digests differ for a
-	// moment.
+	// remoteExchangePeriod is the number of exchanges of which one is with a member of any
+	// zone instead of the own zone.
+	remoteExchangePeriod = 4
+	// settleTime is how long the own digest of a zone must not have changed before the zone
+	// is compared. Digests differ for a moment while records spread.
 	settleTime = 3 * time.Second
-	// maximumDigests bounds the daemons of one comparison, so that it fits in
-	// a datagram.
+	// maximumDigests limits the daemons in one comparison, so that it fits in a datagram.
 	maximumDigests = 40
-	// maximumAnswers bounds the messages that answer one comparison; the rest
-	// is found by the next.
+	// maximumAnswers limits the messages that answer one comparison. The next comparison
+	// finds the remaining differences.
 	maximumAnswers = 8
 )
 
-// zoneChange is when the own digest of a zone was first seen.
+// zoneChange is the last digest of a zone and when it was first seen.
 type zoneChange struct {
 	hash  uint64
 	since time.Duration
 }
 
-// comparison is the state of the exchange of digests.
-type comparison struct {
-	next    time.Duration
-	turn    int
-	changes [membership.MaximumZones]zoneChange
-	// from is where the next comparison of each zone begins in the list of its
-	// daemons.
-	from [membership.MaximumZones]int
+// comparisonState is the state of the exchange of digests.
+type comparisonState struct {
+	next      time.Duration
+	exchanges int
+	changes   [membership.MaximumZones]zoneChange
+	// offset is where the next comparison of each zone starts in the list of its daemons.
+	offset [membership.MaximumZones]int
 }
 
-// exchangeDigests asks a random member for its digests.
+// exchangeDigests sends the own digests to a random member, which answers with its own.
 func (m *Machine) exchangeDigests(now time.Duration) {
-	if now < m.compare.next || len(m.peers) == 0 {
+	if now < m.comparison.next || len(m.peers) == 0 {
 		return
 	}
-	m.compare.next = now + digestInterval
+	m.comparison.next = now + digestInterval
 	if !m.ready {
-		m.compare.next = now + quickDigestInterval
+		m.comparison.next = now + quickDigestInterval
 	}
-	m.compare.turn++
-	anywhere := m.compare.turn%remoteTurn == 0
-	ownZone := func(peer Peer) bool { return anywhere || peer.Identity.Zone == m.config.Self.Zone }
+	m.comparison.exchanges++
+	anyZone := m.comparison.exchanges%remoteExchangePeriod == 0
+	ownZone := func(peer Peer) bool { return anyZone || peer.Identity.Zone == m.config.Self.Zone }
 	chosen := m.choose(1, ownZone)
 	if len(chosen) == 0 {
 		chosen = m.choose(1, func(Peer) bool { return true })
@@ -83,8 +82,8 @@
 	return digests
 }
 
-// reporterDigests returns the digests of the live daemons in the zones that
-// suit, this process included, ordered by address.
+// reporterDigests returns the digests of the live daemons in the matching zones, this
+// process included, ordered by address.
 func (m *Machine) reporterDigests(matches func(membership.Zone) bool) []ReporterDigest {
 	digests := []ReporterDigest{}
 	if matches(m.config.Self.Zone) {
@@ -104,7 +103,7 @@
 	return digests
 }
 
-// reporterDigest returns the digest of a process, zero if it claims nothing.
+// reporterDigest returns the digest of a process. It is zero if the process claims nothing.
 func (m *Machine) reporterDigest(identity membership.Identity) ReporterDigest {
 	digest := ReporterDigest{Reporter: identity.Address}
 	if from, known := m.claims.reporters[identity.Address]; known && from.incarnation == identity.Incarnation {
@@ -120,7 +119,8 @@
 	return m.config.Self.Zone
 }
 
-// compareDigests compares the zones that another daemon knows differently.
+// compareDigests requests a comparison of the zones for which another daemon has a
+// different digest.
 func (m *Machine) compareDigests(now time.Duration, from membership.Address, theirs []ZoneDigest) {
 	own := m.digests()
 	same := len(own) == len(theirs)
@@ -131,7 +131,7 @@
 		}
 		same = false
 		if settled {
-			m.askCompare(from, digest.Zone)
+			m.requestComparison(from, digest.Zone)
 		}
 	}
 	if same {
@@ -139,32 +139,32 @@
 	}
 }
 
-// settled reports whether the own digest of a zone has not changed for long.
-// That others agree with it says nothing: a whole zone may have missed a push.
-// A process that is not ready does not wait.
+// settled reports whether the own digest of a zone has not changed for settleTime.
+// Agreement with others is not considered: a whole zone may have missed a push. A process
+// that is not ready does not wait.
 func (m *Machine) settled(now time.Duration, own ZoneDigest) bool {
-	noted := &m.compare.changes[own.Zone]
+	noted := &m.comparison.changes[own.Zone]
 	if noted.hash != own.Hash {
 		*noted = zoneChange{hash: own.Hash, since: now}
 	}
 	return !m.ready || now >= noted.since+settleTime
 }
 
-// askCompare sends the digests of some daemons of a zone, others each time.
-func (m *Machine) askCompare(to membership.Address, zone membership.Zone) {
+// requestComparison sends the digests of some daemons of a zone, different ones each time.
+func (m *Machine) requestComparison(to membership.Address, zone membership.Zone) {
 	known := m.reporterDigests(func(other membership.Zone) bool { return other == zone })
-	begin := m.compare.from[zone]
+	begin := m.comparison.offset[zone]
 	if begin >= len(known) {
 		begin = 0
 	}
 	end := min(begin+maximumDigests, len(known))
-	m.compare.from[zone] = end
+	m.comparison.offset[zone] = end
 	m.send(to, Message{Kind: KindCompare, Zone: zone, Reporters: known[begin:end]})
 }
 
-// answerCompare sends the records of the daemons that the asking one knows
-// differently: a random part if there are many, so that asking again leads on.
-func (m *Machine) answerCompare(to membership.Address, message Message) {
+// answerComparison sends the records of the daemons whose digests differ. If there are
+// many, it sends a random part of them, so that repeated requests make progress.
+func (m *Machine) answerComparison(to membership.Address, message Message) {
 	var answers [][]Record
 	for _, theirs := range message.Reporters {
 		from, known := m.claims.reporters[theirs.Reporter]
--- a/internal/cluster/liveness/effect.go
+++ b/internal/cluster/liveness/effect.go
@@ -1,25 +1,23 @@
-// This file defines what a Machine asks its caller to do.
+// This file defines the effects that a Machine returns to its caller.
 
 package liveness
 
 import "github.com/vanetiller/vanetiller/internal/membership"
 
-// EffectKind tells what an effect is.
+// EffectKind is the type of an effect.
 type EffectKind uint8
 
 // The kinds of effects.
 const (
 	// EffectSend: transmit Message to To.
 	EffectSend EffectKind = iota
-	// EffectConditionChanged: what other daemons claim of the agent of Claim has
-	// changed to Claim.
+	// EffectConditionChanged: Claim is the new claim of the other daemons about its agent.
 	EffectConditionChanged
-	// EffectReady: this process knows what others claim. It comes once.
+	// EffectReady: this process knows the claims of the others. It is emitted once.
 	EffectReady
 )
 
-// Effect is one thing that the caller of the machine has to do. Which fields
-// are set depends on Kind.
+// Effect is an action that the caller must carry out. Kind determines which fields are set.
 type Effect struct {
 	Kind    EffectKind
 	To      membership.Address
--- a/internal/cluster/liveness/machine.go
+++ b/internal/cluster/liveness/machine.go
@@ -1,4 +1,4 @@
-// This file implements the machine's entry points.
+// This file implements the entry points of the machine.
 
 package liveness
 
@@ -13,78 +13,76 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// TickInterval is how often Tick shall be called.
+// TickInterval is the interval at which Tick must be called.
 const TickInterval = 100 * time.Millisecond
 
 const (
-	// zoneFanout is to how many members of its zone each member pushes.
+	// zoneFanout is the number of members of its own zone to which a member pushes.
 	zoneFanout = 4
-	// entryFanout is to how many members of another zone or region one member
+	// remoteFanout is the number of members of another zone or region to which a member
 	// pushes.
-	entryFanout = 2
-	// maximumRecords bounds the records of one message, so that it fits in a
-	// datagram.
+	remoteFanout = 2
+	// maximumRecords limits the records of one message, so that it fits in a datagram.
 	maximumRecords = 16
-	// readyTimeout is when a process that finds nobody with the same claims
-	// goes by what it knows.
+	// readyTimeout is the time after which a process that finds no member with the same
+	// claims relies on the claims it has.
 	readyTimeout = 20 * time.Second
-	// forgetAfter is how long the claims of a daemon that is no member are
-	// kept: membership may hear of it later than of its claims.
-	forgetAfter = time.Minute
+	// nonMemberRetention is how long the claims of a daemon that is not a member are kept,
+	// since its claims may arrive before membership knows of it.
+	nonMemberRetention = time.Minute
 )
 
-// Peer is another live member, as package membership knows it.
+// Peer is another live member of package membership.
 type Peer struct {
 	Identity membership.Identity
-	// Reachable is false while its zone cannot be reached.
+	// Reachable is false while the zone of the peer is unreachable.
 	Reachable bool
 }
 
 // Config holds the settings of a Machine.
 type Config struct {
-	// Self names this process.
+	// Self is the identity of this process.
 	Self membership.Identity
-	// Random decides whom to tell. The machine alone may use it.
+	// Random is used to choose peers. No other component may use it.
 	Random *rand.Rand
 }
 
-// Machine is the liveness of agents as one process knows it. It is not safe
-// for concurrent use.
+// Machine holds what one process knows of the agents. It is not safe for concurrent use.
 type Machine struct {
-	config   Config
-	peers    []Peer
-	claims   claims
-	strange  map[membership.Address]time.Duration
-	sequence uint64
-	// told is what EffectCondition has told of each agent.
-	told     map[table.Endpoint]Claim
-	pending  [ScopeFleet + 1][]Record
-	compare  comparison
-	started  bool
-	since    time.Duration
-	ready    bool
-	effects  []Effect
-	affected []table.Endpoint
+	config     Config
+	peers      []Peer
+	claims     claims
+	nonMembers map[membership.Address]time.Duration
+	sequence   uint64
+	// reported is the last claim that EffectConditionChanged reported for each agent.
+	reported   map[table.Endpoint]Claim
+	pending    [ScopeFleet + 1][]Record
+	comparison comparisonState
+	started    bool
+	startTime  time.Duration
+	ready      bool
+	effects    []Effect
+	affected   []table.Endpoint
 }
 
-// New returns the machine of a process that knows of no agent. It fails if the
-// configuration cannot be used.
+// New returns the machine of a process that knows no agents. It returns an error if the
+// configuration is invalid.
 func New(config Config) (*Machine, error) {
 	if config.Self.Address == 0 || config.Self.Zone >= membership.MaximumZones {
-		return nil, errors.New("liveness: no usable identity")
+		return nil, errors.New("liveness: the identity of this process has no address or an invalid zone")
 	}
 	if config.Random == nil {
-		return nil, errors.New("liveness: no source of randomness")
+		return nil, errors.New("liveness: the source of randomness is missing")
 	}
 	return &Machine{
-		config:  config,
-		claims:  newClaims(),
-		strange: make(map[membership.Address]time.Duration),
-		told:    make(map[table.Endpoint]Claim),
+		config:     config,
+		claims:     newClaims(),
+		nonMembers: make(map[membership.Address]time.Duration),
+		reported:   make(map[table.Endpoint]Claim),
 	}, nil
 }
 
-// SetSelf gives this process another incarnation. Its claims go on under it.
+// SetSelf gives this process another incarnation and repeats its claims under it.
 func (m *Machine) SetSelf(self membership.Identity) {
 	if self == m.config.Self {
 		return
@@ -99,31 +97,29 @@
 	}
 }
 
-// SetPeers replaces the live members. The claims of a process that has ended,
-// or cannot be reached, count no more. The returned effects are valid until
-// the next call.
+// SetPeers replaces the live members. Claims of processes that have ended or are
+// unreachable are no longer considered. The returned effects are valid until the next call.
 func (m *Machine) SetPeers(now time.Duration, peers []Peer) []Effect {
-	m.begin()
+	m.resetEffects()
 	m.peers = slices.DeleteFunc(slices.Clone(peers), func(peer Peer) bool {
 		return peer.Identity.Address == m.config.Self.Address || peer.Identity.Zone >= membership.MaximumZones
 	})
 	slices.SortFunc(m.peers, comparePeers)
-	m.forgetStrangers(now)
+	m.expireNonMembers(now)
 	for agent := range m.claims.byAgent {
 		m.affected = append(m.affected, agent)
 	}
-	for agent := range m.told {
+	for agent := range m.reported {
 		m.affected = append(m.affected, agent)
 	}
-	m.tell()
+	m.emitChanges()
 	return m.effects
 }
 
-// Claim takes in what this process knows of an agent. Nothing happens unless
-// that differs from its last claim. The returned effects are valid until the
-// next call.
+// Claim records a claim of this process about an agent. It does nothing if the last claim
+// was the same. The returned effects are valid until the next call.
 func (m *Machine) Claim(claim Claim) []Effect {
-	m.begin()
+	m.resetEffects()
 	if own, exists := m.claims.reporters[m.config.Self.Address]; exists {
 		if known, claimed := own.records[claim.Agent]; claimed && known.Claim == claim {
 			return nil
@@ -146,26 +142,26 @@
 	}
 }
 
-// Tick must be called every TickInterval. The returned effects are valid until
-// the next call.
+// Tick must be called every TickInterval. The returned effects are valid until the next
+// call.
 func (m *Machine) Tick(now time.Duration) []Effect {
-	m.begin()
+	m.resetEffects()
 	if !m.started {
 		m.started = true
-		m.since = now
+		m.startTime = now
 	}
 	m.flush()
 	m.exchangeDigests(now)
-	if now >= m.since+readyTimeout {
+	if now >= m.startTime+readyTimeout {
 		m.becomeReady()
 	}
 	return m.effects
 }
 
-// Receive handles a message from another process. The returned effects are
-// valid until the next call.
+// Receive handles a message from another process. The returned effects are valid until the
+// next call.
 func (m *Machine) Receive(now time.Duration, from membership.Address, message Message) []Effect {
-	m.begin()
+	m.resetEffects()
 	if from == m.config.Self.Address || message.Scope > ScopeFleet || message.Zone >= membership.MaximumZones {
 		return nil
 	}
@@ -180,13 +176,13 @@
 	case KindDigestReply:
 		m.compareDigests(now, from, message.Zones)
 	case KindCompare:
-		m.answerCompare(from, message)
+		m.answerComparison(from, message)
 	}
-	m.tell()
+	m.emitChanges()
 	return m.effects
 }
 
-func (m *Machine) begin() {
+func (m *Machine) resetEffects() {
 	m.effects = m.effects[:0]
 	m.affected = m.affected[:0]
 }
@@ -204,7 +200,7 @@
 	}
 }
 
-// receiveRecords takes in records and passes on those that were news.
+// receiveRecords stores records and queues the new ones to be pushed on.
 func (m *Machine) receiveRecords(records []Record, scope Scope) {
 	for _, record := range records {
 		if !record.valid() || record.Reporter == m.config.Self.Address {
@@ -217,20 +213,20 @@
 	}
 }
 
-// forgetStrangers drops the claims of daemons that have been no members for
-// long.
-func (m *Machine) forgetStrangers(now time.Duration) {
+// expireNonMembers drops the claims of daemons that have not been members for
+// nonMemberRetention.
+func (m *Machine) expireNonMembers(now time.Duration) {
 	for address, from := range m.claims.reporters {
 		if address == m.config.Self.Address || m.isLive(address, from.incarnation) {
-			delete(m.strange, address)
+			delete(m.nonMembers, address)
 			continue
 		}
-		since, noted := m.strange[address]
+		since, noted := m.nonMembers[address]
 		switch {
 		case !noted:
-			m.strange[address] = now
-		case now >= since+forgetAfter:
-			delete(m.strange, address)
+			m.nonMembers[address] = now
+		case now >= since+nonMemberRetention:
+			delete(m.nonMembers, address)
 			m.dropReporter(address, from)
 		}
 	}
--- a/internal/cluster/liveness/machine_test.go
+++ b/internal/cluster/liveness/machine_test.go
@@ -30,27 +30,27 @@
 	machine  *Machine
 	stopped  bool
 	ready    bool
-	// told holds the condition told last of each agent.
-	told map[table.Endpoint]Claim
+	// reported holds the last reported condition of each agent.
+	reported map[table.Endpoint]Claim
 }
 
-// packet is a message under way.
+// packet is a message in flight.
 type packet struct {
 	at       time.Duration
 	from, to membership.Address
 	message  Message
 }
 
-// fleet runs daemons in virtual time over a network that loses and doubles
-// messages. Zones 0 and 1 are region 0, zones 2 and 3 region 1.
+// fleet runs daemons in virtual time over a network that loses and duplicates messages.
+// Zones 0 and 1 are in region 0, zones 2 and 3 in region 1.
 type fleet struct {
 	now       time.Duration
 	random    *rand.Rand
 	loss      float64
 	processes []*process
-	underWay  []packet
-	// cut separates the region 1 from the rest.
-	cut bool
+	inFlight  []packet
+	// partitioned separates region 1 from the rest.
+	partitioned bool
 }
 
 func newFleet(seed uint64, size int) *fleet {
@@ -58,7 +58,7 @@
 	for number := range size {
 		created.add(number, 1)
 	}
-	created.tellPeers()
+	created.updatePeers()
 	return created
 }
 
@@ -69,35 +69,35 @@
 	}
 	machine, err := New(Config{Self: identity, Random: rand.New(rand.NewPCG(f.random.Uint64(), uint64(number)))})
 	Expect(err).NotTo(HaveOccurred())
-	added := &process{identity: identity, machine: machine, told: make(map[table.Endpoint]Claim)}
+	added := &process{identity: identity, machine: machine, reported: make(map[table.Endpoint]Claim)}
 	f.processes = append(f.processes, added)
 	return added
 }
 
-// tellPeers tells all running daemons who runs.
-func (f *fleet) tellPeers() {
-	for _, told := range f.processes {
+// updatePeers passes the running daemons to all running daemons.
+func (f *fleet) updatePeers() {
+	for _, updated := range f.processes {
 		var peers []Peer
 		for _, other := range f.processes {
 			if !other.stopped {
-				peers = append(peers, Peer{Identity: other.identity, Reachable: !f.separates(told, other)})
+				peers = append(peers, Peer{Identity: other.identity, Reachable: !f.separates(updated, other)})
 			}
 		}
-		if !told.stopped {
-			f.perform(told, told.machine.SetPeers(f.now, peers))
+		if !updated.stopped {
+			f.execute(updated, updated.machine.SetPeers(f.now, peers))
 		}
 	}
 }
 
 func (f *fleet) separates(a, b *process) bool {
-	return f.cut && a.identity.Region != b.identity.Region
+	return f.partitioned && a.identity.Region != b.identity.Region
 }
 
-func (f *fleet) perform(p *process, effects []Effect) {
+func (f *fleet) execute(p *process, effects []Effect) {
 	for _, effect := range effects {
 		switch effect.Kind {
 		case EffectConditionChanged:
-			p.told[effect.Claim.Agent] = effect.Claim
+			p.reported[effect.Claim.Agent] = effect.Claim
 		case EffectReady:
 			p.ready = true
 		case EffectSend:
@@ -116,7 +116,7 @@
 	for range 1 + f.random.IntN(2) {
 		if f.random.Float64() >= f.loss {
 			delay := linkDelay + time.Duration(f.random.Int64N(int64(linkDelay)))
-			f.underWay = append(f.underWay, packet{f.now + delay, p.identity.Address, effect.To, decoded})
+			f.inFlight = append(f.inFlight, packet{f.now + delay, p.identity.Address, effect.To, decoded})
 		}
 	}
 }
@@ -124,18 +124,18 @@
 func (f *fleet) run(duration time.Duration) {
 	for until := f.now + duration; f.now < until; {
 		f.now += TickInterval
-		due := slices.Clone(f.underWay)
-		f.underWay = nil
+		due := slices.Clone(f.inFlight)
+		f.inFlight = nil
 		for _, arriving := range due {
 			if arriving.at > f.now {
-				f.underWay = append(f.underWay, arriving)
+				f.inFlight = append(f.inFlight, arriving)
 				continue
 			}
 			f.arrive(arriving)
 		}
 		for _, running := range f.processes {
 			if !running.stopped {
-				f.perform(running, running.machine.Tick(f.now))
+				f.execute(running, running.machine.Tick(f.now))
 			}
 		}
 	}
@@ -145,7 +145,7 @@
 	from := f.at(arriving.from)
 	to := f.at(arriving.to)
 	if from != nil && to != nil && !f.separates(from, to) {
-		f.perform(to, to.machine.Receive(f.now, arriving.from, arriving.message))
+		f.execute(to, to.machine.Receive(f.now, arriving.from, arriving.message))
 	}
 }
 
@@ -161,15 +161,15 @@
 
 func (f *fleet) claim(number int, agent table.Endpoint, start uint64, condition Condition) {
 	p := f.processes[number]
-	f.perform(p, p.machine.Claim(Claim{Agent: agent, Start: start, Condition: condition}))
+	f.execute(p, p.machine.Claim(Claim{Agent: agent, Start: start, Condition: condition}))
 }
 
-// know returns how many running daemons, but for those given, have been told
-// the condition.
-func (f *fleet) know(claim Claim, but ...int) int {
+// countReported returns how many running daemons, except the given ones, have reported the
+// condition.
+func (f *fleet) countReported(claim Claim, but ...int) int {
 	count := 0
 	for number, running := range f.processes {
-		if !running.stopped && !slices.Contains(but, number) && running.told[claim.Agent] == claim {
+		if !running.stopped && !slices.Contains(but, number) && running.reported[claim.Agent] == claim {
 			count++
 		}
 	}
@@ -178,33 +178,34 @@
 
 func (f *fleet) stop(number int) {
 	f.processes[number].stopped = true
-	f.tellPeers()
+	f.updatePeers()
 }
 
 var _ = Describe("Machine", func() {
 	const size = 40
-	// enough covers pushes and what repairs them.
-	const enough = 40 * time.Second
+	// convergenceTime is enough for pushes and for the digests that find what pushes
+	// missed.
+	const convergenceTime = 40 * time.Second
 	alive := Claim{Agent: agentName, Start: 7, Condition: Alive}
 	down := Claim{Agent: agentName, Start: 7, Condition: Down}
 	leaving := Claim{Agent: agentName, Start: 7, Condition: Leaving}
 
 	for _, seed := range []uint64{1, 2, 3, 4, 5} {
-		It(fmt.Sprint("tells all daemons of changes over a network that loses a fifth, seed ", seed), func() {
+		It(fmt.Sprint("reports changes on all daemons when a fifth of the messages is lost, seed ", seed), func() {
 			fleet := newFleet(seed, size)
 			fleet.loss = 0.2
 			fleet.claim(0, agentName, 7, Alive)
 			fleet.claim(5, agentName, 7, Alive)
-			fleet.run(enough)
-			Expect(fleet.know(alive, 0, 5)).To(Equal(size - 2))
+			fleet.run(convergenceTime)
+			Expect(fleet.countReported(alive, 0, 5)).To(Equal(size - 2))
 
-			By("taking an agent for down only once nobody hears it")
+			By("reporting an agent as down only once no daemon claims it to be alive")
 			fleet.claim(0, agentName, 7, Down)
-			fleet.run(enough)
-			Expect(fleet.know(alive, 0, 5)).To(Equal(size - 2))
+			fleet.run(convergenceTime)
+			Expect(fleet.countReported(alive, 0, 5)).To(Equal(size - 2))
 			fleet.claim(5, agentName, 7, Down)
-			fleet.run(enough)
-			Expect(fleet.know(down, 0, 5)).To(Equal(size - 2))
+			fleet.run(convergenceTime)
+			Expect(fleet.countReported(down, 0, 5)).To(Equal(size - 2))
 
 			By("bringing a daemon up to date that starts later")
 			fleet.claim(3, "192.0.2.9:6081", 1, Alive)
@@ -212,73 +213,73 @@
 				fleet.claim(4, table.Endpoint(fmt.Sprintf("198.51.100.%d:6081", number)), 1, Alive)
 			}
 			late := fleet.add(size, 1)
-			fleet.tellPeers()
-			fleet.run(enough)
+			fleet.updatePeers()
+			fleet.run(convergenceTime)
 			Expect(late.ready).To(BeTrue())
-			Expect(late.told).To(HaveLen(202))
-			Expect(late.told[agentName]).To(Equal(down))
+			Expect(late.reported).To(HaveLen(202))
+			Expect(late.reported[agentName]).To(Equal(down))
 		})
 	}
 
-	It("prefers the process that runs over its predecessor, and its stop over its run", func() {
+	It("prefers claims about a later process, and Leaving to Alive for the same process", func() {
 		fleet := newFleet(1, 4)
 		fleet.claim(0, agentName, 7, Alive)
 		fleet.claim(1, agentName, 7, Leaving)
-		fleet.run(enough)
-		Expect(fleet.know(leaving, 0, 1)).To(Equal(2))
+		fleet.run(convergenceTime)
+		Expect(fleet.countReported(leaving, 0, 1)).To(Equal(2))
 		fleet.claim(0, agentName, 8, Alive)
-		fleet.run(enough)
-		Expect(fleet.know(Claim{Agent: agentName, Start: 8, Condition: Alive}, 0, 1)).To(Equal(2))
+		fleet.run(convergenceTime)
+		Expect(fleet.countReported(Claim{Agent: agentName, Start: 8, Condition: Alive}, 0, 1)).To(Equal(2))
 		fleet.claim(0, agentName, 8, Leaving)
 		fleet.claim(1, agentName, 8, Alive)
-		fleet.run(enough)
-		Expect(fleet.know(Claim{Agent: agentName, Start: 8, Condition: Leaving}, 0, 1)).To(Equal(2))
+		fleet.run(convergenceTime)
+		Expect(fleet.countReported(Claim{Agent: agentName, Start: 8, Condition: Leaving}, 0, 1)).To(Equal(2))
 	})
 
-	It("lets the claims of a daemon end with it, and takes none of its predecessor", func() {
+	It("drops the claims of a daemon that has stopped, also after it restarts", func() {
 		fleet := newFleet(1, 8)
 		fleet.claim(0, agentName, 7, Alive)
-		fleet.run(enough)
-		Expect(fleet.know(alive, 0)).To(Equal(7))
+		fleet.run(convergenceTime)
+		Expect(fleet.countReported(alive, 0)).To(Equal(7))
 		fleet.stop(0)
-		Expect(fleet.know(Claim{Agent: agentName, Condition: Down}, 0)).To(Equal(7))
+		Expect(fleet.countReported(Claim{Agent: agentName, Condition: Down}, 0)).To(Equal(7))
 		successor := fleet.add(0, 2)
-		fleet.tellPeers()
-		fleet.run(enough)
-		Expect(fleet.know(Claim{Agent: agentName, Condition: Down}, 0)).To(Equal(7))
-		fleet.perform(successor, successor.machine.Claim(alive))
-		fleet.run(enough)
-		Expect(fleet.know(alive, 0)).To(Equal(7))
+		fleet.updatePeers()
+		fleet.run(convergenceTime)
+		Expect(fleet.countReported(Claim{Agent: agentName, Condition: Down}, 0)).To(Equal(7))
+		fleet.execute(successor, successor.machine.Claim(alive))
+		fleet.run(convergenceTime)
+		Expect(fleet.countReported(alive, 0)).To(Equal(7))
 	})
 
-	It("takes agents beyond a cut for down, and for alive again afterwards", func() {
+	It("reports agents beyond a partition as down, and as alive again after it has ended", func() {
 		fleet := newFleet(1, size)
 		fleet.claim(0, agentName, 7, Alive)
-		fleet.run(enough)
-		fleet.cut = true
-		fleet.tellPeers()
-		Expect(fleet.know(alive, 0)).To(Equal(size/2 - 1))
+		fleet.run(convergenceTime)
+		fleet.partitioned = true
+		fleet.updatePeers()
+		Expect(fleet.countReported(alive, 0)).To(Equal(size/2 - 1))
 		fleet.claim(0, agentName, 8, Alive)
-		fleet.run(enough)
-		fleet.cut = false
-		fleet.tellPeers()
-		fleet.run(enough)
-		Expect(fleet.know(Claim{Agent: agentName, Start: 8, Condition: Alive}, 0)).To(Equal(size - 1))
+		fleet.run(convergenceTime)
+		fleet.partitioned = false
+		fleet.updatePeers()
+		fleet.run(convergenceTime)
+		Expect(fleet.countReported(Claim{Agent: agentName, Start: 8, Condition: Alive}, 0)).To(Equal(size - 1))
 	})
 
-	It("goes on under another incarnation", func() {
+	It("keeps its claims when it takes another incarnation", func() {
 		fleet := newFleet(1, 4)
 		fleet.claim(0, agentName, 7, Alive)
-		fleet.run(enough)
+		fleet.run(convergenceTime)
 		renamed := fleet.processes[0]
 		renamed.identity.Incarnation = 5
 		renamed.machine.SetSelf(renamed.identity)
-		fleet.tellPeers()
-		fleet.run(enough)
-		Expect(fleet.know(alive, 0)).To(Equal(3))
+		fleet.updatePeers()
+		fleet.run(convergenceTime)
+		Expect(fleet.countReported(alive, 0)).To(Equal(3))
 	})
 
-	It("is ready on its own after a while, and repeats no claim", func() {
+	It("becomes ready after readyTimeout without peers, and does not repeat an unchanged claim", func() {
 		fleet := newFleet(1, 1)
 		Expect(fleet.processes[0].machine.Claim(alive)).To(BeEmpty())
 		fleet.run(readyTimeout - time.Second)
@@ -290,7 +291,7 @@
 		Expect(fleet.processes[0].machine.sequence).To(Equal(uint64(1)))
 	})
 
-	It("ignores what cannot be used", func() {
+	It("ignores records and messages that are not valid", func() {
 		fleet := newFleet(1, 2)
 		machine := fleet.processes[0].machine
 		for _, record := range []Record{
--- a/internal/cluster/liveness/message.go
+++ b/internal/cluster/liveness/message.go
@@ -1,4 +1,4 @@
-// This file defines what daemons send each other about agents.
+// This file defines the messages that daemons exchange about agents.
 
 package liveness
 
@@ -11,28 +11,28 @@
 //msgp:limit arrays:64
 //msgp:tuple Claim Record ZoneDigest ReporterDigest Message
 
-// Condition is what a daemon claims of an agent.
+// Condition is the condition of an agent as claimed by a daemon.
 type Condition uint8
 
 // The conditions of an agent.
 const (
-	// Down: its lease has ended.
+	// Down: the lease of the agent has ended.
 	Down Condition = iota
-	// Alive: it has a lease.
+	// Alive: the agent has a lease.
 	Alive
-	// Leaving: it has a lease, and takes no new flows since it stops.
+	// Leaving: the agent has a lease, but takes no new flows because it stops.
 	Leaving
 )
 
-// Claim is what a daemon knows of an agent that reports to it.
+// Claim is the condition of an agent as known to a daemon to which it reports.
 type Claim struct {
 	Agent table.Endpoint
-	// Start tells apart successive processes at the agent's address.
+	// Start distinguishes successive processes at the agent's address.
 	Start     uint64
 	Condition Condition
 }
 
-// Record is a claim as it travels.
+// Record is a claim with its origin, as sent to other daemons.
 type Record struct {
 	Reporter    membership.Address
 	Incarnation membership.Incarnation
@@ -53,34 +53,34 @@
 	Hash     uint64
 }
 
-// Kind is the purpose of a message.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	// KindPush carries records that were news to the sender.
+	// KindPush carries records that were new to the sender.
 	KindPush Kind = iota
 	// KindDigest carries the sender's digests and asks for the receiver's.
 	KindDigest
-	// KindDigestReply carries the receiver's digests.
+	// KindDigestReply answers KindDigest with the digests of its sender.
 	KindDigestReply
-	// KindCompare carries the digests of the daemons of Zone, and asks for the
-	// records of those that the receiver knows differently.
+	// KindCompare carries the digests of daemons of Zone. It asks for the records of those
+	// whose digests differ at the receiver.
 	KindCompare
 	// KindRecords carries records that the receiver asked for.
 	KindRecords
 )
 
-// Scope tells how far the receiver of a push shall pass it on.
+// Scope is the part of the fleet in which the receiver of a push must distribute it.
 type Scope uint8
 
 // The scopes of a push.
 const (
-	// ScopeZone: within its zone.
+	// ScopeZone: the zone of the receiver.
 	ScopeZone Scope = iota
-	// ScopeRegion: to all zones of its region.
+	// ScopeRegion: all zones of the receiver's region.
 	ScopeRegion
-	// ScopeFleet: to all regions.
+	// ScopeFleet: all regions.
 	ScopeFleet
 )
 
--- a/internal/cluster/liveness/push.go
+++ b/internal/cluster/liveness/push.go
@@ -1,4 +1,4 @@
-// This file implements pushing news onwards.
+// This file implements pushing records to peers.
 
 package liveness
 
@@ -8,8 +8,8 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-// flush pushes what was collected since the last tick, so that the agents of a
-// lost rack travel together.
+// flush pushes the records collected since the last tick, so that those of many agents, as
+// when a rack fails, share messages.
 func (m *Machine) flush() {
 	for scope := range m.pending {
 		for records := range slices.Chunk(m.pending[scope], maximumRecords) {
@@ -19,14 +19,13 @@
 	}
 }
 
-// push sends records to a few members of every part of the fleet that the
-// scope covers. Only the first member of a part that gets them pushes into its
-// smaller parts.
+// push sends records to a few members of every part of the fleet that the scope covers.
+// Only the first member of a part that receives them pushes to its smaller parts.
 func (m *Machine) push(records []Record, scope Scope) {
 	own := m.config.Self
 	if scope == ScopeFleet {
 		for _, region := range m.otherRegions() {
-			m.pushTo(records, ScopeRegion, entryFanout, func(peer Peer) bool {
+			m.pushTo(records, ScopeRegion, remoteFanout, func(peer Peer) bool {
 				return peer.Identity.Region == region
 			})
 		}
@@ -34,7 +33,7 @@
 	if scope >= ScopeRegion {
 		for zone := range membership.Zone(membership.MaximumZones) {
 			if zone != own.Zone {
-				m.pushTo(records, ScopeZone, entryFanout, func(peer Peer) bool {
+				m.pushTo(records, ScopeZone, remoteFanout, func(peer Peer) bool {
 					return peer.Identity.Zone == zone && peer.Identity.Region == own.Region
 				})
 			}
@@ -60,7 +59,7 @@
 	return regions
 }
 
-// choose returns up to count different reachable peers that suit.
+// choose returns up to count different reachable peers that match, at random.
 func (m *Machine) choose(count int, matches func(Peer) bool) []membership.Address {
 	var candidates []membership.Address
 	for _, peer := range m.peers {
--- a/internal/cluster/liveness/resolve.go
+++ b/internal/cluster/liveness/resolve.go
@@ -1,4 +1,4 @@
-// This file decides on the condition of an agent from what daemons claim.
+// This file resolves the claims of several daemons about an agent to one condition.
 
 package liveness
 
@@ -8,29 +8,29 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// tell emits the conditions of the affected agents that have changed.
-func (m *Machine) tell() {
+// emitChanges emits the conditions of the affected agents that have changed.
+func (m *Machine) emitChanges() {
 	slices.Sort(m.affected)
 	for _, agent := range slices.Compact(m.affected) {
-		judged, claimed := m.judge(agent)
-		known, told := m.told[agent]
+		resolved, claimed := m.resolve(agent)
+		known, reported := m.reported[agent]
 		if !claimed {
-			judged = Claim{Agent: agent, Condition: Down}
-			delete(m.told, agent)
+			resolved = Claim{Agent: agent, Condition: Down}
+			delete(m.reported, agent)
 		} else {
-			m.told[agent] = judged
+			m.reported[agent] = resolved
 		}
-		if told && known != judged || !told && claimed {
-			m.emit(Effect{Kind: EffectConditionChanged, Claim: judged})
+		if reported && known != resolved || !reported && claimed {
+			m.emit(Effect{Kind: EffectConditionChanged, Claim: resolved})
 		}
 	}
 }
 
-// judge returns what other reachable daemons claim of an agent. It returns
-// false if none claims anything. An agent that one daemon hears is alive,
-// whatever others, which it may have turned away from, hear. That an agent
-// stops counts for the process that was heard to stop, not for its successor.
-func (m *Machine) judge(agent table.Endpoint) (Claim, bool) {
+// resolve returns the claim of the other reachable daemons about an agent that takes
+// precedence. It returns false if there is no claim. An agent that any daemon claims to be
+// alive is alive, whatever the others claim: it may have stopped reporting to them. Leaving
+// applies only to the process that announced it and not to its successor.
+func (m *Machine) resolve(agent table.Endpoint) (Claim, bool) {
 	var best Claim
 	claimed := false
 	for _, address := range m.claims.byAgent[agent] {
@@ -40,7 +40,7 @@
 			continue
 		}
 		claim := from.records[agent].Claim
-		if !claimed || outweighs(claim, best) {
+		if !claimed || takesPrecedence(claim, best) {
 			best = claim
 		}
 		claimed = true
@@ -48,10 +48,10 @@
 	return best, claimed
 }
 
-// outweighs is a strict order, so that all daemons judge alike. The later start
-// is of the process that runs; a clock that was set back between two of them
-// is made up for when the lease of the earlier one ends.
-func outweighs(claim, other Claim) bool {
+// takesPrecedence is a strict order, so that all daemons resolve claims alike. The process
+// with the later start is the running one. If the clock was set back between two processes,
+// the claim about the earlier one prevails only until its lease ends.
+func takesPrecedence(claim, other Claim) bool {
 	isDown, otherIsDown := claim.Condition == Down, other.Condition == Down
 	switch {
 	case isDown != otherIsDown:
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -1,4 +1,4 @@
-// This file defines what daemons send each other over the cluster address.
+// This file defines the messages that daemons exchange at the cluster address.
 
 package cluster
 
@@ -13,21 +13,21 @@
 
 //msgp:tuple Datagram
 
-// Datagram is the only type sent over UDP. Exactly one of the pointers is set.
+// Datagram is the only type sent over UDP. Exactly one of its fields is set.
 type Datagram struct {
 	Membership    *membership.Message
 	Dissemination *dissemination.Message
 	Liveness      *liveness.Message
 }
 
-// FetchRequest is what a connection begins with: it asks for the table if that
-// is newer than a version.
+// FetchRequest is the first message on a connection. It asks for the table if it is newer
+// than Version.
 type FetchRequest struct {
 	Version table.Version `msg:"v"`
 }
 
-// FetchResponse answers a FetchRequest with an encoded state, which is empty if
-// the table is not newer.
+// FetchResponse answers a FetchRequest with an encoded snapshot, which is empty if the
+// table is not newer.
 type FetchResponse struct {
 	State []byte `msg:"s"`
 }
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -9,9 +9,9 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-// Labels of the metrics. DirectionLabel is "sent" or "received". StateLabel is
-// the text of a membership.State, or "unreachable" for a live member of a zone
-// that cannot be reached.
+// DirectionLabel and StateLabel are labels of the metrics. DirectionLabel is "sent" or
+// "received". StateLabel is the text of a membership.State, or "unreachable" for a live
+// member of an unreachable zone.
 const (
 	DirectionLabel = "direction"
 	StateLabel     = "state"
@@ -26,12 +26,12 @@
 // headerBytes is the size of the IPv4 and UDP headers.
 const headerBytes = 28
 
-// Metrics are the metrics of a Node. Nil ones are discarded.
+// Metrics holds the metrics of a Node. Metrics that are nil are discarded.
 type Metrics struct {
-	// Bytes counts datagrams with their headers, and the contents of
-	// connections, by DirectionLabel.
+	// Bytes counts by DirectionLabel: datagrams with their headers, and the contents of
+	// connections.
 	Bytes metrics.Counter
-	// Malformed counts messages that could not be read.
+	// Malformed counts messages that could not be decoded.
 	Malformed metrics.Counter
 	// Members is the number of members by StateLabel.
 	Members metrics.Gauge
@@ -39,8 +39,8 @@
 	HeldVersion metrics.Gauge
 }
 
-// fill replaces the metrics that are nil.
-func (m *Metrics) fill() {
+// setDefaults replaces nil metrics by ones that discard.
+func (m *Metrics) setDefaults() {
 	for _, counter := range []*metrics.Counter{&m.Bytes, &m.Malformed} {
 		if *counter == nil {
 			*counter = discard.NewCounter()
@@ -61,28 +61,28 @@
 	m.Bytes.With(DirectionLabel, direction).Add(float64(bytes))
 }
 
-func (m *Metrics) observeMembers(members []membership.Member) {
+func (m *Metrics) setMembers(members []membership.Member) {
 	counts := map[string]int{
 		membership.StateAlive.String(): 0, membership.StateSuspect.String(): 0,
 		membership.StateFailed.String(): 0, membership.StateLeft.String(): 0,
 		stateUnreachable: 0,
 	}
 	for _, member := range members {
-		counts[stateText(member)]++
+		counts[stateLabel(member)]++
 	}
 	for state, count := range counts {
 		m.Members.With(StateLabel, state).Set(float64(count))
 	}
 }
 
-func stateText(member membership.Member) string {
+func stateLabel(member membership.Member) string {
 	if isLive(member) && !member.Reachable {
 		return stateUnreachable
 	}
 	return member.State.String()
 }
 
-// isLive reports whether a member runs as far as is known.
+// isLive reports whether a member is in a live state.
 func isLive(member membership.Member) bool {
 	return member.State == membership.StateAlive || member.State == membership.StateSuspect
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -1,4 +1,4 @@
-// This file implements the life of a Node: its parts, its start and its end.
+// This file implements the parts of a Node, its start and its stop.
 
 package cluster
 
@@ -20,47 +20,48 @@
 )
 
 const (
-	// tickInterval matches both packages membership and dissemination.
+	// tickInterval suits the packages membership, dissemination and liveness.
 	tickInterval = membership.TickInterval
-	// metricsInterval is the time between two counts of the members.
+	// metricsInterval is the interval at which the metrics are updated.
 	metricsInterval = time.Second
-	// tellingInterval is the longest time between two tellings of who runs.
-	tellingInterval = 10 * time.Second
+	// peerUpdateInterval is the longest time between two updates of the peers of
+	// dissemination and liveness.
+	peerUpdateInterval = 10 * time.Second
 )
 
-// Node is a daemon among the others of its fleet. It is safe for concurrent
+// Node connects this process with the other daemons of its fleet. It is safe for concurrent
 // use.
 type Node struct {
-	config  Config
-	zones   zones
-	address membership.Address
-	seeds   []membership.Address
-	socket  *socket
-	started time.Time
-	store   *Store
-	fetches *queue[fetchTask]
-	told    *queue[liveness.Effect]
-
-	mutex   sync.Mutex
-	members *membership.Machine
-	spread  *dissemination.Machine
-	agents  *liveness.Machine
-	// self is the identity that the parts were told of. Membership takes
-	// another incarnation if this process was taken for failed.
+	config       Config
+	zones        zones
+	address      membership.Address
+	seeds        []membership.Address
+	socket       *socket
+	started      time.Time
+	store        *Store
+	fetches      *queue[fetchTask]
+	agentEffects *queue[liveness.Effect]
+
+	mutex        sync.Mutex
+	members      *membership.Machine
+	disseminator *dissemination.Machine
+	agents       *liveness.Machine
+	// self is the identity that was passed to the other machines. Membership takes another
+	// incarnation if this process was declared failed.
 	self membership.Identity
-	// changed tells that the members must be told to the other parts, which
-	// happens at nextTelling anyway.
-	changed     bool
-	nextTelling time.Duration
-	inquiries   []inquiry
-	heard       statusList
-	names       nameList
+	// membersChanged is set if the peers of the other machines must be updated. They are
+	// also updated at nextPeerUpdate.
+	membersChanged bool
+	nextPeerUpdate time.Duration
+	pendingSurveys []pendingSurvey
+	statuses       statusList
+	names          nameList
 }
 
-// New binds the address of a node. It fails if the address is in use or the
-// settings cannot be used. Nothing is sent before Run.
+// New binds the address of a node. It returns an error if the address cannot be used or a
+// setting is invalid. Nothing is sent before Run.
 func New(config Config) (*Node, error) {
-	config.Metrics.fill()
+	config.Metrics.setDefaults()
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
@@ -70,7 +71,7 @@
 	}
 	zone, region, listed := numbered.number(config.Zone)
 	if !listed {
-		return nil, errors.Errorf("cluster: zone %s is not among the zones", config.Zone)
+		return nil, errors.Errorf("cluster: the zone %q of this process is not in the list of zones", config.Zone)
 	}
 	address, _ := membership.AddressOf(config.Listen)
 	self := membership.Identity{
@@ -80,12 +81,12 @@
 		Incarnation: membership.Incarnation(time.Now().UnixMilli()),
 	}
 	created := &Node{
-		config:  config,
-		zones:   numbered,
-		address: address,
-		started: time.Now(),
-		fetches: newQueue[fetchTask](),
-		told:    newQueue[liveness.Effect](),
+		config:       config,
+		zones:        numbered,
+		address:      address,
+		started:      time.Now(),
+		fetches:      newQueue[fetchTask](),
+		agentEffects: newQueue[liveness.Effect](),
 	}
 	if err := created.newMachines(self); err != nil {
 		return nil, err
@@ -104,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	n.spread, err = dissemination.New(dissemination.DefaultConfig(self, n.newRandom(2)))
+	n.disseminator, err = dissemination.New(dissemination.DefaultConfig(self, n.newRandom(2)))
 	if err != nil {
 		return err
 	}
@@ -133,29 +134,29 @@
 	})}
 }
 
-// Store returns the table.
+// Store returns the store of the table.
 func (n *Node) Store() *Store { return n.store }
 
 // Address returns the address of the node.
 func (n *Node) Address() netip.AddrPort { return n.config.Listen }
 
-// Applied tells that this process forwards by a version.
+// Applied tells the node that this process forwards by a version of the table.
 func (n *Node) Applied(version table.Version) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.spread.Applied(version)
-	n.attach()
+	n.disseminator.Applied(version)
+	n.updateAttachment()
 }
 
-// Run takes part until ctx ends; it then tells the others, closes the sockets
-// and returns nil. It must be called once.
+// Run takes part in the cluster until ctx ends. It then announces that it leaves, closes
+// the sockets and returns nil. It must be called once.
 func (n *Node) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return n.tick(ctx) })
 	group.Go(func() error { return n.fetchTables(ctx) })
-	group.Go(func() error { return n.tellAgents(ctx) })
+	group.Go(func() error { return n.notifyAgentListener(ctx) })
 	group.Go(func() error { return n.socket.receive(n.accept) })
-	group.Go(func() error { return n.socket.serve(ctx, n.answer) })
+	group.Go(func() error { return n.socket.serve(ctx, n.serveFetch) })
 	return group.Wait()
 }
 
@@ -173,9 +174,9 @@
 			n.socket.close()
 			return nil
 		case <-ticker.C:
-			n.advance()
+			n.tickMachines()
 		case <-count.C:
-			n.observe()
+			n.updateMetrics()
 		}
 	}
 }
@@ -186,40 +187,40 @@
 	n.executeMembership(n.members.Leave(n.now()))
 }
 
-// advance lets all parts handle the time.
-func (n *Node) advance() {
+// tickMachines ticks all machines and updates the peers if necessary.
+func (n *Node) tickMachines() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.now()
 	n.executeMembership(n.members.Tick(now))
-	n.followIdentity()
-	n.executeSpread(n.spread.Tick(now))
+	n.updateIdentity()
+	n.executeDissemination(n.disseminator.Tick(now))
 	n.executeLiveness(n.agents.Tick(now))
-	if n.changed || now >= n.nextTelling {
-		n.changed = false
-		n.nextTelling = now + tellingInterval
-		n.tellMembers()
+	if n.membersChanged || now >= n.nextPeerUpdate {
+		n.membersChanged = false
+		n.nextPeerUpdate = now + peerUpdateInterval
+		n.updatePeers()
 	}
-	n.attach()
+	n.updateAttachment()
 }
 
-func (n *Node) observe() {
+func (n *Node) updateMetrics() {
 	n.mutex.Lock()
 	members := n.members.Members()
-	held := n.spread.Status().Held
+	held := n.disseminator.Status().Held
 	n.mutex.Unlock()
-	n.config.Metrics.observeMembers(members)
+	n.config.Metrics.setMembers(members)
 	n.config.Metrics.HeldVersion.Set(float64(held))
 }
 
-// followIdentity tells the parts if this process has taken another incarnation.
-// The mutex must be held.
-func (n *Node) followIdentity() {
+// updateIdentity passes on the identity of this process if it has taken another
+// incarnation. The mutex must be held.
+func (n *Node) updateIdentity() {
 	taken := n.members.Self()
 	if taken == n.self {
 		return
 	}
 	n.self = taken
 	n.agents.SetSelf(taken)
-	n.changed = true
+	n.membersChanged = true
 }
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -1,4 +1,4 @@
-// This file tells the parts of a Node who runs.
+// This file passes the live members on to the other machines of a Node.
 
 package cluster
 
@@ -7,12 +7,13 @@
 	"github.com/vanetiller/vanetiller/internal/dissemination"
 )
 
-// tellMembers tells dissemination and liveness who runs. The mutex must be held.
-func (n *Node) tellMembers() {
+// updatePeers passes the live members to dissemination and liveness. The mutex must be
+// held.
+func (n *Node) updatePeers() {
 	var peers []dissemination.Peer
 	var reporters []liveness.Peer
 	members := n.members.Members()
-	n.heard.keep(members)
+	n.statuses.retain(members)
 	for _, member := range members {
 		if !isLive(member) || portOf(member.Identity.Address) != portOf(n.address) {
 			continue
@@ -20,6 +21,6 @@
 		peers = append(peers, dissemination.Peer{Identity: member.Identity, Reachable: member.Reachable})
 		reporters = append(reporters, liveness.Peer{Identity: member.Identity, Reachable: member.Reachable})
 	}
-	n.spread.SetPeers(peers)
+	n.disseminator.SetPeers(peers)
 	n.executeLiveness(n.agents.SetPeers(n.now(), reporters))
 }
--- a/internal/cluster/queue.go
+++ b/internal/cluster/queue.go
@@ -1,5 +1,4 @@
-// This file implements a queue between parts that hold a lock and parts that
-// wait.
+// This file implements a queue from code that holds a lock to code that may block.
 
 package cluster
 
@@ -8,8 +7,8 @@
 	"sync"
 )
 
-// queue holds items in order. Adding one never waits, so that it may be done
-// under a lock. It is safe for concurrent use.
+// queue is a first-in, first-out queue. Adding an item never blocks, so that it can be done
+// while a lock is held. It is safe for concurrent use.
 type queue[Item any] struct {
 	added chan struct{}
 
@@ -31,7 +30,7 @@
 	}
 }
 
-// next waits for an item. It returns false when ctx ends.
+// next waits for an item. It returns false once ctx has ended.
 func (q *queue[Item]) next(ctx context.Context) (Item, bool) {
 	var none Item
 	for {
--- a/internal/cluster/socket.go
+++ b/internal/cluster/socket.go
@@ -1,5 +1,5 @@
-// This file implements the address of a Node: a UDP socket for datagrams and a
-// TCP listener for what does not fit in one.
+// This file implements the network address of a Node: a UDP socket for datagrams and a TCP
+// listener for what does not fit in one.
 
 package cluster
 
@@ -18,28 +18,29 @@
 )
 
 const (
-	// maximumDatagram bounds a datagram in bytes; what is longer goes over a
+	// maximumDatagram limits a datagram in bytes. Longer messages are sent over a
 	// connection.
 	maximumDatagram = membership.MaximumDatagramSize + 16
-	// maximumStream bounds what is read from a connection, in bytes.
+	// maximumStream limits the bytes read from a connection.
 	maximumStream = 64 << 20
-	// streamTimeout bounds the life of a connection.
+	// streamTimeout limits the duration of a connection.
 	streamTimeout = 10 * time.Second
-	// maximumStreams bounds the connections accepted at a time.
+	// maximumStreams limits the connections served at a time.
 	maximumStreams = 32
 )
 
-// socket is the address of a Node. It is safe for concurrent use.
+// socket holds the UDP socket and the TCP listener of a Node. It is safe for concurrent
+// use.
 type socket struct {
-	address  netip.AddrPort
-	packets  *net.UDPConn
-	listener *net.TCPListener
-	logger   *log.Logger
-	metrics  Metrics
-	accepted chan struct{}
+	address         netip.AddrPort
+	datagrams       *net.UDPConn
+	listener        *net.TCPListener
+	logger          *log.Logger
+	metrics         Metrics
+	connectionSlots chan struct{}
 }
 
-// newSocket binds the address. It fails if UDP or TCP is in use there.
+// newSocket binds the address. It returns an error if UDP or TCP is in use there.
 func newSocket(address netip.AddrPort, logger *log.Logger, metrics Metrics) (*socket, error) {
 	packets, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -51,39 +52,39 @@
 		return nil, errors.Wrapf(err, "cluster: listen on %s", address)
 	}
 	return &socket{
-		address:  address,
-		packets:  packets,
-		listener: listener,
-		logger:   logger,
-		metrics:  metrics,
-		accepted: make(chan struct{}, maximumStreams),
+		address:         address,
+		datagrams:       packets,
+		listener:        listener,
+		logger:          logger,
+		metrics:         metrics,
+		connectionSlots: make(chan struct{}, maximumStreams),
 	}, nil
 }
 
 func (s *socket) close() {
-	_ = s.packets.Close()
+	_ = s.datagrams.Close()
 	_ = s.listener.Close()
 }
 
-// send transmits a datagram, which may be lost.
+// send transmits a datagram without confirmation of its delivery.
 func (s *socket) send(to netip.AddrPort, encoded []byte) {
-	if _, err := s.packets.WriteToUDPAddrPort(encoded, to); err != nil {
-		s.logger.Debug("cluster datagram not sent", "to", to, "error", err)
+	if _, err := s.datagrams.WriteToUDPAddrPort(encoded, to); err != nil {
+		s.logger.Debug("cannot send a cluster datagram", "to", to, "error", err)
 		return
 	}
 	s.metrics.countDatagram(directionSent, len(encoded))
 }
 
-// receive hands on datagrams until the socket is closed.
+// receive passes datagrams to accept until the socket is closed.
 func (s *socket) receive(accept func(from netip.AddrPort, datagram []byte)) error {
 	buffer := make([]byte, 2*maximumDatagram)
 	for {
-		count, from, err := s.packets.ReadFromUDPAddrPort(buffer)
+		count, from, err := s.datagrams.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			s.logger.Debug("cluster datagram not received", "error", err)
+			s.logger.Debug("cannot receive a cluster datagram", "error", err)
 			continue
 		}
 		s.metrics.countDatagram(directionReceived, count)
@@ -91,8 +92,8 @@
 	}
 }
 
-// exchange sends a request over a connection and returns the answer. The
-// connection comes from the own address, by which the receiver knows it.
+// exchange sends a request over a connection and returns the answer. The connection
+// originates from the own address, by which the receiver identifies this daemon.
 func (s *socket) exchange(ctx context.Context, to netip.AddrPort, request []byte) ([]byte, error) {
 	dialer := net.Dialer{
 		Timeout:   streamTimeout,
@@ -124,13 +125,12 @@
 		return nil, errors.Wrap(err, "cluster connection")
 	}
 	if len(read) > maximumStream {
-		return nil, errors.Errorf("cluster connection: more than %d bytes", maximumStream)
+		return nil, errors.Errorf("cluster connection: the peer sent more than the maximum of %d bytes", maximumStream)
 	}
 	return read, nil
 }
 
-// serve accepts connections until the listener is closed. The answer to a
-// request may be empty.
+// serve accepts connections until the listener is closed. An answer may be empty.
 func (s *socket) serve(ctx context.Context, answer func(from netip.AddrPort, request []byte) []byte) error {
 	var serving sync.WaitGroup
 	defer serving.Wait()
@@ -140,14 +140,14 @@
 			return nil
 		}
 		if err != nil {
-			s.logger.Debug("cluster connection not accepted", "error", err)
+			s.logger.Debug("cannot accept a cluster connection", "error", err)
 			continue
 		}
 		select {
-		case s.accepted <- struct{}{}:
+		case s.connectionSlots <- struct{}{}:
 			serving.Go(func() {
 				s.serveConnection(ctx, connection, answer)
-				<-s.accepted
+				<-s.connectionSlots
 			})
 		default:
 			_ = connection.Close()
@@ -162,14 +162,14 @@
 	_ = connection.SetDeadline(time.Now().Add(streamTimeout))
 	request, err := readAll(connection)
 	if err != nil {
-		s.logger.Debug("cluster request not read", "error", err)
+		s.logger.Debug("cannot read a request on a cluster connection", "error", err)
 		return
 	}
 	s.metrics.countStream(directionReceived, len(request))
 	from := connection.RemoteAddr().(*net.TCPAddr).AddrPort()
 	answered := answer(from, request)
 	if _, err := connection.Write(answered); err != nil {
-		s.logger.Debug("cluster answer not sent", "error", err)
+		s.logger.Debug("cannot send the answer on a cluster connection", "error", err)
 		return
 	}
 	s.metrics.countStream(directionSent, len(answered))
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -1,4 +1,4 @@
-// This file holds the table of a Node.
+// This file implements the store of the table of a Node.
 
 package cluster
 
@@ -12,24 +12,24 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// serviceAuthor is the author of tables of the configuration service in the
-// history.
+// serviceAuthor is the author in the history of tables from the configuration service.
 const serviceAuthor = "platform"
 
-// readOnly is why the fleet takes no changes: nothing that its daemons agree on
-// among themselves would outlast them.
+// readOnly is the reason given when a change is refused: daemons keep nothing beyond their
+// own lifetime, so a change made here would be lost.
 const readOnly = "the configuration service holds the table, and changes are made there; use a dry run to see what one would do"
 
-// Store is the newest table of the configuration service that any daemon of the
-// fleet has told this one of. It is an adminapi.Store that takes no changes.
+// Store holds the newest table of the configuration service that this daemon has received,
+// from the service or from another daemon. It implements adminapi.Store and refuses all
+// changes.
 type Store struct {
 	*adminapi.LogStore
 	node *Node
 }
 
-// follow takes in a table of the configuration service. It reports whether it is
+// update installs a table of the configuration service. It reports whether the table is
 // newer than the one held.
-func (s *Store) follow(newer *table.Table) (bool, error) {
+func (s *Store) update(newer *table.Table) (bool, error) {
 	if newer.Version <= s.version() {
 		return false, nil
 	}
@@ -57,12 +57,12 @@
 	}
 }
 
-// Members implements adminapi.Store. A survey makes up for the daemons of
-// which this process has heard nothing lately.
+// Members implements adminapi.Store. It runs a survey, since this process may not have
+// heard from every daemon recently.
 func (s *Store) Members() []adminapi.Member { return s.node.surveyedMembers() }
 
-// Reached implements adminapi.Store by a survey of the daemons that run. Of a
-// zone with many members behind, only some are named.
+// Reached implements adminapi.Store by a survey of the running daemons. If many members of
+// a zone are behind, only some of them are named.
 func (s *Store) Reached(version table.Version) adminapi.ReachAnswer {
 	answer := adminapi.ReachAnswer{Version: version, NotReached: []string{}}
 	answer.Accepted = version != 0 && version <= s.version()
--- a/internal/cluster/zones.go
+++ b/internal/cluster/zones.go
@@ -14,8 +14,7 @@
 // portOf returns the port of an address.
 func portOf(address membership.Address) uint16 { return uint16(address) }
 
-// zones numbers the zones of the fleet, and their regions, by the order in
-// which the settings name them.
+// zones numbers the zones of the fleet, and their regions, in the order of the settings.
 type zones struct {
 	names   []string
 	regions []string
@@ -23,7 +22,7 @@
 
 func newZones(names []string) (zones, error) {
 	if len(names) == 0 || len(names) > membership.MaximumZones {
-		return zones{}, errors.Errorf("cluster: %d zones, must be 1 to %d", len(names), membership.MaximumZones)
+		return zones{}, errors.Errorf("cluster: the list has %d zones, but the number must be from 1 to %d", len(names), membership.MaximumZones)
 	}
 	created := zones{names: slices.Clone(names)}
 	for _, name := range names {
@@ -34,8 +33,8 @@
 	return created, nil
 }
 
-// regionOf returns the region of a zone, which is what its name has before the
-// last hyphen: the zone casablanca-1 is in the region casablanca.
+// regionOf returns the region of a zone: its name up to the last hyphen. The zone
+// casablanca-1 is in the region casablanca.
 func regionOf(zone string) string {
 	if end := strings.LastIndexByte(zone, '-'); end > 0 {
 		return zone[:end]
@@ -43,8 +42,8 @@
 	return zone
 }
 
-// number returns the zone and region of a name. It returns false for a name
-// that the settings do not list.
+// number returns the zone and region of a name. It returns false for a name that is not in
+// the settings.
 func (z zones) number(name string) (membership.Zone, membership.Region, bool) {
 	position := slices.Index(z.names, name)
 	if position < 0 {
@@ -54,8 +53,7 @@
 	return membership.Zone(position), membership.Region(region), true
 }
 
-// name returns the name of a zone, empty for one that the settings do not
-// list.
+// name returns the name of a zone. It is empty for a zone that is not in the settings.
 func (z zones) name(zone membership.Zone) string {
 	if int(zone) >= len(z.names) {
 		return ""
