--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -42,7 +42,7 @@
 	OnTable func(*table.Table)
 	// Agents receives what other daemons report about agents. It may be nil.
 	Agents AgentListener
-	// Seed seeds the random choices of this process. It must differ between daemons.
+	// Seed seeds the random choices of this process. It should differ between daemons.
 	Seed    uint64
 	Logger  *log.Logger
 	Metrics Metrics
--- a/internal/cluster/liveness/message.go
+++ b/internal/cluster/liveness/message.go
@@ -84,7 +84,7 @@
 	ScopeFleet
 )
 
-// Message is the only type of message.
+// Message is the only type of message. Kind determines which fields are set.
 type Message struct {
 	Kind      Kind
 	Scope     Scope
--- a/internal/cluster/socket.go
+++ b/internal/cluster/socket.go
@@ -44,12 +44,12 @@
 func newSocket(address netip.AddrPort, logger *log.Logger, metrics Metrics) (*socket, error) {
 	packets, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return nil, errors.Wrapf(err, "cluster: listen on %s", address)
+		return nil, errors.Wrapf(err, "cluster: listen for datagrams on %s", address)
 	}
 	listener, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(address))
 	if err != nil {
 		_ = packets.Close()
-		return nil, errors.Wrapf(err, "cluster: listen on %s", address)
+		return nil, errors.Wrapf(err, "cluster: listen for connections on %s", address)
 	}
 	return &socket{
 		address:         address,
@@ -101,17 +101,17 @@
 	}
 	connection, err := dialer.DialContext(ctx, "tcp4", to.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "cluster connection")
+		return nil, errors.Wrap(err, "cluster: open a connection")
 	}
 	defer func() { _ = connection.Close() }()
 	release := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer release()
 	_ = connection.SetDeadline(time.Now().Add(streamTimeout))
 	if _, err := connection.Write(request); err != nil {
-		return nil, errors.Wrap(err, "cluster connection")
+		return nil, errors.Wrap(err, "cluster: send a request")
 	}
 	if err := connection.(*net.TCPConn).CloseWrite(); err != nil {
-		return nil, errors.Wrap(err, "cluster connection")
+		return nil, errors.Wrap(err, "cluster: close the sending side of a connection")
 	}
 	s.metrics.countStream(directionSent, len(request))
 	answer, err := readAll(connection)
@@ -122,7 +122,7 @@
 func readAll(connection net.Conn) ([]byte, error) {
 	read, err := io.ReadAll(io.LimitReader(connection, maximumStream+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "cluster connection")
+		return nil, errors.Wrap(err, "cluster: read from a connection")
 	}
 	if len(read) > maximumStream {
 		return nil, errors.Errorf("cluster connection: the peer sent more than the maximum of %d bytes", maximumStream)
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -52,7 +52,7 @@
 	// grant.
 	Table *table.Table
 	// Down lists the rows that a daemon with an unexpired grant reports as down, while no
-	// other such daemon hears their agent.
+	// other such daemon receives heartbeats of their agent.
 	Down []table.BackendID
 	// Leaving lists the rows that any daemon with an unexpired grant reports as leaving.
 	Leaving []table.BackendID
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -244,7 +244,7 @@
 		Expect(held.Backends).To(Equal(testTable().Backends))
 	})
 
-	DescribeTable("reports a row as down if a daemon does and no other hears its agent",
+	DescribeTable("reports a row as down if a daemon does and no other daemon reports its agent alive",
 		func(first, second Grant, expected bool) {
 			answer(0, 0, first)
 			answer(300*time.Millisecond, 1, second)
@@ -255,11 +255,11 @@
 			}
 			Expect(down).To(BeEmpty())
 		},
-		Entry("both daemons hear it: not down", Grant{}, Grant{}, false),
-		Entry("one hears it: not down", Grant{Down: []table.BackendID{2}}, Grant{}, false),
-		Entry("both report it as down: down", Grant{Down: []table.BackendID{2}}, Grant{Down: []table.BackendID{2}}, true),
-		Entry("one reports it as down, unknown to the other: down",
+		Entry("alive at both daemons: not down", Grant{}, Grant{}, false),
+		Entry("down at one daemon, alive at the other: not down", Grant{Down: []table.BackendID{2}}, Grant{}, false),
+		Entry("down at both daemons: down", Grant{Down: []table.BackendID{2}}, Grant{Down: []table.BackendID{2}}, true),
+		Entry("down at one daemon, unknown to the other: down",
 			Grant{Down: []table.BackendID{2}}, Grant{Unknown: []table.BackendID{2}}, true),
-		Entry("unknown to both: not down", Grant{Unknown: []table.BackendID{2}}, Grant{Unknown: []table.BackendID{2}}, false),
+		Entry("unknown to both daemons: not down", Grant{Unknown: []table.BackendID{2}}, Grant{Unknown: []table.BackendID{2}}, false),
 	)
 })
--- a/internal/dissemination/effect.go
+++ b/internal/dissemination/effect.go
@@ -33,7 +33,7 @@
 	Survey  Survey
 }
 
-// Survey tells which members have applied a version.
+// Survey is the result of a survey: which members have applied a version.
 type Survey struct {
 	Version table.Version
 	// Zones lists every zone that has a member, in order.
--- a/internal/dissemination/message.go
+++ b/internal/dissemination/message.go
@@ -17,7 +17,7 @@
 	Payload []byte
 }
 
-// Status tells the versions of a member. It is part of every message and of the pings of
+// Status holds the versions of a member. It is part of every message and of the pings of
 // package membership.
 type Status struct {
 	// Held is the newest version that the member can give to others.
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -41,7 +41,7 @@
 	IndirectProbes int
 	// SuspicionTimeout is the time a suspected member has to refute the suspicion.
 	SuspicionTimeout time.Duration
-	// RemoteInterval is the time between two pings into other zones.
+	// RemoteInterval is the time between two pings to members of other zones.
 	RemoteInterval time.Duration
 	// ReconnectInterval is the time between two pings of failed members or seeds.
 	ReconnectInterval time.Duration
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -128,7 +128,7 @@
 		agree(partitionMergeLimit)
 	})
 
-	ginkgo.It("tells a zone about a failure that all of its members missed", func() {
+	ginkgo.It("informs a zone of a failure that all of its members missed", func() {
 		cluster.cutZones(inZone(1))
 		cluster.kill(cluster.addresses[3])
 		cluster.network.Run(5 * time.Minute)
@@ -145,7 +145,7 @@
 		agree(partitionMergeLimit)
 	})
 
-	ginkgo.It("readmits members that were unreachable only from their own zone", func() {
+	ginkgo.It("restores all views after members were unreachable only from their own zone", func() {
 		side := func(id virtualnet.NodeID) bool { return membership.Address(id) < cluster.addresses[16] }
 		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 			same := cluster.zoneAt(membership.Address(from)) == cluster.zoneAt(membership.Address(to))
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -31,8 +31,8 @@
 	digest uint32
 	// lastChanged is when a member of the zone last changed.
 	lastChanged time.Duration
-	// lastHeard is when the zone was last heard from. reachable tells whether that was
-	// recent enough.
+	// lastHeard is when the zone was last heard from. reachable is set if that was recent
+	// enough.
 	lastHeard time.Duration
 	reachable bool
 	// unreachableSince is when the zone was first seen or became unreachable.
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -60,8 +60,8 @@
 // State is the state of a member as known to a process.
 type State uint8
 
-// The states of a member. For one incarnation and refutation the later one
-// supersedes the earlier one.
+// The states of a member. With the same incarnation and number of refutations, the later
+// state supersedes the earlier one.
 const (
 	// StateAlive: the member answers.
 	StateAlive State = iota
@@ -158,7 +158,7 @@
 	// CatchingUp is set while the sender still fetches the state of the others. Receivers
 	// ignore its digests then, unless they catch up themselves.
 	CatchingUp bool
-	// ZoneAges, sent between members of one zone, tells for each zone number how long ago
+	// ZoneAges, sent between members of one zone, lists for each zone number how long ago
 	// the sender's zone last heard from that zone, in units of ageUnit. ageUnknown means
 	// too long ago or never.
 	ZoneAges []byte
--- a/internal/membership/recovery.go
+++ b/internal/membership/recovery.go
@@ -24,11 +24,11 @@
 	// starting process within its limit of bytes a second.
 	quickSyncInterval = 300 * time.Millisecond
 	// seedInterval is the minimum time between two requests to seeds, which all other
-	// processes ask at the same time. Meanwhile processes that got no answer can ask those
-	// that did.
+	// processes ask at the same time. Meanwhile processes that got an answer send requests
+	// to others that got none, which can then ask them.
 	seedInterval = 1200 * time.Millisecond
-	// bootstrapMembers is the number of known members below which a process avoids asking
-	// seeds again.
+	// bootstrapMembers is the number of known members from which a process treats seeds
+	// like other members. A process that knows fewer avoids asking seeds again.
 	bootstrapMembers = 32
 	// simultaneousStartWindow is how long after its start a process assumes that the
 	// members it hears from started at the same time. It does not gossip them, since the
