--- a/internal/cluster/socket.go
+++ b/internal/cluster/socket.go
@@ -42,18 +42,18 @@
 
 // newSocket binds the address. It returns an error if UDP or TCP is in use there.
 func newSocket(address netip.AddrPort, logger *log.Logger, metrics Metrics) (*socket, error) {
-	packets, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
+	datagrams, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, errors.Wrapf(err, "cluster: listen for datagrams on %s", address)
 	}
 	listener, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(address))
 	if err != nil {
-		_ = packets.Close()
+		_ = datagrams.Close()
 		return nil, errors.Wrapf(err, "cluster: listen for connections on %s", address)
 	}
 	return &socket{
 		address:         address,
-		datagrams:       packets,
+		datagrams:       datagrams,
 		listener:        listener,
 		logger:          logger,
 		metrics:         metrics,
