--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -29,12 +29,14 @@
 	// Listen is the IPv4 address with the UDP and TCP port at which other daemons reach
 	// this one.
 	Listen netip.AddrPort
-	// Name and Zone identify this process.
+	// Name is the name under which the administration API shows this process. Zone is the
+	// name of its zone, which must be in Zones.
 	Name string
 	Zone string
 	// Zones lists all zones. The order must be the same on every daemon.
 	Zones []string
-	// Seeds are the daemons that are asked at the start.
+	// Seeds are the addresses of daemons to contact at the start. Those at which no member
+	// is known are tried again later.
 	Seeds  []netip.AddrPort
 	Limits changelog.Limits
 	// OnTable is called, one call at a time and in the order of versions, with each table
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -25,11 +25,11 @@
 // the other daemons. It reports whether the table is newer than the one held. It returns an
 // error if the table is not valid.
 func (n *Node) UpdateTable(newer *table.Table) (bool, error) {
-	followed, err := n.store.update(newer)
-	if followed {
+	updated, err := n.store.update(newer)
+	if updated {
 		n.announceInstalled(n.store.version())
 	}
-	return followed, err
+	return updated, err
 }
 
 // announceInstalled tells the other daemons that this process holds a version.
@@ -51,7 +51,7 @@
 	}
 }
 
-// fetch carries out one fetch and reports the outcome to the dissemination.
+// fetch carries out one fetch and reports the outcome to the dissemination machine.
 func (n *Node) fetch(ctx context.Context, wanted fetchTask) {
 	version, err := n.fetchFrom(ctx, wanted)
 	if err == nil {
@@ -72,14 +72,14 @@
 	if err != nil {
 		return 0, err
 	}
-	var answer FetchResponse
-	if _, err := answer.UnmarshalMsg(encoded); err != nil {
+	var response FetchResponse
+	if _, err := response.UnmarshalMsg(encoded); err != nil {
 		return 0, errors.Wrap(err, "cluster: decode the fetch response")
 	}
-	if len(answer.State) == 0 {
+	if len(response.State) == 0 {
 		return 0, errNotNewer
 	}
-	if err := n.store.Install(answer.State); err != nil {
+	if err := n.store.Install(response.State); err != nil {
 		return 0, err
 	}
 	return n.store.version(), nil
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -30,8 +30,8 @@
 var zoneNames = []string{"casablanca-1", "casablanca-2", "kolkata-1"}
 
 // fleets counts the fleets of this process, so that successive fleets use different
-// networks of loopback addresses. Concurrent test processes use different networks by their
-// process ids.
+// networks of loopback addresses. Concurrent test processes use different networks because
+// the network also depends on the process id.
 var fleets atomic.Uint32
 
 // fleet is a set of nodes on real sockets, assigned to the zones in turn.
@@ -169,9 +169,9 @@
 // updateTable gives a node a newer table of the configuration service.
 func (n *node) updateTable(newer *table.Table) {
 	GinkgoHelper()
-	followed, err := n.UpdateTable(newer)
+	updated, err := n.UpdateTable(newer)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(followed).To(BeTrue())
+	Expect(updated).To(BeTrue())
 }
 
 func (n *node) version() table.Version { return table.Version(n.applied.Load()) }
--- a/internal/cluster/liveness/claims.go
+++ b/internal/cluster/liveness/claims.go
@@ -59,7 +59,8 @@
 	return records
 }
 
-// hash covers what daemons must agree on.
+// hash covers the origin of the record, its sequence and the agent. These identify the claim,
+// so that daemons with equal hashes hold the same claims.
 func (r Record) hash() uint64 {
 	var encoded [24]byte
 	binary.BigEndian.PutUint64(encoded[0:], uint64(r.Reporter))
@@ -93,18 +94,18 @@
 // put stores a record. It reports whether the record was new. The first record of a later
 // process discards all claims of the earlier one.
 func (c *claims) put(record Record) bool {
-	from, known := c.reporters[record.Reporter]
+	origin, known := c.reporters[record.Reporter]
 	switch {
-	case known && record.Incarnation < from.incarnation:
+	case known && record.Incarnation < origin.incarnation:
 		return false
 	case !known && len(c.reporters) >= maximumReporters:
 		return false
-	case !known || record.Incarnation > from.incarnation:
+	case !known || record.Incarnation > origin.incarnation:
 		c.drop(record.Reporter)
-		from = newReporter(record.Incarnation)
-		c.reporters[record.Reporter] = from
+		origin = newReporter(record.Incarnation)
+		c.reporters[record.Reporter] = origin
 	}
-	if !from.put(record) {
+	if !origin.put(record) {
 		return false
 	}
 	agent := record.Claim.Agent
@@ -116,11 +117,11 @@
 
 // drop removes all claims of a daemon.
 func (c *claims) drop(address membership.Address) {
-	from, known := c.reporters[address]
+	origin, known := c.reporters[address]
 	if !known {
 		return
 	}
-	for agent := range from.records {
+	for agent := range origin.records {
 		left := slices.DeleteFunc(c.byAgent[agent], func(other membership.Address) bool { return other == address })
 		if len(left) == 0 {
 			delete(c.byAgent, agent)
--- a/internal/cluster/liveness/digest.go
+++ b/internal/cluster/liveness/digest.go
@@ -15,8 +15,8 @@
 	// the time while this process is not ready.
 	digestInterval      = 2 * time.Second
 	quickDigestInterval = 500 * time.Millisecond
-	// remoteExchangePeriod is the number of exchanges of which one is with a member of any
-	// zone instead of the own zone.
+	// remoteExchangePeriod is the number of exchanges from one with a member of any zone to
+	// the next. Those in between are with members of the own zone, if there are any.
 	remoteExchangePeriod = 4
 	// settleTime is how long the own digest of a zone must not have changed before the zone
 	// is compared. Digests differ for a moment while records spread.
@@ -54,8 +54,8 @@
 	}
 	m.comparison.exchanges++
 	anyZone := m.comparison.exchanges%remoteExchangePeriod == 0
-	ownZone := func(peer Peer) bool { return anyZone || peer.Identity.Zone == m.config.Self.Zone }
-	chosen := m.choose(1, ownZone)
+	matches := func(peer Peer) bool { return anyZone || peer.Identity.Zone == m.config.Self.Zone }
+	chosen := m.choose(1, matches)
 	if len(chosen) == 0 {
 		chosen = m.choose(1, func(Peer) bool { return true })
 	}
@@ -106,8 +106,8 @@
 // reporterDigest returns the digest of a process. It is zero if the process claims nothing.
 func (m *Machine) reporterDigest(identity membership.Identity) ReporterDigest {
 	digest := ReporterDigest{Reporter: identity.Address}
-	if from, known := m.claims.reporters[identity.Address]; known && from.incarnation == identity.Incarnation {
-		digest.Hash = from.hash
+	if origin, known := m.claims.reporters[identity.Address]; known && origin.incarnation == identity.Incarnation {
+		digest.Hash = origin.hash
 	}
 	return digest
 }
@@ -143,11 +143,11 @@
 // Agreement with others is not considered: a whole zone may have missed a push. A process
 // that is not ready does not wait.
 func (m *Machine) settled(now time.Duration, own ZoneDigest) bool {
-	noted := &m.comparison.changes[own.Zone]
-	if noted.hash != own.Hash {
-		*noted = zoneChange{hash: own.Hash, since: now}
+	change := &m.comparison.changes[own.Zone]
+	if change.hash != own.Hash {
+		*change = zoneChange{hash: own.Hash, since: now}
 	}
-	return !m.ready || now >= noted.since+settleTime
+	return !m.ready || now >= change.since+settleTime
 }
 
 // requestComparison sends the digests of some daemons of a zone, different ones each time.
@@ -167,9 +167,9 @@
 func (m *Machine) answerComparison(to membership.Address, message Message) {
 	var answers [][]Record
 	for _, theirs := range message.Reporters {
-		from, known := m.claims.reporters[theirs.Reporter]
-		if known && from.hash != theirs.Hash {
-			answers = slices.AppendSeq(answers, slices.Chunk(from.sorted(), maximumRecords))
+		origin, known := m.claims.reporters[theirs.Reporter]
+		if known && origin.hash != theirs.Hash {
+			answers = slices.AppendSeq(answers, slices.Chunk(origin.sorted(), maximumRecords))
 		}
 	}
 	m.config.Random.Shuffle(len(answers), func(i, j int) { answers[i], answers[j] = answers[j], answers[i] })
--- a/internal/cluster/liveness/effect.go
+++ b/internal/cluster/liveness/effect.go
@@ -11,7 +11,8 @@
 const (
 	// EffectSend: transmit Message to To.
 	EffectSend EffectKind = iota
-	// EffectConditionChanged: Claim is the new claim of the other daemons about its agent.
+	// EffectConditionChanged: the condition of an agent, as claimed by the other daemons, has
+	// changed to Claim. If none claims a condition any more, it is Down and Start is zero.
 	EffectConditionChanged
 	// EffectReady: this process knows the claims of the others. It is emitted once.
 	EffectReady
--- a/internal/cluster/liveness/machine.go
+++ b/internal/cluster/liveness/machine.go
@@ -32,7 +32,7 @@
 	nonMemberRetention = time.Minute
 )
 
-// Peer is another live member of package membership.
+// Peer is another live member of the fleet, as reported by package membership.
 type Peer struct {
 	Identity membership.Identity
 	// Reachable is false while the zone of the peer is unreachable.
@@ -49,20 +49,23 @@
 
 // Machine holds what one process knows of the agents. It is not safe for concurrent use.
 type Machine struct {
-	config     Config
-	peers      []Peer
-	claims     claims
+	config Config
+	peers  []Peer
+	claims claims
+	// nonMembers records since when a daemon with claims has not been a member.
 	nonMembers map[membership.Address]time.Duration
 	sequence   uint64
 	// reported is the last claim that EffectConditionChanged reported for each agent.
-	reported   map[table.Endpoint]Claim
+	reported map[table.Endpoint]Claim
+	// pending holds, by scope, the records to push at the next tick.
 	pending    [ScopeFleet + 1][]Record
 	comparison comparisonState
 	started    bool
 	startTime  time.Duration
 	ready      bool
 	effects    []Effect
-	affected   []table.Endpoint
+	// affected lists the agents whose condition may have changed in the current call.
+	affected []table.Endpoint
 }
 
 // New returns the machine of a process that knows no agents. It returns an error if the
@@ -216,24 +219,24 @@
 // expireNonMembers drops the claims of daemons that have not been members for
 // nonMemberRetention.
 func (m *Machine) expireNonMembers(now time.Duration) {
-	for address, from := range m.claims.reporters {
-		if address == m.config.Self.Address || m.isLive(address, from.incarnation) {
+	for address, origin := range m.claims.reporters {
+		if address == m.config.Self.Address || m.isLive(address, origin.incarnation) {
 			delete(m.nonMembers, address)
 			continue
 		}
-		since, noted := m.nonMembers[address]
+		since, recorded := m.nonMembers[address]
 		switch {
-		case !noted:
+		case !recorded:
 			m.nonMembers[address] = now
 		case now >= since+nonMemberRetention:
 			delete(m.nonMembers, address)
-			m.dropReporter(address, from)
+			m.dropReporter(address, origin)
 		}
 	}
 }
 
-func (m *Machine) dropReporter(address membership.Address, from *reporter) {
-	for agent := range from.records {
+func (m *Machine) dropReporter(address membership.Address, origin *reporter) {
+	for agent := range origin.records {
 		m.affected = append(m.affected, agent)
 	}
 	m.claims.drop(address)
--- a/internal/cluster/liveness/machine_test.go
+++ b/internal/cluster/liveness/machine_test.go
@@ -166,10 +166,10 @@
 
 // countReported returns how many running daemons, except the given ones, have reported the
 // condition.
-func (f *fleet) countReported(claim Claim, but ...int) int {
+func (f *fleet) countReported(claim Claim, except ...int) int {
 	count := 0
 	for number, running := range f.processes {
-		if !running.stopped && !slices.Contains(but, number) && running.reported[claim.Agent] == claim {
+		if !running.stopped && !slices.Contains(except, number) && running.reported[claim.Agent] == claim {
 			count++
 		}
 	}
--- a/internal/cluster/liveness/resolve.go
+++ b/internal/cluster/liveness/resolve.go
@@ -34,12 +34,12 @@
 	var best Claim
 	claimed := false
 	for _, address := range m.claims.byAgent[agent] {
-		from := m.claims.reporters[address]
+		origin := m.claims.reporters[address]
 		peer, exists := m.peer(address)
-		if !exists || !peer.Reachable || peer.Identity.Incarnation != from.incarnation {
+		if !exists || !peer.Reachable || peer.Identity.Incarnation != origin.incarnation {
 			continue
 		}
-		claim := from.records[agent].Claim
+		claim := origin.records[agent].Claim
 		if !claimed || takesPrecedence(claim, best) {
 			best = claim
 		}
@@ -48,9 +48,10 @@
 	return best, claimed
 }
 
-// takesPrecedence is a strict order, so that all daemons resolve claims alike. The process
-// with the later start is the running one. If the clock was set back between two processes,
-// the claim about the earlier one prevails only until its lease ends.
+// takesPrecedence reports whether claim takes precedence over other. It is a strict order, so
+// that all daemons resolve claims alike. The process with the later start is the running
+// one. If the clock was set back between two processes, the claim about the earlier one
+// prevails only until its lease ends.
 func takesPrecedence(claim, other Claim) bool {
 	isDown, otherIsDown := claim.Condition == Down, other.Condition == Down
 	switch {
--- a/internal/cluster/metrics.go
+++ b/internal/cluster/metrics.go
@@ -23,15 +23,15 @@
 	stateUnreachable  = "unreachable"
 )
 
-// headerBytes is the size of the IPv4 and UDP headers.
-const headerBytes = 28
+// headerSize is the size of the IPv4 and UDP headers.
+const headerSize = 28
 
 // Metrics holds the metrics of a Node. Metrics that are nil are discarded.
 type Metrics struct {
 	// Bytes counts by DirectionLabel: datagrams with their headers, and the contents of
 	// connections.
 	Bytes metrics.Counter
-	// Malformed counts messages that could not be decoded.
+	// Malformed counts datagrams, attachments and fetch requests that are not valid.
 	Malformed metrics.Counter
 	// Members is the number of members by StateLabel.
 	Members metrics.Gauge
@@ -54,7 +54,7 @@
 }
 
 func (m *Metrics) countDatagram(direction string, bytes int) {
-	m.Bytes.With(DirectionLabel, direction).Add(float64(bytes + headerBytes))
+	m.Bytes.With(DirectionLabel, direction).Add(float64(bytes + headerSize))
 }
 
 func (m *Metrics) countStream(direction string, bytes int) {
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -140,7 +140,8 @@
 // Address returns the address of the node.
 func (n *Node) Address() netip.AddrPort { return n.config.Listen }
 
-// Applied tells the node that this process forwards by a version of the table.
+// Applied tells the node that this process forwards packets according to a version of the
+// table.
 func (n *Node) Applied(version table.Version) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -165,8 +166,8 @@
 func (n *Node) tick(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	count := time.NewTicker(metricsInterval)
-	defer count.Stop()
+	metricsTicker := time.NewTicker(metricsInterval)
+	defer metricsTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -175,7 +176,7 @@
 			return nil
 		case <-ticker.C:
 			n.tickMachines()
-		case <-count.C:
+		case <-metricsTicker.C:
 			n.updateMetrics()
 		}
 	}
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -106,8 +106,8 @@
 		nodes := newFleet(3).startAll(6)
 		nodes[2].updateTable(tableOf(1, 2000))
 		expectApplied(nodes, 1)
-		for _, brought := range nodes {
-			Expect(brought.Store().Table().Table.Backends).To(HaveLen(2000))
+		for _, holder := range nodes {
+			Expect(holder.Store().Table().Table.Backends).To(HaveLen(2000))
 		}
 	})
 
--- a/internal/cluster/socket.go
+++ b/internal/cluster/socket.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// maximumDatagram limits a datagram in bytes. Longer messages are sent over a
+	// maximumDatagramSize limits a datagram in bytes. Longer messages are sent over a
 	// connection.
-	maximumDatagram = membership.MaximumDatagramSize + 16
-	// maximumStream limits the bytes read from a connection.
-	maximumStream = 64 << 20
+	maximumDatagramSize = membership.MaximumDatagramSize + 16
+	// maximumStreamSize limits the bytes read from a connection.
+	maximumStreamSize = 64 << 20
 	// streamTimeout limits the duration of a connection.
 	streamTimeout = 10 * time.Second
 	// maximumStreams limits the connections served at a time.
@@ -77,7 +77,7 @@
 
 // receive passes datagrams to accept until the socket is closed.
 func (s *socket) receive(accept func(from netip.AddrPort, datagram []byte)) error {
-	buffer := make([]byte, 2*maximumDatagram)
+	buffer := make([]byte, 2*maximumDatagramSize)
 	for {
 		count, from, err := s.datagrams.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -120,12 +120,12 @@
 }
 
 func readAll(connection net.Conn) ([]byte, error) {
-	read, err := io.ReadAll(io.LimitReader(connection, maximumStream+1))
+	read, err := io.ReadAll(io.LimitReader(connection, maximumStreamSize+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "cluster: read from a connection")
 	}
-	if len(read) > maximumStream {
-		return nil, errors.Errorf("cluster connection: the peer sent more than the maximum of %d bytes", maximumStream)
+	if len(read) > maximumStreamSize {
+		return nil, errors.Errorf("cluster: the peer sent more than the maximum of %d bytes over a connection", maximumStreamSize)
 	}
 	return read, nil
 }
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -27,7 +27,7 @@
 	lastSent   time.Duration // when the last heartbeat was sent
 	interval   time.Duration
 	sent       []sentHeartbeat
-	granted    time.Duration
+	grantedAt  time.Duration
 	lease      time.Duration
 	hasGranted bool
 	down       []table.BackendID
@@ -62,14 +62,14 @@
 
 // Client maintains the leases of an agent. It is not safe for concurrent use.
 type Client struct {
-	agent    table.Endpoint
-	start    uint64
-	sequence uint64
-	leaving  bool
-	left     bool
-	daemons  []*daemonState
-	held     *table.Table
-	lease    time.Duration
+	agent      table.Endpoint
+	start      uint64
+	sequence   uint64
+	leaving    bool
+	left       bool
+	daemons    []*daemonState
+	held       *table.Table
+	leaseUntil time.Duration
 }
 
 // NewClient returns the client of the agent at an address. Start must differ from that of
@@ -94,7 +94,8 @@
 	c.Renew()
 }
 
-// Renew makes all heartbeats due, except those to daemons that were sent one a moment ago.
+// Renew makes all heartbeats due, each no earlier than minimumHeartbeatSpacing after the
+// last heartbeat to the same daemon.
 func (c *Client) Renew() {
 	for _, daemon := range c.daemons {
 		daemon.due = min(daemon.due, daemon.lastSent+minimumHeartbeatSpacing)
@@ -145,13 +146,13 @@
 		return false
 	}
 	daemon.hasGranted = true
-	daemon.granted = now
+	daemon.grantedAt = now
 	daemon.interval = time.Duration(grant.IntervalMillis) * time.Millisecond
 	daemon.lease = time.Duration(grant.LeaseMillis) * time.Millisecond
 	daemon.down = grant.Down
 	daemon.leaving = grant.Leaving
 	daemon.unknown = grant.Unknown
-	c.lease = max(c.lease, sent+daemon.lease)
+	c.leaseUntil = max(c.leaseUntil, sent+daemon.lease)
 	c.updateTable(grant)
 	return true
 }
@@ -192,10 +193,10 @@
 
 // State returns the current state of the client.
 func (c *Client) State(now time.Duration) ClientState {
-	state := ClientState{Table: c.held, LeaseUntil: c.lease}
+	state := ClientState{Table: c.held, LeaseUntil: c.leaseUntil}
 	var recent []*daemonState
 	for _, daemon := range c.daemons {
-		if daemon.hasGranted && now < daemon.granted+daemon.lease {
+		if daemon.hasGranted && now < daemon.grantedAt+daemon.lease {
 			recent = append(recent, daemon)
 		}
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -223,7 +223,7 @@
 		Expect(client.State(time.Second).Table).To(BeIdenticalTo(newer))
 	})
 
-	It("limits heartbeats to one per 20 ms and daemon when Renew is called every millisecond", func() {
+	It("sends each daemon at most one heartbeat per 20 ms when Renew is called every millisecond", func() {
 		Expect(client.Tick(0)).To(HaveLen(len(daemons)))
 		sent := 0
 		for now := time.Millisecond; now <= 100*time.Millisecond; now += time.Millisecond {
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -153,8 +153,8 @@
 // outdated reports whether a heartbeat was overtaken by one in which the same process
 // announced that it left.
 func (r *Registry) outdated(heartbeat Heartbeat) bool {
-	record, heard := r.agents[heartbeat.Agent]
-	return heard && record.left && record.start == heartbeat.Start && !heartbeat.Left
+	record, known := r.agents[heartbeat.Agent]
+	return known && record.left && record.start == heartbeat.Start && !heartbeat.Left
 }
 
 // interval returns the heartbeat interval that keeps the traffic of all agents within
@@ -192,15 +192,15 @@
 // here. During warm-up, when the daemon may have missed heartbeats, a missing heartbeat
 // does not mean that the agent is down.
 func (r *Registry) localCondition(now time.Duration, agent table.Endpoint) condition {
-	record, heard := r.agents[agent]
-	listened := r.WarmedUp(now)
-	if !heard {
-		if listened {
+	record, known := r.agents[agent]
+	warmedUp := r.WarmedUp(now)
+	if !known {
+		if warmedUp {
 			return conditionDown
 		}
 		return conditionUnknown
 	}
-	if record.lastHeartbeat < r.warmupStart && !listened {
+	if record.lastHeartbeat < r.warmupStart && !warmedUp {
 		return conditionUnknown
 	}
 	if record.left || now >= record.lastHeartbeat+record.lease+leaseMargin {
--- a/internal/control/remote.go
+++ b/internal/control/remote.go
@@ -66,8 +66,9 @@
 	r.invalidate()
 }
 
-// Observations returns the agents that have reported to this daemon, ordered by address.
-// Agents of unknown condition, which there are after a pause, are left out.
+// Observations returns the agents that have reported to this daemon, ordered by address. It
+// leaves out agents whose condition is unknown because this daemon was paused a
+// moment ago.
 func (r *Registry) Observations(now time.Duration) []Observation {
 	observed := make([]Observation, 0, len(r.agents))
 	for agent, record := range r.agents {
@@ -88,12 +89,12 @@
 
 // condition combines the heartbeats received here with the reports of other daemons.
 func (r *Registry) condition(now time.Duration, agent table.Endpoint) condition {
-	heard := r.localCondition(now, agent)
+	local := r.localCondition(now, agent)
 	remote, known := r.remote.agents[agent]
 	switch {
-	case heard == conditionLeaving:
+	case local == conditionLeaving:
 		return conditionLeaving
-	case heard == conditionAlive:
+	case local == conditionAlive:
 		return r.aliveCondition(agent, remote)
 	case known && remote.Condition == AgentAlive:
 		return conditionAlive
@@ -102,7 +103,7 @@
 	case r.remote.awaiting && !known && r.agents[agent] == nil:
 		return conditionUnknown
 	}
-	return heard
+	return local
 }
 
 // aliveCondition returns the condition of an agent that is alive according to its
--- a/internal/control/remote_test.go
+++ b/internal/control/remote_test.go
@@ -23,7 +23,7 @@
 		registry.ApplyRemote(Observation{Agent: secondAgent, Start: 1, Condition: condition})
 	}
 
-	It("reports no silent agent as unavailable until the reports of other daemons are complete", func() {
+	It("reports agents without heartbeats as unavailable only once the reports of other daemons are complete", func() {
 		registry.AwaitRemote()
 		tickTo(registry, 0, later)
 		Expect(registry.Unavailable(later)).To(BeEmpty())
@@ -32,7 +32,7 @@
 		Expect(registry.Unavailable(later)).To(Equal([]table.BackendID{1}))
 	})
 
-	It("grants conditions that other daemons report", func() {
+	It("includes the conditions that other daemons report in its grants", func() {
 		tickTo(registry, 0, later)
 		down := func() []table.BackendID {
 			grant, _ := sendHeartbeat(registry, later, firstAgent)
@@ -51,7 +51,7 @@
 		Expect(registry.Unavailable(later)).To(Equal([]table.BackendID{2}))
 	})
 
-	It("prefers its own heartbeats to reports, except that the same process is leaving", func() {
+	It("prefers its own heartbeats to reports, unless a report says that the same process is leaving", func() {
 		tickTo(registry, 0, later)
 		applyRemote(AgentDown)
 		sendHeartbeat(registry, later, firstAgent)
--- a/internal/dissemination/doc.go
+++ b/internal/dissemination/doc.go
@@ -1,7 +1,8 @@
 // Package dissemination distributes new versions of the table to every daemon of a fleet
 // and finds out which daemons have applied a version. From the live members, the messages
-// of other daemons and the time, it decides to whom to push a version, from whom to pull
-// one and whom to ask about one. Its callers apply the versions and send the messages.
+// of other daemons and the time, it decides which daemons to push a version to, to pull it
+// from, and to ask whether they have applied it. Its callers apply the versions and send
+// the messages.
 //
 // Machine is a deterministic state machine. It pushes a new version to a few members of
 // each region, of each zone of its region and of its own zone, which push it on. The pings
--- a/internal/dissemination/faults_test.go
+++ b/internal/dissemination/faults_test.go
@@ -42,7 +42,7 @@
 		gomega.Expect(asking.surveys).To(gomega.HaveLen(1))
 		return asking.surveys[0]
 	}
-	cutZone := func(zone membership.Zone) {
+	partitionZone := func(zone membership.Zone) {
 		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 			return (cluster.zoneOf(membership.Address(from)) == zone) != (cluster.zoneOf(membership.Address(to)) == zone)
 		})
@@ -89,7 +89,7 @@
 	})
 
 	ginkgo.It("brings a zone up to date that was partitioned for an hour", func() {
-		cutZone(4)
+		partitionZone(4)
 		for range 5 {
 			cluster.publish(cluster.addresses[0])
 			cluster.network.Run(12 * time.Minute)
@@ -123,7 +123,7 @@
 	})
 
 	ginkgo.It("counts the members of a zone that does not answer as behind", func() {
-		cutZone(2)
+		partitionZone(2)
 		version := cluster.publish(cluster.addresses[0])
 		survey := surveyFrom(cluster.addresses[1], version)
 		for _, zone := range survey.Zones {
@@ -225,7 +225,7 @@
 		gomega.Expect(sent).To(gomega.Equal([]dissemination.Kind{dissemination.KindFetchRequired}))
 	})
 
-	ginkgo.It("returns ErrTooManySurveys for the ninth survey at a time", func() {
+	ginkgo.It("returns ErrTooManySurveys when a ninth survey is started while eight are running", func() {
 		for range 8 {
 			_, err := machine.Survey(0, 1)
 			gomega.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/dissemination/machine.go
+++ b/internal/dissemination/machine.go
@@ -54,8 +54,8 @@
 // SetPeers replaces the live members.
 func (m *Machine) SetPeers(peers []Peer) { m.peers.set(peers, m.config.Self.Address) }
 
-// Publish distributes a delta that this process obtained from another source than its
-// peers. It does nothing unless the delta leads to the next version.
+// Publish distributes a delta that this process did not get from a peer. It does nothing
+// unless the delta leads to the next version.
 func (m *Machine) Publish(delta Delta) []Effect {
 	m.resetEffects()
 	if delta.Version != m.status.Held+1 {
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -9,7 +9,7 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-// Peer is another live member of package membership.
+// Peer is another live member of the fleet, as reported by package membership.
 type Peer struct {
 	Identity membership.Identity
 	// Reachable is false while the zone of the peer is unreachable.
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -92,8 +92,8 @@
 	m.send(to, Message{Kind: KindDeltas, Deltas: sent})
 }
 
-// receiveDeltas applies the deltas that follow the version held. Others are old, or there
-// is a gap before them that a pull will close.
+// receiveDeltas applies the deltas that follow the version held. It ignores older deltas and
+// those after a gap, which a pull will close.
 func (m *Machine) receiveDeltas(now time.Duration, message Message) {
 	next := m.status.Held + 1
 	start := slices.IndexFunc(message.Deltas, func(delta Delta) bool { return delta.Version == next })
--- a/internal/dissemination/survey.go
+++ b/internal/dissemination/survey.go
@@ -65,8 +65,8 @@
 }
 
 // advanceRequest asks further members of a zone if the previous ones did not answer. Asking
-// two at a time compensates for lost datagrams, and the first answer counts. The own zone
-// is polled by this process itself.
+// ReportFanout members at a time compensates for lost datagrams, and the first answer
+// counts. The own zone is not asked, since this process polls it itself.
 func (m *Machine) advanceRequest(now time.Duration, running *survey, request *zoneRequest) {
 	zone := request.result.Zone
 	if request.done || now < request.deadline || zone == m.config.Self.Zone {
--- a/internal/membership/bloomfilter.go
+++ b/internal/membership/bloomfilter.go
@@ -1,5 +1,5 @@
-// This file implements the Bloom filter that a sync request carries, which tells the other
-// member what need not be sent.
+// This file implements the Bloom filter in a sync request. It holds the members that the
+// requester knows, so that the response can omit them.
 
 package membership
 
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -98,19 +98,19 @@
 	})
 
 	ginkgo.It("readmits a member after a long pause, and the member itself suspects no one", func() {
-		sleeper := cluster.processes[cluster.addresses[10]]
-		cluster.network.Pause(virtualnet.NodeID(sleeper.address))
+		paused := cluster.processes[cluster.addresses[10]]
+		cluster.network.Pause(virtualnet.NodeID(paused.address))
 		cluster.network.Run(detectionLimit)
 		gomega.Expect(countAll(membership.EffectFailed)).To(gomega.Equal(len(cluster.running()) - 1))
 		resetEffectCounts()
-		cluster.network.Resume(virtualnet.NodeID(sleeper.address))
+		cluster.network.Resume(virtualnet.NodeID(paused.address))
 		agree(detectionLimit)
-		gomega.Expect(sleeper.effects[membership.EffectSuspected]).To(gomega.BeZero())
-		gomega.Expect(sleeper.effects[membership.EffectFailed]).To(gomega.BeZero())
+		gomega.Expect(paused.effects[membership.EffectSuspected]).To(gomega.BeZero())
+		gomega.Expect(paused.effects[membership.EffectFailed]).To(gomega.BeZero())
 	})
 
 	ginkgo.It("declares no member failed while regions are partitioned, and merges after an hour", func() {
-		cluster.cutZones(func(zone membership.Zone) bool { return zone < 2 })
+		cluster.partitionZones(func(zone membership.Zone) bool { return zone < 2 })
 		cluster.network.Run(hour)
 		gomega.Expect(countAll(membership.EffectFailed)).To(gomega.BeZero())
 		for _, observer := range cluster.running() {
@@ -129,7 +129,7 @@
 	})
 
 	ginkgo.It("informs a zone of a failure that all of its members missed", func() {
-		cluster.cutZones(inZone(1))
+		cluster.partitionZones(inZone(1))
 		cluster.kill(cluster.addresses[3])
 		cluster.network.Run(5 * time.Minute)
 		cluster.network.SetPartition(nil)
@@ -174,7 +174,7 @@
 	})
 
 	ginkgo.It("reports a zone as reachable when its partition ends", func() {
-		cluster.cutZones(inZone(2))
+		cluster.partitionZones(inZone(2))
 		cluster.network.Run(time.Minute)
 		resetEffectCounts()
 		cluster.network.SetPartition(nil)
@@ -260,10 +260,10 @@
 		ginkgo.Entry("with too many ages", func(m *membership.Message) { m.ZoneAges = make([]byte, membership.MaximumZones+1) }),
 	)
 
-	ginkgo.It("raises its refutation count once when the same accusation arrives twice", func() {
+	ginkgo.It("raises its refutation count only once when the same failure update about it arrives twice", func() {
 		machine := create(10)
-		accusation := membership.Update{Member: identity(0), Refutations: 4, State: membership.StateFailed}
-		message := membership.Message{Kind: membership.KindPing, Sender: alive(1), Updates: []membership.Update{accusation}}
+		failure := membership.Update{Member: identity(0), Refutations: 4, State: membership.StateFailed}
+		message := membership.Message{Kind: membership.KindPing, Sender: alive(1), Updates: []membership.Update{failure}}
 		for range 2 {
 			effects := machine.Receive(0, alive(1).Member.Address, message)
 			gomega.Expect(effects[len(effects)-1].Message.Sender.Refutations).To(gomega.Equal(uint32(5)))
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -165,8 +165,8 @@
 	f.kill(address)
 }
 
-// cutZones partitions the zones for which side is true from the others.
-func (f *fleet) cutZones(side func(membership.Zone) bool) {
+// partitionZones separates the zones for which side is true from the others.
+func (f *fleet) partitionZones(side func(membership.Zone) bool) {
 	f.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 		return side(f.zoneAt(membership.Address(from))) != side(f.zoneAt(membership.Address(to)))
 	})
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -31,8 +31,8 @@
 
 	attachment []byte
 	seeds      []Address
-	lastTick   time.Duration
-	everTicked bool
+	lastCall   time.Duration
+	started    bool
 	stopped    bool
 	sequence   uint32
 	nextExpiry time.Duration
@@ -118,8 +118,9 @@
 		return nil
 	}
 	m.detectPause(now)
-	// While this process catches up, the members it learns of are not new to the others, so
-	// their updates are not gossiped.
+	// Members that this process learns of while it catches up are not new to the others. It
+	// does not gossip the members in sync responses then, nor the senders of messages during
+	// simultaneousStartWindow.
 	catchingUp := m.inQuickSync(now)
 	m.merge(now, message.Sender, !catchingUp || now >= m.recovery.began+simultaneousStartWindow)
 	m.recordContact(now, message)
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -46,4 +46,4 @@
 
 // CatchingUp reports whether the process has not yet fetched the state of the others since
 // it started or was paused.
-func (m *Machine) CatchingUp() bool { return !m.everTicked || m.recovery.active }
+func (m *Machine) CatchingUp() bool { return !m.started || m.recovery.active }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -46,7 +46,7 @@
 }
 
 // repeatRefutation gossips the live state of a member to all members if an obsolete update
-// shows that some member takes it for failed.
+// shows that some member considers it failed.
 func (m *Machine) repeatRefutation(now time.Duration, known, obsolete Update) {
 	sameProcess := known.Member.Incarnation == obsolete.Member.Incarnation
 	if sameProcess && known.State.live() && obsolete.State == StateFailed {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -128,8 +128,8 @@
 	KindAck
 	// KindPingRequest asks the receiver to ping Target.
 	KindPingRequest
-	// KindSyncRequest asks for the members of zone Digest.Zone, or of all zones, that are
-	// not in KnownFilter.
+	// KindSyncRequest asks for the members of zone Digest.Zone, or of every zone if it is
+	// allZones, that are not in KnownFilter.
 	KindSyncRequest
 	// KindSyncResponse is one part of the response to a sync request.
 	KindSyncResponse
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,5 +1,5 @@
 // This file implements failure detection by probing: ping, indirect ping, suspicion and the
-// end of a suspicion.
+// end of a suspicion by refutation or failure.
 
 package membership
 
@@ -257,8 +257,8 @@
 	}
 }
 
-// dropSuspicion returns a member to alive that this process does not probe. Its probers
-// decide about the suspicion.
+// dropSuspicion marks a suspect that this process does not probe as alive again. Only
+// members that probe the suspect decide whether it has failed.
 func (m *Machine) dropSuspicion(now time.Duration, suspect *member) {
 	before := suspect.update
 	after := before
--- a/internal/membership/recovery.go
+++ b/internal/membership/recovery.go
@@ -24,8 +24,8 @@
 	// starting process within its limit of bytes a second.
 	quickSyncInterval = 300 * time.Millisecond
 	// seedInterval is the minimum time between two requests to seeds, which all other
-	// processes ask at the same time. Meanwhile processes that got an answer send requests
-	// to others that got none, which can then ask them.
+	// processes ask at the same time. In the meantime, processes that got a response from a
+	// seed send requests to processes that did not, and these can then ask them instead.
 	seedInterval = 1200 * time.Millisecond
 	// bootstrapMembers is the number of known members from which a process treats seeds
 	// like other members. A process that knows fewer avoids asking seeds again.
@@ -50,15 +50,15 @@
 
 // detectPause starts catching up at the first call and after a pause of the process.
 func (m *Machine) detectPause(now time.Duration) {
-	paused := m.everTicked && now-m.lastTick > pauseThreshold
-	if !m.everTicked || paused {
+	paused := m.started && now-m.lastCall > pauseThreshold
+	if !m.started || paused {
 		m.beginRecovery(now)
 	}
 	if paused {
 		m.restartTimeouts(now)
 	}
-	m.everTicked = true
-	m.lastTick = max(m.lastTick, now)
+	m.started = true
+	m.lastCall = max(m.lastCall, now)
 }
 
 func (m *Machine) beginRecovery(now time.Duration) {
@@ -86,7 +86,8 @@
 	}
 }
 
-// catchUp asks one member after the other for its full state.
+// catchUp requests the full state from one member after another until one that has it
+// responds or recoveryTimeout has passed.
 func (m *Machine) catchUp(now time.Duration) {
 	if !m.recovery.active || now < m.sync.next {
 		return
@@ -101,9 +102,9 @@
 }
 
 // syncSource returns a random member that has the full state, from the own zone if
-// possible. If there is none, as when all processes start at once, it returns any member
-// that is not a seed, and only if no such member is known a seed, which all other processes
-// ask.
+// possible. If there is none, as when all processes start at once, it returns any live
+// member that isNonSeedPeer accepts. If there is none of these either, it returns a random
+// seed. Seeds come last because all other processes ask them too.
 func (m *Machine) syncSource() (Address, bool) {
 	if known, exists := m.memberList.randomMember(m.random, m.self.Member.Zone, m.isCaughtUpPeer); exists {
 		return known.update.Member.Address, true
@@ -138,8 +139,9 @@
 }
 
 // isNonSeedPeer reports whether a member is another live process and not a seed, since all
-// processes ask the seeds. Once this process knows many members, it treats seeds like any
-// other member: it asks them no more often, and what only a seed knows must spread.
+// processes ask the seeds. Once this process knows bootstrapMembers members, seeds are
+// accepted too: they are then chosen no more often than any other member, and what only a
+// seed knows must spread.
 func (m *Machine) isNonSeedPeer(candidate *member) bool {
 	avoided := m.memberList.live < bootstrapMembers && slices.Contains(m.seeds, candidate.update.Member.Address)
 	return m.isLivePeer(candidate) && !avoided
--- a/internal/membership/schedule_test.go
+++ b/internal/membership/schedule_test.go
@@ -56,7 +56,7 @@
 		cluster.network.Resume(virtualnet.NodeID(address))
 	case 4:
 		zone := cluster.zoneAt(address)
-		cluster.cutZones(func(candidate membership.Zone) bool { return candidate == zone })
+		cluster.partitionZones(func(candidate membership.Zone) bool { return candidate == zone })
 	case 5:
 		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
 			return (from < virtualnet.NodeID(address)) != (to < virtualnet.NodeID(address))
--- a/internal/membership/synchronize.go
+++ b/internal/membership/synchronize.go
@@ -100,22 +100,22 @@
 	}
 }
 
-// compareDigest records a difference until the zone is fetched, even if other members agree
-// in the meantime: a whole zone may have missed a change in another zone. Members of the
-// zone concerned are preferred as the source, since they know it best.
+// compareDigest records a difference. It remains until the zone is fetched, even if other
+// members agree in the meantime: a whole zone may have missed a change in another zone.
+// Members of the zone concerned are preferred as the source, since they know it best.
 func (m *Machine) compareDigest(now time.Duration, from Address, digest ZoneDigest) {
 	if m.memberList.zones[digest.Zone].digest == digest.Hash {
 		return
 	}
-	noted := &m.sync.differences[digest.Zone]
-	if !noted.pending {
-		noted.pending = true
-		noted.since = now
-		noted.peer = from
+	difference := &m.sync.differences[digest.Zone]
+	if !difference.pending {
+		difference.pending = true
+		difference.since = now
+		difference.peer = from
 		return
 	}
-	if m.inZone(from, digest.Zone) || !m.inZone(noted.peer, digest.Zone) {
-		noted.peer = from
+	if m.inZone(from, digest.Zone) || !m.inZone(difference.peer, digest.Zone) {
+		difference.peer = from
 	}
 }
 
@@ -130,12 +130,12 @@
 	}
 	for range MaximumZones {
 		m.sync.lastZone = (m.sync.lastZone + 1) % MaximumZones
-		noted := &m.sync.differences[m.sync.lastZone]
-		if !noted.pending || !m.settled(now, m.sync.lastZone, noted) {
+		difference := &m.sync.differences[m.sync.lastZone]
+		if !difference.pending || !m.settled(now, m.sync.lastZone, difference) {
 			continue
 		}
-		noted.pending = false
-		m.requestSync(now, noted.peer, m.sync.lastZone)
+		difference.pending = false
+		m.requestSync(now, difference.peer, m.sync.lastZone)
 		m.sync.next = now + m.config.SyncInterval
 		return
 	}
@@ -203,12 +203,12 @@
 	return m.isLivePeer(candidate) && candidate.caughtUp
 }
 
-func (m *Machine) settled(now time.Duration, zone Zone, noted *zoneDifference) bool {
-	if now >= noted.since+maximumDifferenceAge {
+func (m *Machine) settled(now time.Duration, zone Zone, difference *zoneDifference) bool {
+	if now >= difference.since+maximumDifferenceAge {
 		return true
 	}
 	changed := m.memberList.zones[zone].lastChanged
-	return now >= noted.since+settleTime && now >= changed+settleTime
+	return now >= difference.since+settleTime && now >= changed+settleTime
 }
 
 func (m *Machine) requestSync(now time.Duration, to Address, zone Zone) {
@@ -289,8 +289,8 @@
 	return max(m.sync.tokens/(responseShare*estimatedUpdateSize), bootstrapUpdates)
 }
 
-// retryAfterFirstContact brings the next request forward when a process that has only asked
-// seeds receives a message from another member.
+// retryAfterFirstContact brings the next request forward if the last one went to a seed and
+// a message from a member that is not a seed arrives.
 func (m *Machine) retryAfterFirstContact(now time.Duration, from Address) {
 	if m.sync.askedSeed && !slices.Contains(m.seeds, from) {
 		m.sync.askedSeed = false
--- a/internal/membership/transport/endpoint.go
+++ b/internal/membership/transport/endpoint.go
@@ -130,8 +130,8 @@
 func (e *Endpoint) tick(ctx context.Context) error {
 	ticker := time.NewTicker(membership.TickInterval)
 	defer ticker.Stop()
-	count := time.NewTicker(metricsInterval)
-	defer count.Stop()
+	metricsTicker := time.NewTicker(metricsInterval)
+	defer metricsTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -141,7 +141,7 @@
 			e.mutex.Lock()
 			e.execute(e.machine.Tick(e.now()))
 			e.mutex.Unlock()
-		case <-count.C:
+		case <-metricsTicker.C:
 			e.config.Metrics.setMembers(e.Members())
 		}
 	}
--- a/internal/membership/transport/metrics.go
+++ b/internal/membership/transport/metrics.go
@@ -17,8 +17,8 @@
 	StateLabel     = "state"
 )
 
-// headerBytes is the size of the IPv4 and UDP headers.
-const headerBytes = 28
+// headerSize is the size of the IPv4 and UDP headers.
+const headerSize = 28
 
 const (
 	directionSent     = "sent"
@@ -31,7 +31,8 @@
 	// Datagrams and Bytes count by DirectionLabel. Bytes includes the IPv4 and UDP headers.
 	Datagrams metrics.Counter
 	Bytes     metrics.Counter
-	// Malformed counts datagrams that could not be decoded.
+	// Malformed counts datagrams that are not from an IPv4 address, exceed the maximum size
+	// or could not be decoded.
 	Malformed metrics.Counter
 	// Members is the number of members by StateLabel.
 	Members metrics.Gauge
@@ -51,7 +52,7 @@
 
 func (m *Metrics) count(direction string, bytes int) {
 	m.Datagrams.With(DirectionLabel, direction).Add(1)
-	m.Bytes.With(DirectionLabel, direction).Add(float64(bytes + headerBytes))
+	m.Bytes.With(DirectionLabel, direction).Add(float64(bytes + headerSize))
 }
 
 func (m *Metrics) setMembers(members []membership.Member) {
--- a/internal/membership/virtualnet/network.go
+++ b/internal/membership/virtualnet/network.go
@@ -93,8 +93,11 @@
 // SetLoss changes the probability that a datagram is lost.
 func (n *Network[Message]) SetLoss(loss float64) { n.config.Loss = loss }
 
-// SetPartition sets which datagrams a partition drops. Nil ends the partition.
-func (n *Network[Message]) SetPartition(cut func(from, to NodeID) bool) { n.partitioned = cut }
+// SetPartition drops the datagrams for whose sender and receiver partitioned returns true.
+// Nil ends the partition.
+func (n *Network[Message]) SetPartition(partitioned func(from, to NodeID) bool) {
+	n.partitioned = partitioned
+}
 
 // Attach starts a node and replaces the one with the same identifier. The first tick comes
 // within one interval.
