--- a/internal/daemon/administration_test.go
+++ b/internal/daemon/adminapi_test.go
@@ -66,7 +66,7 @@
 }
 
 func (a administered) client(token tenant.Token) *adminapi.Client {
-	client, err := adminapi.NewClient("https://"+a.daemon.Administration().String(), token, a.transport)
+	client, err := adminapi.NewClient("https://"+a.daemon.AdminAPIAddress().String(), token, a.transport)
 	Expect(err).NotTo(HaveOccurred())
 	return client
 }
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -10,8 +10,8 @@
 
 // The exit statuses of vanetillerd.
 const (
-	ExitStopped = program.ExitStopped
-	ExitFailed  = program.ExitFailed
+	ExitSuccess = program.ExitSuccess
+	ExitFailure = program.ExitFailure
 	ExitUsage   = program.ExitUsage
 )
 
@@ -19,7 +19,7 @@
 func Program() program.Program {
 	return program.Program{
 		Name:    "vanetillerd",
-		Purpose: "runs one process of a fleet: a balancer, or an agent beside back ends.",
+		Summary: "runs one process of a fleet: a balancer, or an agent beside back ends.",
 		New: func(checked *settings.Settings, output io.Writer) (program.Server, error) {
 			if checked.Relay != nil {
 				return nil, settings.Errors{{Key: "relay", Rule: "is for vanetiller-relay"}}
@@ -29,8 +29,8 @@
 	}
 }
 
-// Command runs vanetillerd with the arguments after the program name. A
+// RunCommand runs vanetillerd with the arguments after the program name. A
 // planned stop begins when ctx ends. It returns the exit status.
-func Command(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
-	return Program().Command(ctx, nil, arguments, stdout, stderr)
+func RunCommand(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
+	return Program().RunCommand(ctx, nil, arguments, stdout, stderr)
 }
--- a/internal/daemon/command_test.go
+++ b/internal/daemon/command_test.go
@@ -42,14 +42,14 @@
 
 func command(arguments ...string) outcome {
 	var stdout, stderr bytes.Buffer
-	status := daemon.Command(context.Background(), arguments, &stdout, &stderr)
+	status := daemon.RunCommand(context.Background(), arguments, &stdout, &stderr)
 	return outcome{status, stdout.String(), stderr.String()}
 }
 
 var _ = Describe("Command", func() {
 	It("explains every flag with its default", func() {
 		help := command("-help")
-		Expect(help.Status).To(Equal(daemon.ExitStopped))
+		Expect(help.Status).To(Equal(daemon.ExitSuccess))
 		Expect(help.Stderr).To(BeEmpty())
 		for _, flag := range []string{"-settings FILE", "-name NAME", "-zone ZONE", "-log-level LEVEL", "-check", "-version"} {
 			Expect(help.Stdout).To(MatchRegexp(`(?m)^  %s\n    \t.*default`, flag))
@@ -58,7 +58,7 @@
 
 	It("prints the version", func() {
 		printed := command("-version")
-		Expect(printed.Status).To(Equal(daemon.ExitStopped))
+		Expect(printed.Status).To(Equal(daemon.ExitSuccess))
 		Expect(printed.Stdout).To(MatchRegexp(`^vanetillerd \S+ \(go\S+\)\n$`))
 	})
 
@@ -78,7 +78,7 @@
 	It("accepts valid settings, also by overrides", func() {
 		path := writeSettings(strings.Replace(agentSettings, `zone = "zone-1"`, "", 1))
 		checked := command("-settings", path, "-check", "-zone", "zone-2", "-log-level", "warn")
-		Expect(checked).To(Equal(outcome{daemon.ExitStopped, path + ": settings are valid\n", ""}))
+		Expect(checked).To(Equal(outcome{daemon.ExitSuccess, path + ": settings are valid\n", ""}))
 	})
 
 	DescribeTable("names file, line, key and rule of wrong settings, with -check or without",
@@ -104,7 +104,7 @@
 		DeferCleanup(taken.Close)
 		path := writeSettings(strings.Replace(agentSettings, "127.0.0.1:0", taken.Addr().String(), 1))
 		failed := command("-settings", path)
-		Expect(failed.Status).To(Equal(daemon.ExitFailed))
+		Expect(failed.Status).To(Equal(daemon.ExitFailure))
 		Expect(failed.Stderr).To(ContainSubstring("address already in use"))
 	})
 })
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,12 +78,12 @@
 	return newBalancerRole(shared)
 }
 
-// Observability returns the address of the listener for health and metrics.
-func (d *Daemon) Observability() netip.AddrPort { return d.observability.Address() }
+// ObservabilityAddress returns the address of the listener for health and metrics.
+func (d *Daemon) ObservabilityAddress() netip.AddrPort { return d.observability.Address() }
 
-// Administration returns the address of the administration API, the zero value
+// AdminAPIAddress returns the address of the administration API, the zero value
 // if there is none.
-func (d *Daemon) Administration() netip.AddrPort {
+func (d *Daemon) AdminAPIAddress() netip.AddrPort {
 	served, isBalancer := d.role.(*balancerRole)
 	if !isBalancer || served.administration == nil {
 		return netip.AddrPort{}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -113,7 +113,7 @@
 }
 
 func (r running) get(path string) string {
-	response, err := http.Get("http://" + r.daemon.Observability().String() + path)
+	response, err := http.Get("http://" + r.daemon.ObservabilityAddress().String() + path)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -11,9 +11,9 @@
 // queueLines bounds the lines that wait to be written.
 const queueLines = 1024
 
-// Async writes lines without ever blocking its callers: a line that finds the
+// AsyncWriter writes lines without ever blocking its callers: a line that finds the
 // queue full is dropped and counted. It is safe for concurrent use.
-type Async struct {
+type AsyncWriter struct {
 	output  io.Writer
 	lines   chan []byte
 	dropped atomic.Uint64
@@ -22,9 +22,9 @@
 	ended   chan struct{}
 }
 
-// NewAsync returns a writer to output, which Close must end.
-func NewAsync(output io.Writer) *Async {
-	created := &Async{
+// NewAsyncWriter returns a writer to output, which Close must end.
+func NewAsyncWriter(output io.Writer) *AsyncWriter {
+	created := &AsyncWriter{
 		output: output,
 		lines:  make(chan []byte, queueLines),
 		closed: make(chan struct{}),
@@ -35,7 +35,7 @@
 }
 
 // Write queues a line. It never fails.
-func (a *Async) Write(line []byte) (int, error) {
+func (a *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), line...):
 	default:
@@ -45,7 +45,7 @@
 }
 
 // Close writes what is queued, for as long as given at most.
-func (a *Async) Close(patience time.Duration) {
+func (a *AsyncWriter) Close(patience time.Duration) {
 	a.closing.Do(func() { close(a.closed) })
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
@@ -55,7 +55,7 @@
 	}
 }
 
-func (a *Async) run() {
+func (a *AsyncWriter) run() {
 	defer close(a.ended)
 	for {
 		select {
@@ -69,7 +69,7 @@
 }
 
 // drain writes what is still queued.
-func (a *Async) drain() {
+func (a *AsyncWriter) drain() {
 	for {
 		select {
 		case line := <-a.lines:
@@ -81,7 +81,7 @@
 }
 
 // put writes a line. A log that cannot be written must not stop the process.
-func (a *Async) put(line []byte) {
+func (a *AsyncWriter) put(line []byte) {
 	_, _ = a.output.Write(line)
 	if dropped := a.dropped.Swap(0); dropped > 0 {
 		_, _ = fmt.Fprintf(a.output, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"count\":%d}\n", dropped)
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -27,7 +27,7 @@
 	It("writes all lines in their order before it closes", func() {
 		output := &gate{open: make(chan struct{})}
 		close(output.open)
-		log := logging.NewAsync(output)
+		log := logging.NewAsyncWriter(output)
 		for number := range 100 {
 			fmt.Fprintf(log, "line %d\n", number)
 		}
@@ -39,7 +39,7 @@
 
 	It("never blocks on an output that does, and tells how many lines it dropped", func() {
 		output := &gate{open: make(chan struct{})}
-		log := logging.NewAsync(output)
+		log := logging.NewAsyncWriter(output)
 		for range 5000 {
 			fmt.Fprintln(log, "line")
 		}
--- a/internal/program/options.go
+++ b/internal/program/options.go
@@ -29,7 +29,7 @@
 	flags.BoolVar(&values.check, "check", false, "check the settings, print what is wrong with them, and exit (default: run)")
 	flags.BoolVar(&values.version, "version", false, "print the version and exit (default: run)")
 	flags.Usage = func() {
-		fmt.Fprintf(flags.Output(), "%s %s\n\nUsage:\n  %s -settings FILE [flags]\n\nFlags:\n", p.Name, p.Purpose, p.Name)
+		fmt.Fprintf(flags.Output(), "%s %s\n\nUsage:\n  %s -settings FILE [flags]\n\nFlags:\n", p.Name, p.Summary, p.Name)
 		flags.PrintDefaults()
 		fmt.Fprintf(flags.Output(), usageFooter, p.logName())
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -19,8 +19,8 @@
 
 // The exit statuses of a daemon.
 const (
-	ExitStopped = 0
-	ExitFailed  = 1
+	ExitSuccess = 0
+	ExitFailure = 1
 	ExitUsage   = 2
 )
 
@@ -49,8 +49,8 @@
 type Program struct {
 	// Name is the name of the program.
 	Name string
-	// Purpose tells in one sentence what a process of it does.
-	Purpose string
+	// Summary tells in one sentence what a process of it does.
+	Summary string
 	// LogToStdout makes the log go to standard output in place of standard error.
 	LogToStdout bool
 	// New opens the sockets of a process that writes its log to output.
@@ -64,13 +64,13 @@
 	context.AfterFunc(ctx, restore)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	os.Exit(p.Command(ctx, reload, os.Args[1:], os.Stdout, os.Stderr))
+	os.Exit(p.RunCommand(ctx, reload, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// Command runs the program with the arguments after its name. A planned stop
+// RunCommand runs the program with the arguments after its name. A planned stop
 // begins when ctx ends; a value from reload makes it read the settings again.
 // It returns the exit status.
-func (p Program) Command(ctx context.Context, reload <-chan os.Signal, arguments []string, stdout, stderr io.Writer) int {
+func (p Program) RunCommand(ctx context.Context, reload <-chan os.Signal, arguments []string, stdout, stderr io.Writer) int {
 	var values options
 	flags := p.newFlagSet(&values, stderr)
 	if askedForHelp(arguments) {
@@ -79,14 +79,14 @@
 	err := flags.Parse(arguments)
 	switch {
 	case errors.Is(err, flag.ErrHelp):
-		return ExitStopped
+		return ExitSuccess
 	case err != nil:
 		return ExitUsage
 	case flags.NArg() > 0:
 		return p.usageError(stderr, "unexpected argument "+flags.Arg(0))
 	case values.version:
 		fmt.Fprintln(stdout, p.Name, version.String())
-		return ExitStopped
+		return ExitSuccess
 	case values.settingsFile == "":
 		return p.usageError(stderr, "-settings is required")
 	}
@@ -100,7 +100,7 @@
 	}
 	if values.check {
 		fmt.Fprintf(stdout, "%s: settings are valid\n", values.settingsFile)
-		return ExitStopped
+		return ExitSuccess
 	}
 	log := stderr
 	if p.LogToStdout {
@@ -124,15 +124,15 @@
 		return ExitUsage
 	case err != nil:
 		fmt.Fprintf(stderr, "%s: %s\n", p.Name, err)
-		return ExitFailed
+		return ExitFailure
 	}
 	ended, end := context.WithCancel(context.Background())
 	defer end()
 	go reloadOnRequest(ended, reload, created, load)
 	if err := created.Run(ctx); err != nil {
-		return ExitFailed
+		return ExitFailure
 	}
-	return ExitStopped
+	return ExitSuccess
 }
 
 func reloadOnRequest(ended context.Context, reload <-chan os.Signal, created Server, load func() (*settings.Settings, error)) {
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -76,7 +76,7 @@
 		}}
 		running, ownFile, ownReload, ownStatus := started, file, reload, status
 		go func() {
-			ownStatus <- running.Command(ctx, ownReload, []string{"-settings", ownFile}, io.Discard, io.Discard)
+			ownStatus <- running.RunCommand(ctx, ownReload, []string{"-settings", ownFile}, io.Discard, io.Discard)
 		}()
 		DeferCleanup(stop)
 		Eventually(loaded).Should(BeClosed())
@@ -90,7 +90,7 @@
 		Expect(changed.Log.Level).To(Equal(log.DebugLevel))
 		Expect(status).NotTo(Receive())
 		stop()
-		Eventually(status).Should(Receive(Equal(program.ExitStopped)))
+		Eventually(status).Should(Receive(Equal(program.ExitSuccess)))
 	})
 
 	It("keeps the settings if the new ones are wrong", func() {
@@ -106,7 +106,7 @@
 			_, _ = io.WriteString(log, "line")
 			return nil, errors.New("cannot start")
 		}}
-		Expect(logging.Command(context.Background(), nil, []string{"-settings", file}, &stdout, &stderr)).To(Equal(program.ExitFailed))
+		Expect(logging.RunCommand(context.Background(), nil, []string{"-settings", file}, &stdout, &stderr)).To(Equal(program.ExitFailure))
 		Expect(stdout.String() == "line").To(Equal(toStdout))
 		Expect(stderr.String()).To(ContainSubstring("p: cannot start"))
 	},
@@ -119,7 +119,7 @@
 		refusing := program.Program{Name: "p", New: func(*settings.Settings, io.Writer) (program.Server, error) {
 			return nil, settings.Errors{{Key: "relay", Rule: "is not for this program"}}
 		}}
-		Expect(refusing.Command(context.Background(), nil, []string{"-settings", file}, io.Discard, &stderr)).To(Equal(program.ExitUsage))
+		Expect(refusing.RunCommand(context.Background(), nil, []string{"-settings", file}, io.Discard, &stderr)).To(Equal(program.ExitUsage))
 		Expect(stderr.String()).To(ContainSubstring("relay: is not for this program"))
 	})
 })
--- a/internal/relaydaemon/agent.go
+++ b/internal/relaydaemon/agent.go
@@ -30,7 +30,7 @@
 		FlowLifetime:        checked.FlowLifetime,
 		FlowLimit:           checked.FlowLimit,
 		ColdStartLimit:      relay.ColdStartLimit{Overrun: checked.Agent.ColdOverrun, Slack: checked.Agent.ColdSlack},
-		OutlierLimits:       checked.Agent.Outliers,
+		OutlierLimits:       checked.Agent.OutlierDetection,
 		QueuePolicy:         checked.Agent.QueuePolicy,
 	})
 	created := &agentRole{
--- a/internal/relaydaemon/command.go
+++ b/internal/relaydaemon/command.go
@@ -22,7 +22,7 @@
 func Program(surroundings Surroundings) program.Program {
 	return program.Program{
 		Name:    "vanetiller-relay",
-		Purpose: "runs one process of a fleet that carries the packets of flows whole: a balancer, or the agent beside an endpoint.",
+		Summary: "runs one process of a fleet that carries the packets of flows whole: a balancer, or the agent beside an endpoint.",
 		// The users' engineers collect standard output.
 		LogToStdout: true,
 		New: func(checked *settings.Settings, output io.Writer) (program.Server, error) {
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -46,7 +46,7 @@
 // Daemon is one process of the fleet.
 type Daemon struct {
 	stopTimeout   atomic.Int64
-	log           *logging.Async
+	log           *logging.AsyncWriter
 	logger        *log.Logger
 	health        *observability.Health
 	role          role
@@ -62,7 +62,7 @@
 	}
 	health := observability.NewHealth(conditionServing)
 	metrics := registry.New()
-	log := logging.NewAsync(output)
+	log := logging.NewAsyncWriter(output)
 	created := &Daemon{
 		log:    log,
 		logger: logging.New(log, checked.Log.Level, checked.Name, checked.Zone),
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -79,8 +79,8 @@
 	// an endpoint may get in a second while it is cold.
 	ColdOverrun float64
 	ColdSlack   float64
-	// Outliers are the limits within which the endpoint counts as well.
-	Outliers outlier.Config
+	// OutlierDetection are the limits within which the endpoint counts as well.
+	OutlierDetection outlier.Config
 	// QueuePolicy decides which request that waits for the endpoint is served first.
 	QueuePolicy requestqueue.Policy
 }
@@ -102,8 +102,8 @@
 	DefaultQueueDiscipline = requestqueue.DisciplineNewestFirst
 	// MaxOutlierWindow is as many outcomes as an agent can tell of.
 	MaxOutlierWindow = 100
-	MinEjection      = 100 * time.Millisecond
-	MaxEjection      = time.Minute
+	MinEjectionTime  = 100 * time.Millisecond
+	MaxEjectionTime  = time.Minute
 	MinChangeTimeout = 500 * time.Millisecond
 	MaxChangeTimeout = 30 * time.Second
 	MaxStoreRate     = 1_000_000
@@ -218,7 +218,7 @@
 			withDefault(raw.ColdOverrun, DefaultColdOverrun), 1, MaxColdOverrun),
 		ColdSlack: c.number("relay.agent.cold_slack",
 			withDefault(raw.ColdSlack, DefaultColdSlack), 0, MaxColdSlack),
-		Outliers: c.outliers(raw),
+		OutlierDetection: c.outliers(raw),
 		QueuePolicy: requestqueue.Policy{
 			Discipline: c.discipline("relay.agent.queue_discipline",
 				withDefault(raw.QueueDiscipline, DefaultQueueDiscipline.String())),
@@ -247,12 +247,12 @@
 		Window: c.integer("relay.agent.outlier_window",
 			withDefault(raw.OutlierWindow, int64(standard.Window)), 1, MaxOutlierWindow),
 		BaseEjectionTime: c.duration("relay.agent.first_ejection",
-			withDefault(raw.FirstEjection, standard.BaseEjectionTime.String()), MinEjection, MaxEjection),
+			withDefault(raw.FirstEjection, standard.BaseEjectionTime.String()), MinEjectionTime, MaxEjectionTime),
 	}
 	limits.FailureThreshold = c.integer("relay.agent.outlier_failures",
 		withDefault(raw.OutlierFailures, int64(standard.FailureThreshold)), 0, MaxOutlierWindow)
 	limits.MaxEjectionTime = c.duration("relay.agent.longest_ejection",
-		withDefault(raw.LongestEjection, standard.MaxEjectionTime.String()), MinEjection, MaxEjection)
+		withDefault(raw.LongestEjection, standard.MaxEjectionTime.String()), MinEjectionTime, MaxEjectionTime)
 	if limits.FailureThreshold > limits.Window {
 		c.broken("relay.agent.outlier_failures", "must not be more than outlier_window, %d", limits.Window)
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -194,7 +194,7 @@
 		parsed, err := settings.Parse("r.toml", []byte(strings.Replace(relayAgentFile, "first_start",
 			"outlier_window = 20\noutlier_failures = 0\nfirst_ejection = \"2s\"\nlongest_ejection = \"2s\"\nfirst_start", 1)))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(parsed.Relay.Agent.Outliers).To(Equal(outlier.Config{
+		Expect(parsed.Relay.Agent.OutlierDetection).To(Equal(outlier.Config{
 			Window: 20, BaseEjectionTime: 2 * time.Second, MaxEjectionTime: 2 * time.Second,
 		}))
 	})
@@ -229,9 +229,9 @@
 			FlowLimit: settings.DefaultFlowLimit,
 			Agent: &settings.RelayAgent{
 				Service: "lookup", Endpoint: endpoint("192.0.2.1:8081"), Emitted: endpoint("192.0.2.1:8082"), FirstStart: true,
-				Outliers:    outlier.Config{Window: 10, FailureThreshold: 3, BaseEjectionTime: time.Second, MaxEjectionTime: 8 * time.Second},
-				ColdOverrun: 1,
-				QueuePolicy: requestqueue.Policy{Discipline: requestqueue.DisciplineNewestFirst},
+				OutlierDetection: outlier.Config{Window: 10, FailureThreshold: 3, BaseEjectionTime: time.Second, MaxEjectionTime: 8 * time.Second},
+				ColdOverrun:      1,
+				QueuePolicy:      requestqueue.Policy{Discipline: requestqueue.DisciplineNewestFirst},
 			},
 		}))
 	})
