--- a/internal/settings/checker.go
+++ b/internal/settings/checker.go
@@ -13,36 +13,38 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// checker converts untyped values and collects the rules they break. Every
-// method returns the zero value after a broken rule, so that the caller can go
-// on to find the others.
+// checker converts untyped TOML values to typed settings and collects the
+// errors. A conversion that fails records an error and returns a placeholder,
+// so that the remaining keys are still checked.
 type checker struct {
 	file       string
-	lines      positions
+	lines      keyLines
 	overridden []string
 	errors     Errors
 }
 
-// MaxNameLength bounds the names of processes and zones, in bytes.
+// MaxNameLength is the maximum length of process and zone names, in bytes.
 const MaxNameLength = 64
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// addressRule tells which addresses a key takes.
-type addressRule struct {
-	// unspecified allows 0.0.0.0, which only listeners can use.
-	unspecified bool
-	// anyPort allows port 0.
-	anyPort bool
+// addressPolicy defines which addresses a key accepts.
+type addressPolicy struct {
+	// allowUnspecified accepts 0.0.0.0, which only a listener can use.
+	allowUnspecified bool
+	// allowPortZero accepts port 0, for which the system chooses a free port.
+	allowPortZero bool
 }
 
 var (
-	listenAddress = addressRule{unspecified: true}
-	httpAddress   = addressRule{unspecified: true, anyPort: true}
-	remoteAddress = addressRule{}
+	listenAddress = addressPolicy{allowUnspecified: true}
+	httpAddress   = addressPolicy{allowUnspecified: true, allowPortZero: true}
+	remoteAddress = addressPolicy{}
 )
 
-func (c *checker) broken(key, rule string, arguments ...any) {
+// addError records that the value of key breaks a rule. The error names the
+// command line if the value is an override, and otherwise the file and line.
+func (c *checker) addError(key, rule string, arguments ...any) {
 	rule = fmt.Sprintf(rule, arguments...)
 	if slices.Contains(c.overridden, key) {
 		c.errors = append(c.errors, Error{CommandLine, 0, key, rule})
@@ -51,204 +53,205 @@
 	c.errors = append(c.errors, Error{c.file, c.lines.lineOf(key), key, rule})
 }
 
-func (c *checker) text(key string, value any) (string, bool) {
+func (c *checker) stringValue(key string, value any) (string, bool) {
 	if value == nil {
-		c.broken(key, "is required")
+		c.addError(key, "is required")
 		return "", false
 	}
-	text, isText := value.(string)
-	if !isText {
-		c.broken(key, "must be a string")
+	text, isString := value.(string)
+	if !isString {
+		c.addError(key, "must be a string")
 	}
-	return text, isText
+	return text, isString
 }
 
 func (c *checker) name(key string, value any) string {
-	text, ok := c.text(key, value)
+	text, ok := c.stringValue(key, value)
 	if !ok {
 		return ""
 	}
 	if len(text) > MaxNameLength || !namePattern.MatchString(text) {
-		c.broken(key, "must have 1 to %d letters, digits, dots, hyphens or underscores and begin with a letter or digit", MaxNameLength)
+		c.addError(key, "must have 1 to %d letters, digits, dots, hyphens or underscores and begin with a letter or digit", MaxNameLength)
 		return ""
 	}
 	return text
 }
 
-// rowName takes whatever names the configuration table allows.
-func (c *checker) rowName(key string, value any) string {
-	text, ok := c.text(key, value)
+// tableRowName accepts every name that the configuration table allows for a
+// service or a back end.
+func (c *checker) tableRowName(key string, value any) string {
+	text, ok := c.stringValue(key, value)
 	if !ok {
 		return ""
 	}
 	if text == "" || len(text) > table.MaxNameLength {
-		c.broken(key, "must have 1 to %d bytes", table.MaxNameLength)
+		c.addError(key, "must have 1 to %d bytes", table.MaxNameLength)
 		return ""
 	}
 	return text
 }
 
-// path takes the name of a file, which is not opened here.
-func (c *checker) path(key string, value any) string {
-	text, ok := c.text(key, value)
+// filePath accepts any non-empty string. It does not open the file.
+func (c *checker) filePath(key string, value any) string {
+	text, ok := c.stringValue(key, value)
 	if !ok {
 		return ""
 	}
 	if text == "" {
-		c.broken(key, "must be the name of a file")
+		c.addError(key, "must be the name of a file")
 	}
 	return text
 }
 
-func (c *checker) level(key string, value any) log.Level {
-	text, ok := c.text(key, value)
+func (c *checker) logLevel(key string, value any) log.Level {
+	text, ok := c.stringValue(key, value)
 	if !ok {
 		return 0
 	}
 	switch text {
 	case "debug", "info", "warn", "error":
 	default:
-		c.broken(key, "must be debug, info, warn or error")
+		c.addError(key, "must be debug, info, warn or error")
 		return 0
 	}
 	level, err := log.ParseLevel(text)
 	if err != nil {
-		c.broken(key, "%s", err)
+		c.addError(key, "%s", err)
 	}
 	return level
 }
 
-func (c *checker) address(key string, value any, rule addressRule) netip.AddrPort {
-	text, ok := c.text(key, value)
+func (c *checker) address(key string, value any, rule addressPolicy) netip.AddrPort {
+	text, ok := c.stringValue(key, value)
 	if !ok {
 		return netip.AddrPort{}
 	}
 	parsed, err := netip.ParseAddrPort(text)
 	if err != nil || !parsed.Addr().Is4() {
-		c.broken(key, "must be an IPv4 address and a port, such as 192.0.2.1:6081")
+		c.addError(key, "must be an IPv4 address and a port, such as 192.0.2.1:6081")
 		return netip.AddrPort{}
 	}
-	if parsed.Addr().IsUnspecified() && !rule.unspecified {
-		c.broken(key, "must not be the unspecified address 0.0.0.0")
+	if parsed.Addr().IsUnspecified() && !rule.allowUnspecified {
+		c.addError(key, "must not be the unspecified address 0.0.0.0")
 		return netip.AddrPort{}
 	}
-	if parsed.Port() == 0 && !rule.anyPort {
-		c.broken(key, "must have a port other than 0")
+	if parsed.Port() == 0 && !rule.allowPortZero {
+		c.addError(key, "must have a port other than 0")
 		return netip.AddrPort{}
 	}
 	return parsed
 }
 
-func (c *checker) addresses(key string, value any, rule addressRule) []netip.AddrPort {
+func (c *checker) addresses(key string, value any, rule addressPolicy) []netip.AddrPort {
 	if value == nil {
-		c.broken(key, "is required")
+		c.addError(key, "is required")
 		return nil
 	}
 	items, isArray := value.([]any)
 	if !isArray || len(items) == 0 {
-		c.broken(key, "must be an array of at least one address")
+		c.addError(key, "must be an array of at least one address")
 		return nil
 	}
 	var parsed []netip.AddrPort
 	for _, item := range items {
 		address := c.address(key, item, rule)
 		if address.IsValid() && slices.Contains(parsed, address) {
-			c.broken(key, "names %s twice", address)
+			c.addError(key, "contains %s twice", address)
 		}
 		parsed = append(parsed, address)
 	}
 	return parsed
 }
 
-func (c *checker) names(key string, value any, most int) []string {
+func (c *checker) names(key string, value any, maximum int) []string {
 	if value == nil {
-		c.broken(key, "is required")
+		c.addError(key, "is required")
 		return nil
 	}
 	items, isArray := value.([]any)
-	if !isArray || len(items) == 0 || len(items) > most {
-		c.broken(key, "must be an array of 1 to %d names", most)
+	if !isArray || len(items) == 0 || len(items) > maximum {
+		c.addError(key, "must be an array of 1 to %d names", maximum)
 		return nil
 	}
 	var names []string
 	for _, item := range items {
 		name := c.name(key, item)
 		if name != "" && slices.Contains(names, name) {
-			c.broken(key, "names %s twice", name)
+			c.addError(key, "contains %s twice", name)
 		}
 		names = append(names, name)
 	}
 	return names
 }
 
-func (c *checker) duration(key string, value any, least, most time.Duration) time.Duration {
-	text, ok := c.text(key, value)
+func (c *checker) duration(key string, value any, minimum, maximum time.Duration) time.Duration {
+	text, ok := c.stringValue(key, value)
 	if !ok {
 		return 0
 	}
 	parsed, err := time.ParseDuration(text)
 	if err != nil {
-		c.broken(key, "must be a duration with a unit, such as 500ms or 20s")
+		c.addError(key, "must be a duration with a unit, such as 500ms or 20s")
 		return 0
 	}
-	if parsed < least || parsed > most {
-		c.broken(key, "must be from %s to %s", least, most)
+	if parsed < minimum || parsed > maximum {
+		c.addError(key, "must be from %s to %s", minimum, maximum)
 		return 0
 	}
 	return parsed
 }
 
-func (c *checker) integer(key string, value any, least, most int) int {
+func (c *checker) integer(key string, value any, minimum, maximum int) int {
 	if value == nil {
-		c.broken(key, "is required")
+		c.addError(key, "is required")
 		return 0
 	}
 	number, isInteger := value.(int64)
 	if !isInteger {
-		c.broken(key, "must be an integer")
+		c.addError(key, "must be an integer")
 		return 0
 	}
-	if number < int64(least) || number > int64(most) {
-		c.broken(key, "must be from %d to %d", least, most)
+	if number < int64(minimum) || number > int64(maximum) {
+		c.addError(key, "must be from %d to %d", minimum, maximum)
 		return 0
 	}
 	return int(number)
 }
 
-// number takes a whole number or a fraction.
-func (c *checker) number(key string, value any, least, most float64) float64 {
+// float accepts a TOML integer or float.
+func (c *checker) float(key string, value any, minimum, maximum float64) float64 {
 	number, isNumber := value.(float64)
-	if whole, isWhole := value.(int64); isWhole {
-		number, isNumber = float64(whole), true
+	if integer, isInteger := value.(int64); isInteger {
+		number, isNumber = float64(integer), true
 	}
-	if !isNumber || !(number >= least && number <= most) {
-		c.broken(key, "must be a number from %g to %g", least, most)
-		return least
+	if !isNumber || !(number >= minimum && number <= maximum) {
+		c.addError(key, "must be a number from %g to %g", minimum, maximum)
+		return minimum
 	}
 	return number
 }
 
 func (c *checker) url(key string, value any) string {
-	text, ok := c.text(key, value)
+	text, ok := c.stringValue(key, value)
 	if !ok {
 		return ""
 	}
 	parsed, err := url.Parse(text)
 	if err != nil || parsed.Host == "" || (parsed.Scheme != "http" && parsed.Scheme != "https") {
-		c.broken(key, "must be an http or https URL, such as http://192.0.2.1:9000/v1/configuration")
+		c.addError(key, "must be an http or https URL, such as http://192.0.2.1:9000/v1/configuration")
 		return ""
 	}
 	return text
 }
 
 func (c *checker) baseline(key string, value any) Baseline {
-	text, ok := c.text(key, value)
+	text, ok := c.stringValue(key, value)
 	if !ok {
 		return BaselineNone
 	}
 	baseline := Baseline(text)
 	if baseline != BaselineNone && baseline != BaselineHash {
-		c.broken(key, "must be empty or %q", BaselineHash)
+		c.addError(key, "must be empty or %q", BaselineHash)
 		return BaselineNone
 	}
 	return baseline
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The values of keys that a file leaves out.
+// The defaults of optional keys.
 const (
 	DefaultLogLevel     = "info"
 	DefaultPollInterval = "500ms"
@@ -24,9 +24,9 @@
 	MaxFlowLimit    = 10_000_000
 )
 
-func withDefault(value, fallback any) any {
+func withDefault(value, defaultValue any) any {
 	if value == nil {
-		return fallback
+		return defaultValue
 	}
 	return value
 }
@@ -35,10 +35,10 @@
 	checked := &Settings{
 		Name:          c.name("name", raw.Name),
 		Zone:          c.name("zone", raw.Zone),
-		Log:           Log{Level: c.level("log.level", withDefault(raw.Log.Level, DefaultLogLevel))},
+		Log:           Log{Level: c.logLevel("log.level", withDefault(raw.Log.Level, DefaultLogLevel))},
 		Observability: Observability{Listen: c.address("observability.listen", raw.Observability.Listen, httpAddress)},
 	}
-	c.checkRole(raw)
+	c.checkRoles(raw)
 	if raw.Platform != nil {
 		checked.Platform = c.platform(raw.Platform)
 	}
@@ -63,34 +63,36 @@
 	return checked
 }
 
-func (c *checker) checkRole(raw *document) {
+// checkRoles checks that the tables of the document form exactly one role:
+// balancer, agent or relay.
+func (c *checker) checkRoles(raw *document) {
 	if raw.Relay != nil {
-		c.checkRelayAlone(raw)
+		c.checkRelayHasNoOtherRole(raw)
 		return
 	}
 	if raw.Balancer == nil && raw.Agent == nil {
-		c.broken("balancer", "is required, unless there is an agent table")
+		c.addError("balancer", "is required unless there is an agent table")
 	}
 	if raw.Balancer != nil && raw.Agent != nil {
-		c.broken("agent", "must not stand beside a balancer table")
+		c.addError("agent", "must not be combined with a balancer table")
 	}
 	if raw.API != nil && raw.Balancer == nil {
-		c.broken("api", "must stand beside a balancer table")
+		c.addError("api", "requires a balancer table")
 	}
 	if raw.Cluster != nil && raw.Balancer == nil {
-		c.broken("cluster", "must stand beside a balancer table")
+		c.addError("cluster", "requires a balancer table")
 	}
 	if raw.Balancer != nil && raw.Platform == nil {
-		c.broken("platform", "is required for a balancer")
+		c.addError("platform", "is required for a balancer")
 	}
 	if raw.Balancer != nil && raw.Control == nil {
-		c.broken("control", "is required for a balancer")
+		c.addError("control", "is required for a balancer")
 	}
 }
 
-func (c *checker) checkRelayAlone(raw *document) {
+func (c *checker) checkRelayHasNoOtherRole(raw *document) {
 	if raw.Balancer != nil || raw.Agent != nil || raw.API != nil || raw.Cluster != nil {
-		c.broken("relay", "must not stand beside a balancer, agent, api or cluster table")
+		c.addError("relay", "must not be combined with a balancer, agent, api or cluster table")
 	}
 }
 
@@ -115,19 +117,19 @@
 func (c *checker) api(raw *apiDocument) *API {
 	checked := &API{
 		Listen:      c.address("api.listen", raw.Listen, httpAddress),
-		Certificate: c.path("api.certificate", raw.Certificate),
-		Key:         c.path("api.key", raw.Key),
-		Tokens:      c.path("api.tokens", raw.Tokens),
+		Certificate: c.filePath("api.certificate", raw.Certificate),
+		Key:         c.filePath("api.key", raw.Key),
+		Tokens:      c.filePath("api.tokens", raw.Tokens),
 	}
 	if raw.ClientAuthority != nil {
-		checked.ClientAuthority = c.path("api.client_authority", raw.ClientAuthority)
+		checked.ClientAuthority = c.filePath("api.client_authority", raw.ClientAuthority)
 	}
 	return checked
 }
 
 func (c *checker) agent(raw *agentDocument) *Agent {
 	return &Agent{
-		// Other processes send to this address, so it must name the machine.
+		// Other processes send to this address, so it must not be 0.0.0.0.
 		Listen:  c.address("agent.listen", raw.Listen, remoteAddress),
 		Fabric:  c.address("agent.fabric", raw.Fabric, remoteAddress),
 		Daemons: c.addresses("agent.daemons", raw.Daemons, remoteAddress),
@@ -140,30 +142,31 @@
 	}
 }
 
-type backendName struct {
+// backendKey identifies a back end row of the configuration table.
+type backendKey struct {
 	service string
 	name    string
 }
 
 func (c *checker) backends(raw []backendDocument) []AgentBackend {
 	if len(raw) == 0 {
-		c.broken("agent.backend", "is required at least once")
+		c.addError("agent.backend", "is required at least once")
 		return nil
 	}
 	backends := make([]AgentBackend, len(raw))
-	seen := make(map[backendName]bool, len(raw))
-	for index, row := range raw {
+	seen := make(map[backendKey]bool, len(raw))
+	for index, entry := range raw {
 		key := fmt.Sprintf("agent.backend[%d]", index)
 		backend := AgentBackend{
-			Service: c.rowName(key+".service", row.Service),
-			Name:    c.rowName(key+".name", row.Name),
-			Address: c.address(key+".address", row.Address, remoteAddress),
+			Service: c.tableRowName(key+".service", entry.Service),
+			Name:    c.tableRowName(key+".name", entry.Name),
+			Address: c.address(key+".address", entry.Address, remoteAddress),
 		}
-		name := backendName{backend.Service, backend.Name}
-		if seen[name] && name.name != "" {
-			c.broken(key+".name", "must be unique within its service")
+		identity := backendKey{backend.Service, backend.Name}
+		if seen[identity] && identity.name != "" {
+			c.addError(key+".name", "must be unique within its service")
 		}
-		seen[name] = true
+		seen[identity] = true
 		backends[index] = backend
 	}
 	return backends
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -8,8 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// document mirrors the layout of the file. Leaves are untyped, so that a value
-// of the wrong type is one more broken rule and does not hide the others.
+// document mirrors the layout of the file. Its leaves are untyped: if the
+// decoder checked their types, it would stop at the first mismatch and hide all
+// other errors.
 type document struct {
 	Name          any                   `toml:"name"`
 	Zone          any                   `toml:"zone"`
@@ -78,10 +79,10 @@
 	Address any `toml:"address"`
 }
 
-// decode reads the text as TOML. It returns no document if the text is not
-// TOML or a table stands where a value should or the reverse; unknown keys are
-// reported beside the document.
-func decode(file string, data []byte, lines positions) (*document, Errors) {
+// decode parses data as TOML. It returns a nil document if data is not valid
+// TOML or if a table is found in place of a value or the reverse. Unknown keys
+// are reported together with the document.
+func decode(file string, data []byte, lines keyLines) (*document, Errors) {
 	var raw document
 	decoder := toml.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -89,45 +90,47 @@
 	if err == nil {
 		return &raw, nil
 	}
-	var unknown *toml.StrictMissingError
-	if errors.As(err, &unknown) {
-		return &raw, unknownKeys(file, unknown)
+	var strictError *toml.StrictMissingError
+	if errors.As(err, &strictError) {
+		return &raw, unknownKeys(file, strictError)
 	}
 	return nil, Errors{syntaxError(file, err, lines)}
 }
 
-func unknownKeys(file string, unknown *toml.StrictMissingError) Errors {
-	broken := make(Errors, len(unknown.Errors))
-	for index := range unknown.Errors {
-		missing := &unknown.Errors[index]
-		line, _ := missing.Position()
-		broken[index] = Error{file, line, strings.Join(missing.Key(), "."), "is not a known key"}
+func unknownKeys(file string, strictError *toml.StrictMissingError) Errors {
+	found := make(Errors, len(strictError.Errors))
+	for index := range strictError.Errors {
+		unknown := &strictError.Errors[index]
+		line, _ := unknown.Position()
+		found[index] = Error{file, line, strings.Join(unknown.Key(), "."), "is not a known key"}
 	}
-	return broken
+	return found
 }
 
-func syntaxError(file string, err error, lines positions) Error {
+func syntaxError(file string, err error, lines keyLines) Error {
 	var decodeError *toml.DecodeError
 	if !errors.As(err, &decodeError) {
 		return Error{File: file, Rule: err.Error()}
 	}
 	line, _ := decodeError.Position()
 	key := lines.keyAt(line)
-	return Error{file, line, key, syntaxRule(key, decodeError)}
+	return Error{file, line, key, syntaxErrorRule(key, decodeError)}
 }
 
-// mismatchPrefix begins the library's messages about a value that does not fit
-// its place in the document. They go on to name types of this package, which
-// mean nothing to an operator.
-const mismatchPrefix = "cannot "
+// typeMismatchPrefix begins the decoder's messages about a value of the wrong
+// type. The rest of such a message names Go types of this package, which an
+// operator does not know.
+const typeMismatchPrefix = "cannot "
 
-func syntaxRule(key string, decodeError *toml.DecodeError) string {
+// syntaxErrorRule returns the decoder's message, or a text without Go types if
+// the value at key has the wrong type.
+func syntaxErrorRule(key string, decodeError *toml.DecodeError) string {
 	rule := strings.TrimPrefix(decodeError.Error(), "toml: ")
-	if !strings.HasPrefix(rule, mismatchPrefix) {
+	if !strings.HasPrefix(rule, typeMismatchPrefix) {
 		return rule
 	}
 	if key == "agent.backend" {
-		return "must be an array of tables, each begun by [[agent.backend]]"
+		return "must be an array of tables, each written as [[agent.backend]]"
 	}
-	return "must be a table, begun by [" + key + "]"
+	return "must be a table, written as [" + key + "]"
 }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Error is one broken rule of a settings file.
+// Error reports one rule that a settings file breaks.
 type Error struct {
 	// File is the name of the file, or CommandLine for an overridden key.
 	File string
-	// Line counts from 1. It is 0 if no line applies. A missing key is
+	// Line counts from 1, and is 0 if no line applies. A missing key is
 	// reported at the line of its table.
 	Line int
-	// Key is the dotted key, such as agent.backend[0].name, where the index
-	// counts from 0. It is empty for text that is not TOML.
+	// Key is the dotted key, such as agent.backend[0].name; indices count from
+	// 0. It is empty if the file is not valid TOML.
 	Key string
-	// Rule says what must hold.
+	// Rule is the rule that the value must satisfy.
 	Rule string
 }
 
@@ -35,14 +35,14 @@
 	return text.String()
 }
 
-// Errors are all broken rules of a settings file, sorted by line and key.
+// Errors holds all errors of a settings file, sorted by file, line and key.
 type Errors []Error
 
-// Error implements error with one line for each broken rule.
+// Error implements error, with one line for each element.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
-	for index, broken := range e {
-		lines[index] = broken.Error()
+	for index, element := range e {
+		lines[index] = element.Error()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/settings/override.go
+++ b/internal/settings/override.go
@@ -1,9 +1,9 @@
 package settings
 
-// CommandLine stands for the file in errors of overridden keys.
+// CommandLine is the Error.File of a key that is overridden.
 const CommandLine = "command line"
 
-// Key names a setting that can be overridden.
+// Key is the dotted key of a setting that can be overridden.
 type Key string
 
 // The settings that can be overridden.
@@ -13,13 +13,13 @@
 	KeyLogLevel Key = "log.level"
 )
 
-// Override takes the place of one key of the file.
+// Override replaces the value of one key of the file.
 type Override struct {
 	Key   Key
 	Value string
 }
 
-func (c *checker) apply(raw *document, overrides []Override) {
+func (c *checker) applyOverrides(raw *document, overrides []Override) {
 	for _, override := range overrides {
 		switch override.Key {
 		case KeyName:
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -10,97 +10,102 @@
 	"github.com/vanetiller/vanetiller/internal/requestqueue"
 )
 
-// Relay holds the settings of a process that carries the packets of flows
-// whole. Exactly one of Balancer and Agent is set.
+// Relay holds the settings of a vanetiller-relay process, which forwards the
+// packets of a flow without terminating the flow. Exactly one of Balancer and
+// Agent is set.
 type Relay struct {
-	// Peers is the UDP address for messages of other daemons. All balancers of
-	// a fleet use one port, and all agents use another.
+	// Peers is the UDP address that receives messages of other daemons. All
+	// balancers of a fleet use one port, and all agents use another.
 	Peers netip.AddrPort
-	// FlowLifetime is the longest time for which a flow may last.
+	// FlowLifetime is the maximum duration of a flow.
 	FlowLifetime time.Duration
-	// StopTimeout is how long a planned stop may take.
+	// StopTimeout is the maximum duration of a planned stop.
 	StopTimeout time.Duration
-	// FlowLimit is the largest number of flows held in memory.
+	// FlowLimit is the maximum number of flows held in memory.
 	FlowLimit int
 	Balancer  *RelayBalancer
 	Agent     *RelayAgent
 }
 
-// RelayBalancer holds the settings of a balancer that carries packets whole.
+// RelayBalancer holds the settings of the balancer role of vanetiller-relay.
 type RelayBalancer struct {
-	// Listen is the UDP address for clients' packets. Its port is also the one
-	// on which clients receive packets and agents the messages of daemons.
+	// Listen is the UDP address that receives packets of clients. Clients
+	// receive packets, and agents receive messages of daemons, on the same port.
 	Listen netip.AddrPort
 	// Store is the TCP address of the platform's store.
 	Store netip.AddrPort
-	// StoreRate is how many calls a second the store answers of all balancers
-	// together.
+	// StoreRate is the number of calls per second that the store answers, for
+	// all balancers together.
 	StoreRate int
-	// ApplyTimeout is the time in which a change that the store has taken has to
-	// be in force.
+	// ApplyTimeout is the time within which a change must take effect after the
+	// store has accepted it.
 	ApplyTimeout time.Duration
-	// DrainTimeout is the time after which an endpoint that the store tells to be
-	// leaving must get no new flow.
+	// DrainTimeout is the time after which an endpoint must get no new flows
+	// once the store lists it as leaving.
 	DrainTimeout time.Duration
-	// CloseTimeout is the time after which the endpoints of a zone that the store tells to
-	// be closed must get no new flow; it is DrainTimeout unless set.
+	// CloseTimeout is the time after which the endpoints of a zone must get no
+	// new flows once the store lists the zone as closed. It defaults to
+	// DrainTimeout.
 	CloseTimeout time.Duration
-	// ContactTimeout is the time in which a balancer has to be in touch again after its
-	// connections were lost.
+	// ContactTimeout is the time within which a balancer must reconnect after it
+	// has lost its connections.
 	ContactTimeout time.Duration
-	// Exchange is the UDP and TCP address under which other balancers reach
-	// this one. All of a fleet use the same port.
+	// Exchange is the UDP and TCP address that receives membership messages and
+	// requests for the directory from other balancers. All balancers of a fleet
+	// use the same port.
 	Exchange netip.AddrPort
-	// Updates is the UDP address for what other balancers tell of the directory. All of a
-	// fleet use the same port, which is the one after that of Peers unless set.
+	// Updates is the UDP address that receives directory updates of other
+	// balancers. All balancers of a fleet use the same port. The default is the
+	// address of Peers with the next port.
 	Updates netip.AddrPort
-	// Seeds are Exchange addresses of balancers to ask at the start; there may
-	// be none.
+	// Seeds are the Exchange addresses of balancers to contact at startup. It
+	// may be empty.
 	Seeds []netip.AddrPort
-	// Zones are the names of all zones, in the same order everywhere.
+	// Zones are the names of all zones, in the same order in every process.
 	Zones []string
-	// FirstStart is set if the whole fleet starts for the first time, so that no traffic
-	// waits for this process.
+	// FirstStart is true if the whole fleet starts for the first time, so that
+	// no traffic waits for this process.
 	FirstStart bool
 }
 
-// RelayAgent holds the settings of an agent that carries packets whole.
+// RelayAgent holds the settings of the agent role of vanetiller-relay.
 type RelayAgent struct {
 	// Service is the service of the endpoint beside the agent.
 	Service string
 	// Endpoint is the UDP address of the endpoint.
 	Endpoint netip.AddrPort
-	// Emitted is the UDP address that the endpoint sends all its packets to.
+	// Emitted is the UDP address to which the endpoint sends all its packets.
 	Emitted netip.AddrPort
-	// FirstStart is set if the endpoint starts together with the agent, so that
-	// it cannot hold any flow yet.
+	// FirstStart is true if the endpoint starts together with the agent, so that
+	// it cannot hold any flows yet.
 	FirstStart bool
-	// ColdOverrun is how many times its rate, and ColdSlack how many requests beside that,
-	// an endpoint may get in a second while it is cold.
+	// ColdOverrun and ColdSlack limit the requests that a cold endpoint may get
+	// within one second: its rate times ColdOverrun, plus ColdSlack.
 	ColdOverrun float64
 	ColdSlack   float64
-	// OutlierDetection are the limits within which the endpoint counts as well.
+	// OutlierDetection configures when the endpoint is ejected for failed requests.
 	OutlierDetection outlier.Config
-	// QueuePolicy decides which request that waits for the endpoint is served first.
+	// QueuePolicy defines the order in which waiting requests are served.
 	QueuePolicy requestqueue.Policy
 }
 
-// The values and bounds of relay settings.
+// The defaults and bounds of relay settings.
 const (
 	DefaultFlowLifetime = "60s"
 	DefaultStoreRate    = 1000
 	DefaultApplyTimeout = "3s"
 	DefaultDrainTimeout = "3s"
-	// DefaultColdOverrun and DefaultColdSlack let a cold endpoint get no more than its rate.
+	// DefaultColdOverrun and DefaultColdSlack limit a cold endpoint to its rate.
 	DefaultColdOverrun    = 1.0
 	DefaultColdSlack      = 0.0
 	MaxColdOverrun        = 100
 	MaxColdSlack          = 100_000
 	DefaultContactTimeout = "5s"
-	// DefaultQueueDiscipline keeps the order that callers know until a deployment asks for
-	// another.
+	// DefaultQueueDiscipline is the order that callers already rely on. A
+	// deployment must select any other order explicitly.
 	DefaultQueueDiscipline = requestqueue.DisciplineNewestFirst
-	// MaxOutlierWindow is as many outcomes as an agent can tell of.
+	// MaxOutlierWindow bounds the number of outcomes, which an agent reports in
+	// one byte.
 	MaxOutlierWindow = 100
 	MinEjectionTime  = 100 * time.Millisecond
 	MaxEjectionTime  = time.Minute
@@ -165,7 +170,7 @@
 			withDefault(raw.FlowLimit, int64(DefaultFlowLimit)), 1, MaxFlowLimit),
 	}
 	if (raw.Balancer == nil) == (raw.Agent == nil) {
-		c.broken("relay", "must have either a balancer or an agent table")
+		c.addError("relay", "must have exactly one of a balancer and an agent table")
 	}
 	if raw.Balancer != nil {
 		checked.Balancer = c.relayBalancer(raw.Balancer, zone, checked.Peers)
@@ -203,33 +208,33 @@
 		checked.Updates = c.address("relay.balancer.updates", raw.Updates, remoteAddress)
 	}
 	if len(checked.Zones) > 0 && !slices.Contains(checked.Zones, zone) {
-		c.broken("relay.balancer.zones", "must contain the zone of this process, %s", zone)
+		c.addError("relay.balancer.zones", "must contain the zone of this process, %s", zone)
 	}
 	return checked
 }
 
 func (c *checker) relayAgent(raw *relayAgentDocument) *RelayAgent {
 	return &RelayAgent{
-		Service:    c.rowName("relay.agent.service", raw.Service),
+		Service:    c.tableRowName("relay.agent.service", raw.Service),
 		Endpoint:   c.address("relay.agent.endpoint", raw.Endpoint, remoteAddress),
 		Emitted:    c.address("relay.agent.emitted", raw.Emitted, remoteAddress),
 		FirstStart: c.boolean("relay.agent.first_start", withDefault(raw.FirstStart, false)),
-		ColdOverrun: c.number("relay.agent.cold_overrun",
+		ColdOverrun: c.float("relay.agent.cold_overrun",
 			withDefault(raw.ColdOverrun, DefaultColdOverrun), 1, MaxColdOverrun),
-		ColdSlack: c.number("relay.agent.cold_slack",
+		ColdSlack: c.float("relay.agent.cold_slack",
 			withDefault(raw.ColdSlack, DefaultColdSlack), 0, MaxColdSlack),
-		OutlierDetection: c.outliers(raw),
+		OutlierDetection: c.outlierDetection(raw),
 		QueuePolicy: requestqueue.Policy{
 			Discipline: c.discipline("relay.agent.queue_discipline",
 				withDefault(raw.QueueDiscipline, DefaultQueueDiscipline.String())),
-			FairShare: c.number("relay.agent.fair_share", withDefault(raw.FairShare, 0.0), 0, requestqueue.MaxFairShare),
+			FairShare: c.float("relay.agent.fair_share", withDefault(raw.FairShare, 0.0), 0, requestqueue.MaxFairShare),
 		},
 	}
 }
 
 func (c *checker) discipline(key string, value any) requestqueue.Discipline {
-	text, isText := c.text(key, value)
-	if !isText {
+	text, ok := c.stringValue(key, value)
+	if !ok {
 		return DefaultQueueDiscipline
 	}
 	for _, discipline := range requestqueue.Disciplines() {
@@ -237,36 +242,36 @@
 			return discipline
 		}
 	}
-	c.broken(key, "must be one of %v", requestqueue.Disciplines())
+	c.addError(key, "must be one of %v", requestqueue.Disciplines())
 	return DefaultQueueDiscipline
 }
 
-func (c *checker) outliers(raw *relayAgentDocument) outlier.Config {
-	standard := outlier.DefaultConfig()
-	limits := outlier.Config{
+func (c *checker) outlierDetection(raw *relayAgentDocument) outlier.Config {
+	defaults := outlier.DefaultConfig()
+	config := outlier.Config{
 		Window: c.integer("relay.agent.outlier_window",
-			withDefault(raw.OutlierWindow, int64(standard.Window)), 1, MaxOutlierWindow),
+			withDefault(raw.OutlierWindow, int64(defaults.Window)), 1, MaxOutlierWindow),
 		BaseEjectionTime: c.duration("relay.agent.first_ejection",
-			withDefault(raw.FirstEjection, standard.BaseEjectionTime.String()), MinEjectionTime, MaxEjectionTime),
+			withDefault(raw.FirstEjection, defaults.BaseEjectionTime.String()), MinEjectionTime, MaxEjectionTime),
 	}
-	limits.FailureThreshold = c.integer("relay.agent.outlier_failures",
-		withDefault(raw.OutlierFailures, int64(standard.FailureThreshold)), 0, MaxOutlierWindow)
-	limits.MaxEjectionTime = c.duration("relay.agent.longest_ejection",
-		withDefault(raw.LongestEjection, standard.MaxEjectionTime.String()), MinEjectionTime, MaxEjectionTime)
-	if limits.FailureThreshold > limits.Window {
-		c.broken("relay.agent.outlier_failures", "must not be more than outlier_window, %d", limits.Window)
+	config.FailureThreshold = c.integer("relay.agent.outlier_failures",
+		withDefault(raw.OutlierFailures, int64(defaults.FailureThreshold)), 0, MaxOutlierWindow)
+	config.MaxEjectionTime = c.duration("relay.agent.longest_ejection",
+		withDefault(raw.LongestEjection, defaults.MaxEjectionTime.String()), MinEjectionTime, MaxEjectionTime)
+	if config.FailureThreshold > config.Window {
+		c.addError("relay.agent.outlier_failures", "must not be more than outlier_window, %d", config.Window)
 	}
-	if limits.MaxEjectionTime < limits.BaseEjectionTime {
-		c.broken("relay.agent.longest_ejection", "must not be less than first_ejection, %s", limits.BaseEjectionTime)
+	if config.MaxEjectionTime < config.BaseEjectionTime {
+		c.addError("relay.agent.longest_ejection", "must not be less than first_ejection, %s", config.BaseEjectionTime)
 	}
-	return limits
+	return config
 }
 
-// seeds takes an array that may be left out or empty.
+// seeds accepts an array of addresses, which may be absent or empty.
 func (c *checker) seeds(key string, value any) []netip.AddrPort {
 	items, isArray := withDefault(value, []any{}).([]any)
 	if !isArray || len(items) > maxSeeds {
-		c.broken(key, "must be an array of at most %d addresses", maxSeeds)
+		c.addError(key, "must be an array of at most %d addresses", maxSeeds)
 		return nil
 	}
 	seeds := make([]netip.AddrPort, len(items))
@@ -277,9 +282,9 @@
 }
 
 func (c *checker) boolean(key string, value any) bool {
-	truth, isBoolean := value.(bool)
+	boolean, isBoolean := value.(bool)
 	if !isBoolean {
-		c.broken(key, "must be true or false")
+		c.addError(key, "must be true or false")
 	}
-	return truth
+	return boolean
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,9 @@
-// Package settings implements the settings file of vanetillerd: strict TOML
-// that is parsed once into one checked, typed value.
+// Package settings parses and validates the TOML settings file of the daemons,
+// vanetillerd and vanetiller-relay. The result is one typed Settings value for
+// the role of the process: balancer, agent or relay.
 //
-// Code that receives a Settings does not check it again. Every broken rule of
-// a file is reported at once, each with its file, line and key.
+// Unknown keys are errors. All errors of a file are reported at once, each with
+// file, line and key. Code that receives a Settings does not validate it again.
 package settings
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Settings is the checked content of one settings file. Exactly one of
+// Settings is the validated content of one settings file. Exactly one of
 // Balancer, Agent and Relay is set.
 type Settings struct {
 	// Name identifies the process within the fleet.
@@ -23,140 +24,141 @@
 	Zone          string
 	Log           Log
 	Observability Observability
-	// Platform is required for the balancer role and otherwise may be zero.
+	// Platform is required for the balancer role and otherwise optional.
 	Platform Platform
-	// Control is required for the balancer role and otherwise may be zero.
+	// Control is required for the balancer role and otherwise optional.
 	Control  Control
 	Balancer *Balancer
-	// API is nil for a balancer without the administration API, and for
-	// agents.
+	// API configures the administration API of a balancer. It is nil if the API
+	// is disabled.
 	API *API
-	// Cluster is nil for a balancer on its own, and for agents.
+	// Cluster configures the messages between balancers. It is nil for a
+	// balancer that runs alone.
 	Cluster *Cluster
 	Agent   *Agent
 	Relay   *Relay
 }
 
-// Log holds the settings of the process's log.
+// Log holds the settings of the log.
 type Log struct {
-	// Level is the lowest level that is written.
+	// Level is the lowest level that is logged.
 	Level log.Level
 }
 
 // Observability holds the settings of the HTTP listener for metrics and
 // health.
 type Observability struct {
-	// Listen is the TCP address; port 0 lets the system choose one.
+	// Listen is the TCP address. With port 0 the system chooses a free port.
 	Listen netip.AddrPort
 }
 
-// Platform holds where the read-only services of the platform are found.
+// Platform holds the addresses of the read-only services of the platform.
 type Platform struct {
 	ConfigurationURL string
 	MachinesURL      string
-	// PollInterval is the time from one answer to the next request.
+	// PollInterval is the time between a response and the next request.
 	PollInterval time.Duration
 }
 
-// Control holds the settings of the control listener of a daemon.
+// Control holds the settings of the listener for agents.
 type Control struct {
-	// Listen is the UDP address for heartbeats.
+	// Listen is the UDP address that receives heartbeats.
 	Listen netip.AddrPort
 }
 
-// Baseline names a simpler way of working that experiments compare with.
+// Baseline selects a simplified algorithm that experiments compare with.
 type Baseline string
 
 // The baselines.
 const (
-	// BaselineNone is the normal way of working.
+	// BaselineNone selects the normal algorithm.
 	BaselineNone Baseline = ""
-	// BaselineHash sends every packet by hash alone.
+	// BaselineHash assigns every packet by its hash alone, without flow state.
 	BaselineHash Baseline = "hash"
 )
 
 // Balancer holds the settings of the balancer role.
 type Balancer struct {
-	// Listen is the UDP address for encapsulated packets of the fabric.
+	// Listen is the UDP address that receives encapsulated packets of the fabric.
 	Listen netip.AddrPort
-	// Sockets is the number of sockets, each with a reader, on Listen.
+	// Sockets is the number of sockets on Listen, each with its own reader.
 	Sockets  int
 	Baseline Baseline
 }
 
 // API holds the settings of the administration API.
 type API struct {
-	// Listen is the TCP address; port 0 lets the system choose one.
+	// Listen is the TCP address. With port 0 the system chooses a free port.
 	Listen netip.AddrPort
-	// Certificate and Key are files in PEM form.
+	// Certificate and Key are the names of PEM files.
 	Certificate string
 	Key         string
-	// ClientAuthority is a file in PEM form with the authorities that sign
-	// the certificates of callers. Empty means that callers need none.
+	// ClientAuthority is the name of a PEM file with the certificate authorities
+	// for client certificates. If it is empty, clients need no certificate.
 	ClientAuthority string
-	// Tokens is the file with the tokens and teams.
+	// Tokens is the name of the file that defines API tokens and teams.
 	Tokens string
 }
 
-// Cluster holds the settings of what balancers tell each other.
+// Cluster holds the settings of the messages between balancers.
 type Cluster struct {
-	// Listen is the UDP and TCP address under which other balancers reach
-	// this one. All of a fleet use the same port.
+	// Listen is the UDP and TCP address that receives messages of other
+	// balancers. All balancers of a fleet use the same port.
 	Listen netip.AddrPort
-	// Seeds are the balancers to ask at the start.
+	// Seeds are the addresses of balancers to contact at startup.
 	Seeds []netip.AddrPort
-	// Zones are the names of all zones, in the same order everywhere.
+	// Zones are the names of all zones, in the same order in every process.
 	Zones []string
 }
 
 // Agent holds the settings of the agent role.
 type Agent struct {
-	// Listen is the UDP address for encapsulated packets. It equals the
-	// agent column of the rows this agent serves.
+	// Listen is the UDP address that receives encapsulated packets. It equals
+	// the agent column of the table rows that this agent serves.
 	Listen netip.AddrPort
-	// Fabric is the UDP address that answers to callers are sent to.
+	// Fabric is the UDP address to which packets for clients are sent.
 	Fabric netip.AddrPort
-	// Daemons are the control addresses that heartbeats are sent to.
+	// Daemons are the control addresses of the balancers that get heartbeats.
 	Daemons []netip.AddrPort
-	// StopTimeout bounds how long a planned stop waits for open flows.
+	// StopTimeout is the maximum time that a planned stop waits for open flows.
 	StopTimeout time.Duration
-	// FlowLimit is the largest number of flows held in memory.
+	// FlowLimit is the maximum number of flows held in memory for each back end.
 	FlowLimit int
 	Baseline  Baseline
 	Backends  []AgentBackend
 }
 
-// AgentBackend is one back end beside the agent.
+// AgentBackend is one back end on the machine of the agent.
 type AgentBackend struct {
 	// Service is the name of the service in the configuration table.
 	Service string
-	// Name is the name of the row within the service.
+	// Name is the name of the back end within the service.
 	Name string
-	// Address is the TCP or UDP address of the back end itself.
+	// Address is the TCP or UDP address of the back end.
 	Address netip.AddrPort
 }
 
-// Load reads and checks the settings file at path, with overrides taking the
-// place of keys of the file. A file that breaks rules is reported as Errors;
-// any other error tells why the file could not be read.
+// Load reads and validates the settings file at path. Overrides replace keys of
+// the file. Load returns Errors if the content is invalid, and another error if
+// the file cannot be read.
 func Load(path string, overrides ...Override) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "read settings file")
 	}
 	return Parse(path, data, overrides...)
 }
 
-// Parse checks the content of a settings file; file is the name used in
-// errors. It returns Errors if any rule is broken.
+// Parse parses and validates the content of a settings file. Errors refer to it
+// as file. Parse returns Errors if the content is invalid.
 func Parse(file string, data []byte, overrides ...Override) (*Settings, error) {
-	lines := locate(data)
-	raw, broken := decode(file, data, lines)
-	check := &checker{file: file, lines: lines, errors: broken}
+	lines := findKeyLines(data)
+	raw, decodeErrors := decode(file, data, lines)
+	check := &checker{file: file, lines: lines, errors: decodeErrors}
 	if raw == nil {
 		return nil, check.errors
 	}
-	check.apply(raw, overrides)
+	check.applyOverrides(raw, overrides)
 	checked := check.settings(raw)
 	if len(check.errors) > 0 {
 		check.errors.sort()
