--- a/internal/daemon/adminapi.go
+++ b/internal/daemon/adminapi.go
@@ -1,4 +1,4 @@
-// This file implements the administration API of a balancer.
+// This file runs the administration API of a balancer and reloads its files.
 
 package daemon
 
@@ -16,80 +16,81 @@
 	"github.com/vanetiller/vanetiller/internal/tlsfiles"
 )
 
-// reloadInterval is how often the files with tokens and certificates are read
-// again.
+// reloadInterval is the interval at which the token and certificate files are
+// reloaded.
 const reloadInterval = 2 * time.Second
 
-// reloader is a file that can be read again.
-type reloader interface {
-	// Reload reports whether other content came into force.
+// reloadable is a set of files that can be reloaded.
+type reloadable interface {
+	// Reload reads the files and reports whether new content took effect.
 	Reload(now time.Time) (changed bool, err error)
 }
 
-// administration serves the administration API.
-type administration struct {
+// adminAPI serves the administration API and reloads its files.
+type adminAPI struct {
 	logger  *log.Logger
 	server  *adminapi.Server
-	reloads []*reload
+	reloads []*fileReload
 }
 
-// newAdministration opens the files and the listener of the API for a store.
-func newAdministration(shared parts, store adminapi.Store) (*administration, error) {
-	configured := shared.settings.API
-	tokens, err := tenant.OpenFile(configured.Tokens)
+// newAdminAPI loads the token and certificate files and opens the listener of
+// the API for store.
+func newAdminAPI(deps dependencies, store adminapi.Store) (*adminAPI, error) {
+	config := deps.settings.API
+	tokens, err := tenant.OpenFile(config.Tokens)
 	if err != nil {
 		return nil, err
 	}
 	certificates, err := tlsfiles.Open(tlsfiles.Files{
-		Certificate: configured.Certificate,
-		Key:         configured.Key,
-		Authority:   configured.ClientAuthority,
+		Certificate: config.Certificate,
+		Key:         config.Key,
+		Authority:   config.ClientAuthority,
 	}, time.Now())
 	if err != nil {
 		return nil, err
 	}
 	server, err := adminapi.NewServer(adminapi.ServerConfig{
-		Listen: configured.Listen,
+		Listen: config.Listen,
 		TLS:    certificates.Server(),
 		Handler: adminapi.NewHandler(adminapi.HandlerConfig{
 			Store:    store,
 			Gate:     tokens.Gate(),
-			Requests: newAPIRequests(shared),
+			Requests: newAPIRequests(deps),
 		}),
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &administration{
-		logger: shared.logger,
+	return &adminAPI{
+		logger: deps.logger,
 		server: server,
-		reloads: []*reload{
-			{what: "tokens", file: tokens},
-			{what: "certificates", file: certificates},
+		reloads: []*fileReload{
+			{kind: "tokens", file: tokens},
+			{kind: "certificates", file: certificates},
 		},
 	}, nil
 }
 
-// Address returns the address of the API.
-func (a *administration) Address() netip.AddrPort { return a.server.Address() }
+// Address returns the address of the listener.
+func (a *adminAPI) Address() netip.AddrPort { return a.server.Address() }
 
 // Run serves the API until ctx ends and then returns nil.
-func (a *administration) Run(ctx context.Context) error {
+func (a *adminAPI) Run(ctx context.Context) error {
 	a.logger.Info("administration API started", "address", a.Address())
 	var group run.Group
 	addActor(&group, a.server.Run)
 	addActor(&group, a.reloadFiles)
-	addActor(&group, func(ended context.Context) error {
+	addActor(&group, func(groupContext context.Context) error {
 		select {
 		case <-ctx.Done():
-		case <-ended.Done():
+		case <-groupContext.Done():
 		}
 		return nil
 	})
 	return group.Run()
 }
 
-func (a *administration) reloadFiles(ctx context.Context) error {
+func (a *adminAPI) reloadFiles(ctx context.Context) error {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
@@ -97,31 +98,31 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			for _, watched := range a.reloads {
-				watched.run(a.logger, now)
+			for _, entry := range a.reloads {
+				entry.reload(a.logger, now)
 			}
 		}
 	}
 }
 
-// reload reads one kind of file again and reports what came of it.
-type reload struct {
-	what string
-	file reloader
-	// failure is the error reported last, so that it is not repeated.
-	failure string
+// fileReload reloads one kind of file and logs the result.
+type fileReload struct {
+	kind string
+	file reloadable
+	// lastError is the error logged last. The same error is not logged again.
+	lastError string
 }
 
-func (r *reload) run(logger *log.Logger, now time.Time) {
+func (r *fileReload) reload(logger *log.Logger, now time.Time) {
 	changed, err := r.file.Reload(now)
 	switch {
-	case err != nil && err.Error() != r.failure:
-		r.failure = err.Error()
-		logger.Warn("files not reloaded", "files", r.what, "error", errors.Cause(err))
+	case err != nil && err.Error() != r.lastError:
+		r.lastError = err.Error()
+		logger.Warn("files not reloaded", "files", r.kind, "error", errors.Cause(err))
 	case err == nil:
-		r.failure = ""
+		r.lastError = ""
 	}
 	if changed {
-		logger.Info("files reloaded", "files", r.what)
+		logger.Info("files reloaded", "files", r.kind)
 	}
 }
--- a/internal/daemon/adminapi_test.go
+++ b/internal/daemon/adminapi_test.go
@@ -25,53 +25,53 @@
 	secondToken tenant.Token = "the second token"
 )
 
-func tokensFile(token tenant.Token) string {
+func tokensContent(token tenant.Token) string {
 	return "[[team]]\nname = \"gateway\"\nrequests_per_second = 10000.0\nburst = 100000\n" +
 		"[[token]]\nname = \"anna\"\nteam = \"gateway\"\nrole = \"editor\"\nhash = \"" + token.Hash().String() + "\"\n"
 }
 
-// administered is a running balancer with the administration API.
-type administered struct {
-	running
-	transport *http.Client
-	tokens    string
+// runningAPI is a running balancer with the administration API.
+type runningAPI struct {
+	runningDaemon
+	httpClient *http.Client
+	tokensFile string
 }
 
 func writeFile(path, text string) { Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed()) }
 
-// startAdministered starts a balancer with the API, after the given changes of
-// its settings.
-func startAdministered(platform *source, adjustments ...func(*settings.Settings)) administered {
-	// The certificate of the test server is valid for 127.0.0.1, and its
-	// client trusts it.
-	issuer := httptest.NewTLSServer(http.NotFoundHandler())
-	DeferCleanup(issuer.Close)
-	issued := issuer.TLS.Certificates[0]
-	key, err := x509.MarshalPKCS8PrivateKey(issued.PrivateKey)
+// startWithAPI starts a balancer with the administration API. The adjustments
+// change its settings before the start.
+func startWithAPI(platform *fakePlatform, adjustments ...func(*settings.Settings)) runningAPI {
+	// Reuse the certificate of a test server: it is valid for 127.0.0.1, and the
+	// client of the test server trusts it.
+	tlsServer := httptest.NewTLSServer(http.NotFoundHandler())
+	DeferCleanup(tlsServer.Close)
+	certificate := tlsServer.TLS.Certificates[0]
+	key, err := x509.MarshalPKCS8PrivateKey(certificate.PrivateKey)
 	Expect(err).NotTo(HaveOccurred())
 	directory := GinkgoT().TempDir()
-	configured := settings.API{
+	apiSettings := settings.API{
 		Listen: anyPort, Certificate: filepath.Join(directory, "certificate.pem"),
 		Key: filepath.Join(directory, "key.pem"), Tokens: filepath.Join(directory, "tokens.toml"),
 	}
-	writeFile(configured.Certificate, string(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: issued.Certificate[0]})))
-	writeFile(configured.Key, string(pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: key})))
-	writeFile(configured.Tokens, tokensFile(firstToken))
-	checked := balancerSettings(platform)
-	checked.API = &configured
+	writeFile(apiSettings.Certificate, string(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: certificate.Certificate[0]})))
+	writeFile(apiSettings.Key, string(pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: key})))
+	writeFile(apiSettings.Tokens, tokensContent(firstToken))
+	config := balancerSettings(platform)
+	config.API = &apiSettings
 	for _, adjust := range adjustments {
-		adjust(&checked)
+		adjust(&config)
 	}
-	return administered{start(checked), issuer.Client(), configured.Tokens}
+	return runningAPI{startDaemon(config), tlsServer.Client(), apiSettings.Tokens}
 }
 
-func (a administered) client(token tenant.Token) *adminapi.Client {
-	client, err := adminapi.NewClient("https://"+a.daemon.AdminAPIAddress().String(), token, a.transport)
+func (a runningAPI) client(token tenant.Token) *adminapi.Client {
+	client, err := adminapi.NewClient("https://"+a.daemon.AdminAPIAddress().String(), token, a.httpClient)
 	Expect(err).NotTo(HaveOccurred())
 	return client
 }
 
-func (a administered) row() table.Backend {
+func (a runningAPI) firstBackend() table.Backend {
 	answer, err := a.client(firstToken).Table(context.Background(), "")
 	if err != nil || len(answer.Table.Backends) == 0 {
 		return table.Backend{}
@@ -79,18 +79,18 @@
 	return answer.Table.Backends[0]
 }
 
-func (a administered) metrics() string { return a.get("/metrics") }
+func (a runningAPI) metrics() string { return a.get("/metrics") }
 
 var _ = Describe("Administration API of a balancer", func() {
 	ctx := context.Background()
 
-	It("puts the changes of operators in force and lets no older revision undo them", func() {
-		platform := newSource()
-		platform.publish(2, tableOf(5, 10))
-		balancer := startAdministered(platform)
-		Eventually(balancer.metrics, generous).Should(ContainSubstring("\nvanetiller_table_version 1\n"))
+	It("applies changes of operators and keeps them when an older platform revision arrives", func() {
+		platform := newFakePlatform()
+		platform.publish(2, tableJSON(5, 10))
+		balancer := startWithAPI(platform)
+		Eventually(balancer.metrics, waitTimeout).Should(ContainSubstring("\nvanetiller_table_version 1\n"))
 
-		By("putting a change in force")
+		By("applying a change")
 		weight, base := uint32(77), table.Version(1)
 		answer, err := balancer.client(firstToken).Change(ctx, adminapi.ChangeRequest{
 			Header: adminapi.Header{ID: "c1", Reason: "more", BaseVersion: &base},
@@ -104,44 +104,44 @@
 			ContainSubstring("\nvanetiller_table_version 2\n"),
 			ContainSubstring(`vanetiller_api_requests_total{operation="POST /v1/changes",status="200"} 1`)))
 
-		By("keeping it when an older revision comes")
-		platform.publish(1, tableOf(9, 1))
-		Eventually(balancer.metrics, generous).Should(ContainSubstring(
+		By("keeping the change when an older revision arrives")
+		platform.publish(1, tableJSON(9, 1))
+		Eventually(balancer.metrics, waitTimeout).Should(ContainSubstring(
 			`vanetiller_platform_polls_total{outcome="stale",service="configuration"}`))
-		Expect(balancer.row().Weight).To(Equal(weight))
+		Expect(balancer.firstBackend().Weight).To(Equal(weight))
 
-		By("keeping it when a newer revision alters another cell")
-		platform.publish(3, strings.Replace(tableOf(5, 10), `"connection_limit": 3`, `"connection_limit": 8`, 1))
-		Eventually(func() uint32 { return balancer.row().ConnectionLimit }, generous).Should(Equal(uint32(8)))
-		Expect(balancer.row().Weight).To(Equal(weight))
+		By("keeping the change when a newer revision modifies another cell")
+		platform.publish(3, strings.Replace(tableJSON(5, 10), `"connection_limit": 3`, `"connection_limit": 8`, 1))
+		Eventually(func() uint32 { return balancer.firstBackend().ConnectionLimit }, waitTimeout).Should(Equal(uint32(8)))
+		Expect(balancer.firstBackend().Weight).To(Equal(weight))
 
-		By("following a newer revision that alters the same cell")
-		platform.publish(4, strings.Replace(tableOf(5, 20), `"connection_limit": 3`, `"connection_limit": 8`, 1))
-		Eventually(func() uint32 { return balancer.row().Weight }, generous).Should(Equal(uint32(20)))
+		By("adopting the value of a newer revision that modifies the same cell")
+		platform.publish(4, strings.Replace(tableJSON(5, 20), `"connection_limit": 3`, `"connection_limit": 8`, 1))
+		Eventually(func() uint32 { return balancer.firstBackend().Weight }, waitTimeout).Should(Equal(uint32(20)))
 		Expect(balancer.log).To(gbytes.Say("platform revision imported"))
 		balancer.expectPlannedStop()
 	})
 
-	It("takes a replaced tokens file without a restart, and keeps the old one while the new is broken", func() {
-		platform := newSource()
-		platform.publish(1, tableOf(1, 10))
-		balancer := startAdministered(platform)
-		Eventually(func() uint32 { return balancer.row().Weight }, generous).Should(Equal(uint32(10)))
-		writeFile(balancer.tokens, "[[token]]\n")
-		Eventually(balancer.log, generous).Should(gbytes.Say("files not reloaded.*tokens"))
-		Expect(balancer.row().Weight).To(Equal(uint32(10)))
-		writeFile(balancer.tokens, tokensFile(secondToken))
+	It("reloads a replaced tokens file without a restart and keeps the old tokens while the new file is invalid", func() {
+		platform := newFakePlatform()
+		platform.publish(1, tableJSON(1, 10))
+		balancer := startWithAPI(platform)
+		Eventually(func() uint32 { return balancer.firstBackend().Weight }, waitTimeout).Should(Equal(uint32(10)))
+		writeFile(balancer.tokensFile, "[[token]]\n")
+		Eventually(balancer.log, waitTimeout).Should(gbytes.Say("files not reloaded.*tokens"))
+		Expect(balancer.firstBackend().Weight).To(Equal(uint32(10)))
+		writeFile(balancer.tokensFile, tokensContent(secondToken))
 		Eventually(func() error {
 			_, err := balancer.client(secondToken).Members(ctx)
 			return err
-		}, generous).Should(Succeed())
+		}, waitTimeout).Should(Succeed())
 		_, err := balancer.client(firstToken).Members(ctx)
 		Expect(err).To(MatchError(ContainSubstring("unauthenticated")))
 	})
 
-	It("does not start with files that are broken", func() {
-		checked := balancerSettings(newSource())
-		checked.API = &settings.API{Listen: anyPort, Tokens: filepath.Join(GinkgoT().TempDir(), "absent.toml")}
-		Expect(newDaemon(checked)).To(MatchError(os.ErrNotExist))
+	It("does not start if the tokens file does not exist", func() {
+		config := balancerSettings(newFakePlatform())
+		config.API = &settings.API{Listen: anyPort, Tokens: filepath.Join(GinkgoT().TempDir(), "absent.toml")}
+		Expect(newDaemon(config)).To(MatchError(os.ErrNotExist))
 	})
 })
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -8,49 +8,49 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// agentRole runs an agent.
+// agentRole runs the agent of a process with the agent role.
 type agentRole struct {
 	health *observability.Health
 	agent  *agent.Agent
 }
 
-func newAgentRole(shared parts) (*agentRole, error) {
-	configured := shared.settings.Agent
+func newAgentRole(deps dependencies) (*agentRole, error) {
+	config := deps.settings.Agent
 	created, err := agent.New(agent.Config{
-		Listen:      configured.Listen,
-		Fabric:      configured.Fabric,
-		Daemons:     configured.Daemons,
-		Backends:    agentBackends(configured.Backends),
-		StopTimeout: configured.StopTimeout,
-		FlowLimit:   configured.FlowLimit,
-		Stateless:   configured.Baseline == settings.BaselineHash,
-		Logger:      shared.logger,
-		Metrics:     newAgentMetrics(shared),
+		Listen:      config.Listen,
+		Fabric:      config.Fabric,
+		Daemons:     config.Daemons,
+		Backends:    agentBackends(config.Backends),
+		StopTimeout: config.StopTimeout,
+		FlowLimit:   config.FlowLimit,
+		Stateless:   config.Baseline == settings.BaselineHash,
+		Logger:      deps.logger,
+		Metrics:     newAgentMetrics(deps),
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &agentRole{shared.health, created}, nil
+	return &agentRole{deps.health, created}, nil
 }
 
-func agentBackends(configured []settings.AgentBackend) []agent.Backend {
-	backends := make([]agent.Backend, len(configured))
-	for index, backend := range configured {
+func agentBackends(config []settings.AgentBackend) []agent.Backend {
+	backends := make([]agent.Backend, len(config))
+	for index, backend := range config {
 		backends[index] = agent.Backend(backend)
 	}
 	return backends
 }
 
-// Run implements role. The agent itself lets open flows finish at a planned
-// stop, which begins once the health shows it.
+// Run implements role. A planned stop first reports that the process is not ready,
+// and then stops the agent, which waits for its open flows.
 func (a *agentRole) Run(ctx context.Context) error {
 	a.health.SetReady(conditionServing)
-	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
-	release := context.AfterFunc(ctx, func() {
+	agentContext, stopAgent := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopAgent()
+	unregister := context.AfterFunc(ctx, func() {
 		a.health.SetNotReady(conditionServing, "stopping")
-		stop()
+		stopAgent()
 	})
-	defer release()
-	return a.agent.Run(serving)
+	defer unregister()
+	return a.agent.Run(agentContext)
 }
--- a/internal/daemon/balancer.go
+++ b/internal/daemon/balancer.go
@@ -16,154 +16,161 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// balancerStopDelay is how long a stopping balancer goes on forwarding while
-// it reports that it is not ready, so that the fabric can turn elsewhere.
+// balancerStopDelay is how long a stopping balancer continues to forward while
+// it reports that it is not ready, so that the fabric can switch to other
+// balancers.
 const balancerStopDelay = 2 * time.Second
 
-// balancerRole runs a balancer with the control server and the pollers that
-// feed it.
+// balancerRole runs a balancer, the control server for agents and the pollers
+// that fetch the configuration table and the list of machines.
 type balancerRole struct {
 	health        *observability.Health
 	logger        *log.Logger
-	front         *balancer.Balancer
+	balancer      *balancer.Balancer
 	control       *control.Server
-	source        *tableSource
+	tableSource   *tableSource
 	configuration *platform.Poller[platform.Configuration]
 	machines      *platform.Poller[platform.Machines]
 	metrics       balancerGauges
-	// forwarding is the lookup table in force, of which the next one takes
-	// over what has not changed.
-	forwarding *lookup.Table
-	// administration is nil without the administration API.
-	administration *administration
+	// lookupTable is the current lookup table. The next one reuses its unchanged
+	// parts.
+	lookupTable *lookup.Table
+	// adminAPI is nil if the administration API is disabled.
+	adminAPI *adminAPI
 }
 
-// balancerGauges show which table is in force.
+// balancerGauges holds the metrics about the current table and the machines.
 type balancerGauges struct {
 	tableVersion    metrics.Gauge
 	unavailableRows metrics.Gauge
 	machines        metrics.Gauge
 }
 
-func newBalancerRole(shared parts) (*balancerRole, error) {
-	shared.health.SetNotReady(conditionTable, "no table from the platform yet")
+func newBalancerRole(deps dependencies) (*balancerRole, error) {
+	deps.health.SetNotReady(conditionTable, "no table from the platform yet")
 	created := &balancerRole{
-		health:     shared.health,
-		logger:     shared.logger,
-		metrics:    newBalancerGauges(shared),
-		forwarding: &lookup.Table{},
+		health:      deps.health,
+		logger:      deps.logger,
+		metrics:     newBalancerGauges(deps),
+		lookupTable: &lookup.Table{},
 	}
-	if err := created.openSockets(shared); err != nil {
+	if err := created.openSockets(deps); err != nil {
 		return nil, err
 	}
-	if err := created.addPollers(shared); err != nil {
+	if err := created.addPollers(deps); err != nil {
 		return nil, err
 	}
 	return created, nil
 }
 
-func (b *balancerRole) openSockets(shared parts) error {
+func (b *balancerRole) openSockets(deps dependencies) error {
 	var err error
-	b.front, err = balancer.New(balancer.Config{
-		Listen:  shared.settings.Balancer.Listen,
-		Sockets: shared.settings.Balancer.Sockets,
-		Logger:  shared.logger,
-		Metrics: newBalancerMetrics(shared),
+	b.balancer, err = balancer.New(balancer.Config{
+		Listen:  deps.settings.Balancer.Listen,
+		Sockets: deps.settings.Balancer.Sockets,
+		Logger:  deps.logger,
+		Metrics: newBalancerMetrics(deps),
 	})
 	if err != nil {
 		return err
 	}
-	served := control.ServerConfig{
-		Listen:        shared.settings.Control.Listen,
-		OnUnavailable: b.apply,
+	controlConfig := control.ServerConfig{
+		Listen:        deps.settings.Control.Listen,
+		OnUnavailable: b.applyTable,
 	}
-	if shared.settings.Cluster != nil {
-		served.OnObservations = b.claimAgents
+	if deps.settings.Cluster != nil {
+		controlConfig.OnObservations = b.reportAgents
 	}
-	b.control, err = control.NewServer(served)
+	b.control, err = control.NewServer(controlConfig)
 	if err != nil {
 		return err
 	}
-	b.source, err = newTableSource(shared, b.control)
-	if err != nil || shared.settings.API == nil {
+	b.tableSource, err = newTableSource(deps, b.control)
+	if err != nil || deps.settings.API == nil {
 		return err
 	}
-	b.administration, err = newAdministration(shared, b.source.store)
+	b.adminAPI, err = newAdminAPI(deps, b.tableSource.store)
 	return err
 }
 
-func (b *balancerRole) addPollers(shared parts) error {
-	source := shared.settings.Platform
+func (b *balancerRole) addPollers(deps dependencies) error {
+	platformSettings := deps.settings.Platform
 	client, err := platform.NewClient(platform.ClientConfig{
-		ConfigurationURL: source.ConfigurationURL,
-		MachinesURL:      source.MachinesURL,
+		ConfigurationURL: platformSettings.ConfigurationURL,
+		MachinesURL:      platformSettings.MachinesURL,
 	})
 	if err != nil {
 		return err
 	}
-	pollerMetrics := newPollerMetrics(shared)
+	pollerMetrics := newPollerMetrics(deps)
 	b.configuration = platform.NewPoller(platform.PollerConfig[platform.Configuration]{
 		Fetch:       client.Configuration,
-		Deliver:     b.deliver,
+		Deliver:     b.handleConfiguration,
 		OnUnchanged: b.control.ConfirmTable,
-		Interval:    source.PollInterval,
-		Logger:      shared.logger.With("service", "configuration"),
-		Metrics:     pollerMetrics.of("configuration"),
+		Interval:    platformSettings.PollInterval,
+		Logger:      deps.logger.With("service", "configuration"),
+		Metrics:     pollerMetrics.forService("configuration"),
 	})
 	b.machines = platform.NewPoller(platform.PollerConfig[platform.Machines]{
 		Fetch:    client.Machines,
-		Deliver:  b.countMachines,
-		Interval: source.PollInterval,
-		Logger:   shared.logger.With("service", "machines"),
-		Metrics:  pollerMetrics.of("machines"),
+		Deliver:  b.handleMachines,
+		Interval: platformSettings.PollInterval,
+		Logger:   deps.logger.With("service", "machines"),
+		Metrics:  pollerMetrics.forService("machines"),
 	})
 	return nil
 }
 
-// deliver hands a configuration to the control server, which ignores a table
-// older than the one it holds and calls apply. In a fleet, and with the
-// administration API, it gets the tables that the source holds.
-func (b *balancerRole) deliver(configuration platform.Configuration) {
+// handleConfiguration processes a configuration of the platform. A balancer in a
+// cluster or with the administration API passes it to its table source, which
+// publishes the resulting table to the control server. Any other balancer
+// publishes it directly. The control server ignores tables older than its own
+// and calls applyTable for the others.
+func (b *balancerRole) handleConfiguration(configuration platform.Configuration) {
 	b.logger.Info("table received",
 		"revision", uint64(configuration.Revision), "version", uint64(configuration.Table.Version))
 	switch {
-	case b.source.node != nil:
-		b.source.followRevision(configuration)
-	case b.source.store != nil:
-		b.source.importRevision(context.Background(), configuration)
+	case b.tableSource.node != nil:
+		b.tableSource.shareRevision(configuration)
+	case b.tableSource.store != nil:
+		b.tableSource.importRevision(context.Background(), configuration)
 	default:
 		b.control.Publish(configuration.Table)
 	}
 }
 
-// apply puts a table, without the rows that must get no new flows, in force.
-func (b *balancerRole) apply(configuration *table.Table, unavailable []table.BackendID) {
+// applyTable makes the balancer forward by a table. Rows in unavailable get no
+// new flows.
+func (b *balancerRole) applyTable(configuration *table.Table, unavailable []table.BackendID) {
 	excluded := make(map[table.BackendID]bool, len(unavailable))
 	for _, row := range unavailable {
 		excluded[row] = true
 	}
 	alive := func(row table.BackendID) bool { return !excluded[row] }
-	b.forwarding = lookup.Rebuild(b.forwarding, configuration, alive)
-	b.front.Publish(b.forwarding)
+	b.lookupTable = lookup.Rebuild(b.lookupTable, configuration, alive)
+	b.balancer.Publish(b.lookupTable)
 	b.metrics.tableVersion.Set(float64(configuration.Version))
 	b.metrics.unavailableRows.Set(float64(len(unavailable)))
-	b.source.inForce(configuration.Version)
+	b.tableSource.onApplied(configuration.Version)
 	b.health.SetReady(conditionTable)
 }
 
-// claimAgents tells other balancers of the agents that report to this one.
-func (b *balancerRole) claimAgents(observed []control.Observation) {
-	b.source.node.ReportAgents(claimsOf(observed))
+// reportAgents sends the conditions of the agents that report to this balancer
+// to the other balancers.
+func (b *balancerRole) reportAgents(observations []control.Observation) {
+	b.tableSource.node.ReportAgents(claimsOf(observations))
 }
 
-func (b *balancerRole) countMachines(listed platform.Machines) {
-	if b.source.node != nil {
-		b.source.node.SetMachines(machineNames(listed))
+// handleMachines updates the names of cluster members and the metrics from the
+// list of machines of the platform.
+func (b *balancerRole) handleMachines(machines platform.Machines) {
+	if b.tableSource.node != nil {
+		b.tableSource.node.SetMachines(balancerNames(machines))
 	}
 	for _, role := range platform.Roles() {
 		for _, state := range platform.MachineStates() {
 			gauge := b.metrics.machines.With("role", string(role), "state", string(state))
-			gauge.Set(float64(listed.Count(role, state)))
+			gauge.Set(float64(machines.Count(role, state)))
 		}
 	}
 }
@@ -171,30 +178,30 @@
 // Run implements role.
 func (b *balancerRole) Run(ctx context.Context) error {
 	var group run.Group
-	addActor(&group, b.front.Run)
+	addActor(&group, b.balancer.Run)
 	addActor(&group, b.control.Run)
 	addActor(&group, b.configuration.Run)
 	addActor(&group, b.machines.Run)
-	if b.source.node != nil {
-		addActor(&group, b.source.node.Run)
+	if b.tableSource.node != nil {
+		addActor(&group, b.tableSource.node.Run)
 	}
-	if b.administration != nil {
-		addActor(&group, b.administration.Run)
+	if b.adminAPI != nil {
+		addActor(&group, b.adminAPI.Run)
 	}
-	addActor(&group, func(ended context.Context) error {
-		b.awaitStop(ctx, ended)
+	addActor(&group, func(groupContext context.Context) error {
+		b.awaitStop(ctx, groupContext)
 		return nil
 	})
 	b.health.SetReady(conditionServing)
 	return group.Run()
 }
 
-// awaitStop returns when a planned stop is over, or when ended ends since
-// another part has failed.
-func (b *balancerRole) awaitStop(stopping, ended context.Context) {
+// awaitStop returns when a planned stop is complete. It returns early if
+// groupContext ends because another part of the role has failed.
+func (b *balancerRole) awaitStop(stopContext, groupContext context.Context) {
 	select {
-	case <-stopping.Done():
-	case <-ended.Done():
+	case <-stopContext.Done():
+	case <-groupContext.Done():
 		return
 	}
 	b.health.SetNotReady(conditionServing, "stopping")
@@ -203,6 +210,6 @@
 	defer delay.Stop()
 	select {
 	case <-delay.C:
-	case <-ended.Done():
+	case <-groupContext.Done():
 	}
 }
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -1,4 +1,4 @@
-// This file implements a balancer's part among the others of its fleet.
+// This file connects a balancer to the other balancers of its fleet.
 
 package daemon
 
@@ -13,41 +13,43 @@
 	"github.com/vanetiller/vanetiller/internal/platform"
 )
 
-// newNode opens the address for other balancers. Served receives each newer
-// table, and what others say of agents.
-func newNode(shared parts, served *control.Server) (*cluster.Node, error) {
-	configured := shared.settings.Cluster
+// newClusterNode opens the listener for other balancers. The control server
+// receives each newer table and the agent conditions that other balancers report.
+func newClusterNode(deps dependencies, server *control.Server) (*cluster.Node, error) {
+	config := deps.settings.Cluster
 	return cluster.New(cluster.Config{
-		Listen:  configured.Listen,
-		Name:    shared.settings.Name,
-		Zone:    shared.settings.Zone,
-		Zones:   configured.Zones,
-		Seeds:   configured.Seeds,
+		Listen:  config.Listen,
+		Name:    deps.settings.Name,
+		Zone:    deps.settings.Zone,
+		Zones:   config.Zones,
+		Seeds:   config.Seeds,
 		Limits:  changelog.DefaultLimits(),
-		OnTable: served.Publish,
-		Agents:  agentListener{served},
+		OnTable: server.Publish,
+		Agents:  agentListener{server},
 		Seed:    rand.Uint64(),
-		Logger:  shared.logger,
-		Metrics: newClusterMetrics(shared),
+		Logger:  deps.logger,
+		Metrics: newClusterMetrics(deps),
 	})
 }
 
-// machineNames returns the balancers of the platform's list.
-func machineNames(listed platform.Machines) []cluster.MachineName {
+// balancerNames returns the names of the balancers in the platform's list of
+// machines.
+func balancerNames(machines platform.Machines) []cluster.MachineName {
 	var names []cluster.MachineName
-	for _, machine := range listed.Machines {
+	for _, machine := range machines.Machines {
 		if machine.Role == platform.RoleBalancer {
 			names = append(names, cluster.MachineName{Address: machine.Address.AddrPort().Addr(), Name: machine.Name})
 		}
 	}
-	return unambiguous(names)
+	return withUniqueAddresses(names)
 }
 
-// unambiguous leaves out the addresses that several machines have.
-func unambiguous(names []cluster.MachineName) []cluster.MachineName {
+// withUniqueAddresses removes the names whose address belongs to several
+// machines.
+func withUniqueAddresses(names []cluster.MachineName) []cluster.MachineName {
 	count := make(map[netip.Addr]int, len(names))
-	for _, named := range names {
-		count[named.Address]++
+	for _, name := range names {
+		count[name.Address]++
 	}
-	return slices.DeleteFunc(names, func(named cluster.MachineName) bool { return count[named.Address] > 1 })
+	return slices.DeleteFunc(names, func(name cluster.MachineName) bool { return count[name.Address] > 1 })
 }
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -15,22 +15,22 @@
 	ExitUsage   = program.ExitUsage
 )
 
-// Program is vanetillerd.
+// Program returns the vanetillerd program.
 func Program() program.Program {
 	return program.Program{
 		Name:    "vanetillerd",
 		Summary: "runs one process of a fleet: a balancer, or an agent beside back ends.",
-		New: func(checked *settings.Settings, output io.Writer) (program.Server, error) {
-			if checked.Relay != nil {
-				return nil, settings.Errors{{Key: "relay", Rule: "is for vanetiller-relay"}}
+		New: func(config *settings.Settings, output io.Writer) (program.Server, error) {
+			if config.Relay != nil {
+				return nil, settings.Errors{{Key: "relay", Rule: "is only valid for vanetiller-relay"}}
 			}
-			return New(checked, output)
+			return New(config, output)
 		},
 	}
 }
 
-// RunCommand runs vanetillerd with the arguments after the program name. A
-// planned stop begins when ctx ends. It returns the exit status.
+// RunCommand runs vanetillerd with the given command line arguments and returns
+// the exit status. A planned stop begins when ctx ends.
 func RunCommand(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
 	return Program().RunCommand(ctx, nil, arguments, stdout, stderr)
 }
--- a/internal/daemon/command_test.go
+++ b/internal/daemon/command_test.go
@@ -34,21 +34,21 @@
 	return path
 }
 
-type outcome struct {
+type commandResult struct {
 	Status int
 	Stdout string
 	Stderr string
 }
 
-func command(arguments ...string) outcome {
+func runCommand(arguments ...string) commandResult {
 	var stdout, stderr bytes.Buffer
 	status := daemon.RunCommand(context.Background(), arguments, &stdout, &stderr)
-	return outcome{status, stdout.String(), stderr.String()}
+	return commandResult{status, stdout.String(), stderr.String()}
 }
 
-var _ = Describe("Command", func() {
-	It("explains every flag with its default", func() {
-		help := command("-help")
+var _ = Describe("RunCommand", func() {
+	It("prints every flag with its default for -help", func() {
+		help := runCommand("-help")
 		Expect(help.Status).To(Equal(daemon.ExitSuccess))
 		Expect(help.Stderr).To(BeEmpty())
 		for _, flag := range []string{"-settings FILE", "-name NAME", "-zone ZONE", "-log-level LEVEL", "-check", "-version"} {
@@ -56,54 +56,54 @@
 		}
 	})
 
-	It("prints the version", func() {
-		printed := command("-version")
+	It("prints the version for -version", func() {
+		printed := runCommand("-version")
 		Expect(printed.Status).To(Equal(daemon.ExitSuccess))
 		Expect(printed.Stdout).To(MatchRegexp(`^vanetillerd \S+ \(go\S+\)\n$`))
 	})
 
-	DescribeTable("refuses wrong usage with status 2",
+	DescribeTable("reports invalid usage with status 2",
 		func(message string, arguments ...string) {
-			refused := command(arguments...)
+			refused := runCommand(arguments...)
 			Expect(refused.Status).To(Equal(daemon.ExitUsage))
 			Expect(refused.Stdout).To(BeEmpty())
 			Expect(refused.Stderr).To(ContainSubstring(message))
 		},
-		Entry("no settings", "-settings is required"),
+		Entry("missing settings file", "-settings is required"),
 		Entry("unknown flag", "flag provided but not defined: -port", "-port", "1"),
-		Entry("stray argument", "unexpected argument run", "-version", "run"),
-		Entry("absent file", "no such file", "-settings", "/nonexistent/settings.toml"),
+		Entry("unexpected argument", "unexpected argument run", "-version", "run"),
+		Entry("settings file that does not exist", "no such file", "-settings", "/nonexistent/settings.toml"),
 	)
 
-	It("accepts valid settings, also by overrides", func() {
+	It("accepts settings that are valid with their overrides", func() {
 		path := writeSettings(strings.Replace(agentSettings, `zone = "zone-1"`, "", 1))
-		checked := command("-settings", path, "-check", "-zone", "zone-2", "-log-level", "warn")
-		Expect(checked).To(Equal(outcome{daemon.ExitSuccess, path + ": settings are valid\n", ""}))
+		checked := runCommand("-settings", path, "-check", "-zone", "zone-2", "-log-level", "warn")
+		Expect(checked).To(Equal(commandResult{daemon.ExitSuccess, path + ": settings are valid\n", ""}))
 	})
 
-	DescribeTable("names file, line, key and rule of wrong settings, with -check or without",
+	DescribeTable("reports invalid settings with file, line, key and rule",
 		func(arguments ...string) {
 			path := writeSettings(strings.Replace(agentSettings, `"127.0.0.1:6080"`, `"fabric:6080"`, 1))
-			refused := command(append([]string{"-settings", path}, arguments...)...)
-			Expect(refused).To(Equal(outcome{daemon.ExitUsage, "",
+			refused := runCommand(append([]string{"-settings", path}, arguments...)...)
+			Expect(refused).To(Equal(commandResult{daemon.ExitUsage, "",
 				path + ":7: agent.fabric: must be an IPv4 address and a port, such as 192.0.2.1:6081\n"}))
 		},
-		Entry("check", "-check"),
-		Entry("run"),
+		Entry("with -check", "-check"),
+		Entry("without -check"),
 	)
 
-	It("reports a wrong override", func() {
-		refused := command("-settings", writeSettings(agentSettings), "-name", "")
+	It("reports an invalid override", func() {
+		refused := runCommand("-settings", writeSettings(agentSettings), "-name", "")
 		Expect(refused.Status).To(Equal(daemon.ExitUsage))
 		Expect(refused.Stderr).To(HavePrefix("command line: name: must have 1 to 64"))
 	})
 
-	It("fails with status 1 if an address is in use", func() {
-		taken, err := net.Listen("tcp4", "127.0.0.1:0")
+	It("fails with status 1 if the observability address is in use", func() {
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(taken.Close)
-		path := writeSettings(strings.Replace(agentSettings, "127.0.0.1:0", taken.Addr().String(), 1))
-		failed := command("-settings", path)
+		DeferCleanup(listener.Close)
+		path := writeSettings(strings.Replace(agentSettings, "127.0.0.1:0", listener.Addr().String(), 1))
+		failed := runCommand("-settings", path)
 		Expect(failed.Status).To(Equal(daemon.ExitFailure))
 		Expect(failed.Stderr).To(ContainSubstring("address already in use"))
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,7 @@
-// Package daemon implements the wiring of vanetillerd: it joins settings, log,
-// metrics, platform and the role of the process, and runs them as one group.
+// Package daemon implements the vanetillerd process. From the settings it builds
+// the log, the metrics, the health and metrics listener and the role of the
+// process, which is either a balancer or an agent. It runs these parts as one
+// group: if one part fails, all others stop.
 package daemon
 
 import (
@@ -17,22 +19,22 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// The conditions of readiness that /healthz reports.
+// The readiness conditions that /healthz reports.
 const (
-	// conditionServing holds from the start of the role to its planned stop.
+	// conditionServing is true from the start of the role to its planned stop.
 	conditionServing observability.Condition = "serving"
-	// conditionTable holds once the process has a configuration table.
+	// conditionTable is true once the process has a configuration table.
 	conditionTable observability.Condition = "table"
 )
 
-// role is what the process does besides being observed.
+// role is the main function of the process: a balancer or an agent.
 type role interface {
-	// Run serves until ctx ends, stops as planned, and returns nil then.
+	// Run serves until ctx ends. It then performs a planned stop and returns nil.
 	Run(ctx context.Context) error
 }
 
-// parts are what a role is built from.
-type parts struct {
+// dependencies holds the values from which a role is built.
+type dependencies struct {
 	settings *settings.Settings
 	logger   *log.Logger
 	health   *observability.Health
@@ -47,66 +49,68 @@
 	observability *observability.Server
 }
 
-// New opens the sockets of the daemon and writes its log to output. It fails
-// if an address cannot be bound. Nothing is served before Run.
-func New(checked *settings.Settings, output io.Writer) (*Daemon, error) {
-	shared := parts{
-		settings: checked,
-		logger:   logging.New(output, checked.Log.Level, checked.Name, checked.Zone),
+// New opens the sockets of a daemon that writes its log to output. It fails if an
+// address cannot be bound. The daemon serves nothing before Run is called.
+func New(config *settings.Settings, output io.Writer) (*Daemon, error) {
+	deps := dependencies{
+		settings: config,
+		logger:   logging.New(output, config.Log.Level, config.Name, config.Zone),
 		health:   observability.NewHealth(conditionServing),
 		metrics:  registry.New(),
 	}
 	server, err := observability.NewServer(observability.ServerConfig{
-		Listen:  checked.Observability.Listen,
-		Health:  shared.health,
-		Metrics: shared.metrics.Handler(),
+		Listen:  config.Observability.Listen,
+		Health:  deps.health,
+		Metrics: deps.metrics.Handler(),
 	})
 	if err != nil {
 		return nil, err
 	}
-	chosen, err := newRole(shared)
+	processRole, err := newRole(deps)
 	if err != nil {
 		return nil, err
 	}
-	return &Daemon{shared.logger, shared.health, chosen, server}, nil
+	return &Daemon{deps.logger, deps.health, processRole, server}, nil
 }
 
-func newRole(shared parts) (role, error) {
-	if shared.settings.Agent != nil {
-		return newAgentRole(shared)
+func newRole(deps dependencies) (role, error) {
+	if deps.settings.Agent != nil {
+		return newAgentRole(deps)
 	}
-	return newBalancerRole(shared)
+	return newBalancerRole(deps)
 }
 
-// ObservabilityAddress returns the address of the listener for health and metrics.
+// ObservabilityAddress returns the address of the health and metrics listener.
 func (d *Daemon) ObservabilityAddress() netip.AddrPort { return d.observability.Address() }
 
-// AdminAPIAddress returns the address of the administration API, the zero value
-// if there is none.
+// AdminAPIAddress returns the address of the administration API, or the zero
+// value if the API is disabled.
 func (d *Daemon) AdminAPIAddress() netip.AddrPort {
-	served, isBalancer := d.role.(*balancerRole)
-	if !isBalancer || served.administration == nil {
+	balancer, isBalancer := d.role.(*balancerRole)
+	if !isBalancer || balancer.adminAPI == nil {
 		return netip.AddrPort{}
 	}
-	return served.administration.Address()
+	return balancer.adminAPI.Address()
 }
 
-// Status returns the health of the daemon, also after it has stopped.
+// Status returns the health of the daemon. It may also be called after the
+// daemon has stopped.
 func (d *Daemon) Status() observability.Status { return d.health.Status() }
 
-// Reload puts the log level in force; all else takes a new start.
+// Reload applies the log level of changed. All other settings take effect only
+// after a restart.
 func (d *Daemon) Reload(changed *settings.Settings) {
 	d.logger.SetLevel(changed.Log.Level)
 	d.logger.Info("settings read again", "log_level", changed.Log.Level)
 }
 
-// ReloadFailed tells that the settings could not be read again.
+// ReloadFailed logs that the settings file could not be reloaded.
 func (d *Daemon) ReloadFailed(err error) {
-	d.logger.Error("settings kept, since the new ones are wrong", "error", err)
+	d.logger.Error("settings not reloaded, previous settings stay in effect", "error", err)
 }
 
-// Run serves until ctx ends and then stops as planned. It returns nil after a
-// planned stop, and the first error if a part fails.
+// Run serves until ctx ends and then performs a planned stop. It returns nil
+// after a planned stop, and the first error if a part fails.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.logger.Info("daemon started", "version", version.String(), "observability", d.observability.Address())
 	err := d.runGroup(ctx)
@@ -118,8 +122,8 @@
 	return nil
 }
 
-// runGroup keeps health and metrics answering until the role has stopped, so
-// that a planned stop can be watched.
+// runGroup runs the role and the health and metrics listener. The listener runs
+// until the role has stopped, so that a planned stop can be observed.
 func (d *Daemon) runGroup(ctx context.Context) error {
 	roleContext, stopRole := context.WithCancel(ctx)
 	serverContext, stopServer := context.WithCancel(context.WithoutCancel(ctx))
@@ -138,7 +142,8 @@
 	return group.Run()
 }
 
-// addActor adds a part that runs until its context ends.
+// addActor adds a function to group that runs until its context ends. The group
+// cancels the context when any of its functions returns.
 func addActor(group *run.Group, execute func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group.Add(func() error { return execute(ctx) }, func(error) { cancel() })
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -22,26 +22,28 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// generous bounds waiting for real sockets; no verdict depends on it.
-const generous = time.Minute
+// waitTimeout limits waiting for real sockets. It is generous: no result depends
+// on its value.
+const waitTimeout = time.Minute
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-func tableOf(version int, weight int) string {
+func tableJSON(version int, weight int) string {
 	return fmt.Sprintf(`{"version": %d, "services": [
 		{"id": 7, "name": "lookup", "address": "198.51.100.1:80", "protocol": "tcp", "owner": "gateway"}],
 		"backends": [{"id": 9, "service": 7, "name": "lookup-1", "incarnation": 1, "agent": "127.0.0.1:6181",
 		"weight": %d, "connection_limit": 3, "drain": false}]}`, version, weight)
 }
 
-// source stands in for the platform.
-type source struct {
+// fakePlatform serves the list of machines and the published configuration. It
+// answers 503 until a configuration is published.
+type fakePlatform struct {
 	*httptest.Server
 	configuration atomic.Pointer[string]
 }
 
-func newSource() *source {
-	created := &source{}
+func newFakePlatform() *fakePlatform {
+	created := &fakePlatform{}
 	created.Server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/machines" {
 			_, _ = writer.Write([]byte(`{"revision": 1, "machines": [
@@ -58,45 +60,45 @@
 	return created
 }
 
-func (s *source) publish(revision int, table string) {
+func (p *fakePlatform) publish(revision int, table string) {
 	answer := fmt.Sprintf(`{"revision": %d, "table": %s}`, revision, table)
-	s.configuration.Store(&answer)
+	p.configuration.Store(&answer)
 }
 
-func common() settings.Settings {
+func baseSettings() settings.Settings {
 	return settings.Settings{
 		Name: "test-1", Zone: "zone-1", Log: settings.Log{Level: log.InfoLevel},
 		Observability: settings.Observability{Listen: anyPort},
 	}
 }
 
-func balancerSettings(platform *source) settings.Settings {
-	checked := common()
-	checked.Platform = settings.Platform{
+func balancerSettings(platform *fakePlatform) settings.Settings {
+	config := baseSettings()
+	config.Platform = settings.Platform{
 		ConfigurationURL: platform.URL + "/configuration",
 		MachinesURL:      platform.URL + "/machines",
 		PollInterval:     10 * time.Millisecond,
 	}
-	checked.Control = settings.Control{Listen: anyPort}
-	checked.Balancer = &settings.Balancer{Listen: anyPort, Sockets: 1}
-	return checked
+	config.Control = settings.Control{Listen: anyPort}
+	config.Balancer = &settings.Balancer{Listen: anyPort, Sockets: 1}
+	return config
 }
 
-func newDaemon(checked settings.Settings) error {
-	_, err := daemon.New(&checked, gbytes.NewBuffer())
+func newDaemon(config settings.Settings) error {
+	_, err := daemon.New(&config, gbytes.NewBuffer())
 	return err
 }
 
-type running struct {
+type runningDaemon struct {
 	daemon *daemon.Daemon
 	log    *gbytes.Buffer
 	stop   context.CancelFunc
 	ended  <-chan error
 }
 
-func start(checked settings.Settings) running {
+func startDaemon(config settings.Settings) runningDaemon {
 	output := gbytes.NewBuffer()
-	created, err := daemon.New(&checked, output)
+	created, err := daemon.New(&config, output)
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -107,12 +109,12 @@
 	}()
 	DeferCleanup(func() {
 		cancel()
-		Eventually(done, generous).Should(BeClosed())
+		Eventually(done, waitTimeout).Should(BeClosed())
 	})
-	return running{created, output, cancel, ended}
+	return runningDaemon{created, output, cancel, ended}
 }
 
-func (r running) get(path string) string {
+func (r runningDaemon) get(path string) string {
 	response, err := http.Get("http://" + r.daemon.ObservabilityAddress().String() + path)
 	if err != nil {
 		return err.Error()
@@ -123,9 +125,9 @@
 	return fmt.Sprintf("%d %s", response.StatusCode, body)
 }
 
-func (r running) expectPlannedStop() {
+func (r runningDaemon) expectPlannedStop() {
 	r.stop()
-	Eventually(r.ended, generous).Should(Receive(BeNil()))
+	Eventually(r.ended, waitTimeout).Should(Receive(BeNil()))
 	Expect(r.daemon.Status()).To(Equal(observability.Status{
 		Reasons: []observability.Reason{{Condition: "serving", Reason: "stopping"}},
 	}))
@@ -135,60 +137,60 @@
 	}
 }
 
-const ready = `200 {"ready":true,"reasons":[]}` + "\n"
+const readyResponse = `200 {"ready":true,"reasons":[]}` + "\n"
 
 var _ = Describe("Daemon", func() {
-	It("runs a balancer that puts accepted tables in force and keeps them", func() {
-		platform := newSource()
-		balancer := start(balancerSettings(platform))
+	It("runs a balancer that applies valid tables of the platform and ignores older ones", func() {
+		platform := newFakePlatform()
+		balancer := startDaemon(balancerSettings(platform))
 		metrics := func() string { return balancer.get("/metrics") }
 
 		By("not being ready without a table")
-		Eventually(metrics, generous).Should(ContainSubstring(
+		Eventually(metrics, waitTimeout).Should(ContainSubstring(
 			`vanetiller_platform_polls_total{outcome="failed",service="configuration"}`))
 		Expect(balancer.get("/healthz")).To(Equal(
 			`503 {"ready":false,"reasons":[{"condition":"table","reason":"no table from the platform yet"}]}` + "\n"))
 
-		By("refusing a table that is not valid")
-		platform.publish(1, tableOf(4, 10_001))
-		Eventually(metrics, generous).Should(ContainSubstring(
+		By("refusing an invalid table")
+		platform.publish(1, tableJSON(4, 10_001))
+		Eventually(metrics, waitTimeout).Should(ContainSubstring(
 			`vanetiller_platform_polls_total{outcome="invalid",service="configuration"}`))
 		Expect(balancer.get("/healthz")).To(HavePrefix("503 "))
 
-		By("being ready with a table")
-		platform.publish(2, tableOf(5, 10))
-		Eventually(func() string { return balancer.get("/healthz") }, generous).Should(Equal(ready))
+		By("being ready with a valid table")
+		platform.publish(2, tableJSON(5, 10))
+		Eventually(func() string { return balancer.get("/healthz") }, waitTimeout).Should(Equal(readyResponse))
 		Expect(metrics()).To(And(
 			ContainSubstring("\nvanetiller_table_version 5\n"),
 			ContainSubstring("\nvanetiller_platform_revision{service=\"configuration\"} 2\n")))
 
-		By("never going back to an older revision or an older table")
-		platform.publish(1, tableOf(6, 10))
-		Eventually(metrics, generous).Should(ContainSubstring(
+		By("ignoring an older revision, and an older table in a newer revision")
+		platform.publish(1, tableJSON(6, 10))
+		Eventually(metrics, waitTimeout).Should(ContainSubstring(
 			`vanetiller_platform_polls_total{outcome="stale",service="configuration"}`))
-		platform.publish(3, tableOf(4, 10))
-		Eventually(metrics, generous).Should(ContainSubstring(
+		platform.publish(3, tableJSON(4, 10))
+		Eventually(metrics, waitTimeout).Should(ContainSubstring(
 			"\nvanetiller_platform_revision{service=\"configuration\"} 3\n"))
 		Expect(metrics()).To(ContainSubstring("\nvanetiller_table_version 5\n"))
 
-		By("showing the list of machines")
-		Eventually(metrics, generous).Should(ContainSubstring(
+		By("exporting the machines of the platform as a metric")
+		Eventually(metrics, waitTimeout).Should(ContainSubstring(
 			"\nvanetiller_platform_machines{role=\"balancer\",state=\"leaving\"} 1\n"))
 
 		balancer.expectPlannedStop()
 	})
 
-	It("runs an agent", func() {
-		checked := common()
-		checked.Agent = &settings.Agent{
+	It("runs an agent that is ready and stops as planned", func() {
+		config := baseSettings()
+		config.Agent = &settings.Agent{
 			Listen: anyPort, Fabric: netip.MustParseAddrPort("127.0.0.1:9"),
 			Daemons:     []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")},
 			StopTimeout: 10 * time.Second, FlowLimit: 10,
 			Backends: []settings.AgentBackend{{Service: "lookup", Name: "lookup-1", Address: netip.MustParseAddrPort("127.0.0.1:9")}},
 		}
-		agent := start(checked)
-		Eventually(func() string { return agent.get("/healthz") }, generous).Should(Equal(ready))
-		Eventually(func() string { return agent.get("/metrics") }, generous).Should(
+		agent := startDaemon(config)
+		Eventually(func() string { return agent.get("/healthz") }, waitTimeout).Should(Equal(readyResponse))
+		Eventually(func() string { return agent.get("/metrics") }, waitTimeout).Should(
 			ContainSubstring("\nvanetiller_agent_open_flows 0\n"))
 		agent.expectPlannedStop()
 	})
--- a/internal/daemon/liveness.go
+++ b/internal/daemon/liveness.go
@@ -1,4 +1,5 @@
-// This file passes on what balancers tell each other of agents.
+// This file exchanges the conditions of agents between the control server of a
+// balancer and the cluster.
 
 package daemon
 
@@ -7,25 +8,26 @@
 	"github.com/vanetiller/vanetiller/internal/control"
 )
 
-// agentListener is the cluster.AgentListener of a control server.
+// agentListener passes the agent conditions that other balancers report to the
+// control server. It is a cluster.AgentListener.
 type agentListener struct {
-	served *control.Server
+	server *control.Server
 }
 
 // ClaimChanged implements cluster.AgentListener.
 func (l agentListener) ClaimChanged(claim liveness.Claim) {
-	l.served.ApplyRemote([]control.Observation{{
+	l.server.ApplyRemote([]control.Observation{{
 		Agent:     claim.Agent,
 		Start:     claim.Start,
-		Condition: observedCondition(claim.Condition),
+		Condition: controlCondition(claim.Condition),
 	}})
 }
 
 // Ready implements cluster.AgentListener.
-func (l agentListener) Ready() { l.served.RemoteReady() }
+func (l agentListener) Ready() { l.server.RemoteReady() }
 
-func observedCondition(claimed liveness.Condition) control.AgentCondition {
-	switch claimed {
+func controlCondition(condition liveness.Condition) control.AgentCondition {
+	switch condition {
 	case liveness.Alive:
 		return control.AgentAlive
 	case liveness.Leaving:
@@ -34,20 +36,20 @@
 	return control.AgentDown
 }
 
-func claimsOf(observed []control.Observation) []liveness.Claim {
-	claims := make([]liveness.Claim, len(observed))
-	for index, observation := range observed {
+func claimsOf(observations []control.Observation) []liveness.Claim {
+	claims := make([]liveness.Claim, len(observations))
+	for index, observation := range observations {
 		claims[index] = liveness.Claim{
 			Agent:     observation.Agent,
 			Start:     observation.Start,
-			Condition: claimedCondition(observation.Condition),
+			Condition: livenessCondition(observation.Condition),
 		}
 	}
 	return claims
 }
 
-func claimedCondition(observed control.AgentCondition) liveness.Condition {
-	switch observed {
+func livenessCondition(condition control.AgentCondition) liveness.Condition {
+	switch condition {
 	case control.AgentAlive:
 		return liveness.Alive
 	case control.AgentLeaving:
--- a/internal/daemon/tablesource.go
+++ b/internal/daemon/tablesource.go
@@ -1,6 +1,6 @@
-// This file implements where the table of a balancer comes from: the platform
-// alone, the platform and other balancers, or the platform and changes that this
-// process holds.
+// This file implements the source of the configuration table of a balancer. The
+// table comes from the platform alone, from the platform and other balancers, or
+// from the platform and the changes of operators that this process keeps.
 
 package daemon
 
@@ -19,61 +19,64 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// platformAuthor is the author of imported revisions in the history.
+// platformAuthor is the author of imported platform revisions in the history.
 const platformAuthor = "platform"
 
-// tableSource holds the table that balancers or operators share, if they do.
+// tableSource holds the configuration table of a balancer that is in a cluster or
+// has the administration API. For any other balancer, store and node are nil.
 type tableSource struct {
 	logger *log.Logger
-	// store is nil if the platform's tables are put in force as they are.
+	// store is nil if the platform's tables are used unchanged.
 	store adminapi.Store
-	// node is nil for a balancer on its own; changes then end with it. A fleet
-	// takes none.
+	// node is nil for a balancer that is not in a cluster. Such a balancer
+	// accepts changes of operators and loses them when it stops. A balancer in a
+	// cluster accepts no changes.
 	node *cluster.Node
-	// inForce is told which version this process forwards by.
-	inForce func(table.Version)
+	// onApplied is called with the table version by which this process forwards.
+	onApplied func(table.Version)
 }
 
-// newTableSource returns the source that the settings ask for. Served receives
-// each new table that changes lead to.
-func newTableSource(shared parts, served *control.Server) (*tableSource, error) {
-	created := &tableSource{logger: shared.logger, inForce: func(table.Version) {}}
+// newTableSource returns the source that the settings select. The control server
+// receives each new table of the source.
+func newTableSource(deps dependencies, server *control.Server) (*tableSource, error) {
+	created := &tableSource{logger: deps.logger, onApplied: func(table.Version) {}}
 	switch {
-	case shared.settings.Cluster != nil:
-		node, err := newNode(shared, served)
+	case deps.settings.Cluster != nil:
+		node, err := newClusterNode(deps, server)
 		if err != nil {
 			return nil, err
 		}
 		created.node = node
 		created.store = node.Store()
-		created.inForce = node.Applied
-	case shared.settings.API != nil:
-		member := adminapi.NewSingleMember(shared.settings.Name, shared.settings.Zone)
-		created.store = adminapi.NewSingleReplicaStore(changelog.DefaultLimits(), member, served.Publish)
-		created.inForce = member.SetInForce
-		shared.logger.Warn("table changes are held by this process alone and end with it")
+		created.onApplied = node.Applied
+	case deps.settings.API != nil:
+		member := adminapi.NewSingleMember(deps.settings.Name, deps.settings.Zone)
+		created.store = adminapi.NewSingleReplicaStore(changelog.DefaultLimits(), member, server.Publish)
+		created.onApplied = member.SetInForce
+		deps.logger.Warn("table changes are kept only in this process and are lost when it stops")
 	}
 	return created, nil
 }
 
-// followRevision hands the platform's table to the fleet.
-func (s *tableSource) followRevision(configuration platform.Configuration) {
+// shareRevision installs the platform's table and announces it to the other
+// balancers.
+func (s *tableSource) shareRevision(configuration platform.Configuration) {
 	revision := uint64(configuration.Revision)
 	newer, err := s.node.UpdateTable(configuration.Table)
 	switch {
 	case err != nil:
 		s.logger.Warn("platform revision refused", "revision", revision, "reason", err)
 	case newer:
-		s.logger.Info("platform revision followed", "revision", revision, "version", uint64(configuration.Table.Version))
+		s.logger.Info("platform revision installed", "revision", revision, "version", uint64(configuration.Table.Version))
 	}
 }
 
-// importRevision makes the platform's revision a change of the table. Cells that
-// the platform has not altered since the revision before keep what operators have
-// set.
+// importRevision submits the platform's revision as a change of the table. Cells
+// that the platform has not changed since its previous revision keep the values
+// that operators have set.
 func (s *tableSource) importRevision(ctx context.Context, configuration platform.Configuration) {
 	revision := uint64(configuration.Revision)
-	submitted := s.store.Submit(ctx, &changelog.Change{
+	result := s.store.Submit(ctx, &changelog.Change{
 		ID:   changelog.ChangeID(fmt.Sprintf("platform-revision-%d", revision)),
 		Base: s.store.Table().Table.Version,
 		Who:  platformAuthor,
@@ -88,11 +91,11 @@
 		},
 	})
 	switch {
-	case !submitted.Decided:
-		s.logger.Warn("platform revision not imported", "revision", revision, "reason", submitted.Reason)
-	case submitted.Outcome.Accepted:
-		s.logger.Info("platform revision imported", "revision", revision, "version", uint64(submitted.Outcome.Version))
+	case !result.Decided:
+		s.logger.Warn("platform revision not imported", "revision", revision, "reason", result.Reason)
+	case result.Outcome.Accepted:
+		s.logger.Info("platform revision imported", "revision", revision, "version", uint64(result.Outcome.Version))
 	default:
-		s.logger.Warn("platform revision refused", "revision", revision, "reason", submitted.Outcome.Refusal.CellError())
+		s.logger.Warn("platform revision refused", "revision", revision, "reason", result.Outcome.Refusal.CellError())
 	}
 }
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// queueLines bounds the lines that wait to be written.
-const queueLines = 1024
+// queueCapacity is the maximum number of lines that wait to be written.
+const queueCapacity = 1024
 
-// AsyncWriter writes lines without ever blocking its callers: a line that finds the
-// queue full is dropped and counted. It is safe for concurrent use.
+// AsyncWriter writes lines in the background and never blocks its callers. If the
+// queue is full, it drops the line and counts it. It is safe for concurrent use.
 type AsyncWriter struct {
-	output  io.Writer
-	lines   chan []byte
-	dropped atomic.Uint64
-	closing sync.Once
-	closed  chan struct{}
-	ended   chan struct{}
+	output    io.Writer
+	lines     chan []byte
+	dropped   atomic.Uint64
+	closeOnce sync.Once
+	closed    chan struct{}
+	done      chan struct{}
 }
 
-// NewAsyncWriter returns a writer to output, which Close must end.
+// NewAsyncWriter returns a writer to output. The caller must close it.
 func NewAsyncWriter(output io.Writer) *AsyncWriter {
 	created := &AsyncWriter{
 		output: output,
-		lines:  make(chan []byte, queueLines),
+		lines:  make(chan []byte, queueCapacity),
 		closed: make(chan struct{}),
-		ended:  make(chan struct{}),
+		done:   make(chan struct{}),
 	}
 	go created.run()
 	return created
 }
 
-// Write queues a line. It never fails.
+// Write queues a line. It never returns an error.
 func (a *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), line...):
@@ -44,23 +44,24 @@
 	return len(line), nil
 }
 
-// Close writes what is queued, for as long as given at most.
-func (a *AsyncWriter) Close(patience time.Duration) {
-	a.closing.Do(func() { close(a.closed) })
-	timer := time.NewTimer(patience)
+// Close stops the writer. It waits for the queued lines to be written, at most
+// for timeout.
+func (a *AsyncWriter) Close(timeout time.Duration) {
+	a.closeOnce.Do(func() { close(a.closed) })
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-a.ended:
+	case <-a.done:
 	case <-timer.C:
 	}
 }
 
 func (a *AsyncWriter) run() {
-	defer close(a.ended)
+	defer close(a.done)
 	for {
 		select {
 		case line := <-a.lines:
-			a.put(line)
+			a.writeLine(line)
 		case <-a.closed:
 			a.drain()
 			return
@@ -68,20 +69,21 @@
 	}
 }
 
-// drain writes what is still queued.
+// drain writes all queued lines.
 func (a *AsyncWriter) drain() {
 	for {
 		select {
 		case line := <-a.lines:
-			a.put(line)
+			a.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// put writes a line. A log that cannot be written must not stop the process.
-func (a *AsyncWriter) put(line []byte) {
+// writeLine writes a line, and a line with the number of dropped lines if there
+// are any. It ignores errors: a failed log write must not stop the process.
+func (a *AsyncWriter) writeLine(line []byte) {
 	_, _ = a.output.Write(line)
 	if dropped := a.dropped.Swap(0); dropped > 0 {
 		_, _ = fmt.Fprintf(a.output, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"count\":%d}\n", dropped)
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -12,20 +12,20 @@
 	"github.com/vanetiller/vanetiller/internal/logging"
 )
 
-// gate is a writer that blocks until it is opened.
-type gate struct {
+// blockingWriter blocks writes until the channel open is closed.
+type blockingWriter struct {
 	open chan struct{}
 	text bytes.Buffer
 }
 
-func (g *gate) Write(data []byte) (int, error) {
-	<-g.open
-	return g.text.Write(data)
+func (w *blockingWriter) Write(data []byte) (int, error) {
+	<-w.open
+	return w.text.Write(data)
 }
 
-var _ = Describe("Async", func() {
-	It("writes all lines in their order before it closes", func() {
-		output := &gate{open: make(chan struct{})}
+var _ = Describe("AsyncWriter", func() {
+	It("writes all lines in order before Close returns", func() {
+		output := &blockingWriter{open: make(chan struct{})}
 		close(output.open)
 		log := logging.NewAsyncWriter(output)
 		for number := range 100 {
@@ -37,8 +37,8 @@
 		Expect(lines[99]).To(Equal("line 99"))
 	})
 
-	It("never blocks on an output that does, and tells how many lines it dropped", func() {
-		output := &gate{open: make(chan struct{})}
+	It("does not block if its output blocks, and logs the number of dropped lines", func() {
+		output := &blockingWriter{open: make(chan struct{})}
 		log := logging.NewAsyncWriter(output)
 		for range 5000 {
 			fmt.Fprintln(log, "line")
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,6 @@
-// Package logging implements the log of a process: one JSON object a line,
-// with level, time, message and the name and zone of the process.
+// Package logging creates the logger of a daemon. Each line is one JSON object
+// with the level, time and message and the name and zone of the process.
+// AsyncWriter decouples a logger from an output that may block.
 package logging
 
 import (
@@ -9,8 +10,8 @@
 	"github.com/charmbracelet/log"
 )
 
-// New returns a logger that writes lines of the given level and above to
-// output. Times are UTC in RFC 3339 form with nanoseconds.
+// New returns a logger that writes lines of the given level and above to output.
+// Timestamps are in UTC and RFC 3339 format with nanoseconds.
 func New(output io.Writer, level log.Level, name, zone string) *log.Logger {
 	return log.NewWithOptions(output, log.Options{
 		Level:           level,
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "logging")
 }
 
-type line struct {
+type logLine struct {
 	Time    string `json:"time"`
 	Level   string `json:"level"`
 	Message string `json:"msg"`
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("New", func() {
-	It("writes JSON lines with name and zone, also from derived loggers", func() {
+	It("writes JSON lines with name, zone and the fields of derived loggers", func() {
 		var output bytes.Buffer
 		logger := logging.New(&output, log.InfoLevel, "balancer-1", "casablanca-1")
 		logger.Debug("not written")
@@ -36,14 +36,14 @@
 
 		decoder := json.NewDecoder(&output)
 		decoder.DisallowUnknownFields()
-		var written line
+		var written logLine
 		Expect(decoder.Decode(&written)).To(Succeed())
 		Expect(decoder.More()).To(BeFalse())
 		at, err := time.Parse(time.RFC3339Nano, written.Time)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(at.Location()).To(Equal(time.UTC))
 		written.Time = ""
-		Expect(written).To(Equal(line{
+		Expect(written).To(Equal(logLine{
 			Level: "warn", Message: "table\nreplaced", Name: "balancer-1", Zone: "casablanca-1", Rows: 7,
 		}))
 	})
--- a/internal/observability/health.go
+++ b/internal/observability/health.go
@@ -1,5 +1,7 @@
-// Package observability implements the HTTP listener of a process for health
-// (/healthz) and metrics (/metrics).
+// Package observability serves the health and the metrics of a process over HTTP.
+// GET /healthz tells whether the process is ready and which conditions are not
+// met; GET /metrics returns its metrics. The parts of the process report their
+// conditions to a Health.
 package observability
 
 import (
@@ -8,10 +10,10 @@
 	"sync"
 )
 
-// Condition names something a process needs before it is ready.
+// Condition is the name of a condition that a process must meet to be ready.
 type Condition string
 
-// Reason tells why one condition does not hold.
+// Reason explains why a condition is not met.
 type Reason struct {
 	Condition Condition `json:"condition"`
 	Reason    string    `json:"reason"`
@@ -19,22 +21,22 @@
 
 // Status is the health of a process at one moment.
 type Status struct {
-	// Ready is true if every condition holds.
+	// Ready is true if all conditions are met.
 	Ready bool `json:"ready"`
-	// Reasons lists the conditions that do not hold, by name.
+	// Reasons lists the conditions that are not met, sorted by name.
 	Reasons []Reason `json:"reasons"`
 }
 
-// notStarted is the reason of a condition that was never reported.
+// notStarted is the reason of a condition that has not been reported yet.
 const notStarted = "not started"
 
-// Health keeps the conditions of a process. It is safe for concurrent use.
+// Health tracks the conditions of a process. It is safe for concurrent use.
 type Health struct {
 	mutex   sync.Mutex
 	reasons map[Condition]string
 }
 
-// NewHealth returns a health in which none of the conditions holds yet.
+// NewHealth returns a Health in which none of the conditions is met.
 func NewHealth(conditions ...Condition) *Health {
 	reasons := make(map[Condition]string, len(conditions))
 	for _, condition := range conditions {
@@ -43,21 +45,21 @@
 	return &Health{reasons: reasons}
 }
 
-// SetReady reports that the condition holds.
+// SetReady reports that the condition is met.
 func (h *Health) SetReady(condition Condition) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	delete(h.reasons, condition)
 }
 
-// SetNotReady reports that the condition does not hold, and why.
+// SetNotReady reports that the condition is not met, and the reason.
 func (h *Health) SetNotReady(condition Condition, reason string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.reasons[condition] = reason
 }
 
-// Status returns the health now.
+// Status returns the current health.
 func (h *Health) Status() Status {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/observability/observability_test.go
+++ b/internal/observability/observability_test.go
@@ -22,28 +22,28 @@
 const (
 	tableCondition   observability.Condition = "table"
 	controlCondition observability.Condition = "control"
-	generous                                 = 30 * time.Second
+	waitTimeout                              = 30 * time.Second
 )
 
-type answer struct {
+type httpResponse struct {
 	Status int
 	Body   string
 }
 
-// start runs the server and returns the channel of its result.
-func start(ctx context.Context, server *observability.Server) <-chan error {
+// runServer runs the server and returns a channel that receives its result.
+func runServer(ctx context.Context, server *observability.Server) <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- server.Run(ctx) }()
 	return ended
 }
 
-func get(address netip.AddrPort, path string) answer {
+func get(address netip.AddrPort, path string) httpResponse {
 	response, err := http.Get("http://" + address.String() + path)
 	Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
-	return answer{response.StatusCode, string(body)}
+	return httpResponse{response.StatusCode, string(body)}
 }
 
 var _ = Describe("Server", func() {
@@ -67,23 +67,23 @@
 		Expect(err).NotTo(HaveOccurred())
 		var ctx context.Context
 		ctx, cancel = context.WithCancel(context.Background())
-		ended = start(ctx, server)
+		ended = runServer(ctx, server)
 		DeferCleanup(cancel)
 	})
 
-	It("reports every condition that does not hold, and ready once all hold", func() {
-		Expect(get(server.Address(), "/healthz")).To(Equal(answer{http.StatusServiceUnavailable,
+	It("reports the conditions that are not met, and ready once all are met", func() {
+		Expect(get(server.Address(), "/healthz")).To(Equal(httpResponse{http.StatusServiceUnavailable,
 			`{"ready":false,"reasons":[{"condition":"control","reason":"not started"},{"condition":"table","reason":"not started"}]}` + "\n"}))
 		health.SetReady(controlCondition)
 		health.SetNotReady(tableCondition, "no answer from the platform")
-		Expect(get(server.Address(), "/healthz")).To(Equal(answer{http.StatusServiceUnavailable,
+		Expect(get(server.Address(), "/healthz")).To(Equal(httpResponse{http.StatusServiceUnavailable,
 			`{"ready":false,"reasons":[{"condition":"table","reason":"no answer from the platform"}]}` + "\n"}))
 		health.SetReady(tableCondition)
-		Expect(get(server.Address(), "/healthz")).To(Equal(answer{http.StatusOK, `{"ready":true,"reasons":[]}` + "\n"}))
+		Expect(get(server.Address(), "/healthz")).To(Equal(httpResponse{http.StatusOK, `{"ready":true,"reasons":[]}` + "\n"}))
 	})
 
-	It("answers for metrics, and for nothing else", func() {
-		Expect(get(server.Address(), "/metrics")).To(Equal(answer{http.StatusOK, "vanetiller_up 1\n"}))
+	It("serves metrics and rejects other paths and methods", func() {
+		Expect(get(server.Address(), "/metrics")).To(Equal(httpResponse{http.StatusOK, "vanetiller_up 1\n"}))
 		Expect(get(server.Address(), "/").Status).To(Equal(http.StatusNotFound))
 		response, err := http.Post("http://"+server.Address().String()+"/healthz", "", nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -91,15 +91,15 @@
 		Expect(response.StatusCode).To(Equal(http.StatusMethodNotAllowed))
 	})
 
-	It("ends with its context and frees the address", func() {
+	It("stops with its context and closes the listener", func() {
 		Expect(get(server.Address(), "/metrics").Status).To(Equal(http.StatusOK))
 		cancel()
-		Eventually(ended, generous).Should(Receive(BeNil()))
+		Eventually(ended, waitTimeout).Should(Receive(BeNil()))
 		_, err := http.Get("http://" + server.Address().String() + "/healthz")
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("refuses an address in use", func() {
+	It("fails if the address is in use", func() {
 		_, err := observability.NewServer(observability.ServerConfig{Listen: server.Address(), Health: health})
 		Expect(err).To(MatchError(ContainSubstring("address already in use")))
 	})
--- a/internal/observability/registry/registry.go
+++ b/internal/observability/registry/registry.go
@@ -1,8 +1,9 @@
-// Package registry implements the metrics of a process: go-kit metrics that
-// are kept in a Prometheus registry of the process's own.
+// Package registry creates the metrics of a process and exports them to
+// Prometheus. Metrics are kept in a Prometheus registry of the process, not in
+// the global one.
 //
-// Other packages take the interfaces of go-kit's metrics package and know
-// nothing of Prometheus.
+// Other packages use the interfaces of go-kit's metrics package and do not
+// depend on Prometheus.
 package registry
 
 import (
@@ -15,18 +16,18 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Namespace begins the name of every metric.
+// Namespace is the prefix of all metric names.
 const Namespace = "vanetiller"
 
-// Registry creates metrics and answers scrapes. A metric without labels is
-// there from the start, so that a scrape tells zero from absent. Asking for one name twice is
-// a broken invariant and panics.
+// Registry creates metrics and serves scrapes. A metric without labels is exported
+// from its creation on, so that a scrape distinguishes zero from absent. Creating
+// two metrics with the same name is a programming error and panics.
 type Registry struct {
 	registry *prometheus.Registry
 }
 
-// New returns a registry that holds the metrics of the Go runtime and of the
-// process.
+// New returns a registry with the metrics of the Go runtime and of the operating
+// system process.
 func New() *Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -36,7 +37,7 @@
 	return &Registry{registry}
 }
 
-// Counter returns a new counter, called vanetiller_ and name.
+// Counter creates a counter named vanetiller_ followed by name.
 func (r *Registry) Counter(name, help string, labels ...string) metrics.Counter {
 	vector := prometheus.NewCounterVec(
 		prometheus.CounterOpts{Namespace: Namespace, Name: name, Help: help}, labels)
@@ -47,7 +48,7 @@
 	return kitprometheus.NewCounter(vector)
 }
 
-// Gauge returns a new gauge, called vanetiller_ and name.
+// Gauge creates a gauge named vanetiller_ followed by name.
 func (r *Registry) Gauge(name, help string, labels ...string) metrics.Gauge {
 	vector := prometheus.NewGaugeVec(
 		prometheus.GaugeOpts{Namespace: Namespace, Name: name, Help: help}, labels)
@@ -58,8 +59,8 @@
 	return kitprometheus.NewGauge(vector)
 }
 
-// Histogram returns a new histogram with the given upper bounds of buckets,
-// called vanetiller_ and name.
+// Histogram creates a histogram named vanetiller_ followed by name. The buckets
+// are given by their upper bounds.
 func (r *Registry) Histogram(name, help string, buckets []float64, labels ...string) metrics.Histogram {
 	vector := prometheus.NewHistogramVec(
 		prometheus.HistogramOpts{Namespace: Namespace, Name: name, Help: help, Buckets: buckets}, labels)
@@ -70,7 +71,7 @@
 	return kitprometheus.NewHistogram(vector)
 }
 
-// Handler answers scrapes.
+// Handler returns the handler for scrapes.
 func (r *Registry) Handler() http.Handler {
 	return promhttp.HandlerFor(r.registry, promhttp.HandlerOpts{})
 }
--- a/internal/observability/registry/registry_test.go
+++ b/internal/observability/registry/registry_test.go
@@ -24,7 +24,7 @@
 }
 
 var _ = Describe("Registry", func() {
-	It("shows counters, gauges and histograms by label", func() {
+	It("exports counters, gauges and histograms with their labels", func() {
 		metrics := registry.New()
 		dropped := metrics.Counter("dropped_total", "Datagrams not sent.", "reason")
 		dropped.With("reason", "unknown_service").Add(2)
@@ -44,7 +44,7 @@
 		))
 	})
 
-	It("keeps registries apart", func() {
+	It("keeps the metrics of two registries separate", func() {
 		first, second := registry.New(), registry.New()
 		first.Gauge("revision", "Newest revision.").Set(1)
 		second.Gauge("revision", "Newest revision.").Set(2)
@@ -52,7 +52,7 @@
 		Expect(scrape(second)).To(ContainSubstring("vanetiller_revision 2\n"))
 	})
 
-	It("panics for a name that is taken", func() {
+	It("panics if a name is already used", func() {
 		metrics := registry.New()
 		metrics.Gauge("revision", "Newest revision.")
 		Expect(func() { metrics.Gauge("revision", "Newest revision.") }).To(Panic())
--- a/internal/observability/server.go
+++ b/internal/observability/server.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds for callers of the listener, which may be slow or broken.
+// These timeouts protect the listener from slow or faulty clients.
 const (
 	readTimeout     = 5 * time.Second
 	writeTimeout    = 10 * time.Second
@@ -22,22 +22,22 @@
 
 // ServerConfig is the configuration of a Server.
 type ServerConfig struct {
-	// Listen is the TCP address; port 0 takes a free one.
+	// Listen is the TCP address. With port 0 the system chooses a free port.
 	Listen netip.AddrPort
-	// Health is what /healthz reports.
+	// Health provides the response of /healthz.
 	Health *Health
-	// Metrics answers /metrics. Without it there is no such path.
+	// Metrics serves /metrics. If it is nil, the path does not exist.
 	Metrics http.Handler
 }
 
-// Server answers requests for health and metrics.
+// Server serves health and metrics over HTTP.
 type Server struct {
 	listener net.Listener
 	http     *http.Server
 }
 
-// NewServer opens the listener. It fails if the address cannot be bound.
-// Requests are answered once Run is called.
+// NewServer opens the listener. It fails if the address cannot be bound. The
+// server handles no requests before Run is called.
 func NewServer(config ServerConfig) (*Server, error) {
 	listener, err := net.Listen("tcp4", config.Listen.String())
 	if err != nil {
@@ -57,8 +57,8 @@
 	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Run answers requests until ctx ends, and then returns nil. It fails only if
-// the listener fails while ctx is live. It must be called once.
+// Run serves requests until ctx ends, and then returns nil. It returns an error
+// only if the listener fails before ctx ends. It must be called exactly once.
 func (s *Server) Run(ctx context.Context) error {
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.http.Serve(s.listener) }()
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// shutdown lets answers that are being written finish, but not for long: the
-// listener is no part of what a planned stop protects.
+// shutdown waits for responses in progress, for at most shutdownTimeout. The
+// timeout is short because a planned stop does not protect these requests.
 func (s *Server) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -98,7 +98,8 @@
 	}
 }
 
-// StatusCode implements kithttp.StatusCoder: 200 if ready, 503 if not.
+// StatusCode implements kithttp.StatusCoder. It is 200 if the process is ready,
+// and 503 otherwise.
 func (s Status) StatusCode() int {
 	if s.Ready {
 		return http.StatusOK
--- a/internal/program/options.go
+++ b/internal/program/options.go
@@ -8,7 +8,7 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// options are the values of the flags.
+// options holds the values of the command line flags.
 type options struct {
 	settingsFile string
 	name         string
@@ -26,25 +26,26 @@
 	flags.StringVar(&values.zone, "zone", "", "`ZONE` the process runs in (default: the key zone of the file)")
 	flags.StringVar(&values.logLevel, "log-level", "",
 		"lowest `LEVEL` that is logged: debug, info, warn or error (default: the key log.level of the file, or else info)")
-	flags.BoolVar(&values.check, "check", false, "check the settings, print what is wrong with them, and exit (default: run)")
+	flags.BoolVar(&values.check, "check", false, "check the settings, print all errors, and exit (default: run)")
 	flags.BoolVar(&values.version, "version", false, "print the version and exit (default: run)")
 	flags.Usage = func() {
 		fmt.Fprintf(flags.Output(), "%s %s\n\nUsage:\n  %s -settings FILE [flags]\n\nFlags:\n", p.Name, p.Summary, p.Name)
 		flags.PrintDefaults()
-		fmt.Fprintf(flags.Output(), usageFooter, p.logName())
+		fmt.Fprintf(flags.Output(), usageFooter, p.logStream())
 	}
 	return flags
 }
 
-// logName returns where the log goes, as in "standard error".
-func (p Program) logName() string {
+// logStream returns the name of the standard stream of the log: "output" or
+// "error".
+func (p Program) logStream() string {
 	if p.LogToStdout {
 		return "output"
 	}
 	return "error"
 }
 
-// overrides returns the settings that were given as flags.
+// overrides returns the settings that are set by flags.
 func (o options) overrides(flags *flag.FlagSet) []settings.Override {
 	var given []settings.Override
 	flags.Visit(func(used *flag.Flag) {
@@ -60,9 +61,10 @@
 	return given
 }
 
-// askedForHelp reports whether help is what the caller wants, as opposed to
-// what a wrong flag brings.
-func askedForHelp(arguments []string) bool {
+// helpRequested reports whether the arguments contain a help flag. The usage text
+// is then printed to standard output; after an invalid flag it is printed to
+// standard error.
+func helpRequested(arguments []string) bool {
 	for _, argument := range arguments {
 		switch argument {
 		case "-help", "--help", "-h", "--h":
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,6 @@
-// Package program implements the command line that the daemons of a fleet have
-// in common: flags, settings file, reload on request, and exit statuses.
+// Package program implements the command line that the daemons vanetillerd and
+// vanetiller-relay share. It parses the flags, loads the settings file, runs the
+// process, reloads the settings on SIGHUP and determines the exit status.
 package program
 
 import (
@@ -26,54 +27,57 @@
 
 const usageFooter = `
 The log goes to standard %s, one JSON object a line. SIGTERM or SIGINT begins
-a planned stop; a second one ends the process at once. SIGHUP reads the settings
-again: the log level takes effect, and what else can; the log tells if changes
-wait for the next start.
+a planned stop; a second one ends the process at once. SIGHUP reloads the
+settings: the log level and all else that can change at run time take effect;
+the log tells if changes wait for the next start.
 
 Exit status: 0 after a planned stop, -check, -version or -help; 1 if the process
 failed; 2 for wrong flags or settings.
 `
 
-// Server is a process of the fleet.
+// Server is the daemon that a Program runs.
 type Server interface {
-	// Run serves until ctx ends and then stops as planned. It returns nil after
-	// a planned stop.
+	// Run serves until ctx ends and then performs a planned stop. It returns nil
+	// after a planned stop.
 	Run(ctx context.Context) error
-	// Reload puts in force what can be changed while the process runs.
+	// Reload applies the settings that can change while the process runs.
 	Reload(changed *settings.Settings)
-	// ReloadFailed tells that the settings were to be read again and are wrong.
+	// ReloadFailed reports that the settings could not be reloaded.
 	ReloadFailed(err error)
 }
 
-// Program is one daemon program.
+// Program describes a daemon program.
 type Program struct {
 	// Name is the name of the program.
 	Name string
-	// Summary tells in one sentence what a process of it does.
+	// Summary completes the sentence that begins with the name of the program
+	// and states what it does.
 	Summary string
-	// LogToStdout makes the log go to standard output in place of standard error.
+	// LogToStdout selects standard output instead of standard error for the log.
 	LogToStdout bool
-	// New opens the sockets of a process that writes its log to output.
-	New func(checked *settings.Settings, output io.Writer) (Server, error)
+	// New opens the sockets of a daemon that writes its log to output.
+	New func(config *settings.Settings, output io.Writer) (Server, error)
 }
 
-// Main runs the program as a process and ends it.
+// Main runs the program with the arguments and signals of the process, and exits
+// with its status.
 func (p Program) Main() {
 	ctx, restore := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	// A second signal then has its usual effect and ends the process at once.
+	// After the first signal, restore the default handling, so that a second
+	// signal ends the process at once.
 	context.AfterFunc(ctx, restore)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	os.Exit(p.RunCommand(ctx, reload, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// RunCommand runs the program with the arguments after its name. A planned stop
-// begins when ctx ends; a value from reload makes it read the settings again.
-// It returns the exit status.
+// RunCommand runs the program with the given command line arguments and returns
+// the exit status. A planned stop begins when ctx ends. Each value from reload
+// makes the program reload the settings.
 func (p Program) RunCommand(ctx context.Context, reload <-chan os.Signal, arguments []string, stdout, stderr io.Writer) int {
 	var values options
 	flags := p.newFlagSet(&values, stderr)
-	if askedForHelp(arguments) {
+	if helpRequested(arguments) {
 		flags.SetOutput(stdout)
 	}
 	err := flags.Parse(arguments)
@@ -93,7 +97,7 @@
 	load := func() (*settings.Settings, error) {
 		return settings.Load(values.settingsFile, values.overrides(flags)...)
 	}
-	checked, err := load()
+	config, err := load()
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return ExitUsage
@@ -106,7 +110,7 @@
 	if p.LogToStdout {
 		log = stdout
 	}
-	return p.serve(ctx, reload, checked, load, log, stderr)
+	return p.serve(ctx, reload, config, load, log, stderr)
 }
 
 func (p Program) usageError(stderr io.Writer, message string) int {
@@ -114,39 +118,40 @@
 	return ExitUsage
 }
 
-func (p Program) serve(ctx context.Context, reload <-chan os.Signal, checked *settings.Settings,
+func (p Program) serve(ctx context.Context, reload <-chan os.Signal, config *settings.Settings,
 	load func() (*settings.Settings, error), log, stderr io.Writer) int {
-	created, err := p.New(checked, log)
-	var wrong settings.Errors
+	server, err := p.New(config, log)
+	var invalid settings.Errors
 	switch {
-	case errors.As(err, &wrong):
+	case errors.As(err, &invalid):
 		fmt.Fprintln(stderr, err)
 		return ExitUsage
 	case err != nil:
 		fmt.Fprintf(stderr, "%s: %s\n", p.Name, err)
 		return ExitFailure
 	}
-	ended, end := context.WithCancel(context.Background())
-	defer end()
-	go reloadOnRequest(ended, reload, created, load)
-	if err := created.Run(ctx); err != nil {
+	reloadContext, stopReloads := context.WithCancel(context.Background())
+	defer stopReloads()
+	go reloadOnSignal(reloadContext, reload, server, load)
+	if err := server.Run(ctx); err != nil {
 		return ExitFailure
 	}
 	return ExitSuccess
 }
 
-func reloadOnRequest(ended context.Context, reload <-chan os.Signal, created Server, load func() (*settings.Settings, error)) {
+// reloadOnSignal reloads the settings for each value from reload until ctx ends.
+func reloadOnSignal(ctx context.Context, reload <-chan os.Signal, server Server, load func() (*settings.Settings, error)) {
 	for {
 		select {
-		case <-ended.Done():
+		case <-ctx.Done():
 			return
 		case <-reload:
 		}
 		changed, err := load()
 		if err != nil {
-			created.ReloadFailed(err)
+			server.ReloadFailed(err)
 			continue
 		}
-		created.Reload(changed)
+		server.Reload(changed)
 	}
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -35,22 +35,22 @@
 emitted = "127.0.0.1:8082"
 `
 
-// recorder is a server that tells what reaches it.
-type recorder struct {
+// fakeServer records the calls of Reload and ReloadFailed.
+type fakeServer struct {
 	reloaded chan *settings.Settings
 	failed   chan error
 }
 
-func (r recorder) Run(ctx context.Context) error {
+func (s fakeServer) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
-func (r recorder) Reload(changed *settings.Settings) { r.reloaded <- changed }
-func (r recorder) ReloadFailed(err error)            { r.failed <- err }
+func (s fakeServer) Reload(changed *settings.Settings) { s.reloaded <- changed }
+func (s fakeServer) ReloadFailed(err error)            { s.failed <- err }
 
 var _ = Describe("Program", func() {
 	var (
-		server  recorder
+		server  fakeServer
 		file    string
 		reload  chan os.Signal
 		stop    context.CancelFunc
@@ -59,9 +59,9 @@
 	)
 
 	BeforeEach(func() {
-		// Goroutines of a spec may outlast it and must not share what the next
-		// one sets up.
-		own := recorder{make(chan *settings.Settings, 1), make(chan error, 1)}
+		// A goroutine may outlast its spec. It uses its own copies, because the
+		// setup of the next spec overwrites the shared variables.
+		own := fakeServer{make(chan *settings.Settings, 1), make(chan error, 1)}
 		server = own
 		file = filepath.Join(GinkgoT().TempDir(), "settings.toml")
 		Expect(os.WriteFile(file, []byte(validSettings), 0o600)).To(Succeed())
@@ -82,7 +82,7 @@
 		Eventually(loaded).Should(BeClosed())
 	})
 
-	It("reads the settings again on request and goes on running", func() {
+	It("reloads the settings on a signal and keeps running", func() {
 		Expect(os.WriteFile(file, []byte(validSettings+"[log]\nlevel = \"debug\"\n"), 0o600)).To(Succeed())
 		reload <- syscall.SIGHUP
 		var changed *settings.Settings
@@ -93,14 +93,14 @@
 		Eventually(status).Should(Receive(Equal(program.ExitSuccess)))
 	})
 
-	It("keeps the settings if the new ones are wrong", func() {
+	It("reports invalid settings on reload and keeps running", func() {
 		Expect(os.WriteFile(file, []byte("name = 1\n"), 0o600)).To(Succeed())
 		reload <- syscall.SIGHUP
 		Eventually(server.failed).Should(Receive(MatchError(ContainSubstring("name: must be a string"))))
 		Expect(status).NotTo(Receive())
 	})
 
-	DescribeTable("writes the log where the program wants it", func(toStdout bool) {
+	DescribeTable("writes the log to the stream that LogToStdout selects", func(toStdout bool) {
 		var stdout, stderr bytes.Buffer
 		logging := program.Program{Name: "p", LogToStdout: toStdout, New: func(_ *settings.Settings, log io.Writer) (program.Server, error) {
 			_, _ = io.WriteString(log, "line")
@@ -114,12 +114,12 @@
 		Entry("standard error", false),
 	)
 
-	It("ends with the status for wrong settings if a server cannot use them", func() {
+	It("exits with the usage status if New rejects the settings", func() {
 		var stderr bytes.Buffer
-		refusing := program.Program{Name: "p", New: func(*settings.Settings, io.Writer) (program.Server, error) {
+		rejecting := program.Program{Name: "p", New: func(*settings.Settings, io.Writer) (program.Server, error) {
 			return nil, settings.Errors{{Key: "relay", Rule: "is not for this program"}}
 		}}
-		Expect(refusing.RunCommand(context.Background(), nil, []string{"-settings", file}, io.Discard, &stderr)).To(Equal(program.ExitUsage))
+		Expect(rejecting.RunCommand(context.Background(), nil, []string{"-settings", file}, io.Discard, &stderr)).To(Equal(program.ExitUsage))
 		Expect(stderr.String()).To(ContainSubstring("relay: is not for this program"))
 	})
 })
--- a/internal/program/version/version.go
+++ b/internal/program/version/version.go
@@ -1,4 +1,4 @@
-// Package version holds the version of the build.
+// Package version provides the version of the running binary.
 package version
 
 import (
@@ -9,16 +9,16 @@
 // development is the version of a build from a source tree.
 const development = "development"
 
-// String returns the version of the main module, or "development" for a build
-// from a source tree, followed by the Go version it was built with.
+// String returns the version of the main module followed by the Go version of the
+// build. The version is "development" for a build from a source tree.
 func String() string {
 	return release() + " (" + runtime.Version() + ")"
 }
 
 func release() string {
-	build, known := debug.ReadBuildInfo()
-	if !known || build.Main.Version == "" || build.Main.Version == "(devel)" {
+	info, known := debug.ReadBuildInfo()
+	if !known || info.Main.Version == "" || info.Main.Version == "(devel)" {
 		return development
 	}
-	return build.Main.Version
+	return info.Main.Version
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -144,7 +144,7 @@
 func Load(path string, overrides ...Override) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "read settings file")
+		return nil, errors.Wrap(err, "settings")
 	}
 	return Parse(path, data, overrides...)
 }
