--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -33,9 +33,9 @@
 	return &agentRole{deps.health, created}, nil
 }
 
-func agentBackends(config []settings.AgentBackend) []agent.Backend {
-	backends := make([]agent.Backend, len(config))
-	for index, backend := range config {
+func agentBackends(backendSettings []settings.AgentBackend) []agent.Backend {
+	backends := make([]agent.Backend, len(backendSettings))
+	for index, backend := range backendSettings {
 		backends[index] = agent.Backend(backend)
 	}
 	return backends
--- a/internal/daemon/balancer.go
+++ b/internal/daemon/balancer.go
@@ -124,8 +124,8 @@
 // handleConfiguration processes a configuration of the platform. A balancer in a
 // cluster or with the administration API passes it to its table source, which
 // publishes the resulting table to the control server. Any other balancer
-// publishes it directly. The control server ignores tables older than its own
-// and calls applyTable for the others.
+// publishes its table directly. The control server ignores a table that is older
+// than its current one, and passes any other to applyTable.
 func (b *balancerRole) handleConfiguration(configuration platform.Configuration) {
 	b.logger.Info("table received",
 		"revision", uint64(configuration.Revision), "version", uint64(configuration.Table.Version))
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -19,7 +19,7 @@
 func Program() program.Program {
 	return program.Program{
 		Name:    "vanetillerd",
-		Summary: "runs one process of a fleet: a balancer, or an agent beside back ends.",
+		Summary: "runs one process of a load balancer fleet: a balancer, or an agent next to its back ends.",
 		New: func(config *settings.Settings, output io.Writer) (program.Server, error) {
 			if config.Relay != nil {
 				return nil, settings.Errors{{Key: "relay", Rule: "is only valid for vanetiller-relay"}}
--- a/internal/observability/health.go
+++ b/internal/observability/health.go
@@ -1,5 +1,5 @@
 // Package observability serves the health and the metrics of a process over HTTP.
-// GET /healthz tells whether the process is ready and which conditions are not
+// GET /healthz reports whether the process is ready and which conditions are not
 // met; GET /metrics returns its metrics. The parts of the process report their
 // conditions to a Health.
 package observability
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -28,8 +28,8 @@
 const usageFooter = `
 The log goes to standard %s, one JSON object a line. SIGTERM or SIGINT begins
 a planned stop; a second one ends the process at once. SIGHUP reloads the
-settings: the log level and all else that can change at run time take effect;
-the log tells if changes wait for the next start.
+settings: the log level and other settings that can change at run time take
+effect; the log tells if changes wait for the next start.
 
 Exit status: 0 after a planned stop, -check, -version or -help; 1 if the process
 failed; 2 for wrong flags or settings.
--- a/internal/settings/cluster.go
+++ b/internal/settings/cluster.go
@@ -28,8 +28,8 @@
 
 // checkSeedPorts rejects seeds whose port differs from that of cluster.listen.
 // All balancers of a fleet use the same port: a balancer recognizes messages of
-// other balancers by it, and uses it to contact machines of the platform's
-// list, which gives no port.
+// other balancers by it, and contacts the machines of the platform's list on it,
+// because that list contains no ports.
 func (c *checker) checkSeedPorts(listen netip.AddrPort, seeds []netip.AddrPort) {
 	for _, seed := range seeds {
 		if listen.IsValid() && seed.IsValid() && seed.Port() != listen.Port() {
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -70,7 +70,7 @@
 
 // RelayAgent holds the settings of the agent role of vanetiller-relay.
 type RelayAgent struct {
-	// Service is the service of the endpoint beside the agent.
+	// Service is the name of the service that the endpoint belongs to.
 	Service string
 	// Endpoint is the UDP address of the endpoint.
 	Endpoint netip.AddrPort
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -118,7 +118,8 @@
 	Listen netip.AddrPort
 	// Fabric is the UDP address to which packets for clients are sent.
 	Fabric netip.AddrPort
-	// Daemons are the control addresses of the balancers that get heartbeats.
+	// Daemons are the control addresses of the balancers to which the agent
+	// sends heartbeats.
 	Daemons []netip.AddrPort
 	// StopTimeout is the maximum time that a planned stop waits for open flows.
 	StopTimeout time.Duration
