--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -8,7 +8,7 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// agentRole runs the agent of a process with the agent role.
+// agentRole runs an agent and reports its readiness.
 type agentRole struct {
 	health *observability.Health
 	agent  *agent.Agent
--- a/internal/daemon/balancer.go
+++ b/internal/daemon/balancer.go
@@ -123,9 +123,10 @@
 
 // handleConfiguration processes a configuration of the platform. A balancer in a
 // cluster or with the administration API passes it to its table source, which
-// publishes the resulting table to the control server. Any other balancer
-// publishes its table directly. The control server ignores a table that is older
-// than its current one, and passes any other to applyTable.
+// publishes the resulting table to the control server. For any other balancer,
+// handleConfiguration publishes the table directly. The control server ignores a
+// table that is older than its current one. It calls applyTable with the current
+// table and the rows that must get no new flows whenever either changes.
 func (b *balancerRole) handleConfiguration(configuration platform.Configuration) {
 	b.logger.Info("table received",
 		"revision", uint64(configuration.Revision), "version", uint64(configuration.Table.Version))
@@ -139,8 +140,8 @@
 	}
 }
 
-// applyTable makes the balancer forward by a table. Rows in unavailable get no
-// new flows.
+// applyTable makes the balancer forward packets according to configuration. Rows
+// in unavailable get no new flows.
 func (b *balancerRole) applyTable(configuration *table.Table, unavailable []table.BackendID) {
 	excluded := make(map[table.BackendID]bool, len(unavailable))
 	for _, row := range unavailable {
@@ -158,11 +159,11 @@
 // reportAgents sends the conditions of the agents that report to this balancer
 // to the other balancers.
 func (b *balancerRole) reportAgents(observations []control.Observation) {
-	b.tableSource.node.ReportAgents(claimsOf(observations))
+	b.tableSource.node.ReportAgents(livenessClaims(observations))
 }
 
-// handleMachines updates the names of cluster members and the metrics from the
-// list of machines of the platform.
+// handleMachines processes a list of machines of the platform. It updates the
+// machine metrics and, in a cluster, the names of the balancers.
 func (b *balancerRole) handleMachines(machines platform.Machines) {
 	if b.tableSource.node != nil {
 		b.tableSource.node.SetMachines(balancerNames(machines))
@@ -196,8 +197,9 @@
 	return group.Run()
 }
 
-// awaitStop returns when a planned stop is complete. It returns early if
-// groupContext ends because another part of the role has failed.
+// awaitStop waits for stopContext to end, reports that the balancer is not ready
+// and returns after balancerStopDelay. It returns early if groupContext ends
+// because another part of the role has failed.
 func (b *balancerRole) awaitStop(stopContext, groupContext context.Context) {
 	select {
 	case <-stopContext.Done():
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -1,4 +1,5 @@
-// This file connects a balancer to the other balancers of its fleet.
+// This file creates the cluster node of a balancer, which exchanges messages with
+// the other balancers of its fleet.
 
 package daemon
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,9 +21,10 @@
 
 // The readiness conditions that /healthz reports.
 const (
-	// conditionServing is true from the start of the role to its planned stop.
+	// conditionServing is met from the start of the role to its planned stop.
 	conditionServing observability.Condition = "serving"
-	// conditionTable is true once the process has a configuration table.
+	// conditionTable is met once a balancer has applied a configuration table.
+	// An agent does not have this condition.
 	conditionTable observability.Condition = "table"
 )
 
@@ -41,7 +42,8 @@
 	metrics  *registry.Registry
 }
 
-// Daemon is one process of the fleet.
+// Daemon is one vanetillerd process of the fleet, with the role that its settings
+// select.
 type Daemon struct {
 	logger        *log.Logger
 	health        *observability.Health
@@ -142,8 +144,8 @@
 	return group.Run()
 }
 
-// addActor adds a function to group that runs until its context ends. The group
-// cancels the context when any of its functions returns.
+// addActor adds execute to group. The group ends the context of execute when any
+// of its functions returns, and execute must then return.
 func addActor(group *run.Group, execute func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group.Add(func() error { return execute(ctx) }, func(error) { cancel() })
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -22,8 +22,8 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// waitTimeout limits waiting for real sockets. It is generous: no result depends
-// on its value.
+// waitTimeout limits the wait for an effect of real sockets. It is long enough that
+// no test result depends on it.
 const waitTimeout = time.Minute
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
--- a/internal/daemon/liveness.go
+++ b/internal/daemon/liveness.go
@@ -1,4 +1,4 @@
-// This file exchanges the conditions of agents between the control server of a
+// This file passes the conditions of agents between the control server of a
 // balancer and the cluster.
 
 package daemon
@@ -36,7 +36,7 @@
 	return control.AgentDown
 }
 
-func claimsOf(observations []control.Observation) []liveness.Claim {
+func livenessClaims(observations []control.Observation) []liveness.Claim {
 	claims := make([]liveness.Claim, len(observations))
 	for index, observation := range observations {
 		claims[index] = liveness.Claim{
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -10,7 +10,8 @@
 	"github.com/vanetiller/vanetiller/internal/platform"
 )
 
-// reasonLabel is the label of the counter of packets that the agent dropped.
+// reasonLabel is the label with the reason in the counter of packets that an agent
+// dropped.
 const reasonLabel = "reason"
 
 func newBalancerMetrics(deps dependencies) balancer.Metrics {
--- a/internal/daemon/tablesource.go
+++ b/internal/daemon/tablesource.go
@@ -32,7 +32,7 @@
 	// accepts changes of operators and loses them when it stops. A balancer in a
 	// cluster accepts no changes.
 	node *cluster.Node
-	// onApplied is called with the table version by which this process forwards.
+	// onApplied is called with the version of each table that this process applies.
 	onApplied func(table.Version)
 }
 
@@ -58,8 +58,8 @@
 	return created, nil
 }
 
-// shareRevision installs the platform's table and announces it to the other
-// balancers.
+// shareRevision installs the platform's table if it is newer than the current one,
+// and announces it to the other balancers.
 func (s *tableSource) shareRevision(configuration platform.Configuration) {
 	revision := uint64(configuration.Revision)
 	newer, err := s.node.UpdateTable(configuration.Table)
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -44,8 +44,8 @@
 	return len(line), nil
 }
 
-// Close stops the writer. It waits for the queued lines to be written, at most
-// for timeout.
+// Close stops the writer. It waits at most timeout for the queued lines to be
+// written.
 func (a *AsyncWriter) Close(timeout time.Duration) {
 	a.closeOnce.Do(func() { close(a.closed) })
 	timer := time.NewTimer(timeout)
@@ -81,8 +81,9 @@
 	}
 }
 
-// writeLine writes a line, and a line with the number of dropped lines if there
-// are any. It ignores errors: a failed log write must not stop the process.
+// writeLine writes line. If lines were dropped since the last call, it also writes
+// a warning with their number. It ignores errors: a failed log write must not stop
+// the process.
 func (a *AsyncWriter) writeLine(line []byte) {
 	_, _ = a.output.Write(line)
 	if dropped := a.dropped.Swap(0); dropped > 0 {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -29,10 +29,10 @@
 The log goes to standard %s, one JSON object a line. SIGTERM or SIGINT begins
 a planned stop; a second one ends the process at once. SIGHUP reloads the
 settings: the log level and other settings that can change at run time take
-effect; the log tells if changes wait for the next start.
+effect; the log reports whether other changes require a restart.
 
 Exit status: 0 after a planned stop, -check, -version or -help; 1 if the process
-failed; 2 for wrong flags or settings.
+failed; 2 for invalid flags or settings.
 `
 
 // Server is the daemon that a Program runs.
@@ -40,9 +40,10 @@
 	// Run serves until ctx ends and then performs a planned stop. It returns nil
 	// after a planned stop.
 	Run(ctx context.Context) error
-	// Reload applies the settings that can change while the process runs.
+	// Reload applies the settings of changed that can change while the process
+	// runs.
 	Reload(changed *settings.Settings)
-	// ReloadFailed reports that the settings could not be reloaded.
+	// ReloadFailed is called if the settings cannot be read or are invalid.
 	ReloadFailed(err error)
 }
 
--- a/internal/settings/checker.go
+++ b/internal/settings/checker.go
@@ -30,7 +30,7 @@
 
 // addressPolicy defines which addresses a key accepts.
 type addressPolicy struct {
-	// allowUnspecified accepts 0.0.0.0, which only a listener can use.
+	// allowUnspecified accepts 0.0.0.0. Only a listener can use this address.
 	allowUnspecified bool
 	// allowPortZero accepts port 0, for which the system chooses a free port.
 	allowPortZero bool
@@ -121,7 +121,7 @@
 	return level
 }
 
-func (c *checker) address(key string, value any, rule addressPolicy) netip.AddrPort {
+func (c *checker) address(key string, value any, policy addressPolicy) netip.AddrPort {
 	text, ok := c.stringValue(key, value)
 	if !ok {
 		return netip.AddrPort{}
@@ -131,18 +131,18 @@
 		c.addError(key, "must be an IPv4 address and a port, such as 192.0.2.1:6081")
 		return netip.AddrPort{}
 	}
-	if parsed.Addr().IsUnspecified() && !rule.allowUnspecified {
+	if parsed.Addr().IsUnspecified() && !policy.allowUnspecified {
 		c.addError(key, "must not be the unspecified address 0.0.0.0")
 		return netip.AddrPort{}
 	}
-	if parsed.Port() == 0 && !rule.allowPortZero {
+	if parsed.Port() == 0 && !policy.allowPortZero {
 		c.addError(key, "must have a port other than 0")
 		return netip.AddrPort{}
 	}
 	return parsed
 }
 
-func (c *checker) addresses(key string, value any, rule addressPolicy) []netip.AddrPort {
+func (c *checker) addresses(key string, value any, policy addressPolicy) []netip.AddrPort {
 	if value == nil {
 		c.addError(key, "is required")
 		return nil
@@ -154,7 +154,7 @@
 	}
 	var parsed []netip.AddrPort
 	for _, item := range items {
-		address := c.address(key, item, rule)
+		address := c.address(key, item, policy)
 		if address.IsValid() && slices.Contains(parsed, address) {
 			c.addError(key, "contains %s twice", address)
 		}
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -63,15 +63,15 @@
 	return checked
 }
 
-// checkRoles checks that the tables of the document form exactly one role:
-// balancer, agent or relay.
+// checkRoles checks that the document configures exactly one role (balancer,
+// agent or relay) and has the other tables that this role requires.
 func (c *checker) checkRoles(raw *document) {
 	if raw.Relay != nil {
 		c.checkRelayHasNoOtherRole(raw)
 		return
 	}
 	if raw.Balancer == nil && raw.Agent == nil {
-		c.addError("balancer", "is required unless there is an agent table")
+		c.addError("balancer", "is required unless there is an agent or relay table")
 	}
 	if raw.Balancer != nil && raw.Agent != nil {
 		c.addError("agent", "must not be combined with a balancer table")
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -80,8 +80,8 @@
 }
 
 // decode parses data as TOML. It returns a nil document if data is not valid
-// TOML or if a table is found in place of a value or the reverse. Unknown keys
-// are reported together with the document.
+// TOML, or if it has a value of another type where the layout requires a table
+// or an array of tables. Unknown keys are reported together with the document.
 func decode(file string, data []byte, lines keyLines) (*document, Errors) {
 	var raw document
 	decoder := toml.NewDecoder(bytes.NewReader(data))
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Error reports one rule that a settings file breaks.
+// Error reports one rule that a settings file or an overridden key breaks.
 type Error struct {
 	// File is the name of the file, or CommandLine for an overridden key.
 	File string
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -21,7 +21,7 @@
 	FlowLifetime time.Duration
 	// StopTimeout is the maximum duration of a planned stop.
 	StopTimeout time.Duration
-	// FlowLimit is the maximum number of flows held in memory.
+	// FlowLimit is the maximum number of flows that the process holds in memory.
 	FlowLimit int
 	Balancer  *RelayBalancer
 	Agent     *RelayAgent
@@ -79,11 +79,13 @@
 	// FirstStart is true if the endpoint starts together with the agent, so that
 	// it cannot hold any flows yet.
 	FirstStart bool
-	// ColdOverrun and ColdSlack limit the requests that a cold endpoint may get
-	// within one second: its rate times ColdOverrun, plus ColdSlack.
+	// ColdOverrun and ColdSlack limit the requests that a cold endpoint, which has
+	// started recently, may get within one second. The limit is its request rate
+	// for a cold start times ColdOverrun, plus ColdSlack.
 	ColdOverrun float64
 	ColdSlack   float64
-	// OutlierDetection configures when the endpoint is ejected for failed requests.
+	// OutlierDetection configures after which failures the endpoint is ejected,
+	// and for how long.
 	OutlierDetection outlier.Config
 	// QueuePolicy defines the order in which waiting requests are served.
 	QueuePolicy requestqueue.Policy
@@ -95,7 +97,8 @@
 	DefaultStoreRate    = 1000
 	DefaultApplyTimeout = "3s"
 	DefaultDrainTimeout = "3s"
-	// DefaultColdOverrun and DefaultColdSlack limit a cold endpoint to its rate.
+	// DefaultColdOverrun and DefaultColdSlack limit a cold endpoint to its request
+	// rate for a cold start.
 	DefaultColdOverrun    = 1.0
 	DefaultColdSlack      = 0.0
 	MaxColdOverrun        = 100
@@ -104,8 +107,8 @@
 	// DefaultQueueDiscipline is the order that callers already rely on. A
 	// deployment must select any other order explicitly.
 	DefaultQueueDiscipline = requestqueue.DisciplineNewestFirst
-	// MaxOutlierWindow bounds the number of outcomes, which an agent reports in
-	// one byte.
+	// MaxOutlierWindow must not exceed 255, because an agent reports the number
+	// of outcomes in one byte.
 	MaxOutlierWindow = 100
 	MinEjectionTime  = 100 * time.Millisecond
 	MaxEjectionTime  = time.Minute
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -24,16 +24,18 @@
 	Zone          string
 	Log           Log
 	Observability Observability
-	// Platform is required for the balancer role and otherwise optional.
+	// Platform is required for the balancer role. In other roles it may be the
+	// zero value.
 	Platform Platform
-	// Control is required for the balancer role and otherwise optional.
+	// Control is required for the balancer role. In other roles it may be the
+	// zero value.
 	Control  Control
 	Balancer *Balancer
 	// API configures the administration API of a balancer. It is nil if the API
-	// is disabled.
+	// is disabled, and in other roles.
 	API *API
 	// Cluster configures the messages between balancers. It is nil for a
-	// balancer that runs alone.
+	// balancer that runs alone, and in other roles.
 	Cluster *Cluster
 	Agent   *Agent
 	Relay   *Relay
@@ -60,7 +62,7 @@
 	PollInterval time.Duration
 }
 
-// Control holds the settings of the listener for agents.
+// Control holds the settings of the control listener, which serves agents.
 type Control struct {
 	// Listen is the UDP address that receives heartbeats.
 	Listen netip.AddrPort
@@ -73,7 +75,9 @@
 const (
 	// BaselineNone selects the normal algorithm.
 	BaselineNone Baseline = ""
-	// BaselineHash assigns every packet by its hash alone, without flow state.
+	// BaselineHash leaves the assignment of packets to their hash alone: an agent
+	// opens every new flow that reaches it and does not ask other agents for the
+	// owner of an unknown flow.
 	BaselineHash Baseline = "hash"
 )
 
