--- a/cmd/vanetiller-relay/main.go
+++ b/cmd/vanetiller-relay/main.go
@@ -21,7 +21,7 @@
 
 func main() {
 	time.AfterFunc(collectorDelay, func() { debug.SetGCPercent(collectorPercent) })
-	relaydaemon.Program(relaydaemon.Surroundings{
+	relaydaemon.Program(relaydaemon.Dependencies{
 		Codec:    platform.PacketCodec{},
 		NewStore: platform.NewStore,
 	}).Main()
--- a/internal/relaydaemon/agent.go
+++ b/internal/relaydaemon/agent.go
@@ -22,7 +22,7 @@
 	metrics  *endpointMetrics
 }
 
-func newAgentRole(surroundings Surroundings, checked *settings.Relay, journal *journal, registered *registry.Registry) (*agentRole, error) {
+func newAgentRole(surroundings Dependencies, checked *settings.Relay, journal *journal, registered *registry.Registry) (*agentRole, error) {
 	agent := relay.NewAgent(relay.AgentConfig{
 		Service:             checked.Agent.Service,
 		Codec:               surroundings.Codec,
--- a/internal/relaydaemon/balancer.go
+++ b/internal/relaydaemon/balancer.go
@@ -47,7 +47,7 @@
 	isolated bool
 }
 
-func newBalancerRole(surroundings Surroundings, checked *settings.Settings, health *observability.Health, journal *journal, registered *registry.Registry) (*balancerRole, error) {
+func newBalancerRole(surroundings Dependencies, checked *settings.Settings, health *observability.Health, journal *journal, registered *registry.Registry) (*balancerRole, error) {
 	given := checked.Relay.Balancer
 	balancer := relay.NewBalancer(relay.BalancerConfig{
 		Zone:         checked.Zone,
--- a/internal/relaydaemon/command.go
+++ b/internal/relaydaemon/command.go
@@ -10,8 +10,8 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// Surroundings are the parts that depend on the platform.
-type Surroundings struct {
+// Dependencies holds the platform-specific implementations that a daemon uses.
+type Dependencies struct {
 	// Codec reads and writes the packets of flows.
 	Codec segment.Codec
 	// NewStore returns a client of the store at an address.
@@ -19,7 +19,7 @@
 }
 
 // Program is vanetiller-relay.
-func Program(surroundings Surroundings) program.Program {
+func Program(surroundings Dependencies) program.Program {
 	return program.Program{
 		Name:    "vanetiller-relay",
 		Purpose: "runs one process of a fleet that carries the packets of flows whole: a balancer, or the agent beside an endpoint.",
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -56,7 +56,7 @@
 // New opens the sockets of the daemon and writes its log to output. It fails
 // if the settings have no relay table or an address cannot be bound. Nothing is
 // served before Run.
-func New(surroundings Surroundings, checked *settings.Settings, output io.Writer) (*Daemon, error) {
+func New(surroundings Dependencies, checked *settings.Settings, output io.Writer) (*Daemon, error) {
 	if checked.Relay == nil {
 		return nil, settings.Errors{{Key: "relay", Rule: "is required"}}
 	}
--- a/internal/relaydaemon/daemon_test.go
+++ b/internal/relaydaemon/daemon_test.go
@@ -144,7 +144,7 @@
 
 // start runs a daemon and returns what stops it and waits for its end.
 func start(checked *settings.Settings, store directory.Store, log io.Writer) (stop context.CancelFunc, ended chan error) {
-	created, err := relaydaemon.New(relaydaemon.Surroundings{
+	created, err := relaydaemon.New(relaydaemon.Dependencies{
 		Codec: codec, NewStore: func(netip.AddrPort) directory.Store { return store },
 	}, checked, log)
 	Expect(err).NotTo(HaveOccurred())
@@ -423,7 +423,7 @@
 			"127.0.0.1:1": fakeStore{down: true}, "127.0.0.1:2": fakeStore{page: used.listing()},
 		}
 		checked := used.balancer(balancerIP, "")
-		created, err := relaydaemon.New(relaydaemon.Surroundings{
+		created, err := relaydaemon.New(relaydaemon.Dependencies{
 			Codec: codec, NewStore: func(address netip.AddrPort) directory.Store { return stores[address.String()] },
 		}, checked, log)
 		Expect(err).NotTo(HaveOccurred())
@@ -446,7 +446,7 @@
 	})
 
 	It("refuses settings without a relay table", func() {
-		_, err := relaydaemon.New(relaydaemon.Surroundings{}, &settings.Settings{}, io.Discard)
+		_, err := relaydaemon.New(relaydaemon.Dependencies{}, &settings.Settings{}, io.Discard)
 		Expect(err).To(MatchError(ContainSubstring("relay: is required")))
 	})
 })
