--- a/internal/relaydaemon/agent.go
+++ b/internal/relaydaemon/agent.go
@@ -22,53 +22,53 @@
 	metrics  *endpointMetrics
 }
 
-func newAgentRole(surroundings Dependencies, checked *settings.Relay, journal *journal, registered *registry.Registry) (*agentRole, error) {
+func newAgentRole(dependencies Dependencies, config *settings.Relay, recorder *eventRecorder, metrics *registry.Registry) (*agentRole, error) {
 	agent := relay.NewAgent(relay.AgentConfig{
-		Service:             checked.Agent.Service,
-		Codec:               surroundings.Codec,
-		StartedWithEndpoint: checked.Agent.FirstStart,
-		FlowLifetime:        checked.FlowLifetime,
-		FlowLimit:           checked.FlowLimit,
-		ColdStartLimit:      relay.ColdStartLimit{Overrun: checked.Agent.ColdOverrun, Slack: checked.Agent.ColdSlack},
-		OutlierLimits:       checked.Agent.Outliers,
-		QueuePolicy:         checked.Agent.QueuePolicy,
+		Service:             config.Agent.Service,
+		Codec:               dependencies.Codec,
+		StartedWithEndpoint: config.Agent.FirstStart,
+		FlowLifetime:        config.FlowLifetime,
+		FlowLimit:           config.FlowLimit,
+		ColdStartLimit:      relay.ColdStartLimit{Overrun: config.Agent.ColdOverrun, Slack: config.Agent.ColdSlack},
+		OutlierLimits:       config.Agent.Outliers,
+		QueuePolicy:         config.Agent.QueuePolicy,
 	})
 	created := &agentRole{
-		*checked, newExecutor(agent, checked.Peers.Port(), journal), agent, newEndpointMetrics(registered, checked.Agent.Service),
+		*config, newExecutor(agent, config.Peers.Port(), recorder), agent, newEndpointMetrics(metrics, config.Agent.Service),
 	}
-	created.executor.after = created.observe
-	created.executor.endpoint = segment.AddressOf(checked.Agent.Endpoint)
+	created.executor.afterInput = created.updateMetrics
+	created.executor.endpoint = segment.AddressOf(config.Agent.Endpoint)
 	var err error
-	created.executor.packets, err = listen(checked.Agent.Emitted, created.emitted)
+	created.executor.packetSocket, err = listen(config.Agent.Emitted, created.handleEndpointPacket)
 	if err != nil {
 		return nil, err
 	}
-	created.executor.peers, err = listen(checked.Peers, created.executor.message)
+	created.executor.peerSocket, err = listen(config.Peers, created.executor.handleMessage)
 	return created, err
 }
 
-// emitted handles a packet of the endpoint. Only the endpoint may send to this
+// handleEndpointPacket handles a packet of the endpoint. Only the endpoint may send to this
 // address, from the machine itself.
-func (r *agentRole) emitted(_ netip.AddrPort, packet []byte) {
+func (r *agentRole) handleEndpointPacket(_ netip.AddrPort, packet []byte) {
 	r.executor.do(func(now time.Duration) []relay.Effect { return r.agent.HandleEndpointPacket(now, packet) })
 }
 
-// observe shows the load of the endpoint.
-func (r *agentRole) observe(now time.Duration) {
+// updateMetrics shows the load of the endpoint.
+func (r *agentRole) updateMetrics(now time.Duration) {
 	if r.metrics.due(now) {
 		r.metrics.observe(r.agent.EndpointLoad(now))
 	}
 }
 
-func (r *agentRole) add(group *run.Group) {
-	addActor(group, r.executor.packets.run)
-	addActor(group, r.executor.peers.run)
-	addActor(group, r.executor.tick)
+func (r *agentRole) addActors(group *run.Group) {
+	addActor(group, r.executor.packetSocket.run)
+	addActor(group, r.executor.peerSocket.run)
+	addActor(group, r.executor.runTimer)
 }
 
-// stop lets flows end for as long as the stop may take: nobody else can carry
+// beginStop lets flows end for as long as the beginStop may take: nobody else can carry
 // them.
-func (r *agentRole) stop() time.Duration {
+func (r *agentRole) beginStop() time.Duration {
 	r.executor.do(r.agent.Stop)
 	return math.MaxInt64
 }
@@ -86,7 +86,7 @@
 
 // reload compares what the agent was started with; nothing of it can change.
 func (r *agentRole) reload(changed *settings.Relay) bool {
-	same := *changed
-	same.StopTimeout = r.settings.StopTimeout
-	return reflect.DeepEqual(same, r.settings)
+	expected := *changed
+	expected.StopTimeout = r.settings.StopTimeout
+	return reflect.DeepEqual(expected, r.settings)
 }
--- a/internal/relaydaemon/balancer.go
+++ b/internal/relaydaemon/balancer.go
@@ -20,109 +20,109 @@
 
 // balancerRole runs a relay.Balancer and keeps its directory current.
 type balancerRole struct {
-	settings  settings.Relay
-	newStore  func(netip.AddrPort) directory.Store
-	executor  *executor
-	balancer  *relay.Balancer
-	health    *observability.Health
-	directory *directory.Replica
-	follower  *directory.Follower
-	confirmer *directory.Confirmer
-	spread    *directory.Disseminator
-	// wake wakes follow once what it waits for may have changed.
-	wake chan struct{}
-	// confirmations wakes confirm; what is wanted is in the confirmer.
-	confirmations chan struct{}
+	settings     settings.Relay
+	newStore     func(netip.AddrPort) directory.Store
+	executor     *executor
+	balancer     *relay.Balancer
+	health       *observability.Health
+	replica      *directory.Replica
+	follower     *directory.Follower
+	confirmer    *directory.Confirmer
+	disseminator *directory.Disseminator
+	// followerWake wakes follow once what it waits for may have changed.
+	followerWake chan struct{}
+	// confirmerWake wakes confirm; what is wanted is in the confirmer.
+	confirmerWake chan struct{}
 	store         directory.Store
-	// storeTurn counts the stores that were turned to.
-	storeTurn int
-	peers     *peers
-	updates   *updates
-	metrics   directoryMetrics
-	services  *serviceMetrics
-	refusals  *refusalLog
-	// closed are the zones that were reported last as closed.
-	closed []directory.ClosedZone
+	// storeGeneration counts the stores that were turned to.
+	storeGeneration  int
+	peers            *peerExchange
+	updates          *updateTransport
+	directoryMetrics directoryMetrics
+	serviceMetrics   *serviceMetrics
+	refusals         *refusalLog
+	// closedZones are the zones that were reported last as closedZones.
+	closedZones []directory.ClosedZone
 	// isolated is what was reported last.
 	isolated bool
 }
 
-func newBalancerRole(surroundings Dependencies, checked *settings.Settings, health *observability.Health, journal *journal, registered *registry.Registry) (*balancerRole, error) {
-	given := checked.Relay.Balancer
+func newBalancerRole(dependencies Dependencies, config *settings.Settings, health *observability.Health, recorder *eventRecorder, metrics *registry.Registry) (*balancerRole, error) {
+	balancerConfig := config.Relay.Balancer
 	balancer := relay.NewBalancer(relay.BalancerConfig{
-		Zone:         checked.Zone,
-		Codec:        surroundings.Codec,
-		AgentPort:    given.Listen.Port(),
-		FlowLifetime: checked.Relay.FlowLifetime,
-		FlowLimit:    checked.Relay.FlowLimit,
-		ApplyTimeout: given.ApplyTimeout,
-		DrainTimeout: given.DrainTimeout,
+		Zone:         config.Zone,
+		Codec:        dependencies.Codec,
+		AgentPort:    balancerConfig.Listen.Port(),
+		FlowLifetime: config.Relay.FlowLifetime,
+		FlowLimit:    config.Relay.FlowLimit,
+		ApplyTimeout: balancerConfig.ApplyTimeout,
+		DrainTimeout: balancerConfig.DrainTimeout,
 		Random:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
-	machine := directory.NewReplica()
-	timing := timingOf(given)
+	replica := directory.NewReplica()
+	timing := timingOf(balancerConfig)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	spread := directory.NewDisseminator(machine, timing, memberOf(checked), peersOf(seedsOf(given)), random)
+	disseminator := directory.NewDisseminator(replica, timing, selfMember(config), toPeers(otherSeeds(balancerConfig)), random)
 	created := &balancerRole{
-		settings:  *checked.Relay,
-		newStore:  surroundings.NewStore,
-		executor:  newExecutor(balancer, given.Listen.Port(), journal),
-		balancer:  balancer,
-		health:    health,
-		directory: machine,
-		follower:  directory.NewFollower(machine, timing, spread),
-		confirmer: directory.NewConfirmer(machine),
-		spread:    spread,
-		wake:      make(chan struct{}, 1),
-		store:     surroundings.NewStore(given.Store),
-		metrics:   newDirectoryMetrics(registered),
-		services:  newServiceMetrics(registered),
-		refusals:  newRefusalLog(journal.logger, registered),
+		settings:         *config.Relay,
+		newStore:         dependencies.NewStore,
+		executor:         newExecutor(balancer, balancerConfig.Listen.Port(), recorder),
+		balancer:         balancer,
+		health:           health,
+		replica:          replica,
+		follower:         directory.NewFollower(replica, timing, disseminator),
+		confirmer:        directory.NewConfirmer(replica),
+		disseminator:     disseminator,
+		followerWake:     make(chan struct{}, 1),
+		store:            dependencies.NewStore(balancerConfig.Store),
+		directoryMetrics: newDirectoryMetrics(metrics),
+		serviceMetrics:   newServiceMetrics(metrics),
+		refusals:         newRefusalLog(recorder.logger, metrics),
 
-		confirmations: make(chan struct{}, 1),
+		confirmerWake: make(chan struct{}, 1),
 	}
-	created.executor.confirm = created.wantConfirmation
-	created.executor.after = created.observe
+	created.executor.requestConfirmation = created.requestConfirmation
+	created.executor.afterInput = created.updateMetrics
 	health.SetReady(conditionAgents)
 	health.SetNotReady(conditionDirectory, "routes and endpoints are not known yet")
 	var err error
-	created.executor.packets, err = listen(given.Listen, created.arrive)
+	created.executor.packetSocket, err = listen(balancerConfig.Listen, created.handleClientPacket)
 	if err != nil {
 		return nil, err
 	}
-	created.executor.peers, err = listen(checked.Relay.Peers, created.executor.message)
+	created.executor.peerSocket, err = listen(config.Relay.Peers, created.executor.handleMessage)
 	if err != nil {
 		return nil, err
 	}
-	created.updates, err = newUpdates(given, created)
+	created.updates, err = newUpdateTransport(balancerConfig, created)
 	if err != nil {
 		return nil, err
 	}
-	created.peers, err = newPeers(checked, created)
+	created.peers, err = newPeerExchange(config, created)
 	return created, err
 }
 
 // timingOf returns how much time the news of the store have. Where there is nobody to ask,
 // a process that starts lists the store at once.
-func timingOf(given *settings.RelayBalancer) directory.Timing {
+func timingOf(config *settings.RelayBalancer) directory.Timing {
 	timing := directory.Timing{
-		ApplyTimeout:   min(given.ApplyTimeout, given.DrainTimeout, given.CloseTimeout),
-		ContactTimeout: given.ContactTimeout,
+		ApplyTimeout:   min(config.ApplyTimeout, config.DrainTimeout, config.CloseTimeout),
+		ContactTimeout: config.ContactTimeout,
 	}
-	if others := seedsOf(given); len(others) > 0 {
-		isSeed := len(others) < len(given.Seeds)
-		timing.ListingDelay = directory.FirstListingDelay(isSeed, given.FirstStart, rand.Float64())
+	if others := otherSeeds(config); len(others) > 0 {
+		isSeed := len(others) < len(config.Seeds)
+		timing.ListingDelay = directory.FirstListingDelay(isSeed, config.FirstStart, rand.Float64())
 	}
 	return timing
 }
 
-// memberOf returns how the membership names this process.
-func memberOf(checked *settings.Settings) directory.Member {
-	address, _ := membership.AddressOf(checked.Relay.Balancer.Exchange)
-	return directory.Member{Peer: directory.Peer(address), Zone: int(identityOf(checked).Zone)}
+// selfMember returns how the membership names this process.
+func selfMember(config *settings.Settings) directory.Member {
+	address, _ := membership.AddressOf(config.Relay.Balancer.Exchange)
+	return directory.Member{Peer: directory.Peer(address), Zone: int(selfIdentity(config).Zone)}
 }
 
-func peersOf(addresses []membership.Address) []directory.Peer {
+func toPeers(addresses []membership.Address) []directory.Peer {
 	var peers []directory.Peer
 	for _, address := range addresses {
 		peers = append(peers, directory.Peer(address))
@@ -130,16 +130,16 @@
 	return peers
 }
 
-// observe shows the load of the services, and whether agents can be reached.
-func (r *balancerRole) observe(now time.Duration) {
-	if r.services.due(now) {
-		r.services.observe(r.balancer.ServiceLoads())
+// updateMetrics shows the load of the services, and whether agents can be reached.
+func (r *balancerRole) updateMetrics(now time.Duration) {
+	if r.serviceMetrics.due(now) {
+		r.serviceMetrics.observe(r.balancer.ServiceLoads())
 	}
-	r.reportReach()
+	r.updateAgentReadiness()
 }
 
-// reportReach makes the fabric leave a balancer out that reaches no agent.
-func (r *balancerRole) reportReach() {
+// updateAgentReadiness makes the fabric leave a balancer out that reaches no agent.
+func (r *balancerRole) updateAgentReadiness() {
 	isolated := r.balancer.Isolated()
 	if isolated == r.isolated {
 		return
@@ -152,27 +152,27 @@
 	r.health.SetReady(conditionAgents)
 }
 
-func (r *balancerRole) arrive(_ netip.AddrPort, packet []byte) {
+func (r *balancerRole) handleClientPacket(_ netip.AddrPort, packet []byte) {
 	r.executor.do(func(now time.Duration) []relay.Effect { return r.balancer.HandleClientPacket(now, packet) })
 }
 
-func (r *balancerRole) add(group *run.Group) {
-	addActor(group, r.executor.packets.run)
-	addActor(group, r.executor.peers.run)
-	addActor(group, r.executor.tick)
-	addActor(group, r.follow)
-	addActor(group, r.confirm)
+func (r *balancerRole) addActors(group *run.Group) {
+	addActor(group, r.executor.packetSocket.run)
+	addActor(group, r.executor.peerSocket.run)
+	addActor(group, r.executor.runTimer)
+	addActor(group, r.runFollower)
+	addActor(group, r.runConfirmer)
 	addActor(group, r.updates.socket.run)
-	r.peers.add(group)
+	r.peers.addActors(group)
 }
 
-// fabricDelay is how long the fabric takes to notice that a balancer is not
+// fabricDetectionDelay is how long the fabric takes to notice that a balancer is not
 // ready, two probes half a second apart, and half as long again. Other balancers
 // then carry its flows. To go on for longer would keep more balancers of a zone
 // out at once while they are restarted in turn.
-const fabricDelay = 1500 * time.Millisecond
+const fabricDetectionDelay = 1500 * time.Millisecond
 
-func (r *balancerRole) stop() time.Duration { return fabricDelay }
+func (r *balancerRole) beginStop() time.Duration { return fabricDetectionDelay }
 
 // idle is never so: the fabric may send further flows until it has noticed.
 func (r *balancerRole) idle() bool { return false }
@@ -187,30 +187,30 @@
 	r.executor.do(func(time.Duration) []relay.Effect {
 		if changed.Balancer.Store != r.settings.Balancer.Store {
 			r.store = r.newStore(changed.Balancer.Store)
-			r.storeTurn++
+			r.storeGeneration++
 			r.follower.Relist()
 		}
 		return nil
 	})
-	r.wakeFollow()
-	given := *r.settings.Balancer
-	given.Store, given.Seeds = changed.Balancer.Store, changed.Balancer.Seeds
-	r.settings.Balancer, r.settings.StopTimeout = &given, changed.StopTimeout
+	r.wakeFollower()
+	kept := *r.settings.Balancer
+	kept.Store, kept.Seeds = changed.Balancer.Store, changed.Balancer.Seeds
+	r.settings.Balancer, r.settings.StopTimeout = &kept, changed.StopTimeout
 	return reflect.DeepEqual(*changed, r.settings)
 }
 
-// follow keeps the directory current until ctx ends.
-func (r *balancerRole) follow(ctx context.Context) error {
+// runFollower keeps the directory current until ctx ends.
+func (r *balancerRole) runFollower(ctx context.Context) error {
 	for ctx.Err() == nil {
-		next, wait := r.nextCall()
+		next, wait := r.nextStoreCall()
 		if wait <= 0 {
-			r.perform(ctx, next)
+			r.performStoreCall(ctx, next)
 			continue
 		}
 		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
-		case <-r.wake:
+		case <-r.followerWake:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -218,119 +218,119 @@
 	return nil
 }
 
-// wakeFollow makes follow decide again.
-func (r *balancerRole) wakeFollow() {
+// wakeFollower makes follow decide again.
+func (r *balancerRole) wakeFollower() {
 	select {
-	case r.wake <- struct{}{}:
+	case r.followerWake <- struct{}{}:
 	default:
 	}
 }
 
 // storeCall is a call of the store that was used when it was decided on.
 type storeCall struct {
-	call  directory.Call
-	store directory.Store
-	turn  int
+	call       directory.Call
+	store      directory.Store
+	generation int
 }
 
-// nextCall returns the next call of the store and how long to wait before it.
-func (r *balancerRole) nextCall() (storeCall, time.Duration) {
+// nextStoreCall returns the next call of the store and how long to wait before it.
+func (r *balancerRole) nextStoreCall() (storeCall, time.Duration) {
 	r.executor.mutex.Lock()
 	defer r.executor.mutex.Unlock()
-	now := time.Since(r.executor.started)
+	now := time.Since(r.executor.startedAt)
 	call, at := r.follower.Next(now)
-	return storeCall{call, r.store, r.storeTurn}, at - now
+	return storeCall{call, r.store, r.storeGeneration}, at - now
 }
 
-func (r *balancerRole) perform(running context.Context, next storeCall) {
-	ctx, cancel := context.WithTimeout(running, next.call.Timeout)
+func (r *balancerRole) performStoreCall(parent context.Context, next storeCall) {
+	ctx, cancel := context.WithTimeout(parent, next.call.Timeout)
 	defer cancel()
 	if next.call.Listing {
 		page, err := next.store.List(ctx, next.call.AfterKey)
-		r.metrics.called(kindOf(next.call), err)
-		r.conclude(running, next.turn, err, func(now time.Duration) bool {
+		r.directoryMetrics.countStoreCall(storeCallKind(next.call), err)
+		r.finishStoreCall(parent, next.generation, err, func(now time.Duration) bool {
 			changed := r.follower.HandlePage(now, page)
 			if r.follower.InSync() {
-				r.spread.StoreListed()
+				r.disseminator.StoreListed()
 			}
 			return changed
 		})
 		return
 	}
 	changes, err := next.store.Watch(ctx, next.call.AfterRevision, next.call.Wait)
-	r.metrics.called(kindOf(next.call), err)
-	r.conclude(running, next.turn, err, func(now time.Duration) bool { return r.follower.HandleChanges(now, changes, rand.Float64()) })
+	r.directoryMetrics.countStoreCall(storeCallKind(next.call), err)
+	r.finishStoreCall(parent, next.generation, err, func(now time.Duration) bool { return r.follower.HandleChanges(now, changes, rand.Float64()) })
 }
 
-// conclude hands the outcome of a call to the follower and puts a changed
+// finishStoreCall hands the outcome of a call to the follower and puts a changed
 // snapshot in force. An answer of a store that is no longer used is dropped. A call
 // that fails since the process ends is no loss of the store.
-func (r *balancerRole) conclude(running context.Context, turn int, err error, merge func(now time.Duration) bool) {
-	stopped := running.Err() != nil
+func (r *balancerRole) finishStoreCall(parent context.Context, generation int, err error, apply func(now time.Duration) bool) {
+	stopped := parent.Err() != nil
 	r.executor.do(func(now time.Duration) []relay.Effect {
-		if turn != r.storeTurn {
+		if generation != r.storeGeneration {
 			return nil
 		}
-		before := r.follower.InSync()
+		wasInSync := r.follower.InSync()
 		if err != nil {
 			r.follower.HandleFailure(now, err, rand.Float64())
-			r.peers.exchange.StoreFailed()
-			r.reportLoss(before && !stopped, err)
+			r.peers.fetcher.StoreFailed()
+			r.logStoreLoss(wasInSync && !stopped, err)
 			return nil
 		}
-		changed := merge(now)
+		changed := apply(now)
 		if r.follower.InSync() {
 			r.balancer.MarkConfirmed(now)
-			r.updates.send(r.spread.StoreAnswered(now))
+			r.updates.send(r.disseminator.StoreAnswered(now))
 		}
-		if !before && r.follower.InSync() {
-			r.executor.journal.logger.Info("store followed", "revision", uint64(r.directory.AppliedRevision()))
+		if !wasInSync && r.follower.InSync() {
+			r.executor.recorder.logger.Info("store followed", "revision", uint64(r.replica.AppliedRevision()))
 		}
-		return r.installIf(changed, now)
+		return r.installIfChanged(changed, now)
 	})
 }
 
-// installIf puts the directory in force if it has changed.
-func (r *balancerRole) installIf(changed bool, now time.Duration) []relay.Effect {
-	r.peers.announce(r.directory.Digest())
-	r.refusals.report(r.directory)
-	if !changed || !r.directory.Ready() {
+// installIfChanged puts the directory in force if it has changed.
+func (r *balancerRole) installIfChanged(changed bool, now time.Duration) []relay.Effect {
+	r.peers.announceDigest(r.replica.Digest())
+	r.refusals.report(r.replica)
+	if !changed || !r.replica.Ready() {
 		return nil
 	}
-	return r.install(now)
+	return r.installSnapshot(now)
 }
 
-func (r *balancerRole) reportLoss(followed bool, err error) {
-	if followed {
-		r.executor.journal.logger.Warn("store lost", "error", err)
+func (r *balancerRole) logStoreLoss(wasInSync bool, err error) {
+	if wasInSync {
+		r.executor.recorder.logger.Warn("store lost", "error", err)
 	}
 }
 
-// reportZones logs which zones have been closed or opened since the last time, each with the
+// logZoneChanges logs which zones have been closed or opened since the last time, each with the
 // revision at which that is known and for how long it has been closed.
-func (r *balancerRole) reportZones(now time.Duration, closed []directory.ClosedZone) {
-	logger := r.executor.journal.logger
+func (r *balancerRole) logZoneChanges(now time.Duration, closed []directory.ClosedZone) {
+	logger := r.executor.recorder.logger
 	for _, zone := range closed {
-		if !slices.ContainsFunc(r.closed, func(before directory.ClosedZone) bool { return before.Zone == zone.Zone }) {
+		if !slices.ContainsFunc(r.closedZones, func(before directory.ClosedZone) bool { return before.Zone == zone.Zone }) {
 			logger.Warn("zone closed to new flows", "zone_closed", zone.Zone, "revision", uint64(zone.Revision))
 		}
 	}
-	for _, before := range r.closed {
+	for _, before := range r.closedZones {
 		if !slices.ContainsFunc(closed, func(zone directory.ClosedZone) bool { return before.Zone == zone.Zone }) {
 			logger.Info("zone opened to new flows", "zone_opened", before.Zone,
-				"revision", uint64(r.directory.AppliedRevision()), "closed_ms", (now - before.Since).Milliseconds())
+				"revision", uint64(r.replica.AppliedRevision()), "closed_ms", (now - before.Since).Milliseconds())
 		}
 	}
-	r.closed = closed
+	r.closedZones = closed
 }
 
-func (r *balancerRole) install(now time.Duration) []relay.Effect {
-	snapshot := r.directory.Snapshot()
-	r.reportZones(now, snapshot.ClosedZones())
+func (r *balancerRole) installSnapshot(now time.Duration) []relay.Effect {
+	snapshot := r.replica.Snapshot()
+	r.logZoneChanges(now, snapshot.ClosedZones())
 	r.health.SetReady(conditionDirectory)
-	r.metrics.observe(snapshot)
-	r.executor.journal.logger.Info("directory changed",
-		"version", snapshot.Version(), "revision", uint64(r.directory.AppliedRevision()),
+	r.directoryMetrics.observe(snapshot)
+	r.executor.recorder.logger.Info("directory changed",
+		"version", snapshot.Version(), "revision", uint64(r.replica.AppliedRevision()),
 		"routes", snapshot.RouteCount(), "endpoints", len(snapshot.All()))
 	return r.balancer.Install(now, snapshot)
 }
--- a/internal/relaydaemon/command.go
+++ b/internal/relaydaemon/command.go
@@ -19,14 +19,14 @@
 }
 
 // Program is vanetiller-relay.
-func Program(surroundings Dependencies) program.Program {
+func Program(dependencies Dependencies) program.Program {
 	return program.Program{
 		Name:    "vanetiller-relay",
 		Purpose: "runs one process of a fleet that carries the packets of flows whole: a balancer, or the agent beside an endpoint.",
 		// The users' engineers collect standard output.
 		LogToStdout: true,
-		New: func(checked *settings.Settings, output io.Writer) (program.Server, error) {
-			return New(surroundings, checked, output)
+		New: func(config *settings.Settings, output io.Writer) (program.Server, error) {
+			return New(dependencies, config, output)
 		},
 	}
 }
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -31,11 +31,11 @@
 
 // role is what the process does besides being observed.
 type role interface {
-	// add adds the parts of the role to a group.
-	add(group *run.Group)
-	// stop begins a planned stop and returns how long the role should go on
+	// addActors adds the parts of the role to a group.
+	addActors(group *run.Group)
+	// beginStop begins a planned beginStop and returns how long the role should go on
 	// serving.
-	stop() time.Duration
+	beginStop() time.Duration
 	// idle reports whether a stopping role has nothing left to serve.
 	idle() bool
 	// reload puts in force what of changed settings can be without a new start,
@@ -56,8 +56,8 @@
 // New opens the sockets of the daemon and writes its log to output. It fails
 // if the settings have no relay table or an address cannot be bound. Nothing is
 // served before Run.
-func New(surroundings Dependencies, checked *settings.Settings, output io.Writer) (*Daemon, error) {
-	if checked.Relay == nil {
+func New(dependencies Dependencies, config *settings.Settings, output io.Writer) (*Daemon, error) {
+	if config.Relay == nil {
 		return nil, settings.Errors{{Key: "relay", Rule: "is required"}}
 	}
 	health := observability.NewHealth(conditionServing)
@@ -65,24 +65,24 @@
 	log := logging.NewAsync(output)
 	created := &Daemon{
 		log:    log,
-		logger: logging.New(log, checked.Log.Level, checked.Name, checked.Zone),
+		logger: logging.New(log, config.Log.Level, config.Name, config.Zone),
 		health: health,
 	}
-	created.stopTimeout.Store(int64(checked.Relay.StopTimeout))
+	created.stopTimeout.Store(int64(config.Relay.StopTimeout))
 	var err error
 	created.observability, err = observability.NewServer(observability.ServerConfig{
-		Listen:  checked.Observability.Listen,
+		Listen:  config.Observability.Listen,
 		Health:  health,
 		Metrics: metrics.Handler(),
 	})
 	if err != nil {
 		return nil, err
 	}
-	watch := newJournal(created.logger, metrics)
-	if checked.Relay.Balancer != nil {
-		created.role, err = newBalancerRole(surroundings, checked, health, watch, metrics)
+	recorder := newEventRecorder(created.logger, metrics)
+	if config.Relay.Balancer != nil {
+		created.role, err = newBalancerRole(dependencies, config, health, recorder, metrics)
 	} else {
-		created.role, err = newAgentRole(surroundings, checked.Relay, watch, metrics)
+		created.role, err = newAgentRole(dependencies, config.Relay, recorder, metrics)
 	}
 	return created, errors.Wrap(err, "relay")
 }
@@ -104,25 +104,25 @@
 	d.logger.Error("settings kept, since the new ones are wrong", "error", err)
 }
 
-// logPatience is how long a process that ends waits for its log to be written.
-const logPatience = 200 * time.Millisecond
+// logFlushTimeout is how long a process that ends waits for its log to be written.
+const logFlushTimeout = 200 * time.Millisecond
 
 // stopMargin is what a planned stop leaves of its longest time.
 const stopMargin = 1500 * time.Millisecond
 
-// idleInterval is the time between looks at whether a stopping role is idle; it
+// idlePollInterval is the time between looks at whether a stopping role is idle; it
 // also is the least time that a stop takes.
-const idleInterval = 300 * time.Millisecond
+const idlePollInterval = 300 * time.Millisecond
 
 // Run serves until ctx ends and then stops as planned: it reports that it is
 // not ready and goes on serving until the stop timeout is nearly over. It
 // returns nil after a planned stop, and the first error if a part fails.
 func (d *Daemon) Run(ctx context.Context) error {
-	defer d.log.Close(logPatience)
+	defer d.log.Close(logFlushTimeout)
 	d.logger.Info("daemon started")
 	var group run.Group
 	addActor(&group, d.observability.Run)
-	d.role.add(&group)
+	d.role.addActors(&group)
 	addActor(&group, func(ended context.Context) error {
 		d.awaitStop(ctx, ended)
 		return nil
@@ -145,11 +145,11 @@
 	}
 	d.health.SetNotReady(conditionServing, "stopping")
 	longest := time.Duration(d.stopTimeout.Load()) - stopMargin
-	delay := max(min(d.role.stop(), longest), 0)
+	delay := max(min(d.role.beginStop(), longest), 0)
 	d.logger.Info("stopping", "delay", delay)
 	deadline := time.NewTimer(delay)
 	defer deadline.Stop()
-	poll := time.NewTicker(idleInterval)
+	poll := time.NewTicker(idlePollInterval)
 	defer poll.Stop()
 	for {
 		select {
--- a/internal/relaydaemon/daemon_test.go
+++ b/internal/relaydaemon/daemon_test.go
@@ -91,25 +91,25 @@
 	return b.text.String()
 }
 
-// site is the machine addresses of one test. All daemons share ports, as on a
+// testNetwork is the machine addresses of one test. All daemons share ports, as on a
 // platform; the machines are addresses of the loopback network.
-type site struct {
+type testNetwork struct {
 	packetPort, peerPort, healthPort, exchangePort, appPort, emittedPort, updatePort int
 }
 
-func newSite() site {
+func newTestNetwork() testNetwork {
 	ports := freePorts(7)
-	return site{ports[0], ports[1], ports[2], ports[3], ports[4], ports[5], ports[6]}
+	return testNetwork{ports[0], ports[1], ports[2], ports[3], ports[4], ports[5], ports[6]}
 }
 
-func load(text string) *settings.Settings {
+func parseSettings(text string) *settings.Settings {
 	checked, err := settings.Parse("test.toml", []byte(text))
 	Expect(err).NotTo(HaveOccurred())
 	return checked
 }
 
-func (s site) balancer(ip string, seeds string) *settings.Settings {
-	return load(fmt.Sprintf(`name = "balancer"
+func (s testNetwork) balancer(ip string, seeds string) *settings.Settings {
+	return parseSettings(fmt.Sprintf(`name = "balancer"
 zone = "zone-1"
 [observability]
 listen = "%[1]s:%[2]d"
@@ -126,8 +126,8 @@
 `, ip, s.healthPort, s.peerPort, s.packetPort, s.exchangePort, seeds, s.updatePort))
 }
 
-func (s site) agent(ip string) *settings.Settings {
-	return load(fmt.Sprintf(`name = "agent"
+func (s testNetwork) agent(ip string) *settings.Settings {
+	return parseSettings(fmt.Sprintf(`name = "agent"
 zone = "zone-1"
 [observability]
 listen = "%[1]s:%[2]d"
@@ -143,10 +143,10 @@
 }
 
 // start runs a daemon and returns what stops it and waits for its end.
-func start(checked *settings.Settings, store directory.Store, log io.Writer) (stop context.CancelFunc, ended chan error) {
+func start(config *settings.Settings, store directory.Store, log io.Writer) (stop context.CancelFunc, ended chan error) {
 	created, err := relaydaemon.New(relaydaemon.Dependencies{
 		Codec: codec, NewStore: func(netip.AddrPort) directory.Store { return store },
-	}, checked, log)
+	}, config, log)
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended = make(chan error, 1)
@@ -163,7 +163,7 @@
 	return cancel, ended
 }
 
-func (s site) health(ip string) int {
+func (s testNetwork) health(ip string) int {
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/healthz", ip, s.healthPort))
 	if err != nil {
 		return 0
@@ -173,7 +173,7 @@
 }
 
 // scrape returns the metrics of a daemon, nothing while it does not answer.
-func (s site) scrape(port int, ip string) string {
+func (s testNetwork) scrape(port int, ip string) string {
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", ip, port))
 	if err != nil {
 		return ""
@@ -184,7 +184,7 @@
 	return string(body)
 }
 
-func udp(ip string, port int) *net.UDPConn {
+func listenUDP(ip string, port int) *net.UDPConn {
 	connection, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ip), Port: port})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(connection.Close)
@@ -209,7 +209,7 @@
 
 var route = segment.Address{IP: [4]byte{198, 51, 100, 1}, Port: 443}
 
-func (s site) listing() directory.Page {
+func (s testNetwork) listing() directory.Page {
 	return directory.Page{Revision: 5, Items: []directory.Item{
 		{Revision: 1, Configuration: &directory.Configuration{Version: 4, Routes: []directory.Route{{
 			IP: route.IP, Port: route.Port, WeightedServices: []directory.WeightedService{{Service: "lookup", Weight: 1}},
@@ -222,65 +222,65 @@
 
 var _ = Describe("Daemon", func() {
 	var (
-		used site
-		log  *logBuffer
+		network testNetwork
+		log     *logBuffer
 	)
 
 	BeforeEach(func() {
-		used = newSite()
+		network = newTestNetwork()
 		log = &logBuffer{}
 	})
 
-	status := func(ip string) func() int { return func() int { return used.health(ip) } }
+	status := func(ip string) func() int { return func() int { return network.health(ip) } }
 
 	It("carries a handshake between a client and an endpoint", func() {
-		app := udp(agentIP, used.appPort)
-		client := udp(clientIP, used.packetPort)
-		start(used.agent(agentIP), nil, log)
-		start(used.balancer(balancerIP, ""), fakeStore{page: used.listing()}, log)
+		app := listenUDP(agentIP, network.appPort)
+		client := listenUDP(clientIP, network.packetPort)
+		start(network.agent(agentIP), nil, log)
+		start(network.balancer(balancerIP, ""), fakeStore{page: network.listing()}, log)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		caller := segment.Address{IP: [4]byte{127, 0, 1, 4}, Port: 5555}
 		opening := codec.Encode(segment.Header{Source: caller, Destination: route, Flags: segment.Synchronize, Sequence: 9}, nil)
-		_, err := client.WriteToUDP(opening, &net.UDPAddr{IP: net.ParseIP(balancerIP), Port: used.packetPort})
+		_, err := client.WriteToUDP(opening, &net.UDPAddr{IP: net.ParseIP(balancerIP), Port: network.packetPort})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(receive(app)).To(Equal(opening))
 		answer := codec.Encode(segment.Header{
 			Source: route, Destination: caller, Flags: segment.Synchronize | segment.Acknowledge, Sequence: 70, Acknowledgment: 10,
 		}, nil)
-		_, err = app.WriteToUDP(answer, &net.UDPAddr{IP: net.ParseIP(agentIP), Port: used.emittedPort})
+		_, err = app.WriteToUDP(answer, &net.UDPAddr{IP: net.ParseIP(agentIP), Port: network.emittedPort})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(receive(client)).To(Equal(answer))
 		Eventually(log.String).WithTimeout(10 * time.Second).Should(ContainSubstring(`"event":"placed"`))
 	})
 
 	It("is not ready without a directory, and ready once a peer has told it one while the store is down", func() {
-		start(used.balancer(balancerIP, ""), fakeStore{page: used.listing()}, log)
+		start(network.balancer(balancerIP, ""), fakeStore{page: network.listing()}, log)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
-		lonely := newSite()
-		lonely.exchangePort = used.exchangePort
-		start(lonely.balancer(otherIP, ""), fakeStore{down: true}, io.Discard)
-		Eventually(func() int { return lonely.health(otherIP) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusServiceUnavailable))
-		Consistently(func() int { return lonely.health(otherIP) }).Should(Equal(http.StatusServiceUnavailable))
-		informed := newSite()
-		informed.exchangePort, informed.updatePort = used.exchangePort, used.updatePort
-		start(informed.balancer("127.0.1.5", fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, used.exchangePort))), fakeStore{down: true}, log)
+		noSeeds := newTestNetwork()
+		noSeeds.exchangePort = network.exchangePort
+		start(noSeeds.balancer(otherIP, ""), fakeStore{down: true}, io.Discard)
+		Eventually(func() int { return noSeeds.health(otherIP) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusServiceUnavailable))
+		Consistently(func() int { return noSeeds.health(otherIP) }).Should(Equal(http.StatusServiceUnavailable))
+		informed := newTestNetwork()
+		informed.exchangePort, informed.updatePort = network.exchangePort, network.updatePort
+		start(informed.balancer("127.0.1.5", fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, network.exchangePort))), fakeStore{down: true}, log)
 		Eventually(func() int { return informed.health("127.0.1.5") }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		Expect(log.String()).To(ContainSubstring(`"msg":"directory fetched"`))
 	})
 
 	It("learns of changes from another balancer where the store does not answer", func() {
-		arrival := directory.Item{Revision: 6, EndpointID: directory.NameOnlyID("e-2"), Endpoint: &directory.Endpoint{
-			Service: "lookup", IP: [4]byte{127, 0, 1, 9}, Port: uint16(used.appPort), Slots: 3,
+		addedEndpoint := directory.Item{Revision: 6, EndpointID: directory.NameOnlyID("e-2"), Endpoint: &directory.Endpoint{
+			Service: "lookup", IP: [4]byte{127, 0, 1, 9}, Port: uint16(network.appPort), Slots: 3,
 		}}
 		store := changingStore{
-			fakeStore: fakeStore{page: used.listing()}, changes: make(chan struct{}),
-			change: directory.Changes{Items: []directory.Item{arrival}, Through: 6},
+			fakeStore: fakeStore{page: network.listing()}, changes: make(chan struct{}),
+			change: directory.Changes{Items: []directory.Item{addedEndpoint}, Through: 6},
 		}
-		start(used.balancer(balancerIP, ""), store, io.Discard)
+		start(network.balancer(balancerIP, ""), store, io.Discard)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
-		told := used
+		told := network
 		told.healthPort = freePort()
-		seed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, used.exchangePort))
+		seed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, network.exchangePort))
 		start(told.balancer(otherIP, seed), fakeStore{down: true}, log)
 		Eventually(func() int { return told.health(otherIP) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		close(store.changes)
@@ -290,84 +290,84 @@
 	It("learns the directory though a peer goes silent half way through telling it", func() {
 		asked := make(chan struct{}, 100)
 		release := make(chan struct{})
-		listener, err := net.Listen("tcp4", fmt.Sprintf("127.0.1.6:%d", used.exchangePort))
+		listener, err := net.Listen("tcp4", fmt.Sprintf("127.0.1.6:%d", network.exchangePort))
 		Expect(err).NotTo(HaveOccurred())
-		silent := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		stalledServer := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "1000")
 			_, _ = w.Write([]byte("the first half"))
 			w.(http.Flusher).Flush()
 			asked <- struct{}{}
 			<-release
 		})}
-		go func() { _ = silent.Serve(listener) }()
+		go func() { _ = stalledServer.Serve(listener) }()
 		DeferCleanup(func() {
 			close(release)
-			Expect(silent.Close()).To(Succeed())
+			Expect(stalledServer.Close()).To(Succeed())
 		})
-		seed := fmt.Sprintf("%q", fmt.Sprintf("127.0.1.6:%d", used.exchangePort))
-		start(used.balancer(otherIP, seed), fakeStore{down: true}, log)
+		seed := fmt.Sprintf("%q", fmt.Sprintf("127.0.1.6:%d", network.exchangePort))
+		start(network.balancer(otherIP, seed), fakeStore{down: true}, log)
 		Eventually(asked).WithTimeout(10 * time.Second).Should(Receive())
-		told := used
+		told := network
 		told.healthPort = freePort()
-		informing := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", otherIP, used.exchangePort))
-		start(told.balancer(balancerIP, informing), fakeStore{page: used.listing()}, io.Discard)
+		informing := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", otherIP, network.exchangePort))
+		start(told.balancer(balancerIP, informing), fakeStore{page: network.listing()}, io.Discard)
 		Eventually(status(otherIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 	})
 
 	It("refuses new flows to a zone of whose closing it learns from another balancer, and says so", func() {
-		page := used.listing()
+		page := network.listing()
 		page.Items[1].Endpoint.Zone = "zone-1"
 		store := changingStore{
 			fakeStore: fakeStore{page: page}, changes: make(chan struct{}),
 			change: directory.Changes{Items: []directory.Item{{Revision: 6, Zone: "zone-1", ZoneClosed: true}}, Through: 6},
 		}
-		start(used.balancer(balancerIP, ""), store, io.Discard)
+		start(network.balancer(balancerIP, ""), store, io.Discard)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
-		told := used
+		told := network
 		told.healthPort = freePort()
-		seed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, used.exchangePort))
+		seed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, network.exchangePort))
 		start(told.balancer(otherIP, seed), fakeStore{down: true}, log)
 		Eventually(func() int { return told.health(otherIP) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		close(store.changes)
 		Eventually(log.String).WithTimeout(10 * time.Second).Should(ContainSubstring(`"msg":"zone closed to new flows"`))
-		client := udp(clientIP, used.packetPort)
+		client := listenUDP(clientIP, network.packetPort)
 		caller := segment.Address{IP: [4]byte{127, 0, 1, 4}, Port: 5555}
 		opening := codec.Encode(segment.Header{Source: caller, Destination: route, Flags: segment.Synchronize, Sequence: 9}, nil)
-		_, err := client.WriteToUDP(opening, &net.UDPAddr{IP: net.ParseIP(otherIP), Port: used.packetPort})
+		_, err := client.WriteToUDP(opening, &net.UDPAddr{IP: net.ParseIP(otherIP), Port: network.packetPort})
 		Expect(err).NotTo(HaveOccurred())
 		header, _ := codec.Decode(receive(client))
 		Expect(header.Flags.Has(segment.Reset)).To(BeTrue())
 		Eventually(log.String).WithTimeout(10 * time.Second).Should(ContainSubstring(`"reason":"zone_closed"`))
-		Expect(used.scrape(told.healthPort, otherIP)).To(SatisfyAll(
+		Expect(network.scrape(told.healthPort, otherIP)).To(SatisfyAll(
 			ContainSubstring("vanetiller_relay_closed_zones 1"), ContainSubstring("vanetiller_relay_closed_zone_endpoints 1")))
 	})
 
 	It("says which entry it cannot use, once, and serves with the others", func() {
-		page := used.listing()
+		page := network.listing()
 		page.Items = append(page.Items, directory.Item{
 			Key: "endpoints/e-9", Revision: 4, EndpointID: directory.NameOnlyID("e-9"), RefusalReason: directory.RefusedWrongType,
 		})
-		start(used.balancer(balancerIP, ""), fakeStore{page: page}, log)
+		start(network.balancer(balancerIP, ""), fakeStore{page: page}, log)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		refused := MatchRegexp(`"msg":"entry refused".*"entry":"endpoints/e-9","revision":4,"reason":"wrong_type"`)
 		Eventually(log.String).WithTimeout(10 * time.Second).Should(refused)
-		Expect(used.scrape(used.healthPort, balancerIP)).To(SatisfyAll(
+		Expect(network.scrape(network.healthPort, balancerIP)).To(SatisfyAll(
 			ContainSubstring(`vanetiller_relay_entries_refused_total{reason="wrong_type"} 1`),
 			ContainSubstring(`vanetiller_relay_refused_entries{reason="wrong_type"} 1`),
 			ContainSubstring("vanetiller_relay_endpoints 1")))
 	})
 
 	It("resets a flow that nobody holds, also where the store does not answer and a peer confirms the directory", func() {
-		client := udp(clientIP, used.packetPort)
-		start(used.agent(agentIP), nil, log)
-		start(used.balancer(balancerIP, ""), fakeStore{page: used.listing()}, log)
-		informed := used
+		client := listenUDP(clientIP, network.packetPort)
+		start(network.agent(agentIP), nil, log)
+		start(network.balancer(balancerIP, ""), fakeStore{page: network.listing()}, log)
+		informed := network
 		informed.healthPort = freePort()
-		seed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, used.exchangePort))
+		seed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, network.exchangePort))
 		start(informed.balancer(otherIP, seed), fakeStore{down: true}, log)
 		Eventually(status(agentIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		for port, ip := range []string{balancerIP, otherIP} {
-			health := used
+			health := network
 			if ip == otherIP {
 				health = informed
 			}
@@ -376,7 +376,7 @@
 			stray := codec.Encode(segment.Header{
 				Source: caller, Destination: route, Flags: segment.Acknowledge, Sequence: 10, Acknowledgment: 71,
 			}, []byte("request"))
-			_, err := client.WriteToUDP(stray, &net.UDPAddr{IP: net.ParseIP(ip), Port: used.packetPort})
+			_, err := client.WriteToUDP(stray, &net.UDPAddr{IP: net.ParseIP(ip), Port: network.packetPort})
 			Expect(err).NotTo(HaveOccurred())
 			answered, _ := codec.Decode(receive(client))
 			Expect(answered.Flags.Has(segment.Reset)).To(BeTrue(), ip)
@@ -385,7 +385,7 @@
 	})
 
 	It("goes on serving for a while after a stop has begun, not ready", func() {
-		stop, ended := start(used.balancer(balancerIP, ""), fakeStore{page: used.listing()}, log)
+		stop, ended := start(network.balancer(balancerIP, ""), fakeStore{page: network.listing()}, log)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		stop()
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusServiceUnavailable))
@@ -395,7 +395,7 @@
 	})
 
 	It("ends a stopping agent as soon as its endpoint has no flow", func() {
-		stop, ended := start(used.agent(agentIP), nil, log)
+		stop, ended := start(network.agent(agentIP), nil, log)
 		Eventually(status(agentIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		stop()
 		Eventually(ended).WithTimeout(10 * time.Second).Should(Receive(BeNil()))
@@ -404,10 +404,10 @@
 
 	It("serves its counters, histograms and the version in force", func() {
 		scrape := func(ip string) func() string {
-			return func() string { return used.scrape(used.healthPort, ip) }
+			return func() string { return network.scrape(network.healthPort, ip) }
 		}
-		start(used.agent(agentIP), nil, log)
-		start(used.balancer(balancerIP, ""), fakeStore{page: used.listing()}, log)
+		start(network.agent(agentIP), nil, log)
+		start(network.balancer(balancerIP, ""), fakeStore{page: network.listing()}, log)
 		Eventually(scrape(agentIP)).WithTimeout(10 * time.Second).Should(SatisfyAll(
 			ContainSubstring(`vanetiller_relay_events_total{kind="held"} 0`),
 			ContainSubstring("vanetiller_relay_wait_seconds_bucket")))
@@ -420,9 +420,9 @@
 
 	It("turns to another store when the settings are read again", func() {
 		stores := map[string]directory.Store{
-			"127.0.0.1:1": fakeStore{down: true}, "127.0.0.1:2": fakeStore{page: used.listing()},
+			"127.0.0.1:1": fakeStore{down: true}, "127.0.0.1:2": fakeStore{page: network.listing()},
 		}
-		checked := used.balancer(balancerIP, "")
+		checked := network.balancer(balancerIP, "")
 		created, err := relaydaemon.New(relaydaemon.Dependencies{
 			Codec: codec, NewStore: func(address netip.AddrPort) directory.Store { return stores[address.String()] },
 		}, checked, log)
@@ -435,7 +435,7 @@
 			Eventually(ended).WithTimeout(10 * time.Second).Should(Receive())
 		})
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusServiceUnavailable))
-		changed := used.balancer(balancerIP, "")
+		changed := network.balancer(balancerIP, "")
 		changed.Relay.Balancer.Store = netip.MustParseAddrPort("127.0.0.1:2")
 		created.Reload(changed)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
--- a/internal/relaydaemon/directorymetrics.go
+++ b/internal/relaydaemon/directorymetrics.go
@@ -13,14 +13,14 @@
 // directoryMetrics show what a balancer has in force, how it came to know, and what that
 // costs.
 type directoryMetrics struct {
-	version   metrics.Gauge
-	routes    metrics.Gauge
-	endpoints metrics.Gauge
-	age       metrics.Gauge
-	closed    metrics.Gauge
-	leftOut   metrics.Gauge
-	calls     metrics.Counter
-	updates   metrics.Counter
+	version             metrics.Gauge
+	routes              metrics.Gauge
+	endpoints           metrics.Gauge
+	age                 metrics.Gauge
+	closedZones         metrics.Gauge
+	closedZoneEndpoints metrics.Gauge
+	storeCalls          metrics.Counter
+	updates             metrics.Counter
 }
 
 // The labels of the counters, and the values that are not names of failures.
@@ -41,14 +41,14 @@
 
 func newDirectoryMetrics(registered *registry.Registry) directoryMetrics {
 	return directoryMetrics{
-		version:   registered.Gauge("relay_configuration_version", "Version of the configuration in force, 0 before the first."),
-		routes:    registered.Gauge("relay_routes", "Routes in force."),
-		endpoints: registered.Gauge("relay_endpoints", "Endpoints known, those that are leaving or gone included."),
-		age:       registered.Gauge("relay_directory_age_seconds", "Time since the store has confirmed the directory, to this balancer or to others."),
-		closed:    registered.Gauge("relay_closed_zones", "Zones that are closed to new flows."),
-		leftOut:   registered.Gauge("relay_closed_zone_endpoints", "Endpoints that get no new flow only since their zone is closed."),
-		calls:     registered.Counter("relay_store_calls_total", "Calls of the store, by kind and outcome.", kindLabel, outcomeLabel),
-		updates:   registered.Counter("relay_updates_total", "Datagrams with changes of the directory, from and to other balancers.", directionLabel),
+		version:             registered.Gauge("relay_configuration_version", "Version of the configuration in force, 0 before the first."),
+		routes:              registered.Gauge("relay_routes", "Routes in force."),
+		endpoints:           registered.Gauge("relay_endpoints", "Endpoints known, those that are leaving or gone included."),
+		age:                 registered.Gauge("relay_directory_age_seconds", "Time since the store has confirmed the directory, to this balancer or to others."),
+		closedZones:         registered.Gauge("relay_closed_zones", "Zones that are closed to new flows."),
+		closedZoneEndpoints: registered.Gauge("relay_closed_zone_endpoints", "Endpoints that get no new flow only since their zone is closed."),
+		storeCalls:          registered.Counter("relay_store_calls_total", "Calls of the store, by kind and outcome.", kindLabel, outcomeLabel),
+		updates:             registered.Counter("relay_updates_total", "Datagrams with changes of the directory, from and to other balancers.", directionLabel),
 	}
 }
 
@@ -56,14 +56,14 @@
 	m.version.Set(float64(snapshot.Version()))
 	m.routes.Set(float64(snapshot.RouteCount()))
 	m.endpoints.Set(float64(len(snapshot.All())))
-	m.closed.Set(float64(len(snapshot.ClosedZones())))
-	leftOut := 0
+	m.closedZones.Set(float64(len(snapshot.ClosedZones())))
+	count := 0
 	for _, candidate := range snapshot.All() {
 		if candidate.ZoneClosed && !candidate.Leaving {
-			leftOut++
+			count++
 		}
 	}
-	m.leftOut.Set(float64(leftOut))
+	m.closedZoneEndpoints.Set(float64(count))
 }
 
 // observeAge shows how old the latest confirmation is, once there is one.
@@ -73,18 +73,18 @@
 	}
 }
 
-// called counts a call of the store.
-func (m directoryMetrics) called(kind string, err error) {
+// countStoreCall counts a call of the store.
+func (m directoryMetrics) countStoreCall(kind string, err error) {
 	outcome := outcomeAnswered
 	var failed *directory.StoreError
 	if errors.As(err, &failed) {
 		outcome = failed.Failure.String()
 	}
-	m.calls.With(kindLabel, kind, outcomeLabel, outcome).Add(1)
+	m.storeCalls.With(kindLabel, kind, outcomeLabel, outcome).Add(1)
 }
 
-// kindOf returns the kind of a call that keeps the directory current.
-func kindOf(call directory.Call) string {
+// storeCallKind returns the kind of a call that keeps the directory current.
+func storeCallKind(call directory.Call) string {
 	switch {
 	case call.Listing:
 		return callListing
--- a/internal/relaydaemon/eventrecorder.go
+++ b/internal/relaydaemon/eventrecorder.go
@@ -29,42 +29,42 @@
 	routineBurst     = 200
 )
 
-// secondsBuckets are the upper bounds of the buckets of latency histograms.
-var secondsBuckets = []float64{0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5}
+// latencyBuckets are the upper bounds of the buckets of latency histograms.
+var latencyBuckets = []float64{0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5}
 
-// journal logs, counts and times the decisions of a role.
-type journal struct {
-	logger  *log.Logger
-	unusual limited
-	routine limited
-	counts  []metrics.Counter
-	elapsed map[relay.EventKind]metrics.Histogram
-	load    *loadLog
+// eventRecorder logs, counts and times the decisions of a role.
+type eventRecorder struct {
+	logger       *log.Logger
+	unusual      logLimit
+	routine      logLimit
+	eventCounts  []metrics.Counter
+	durations    map[relay.EventKind]metrics.Histogram
+	loadReporter *loadReporter
 	// ejections count by the reason.
-	ejections map[string]metrics.Counter
-	admitted  map[string]metrics.Counter
+	ejections  map[string]metrics.Counter
+	admissions map[string]metrics.Counter
 }
 
-// limited is a part of the log with a bound.
-type limited struct {
+// logLimit is a part of the log with a bound.
+type logLimit struct {
 	limiter *rate.Limiter
 	omitted int
 }
 
-func newLimited(perSecond rate.Limit, burst int) limited {
-	return limited{limiter: rate.NewLimiter(perSecond, burst)}
+func newLogLimit(perSecond rate.Limit, burst int) logLimit {
+	return logLimit{limiter: rate.NewLimiter(perSecond, burst)}
 }
 
-func newJournal(logger *log.Logger, registered *registry.Registry) *journal {
+func newEventRecorder(logger *log.Logger, registered *registry.Registry) *eventRecorder {
 	histogram := func(name, help string) metrics.Histogram {
-		return registered.Histogram(name, help, secondsBuckets)
-	}
-	created := &journal{
-		logger:  logger,
-		unusual: newLimited(eventsPerSecond, eventsBurst),
-		routine: newLimited(routinePerSecond, routineBurst),
-		load:    newLoadLog(logger, registered),
-		elapsed: map[relay.EventKind]metrics.Histogram{
+		return registered.Histogram(name, help, latencyBuckets)
+	}
+	created := &eventRecorder{
+		logger:       logger,
+		unusual:      newLogLimit(eventsPerSecond, eventsBurst),
+		routine:      newLogLimit(routinePerSecond, routineBurst),
+		loadReporter: newLoadReporter(logger, registered),
+		durations: map[relay.EventKind]metrics.Histogram{
 			relay.EventPlaced:   histogram("relay_placement_seconds", "Time from a flow's opening packet to the endpoint's answer to it."),
 			relay.EventAnswered: histogram("relay_answer_seconds", "Time from a request to the beginning of its answer."),
 			relay.EventReleased: histogram("relay_early_seconds", "Time that packets waited for the first directory."),
@@ -77,17 +77,17 @@
 	for _, kind := range relay.EventKinds() {
 		counted := counter.With(kindLabel, kind.String())
 		counted.Add(0)
-		created.counts = append(created.counts, counted)
+		created.eventCounts = append(created.eventCounts, counted)
 	}
 	ejections := registered.Counter("relay_ejections_total", "Ejections of the endpoint beside an agent, by reason.", reasonLabel)
 	created.ejections = make(map[string]metrics.Counter)
-	for _, class := range outlier.Outcomes()[outlier.Failure:] {
-		created.ejections[class.String()] = ejections.With(reasonLabel, class.String())
+	for _, outcome := range outlier.Outcomes()[outlier.Failure:] {
+		created.ejections[outcome.String()] = ejections.With(reasonLabel, outcome.String())
 	}
 	admitted := registered.Counter("relay_admitted_total", "Requests that waited and were given to the endpoint, by why each went first.", reasonLabel)
-	created.admitted = make(map[string]metrics.Counter)
+	created.admissions = make(map[string]metrics.Counter)
 	for _, reason := range requestqueue.Reasons() {
-		created.admitted[reason.String()] = admitted.With(reasonLabel, reason.String())
+		created.admissions[reason.String()] = admitted.With(reasonLabel, reason.String())
 	}
 	return created
 }
@@ -97,35 +97,35 @@
 	return kind == relay.EventPlaced || kind == relay.EventGiven || kind == relay.EventAnswered || kind == relay.EventReleased
 }
 
-func (j *journal) record(now time.Duration, event relay.Event) {
-	j.load.record(now, event)
-	j.counts[event.Kind].Add(1)
-	if histogram, timed := j.elapsed[event.Kind]; timed {
+func (j *eventRecorder) record(now time.Duration, event relay.Event) {
+	j.loadReporter.record(now, event)
+	j.eventCounts[event.Kind].Add(1)
+	if histogram, timed := j.durations[event.Kind]; timed {
 		histogram.Observe(event.Elapsed.Seconds())
 	}
 	if event.Kind == relay.EventEjected {
 		j.ejections[event.Reason].Add(1)
 	}
 	if event.Kind == relay.EventAdmitted {
-		j.admitted[event.Reason].Add(1)
+		j.admissions[event.Reason].Add(1)
 	}
-	bound := &j.unusual
+	limit := &j.unusual
 	if isRoutine(event.Kind) {
-		bound = &j.routine
+		limit = &j.routine
 	}
-	if !bound.limiter.Allow() {
-		bound.omitted++
+	if !limit.limiter.Allow() {
+		limit.omitted++
 		return
 	}
-	fields := fieldsOf(event)
-	if bound.omitted > 0 {
-		fields = append(fields, "omitted", bound.omitted)
-		bound.omitted = 0
+	fields := eventFields(event)
+	if limit.omitted > 0 {
+		fields = append(fields, "omitted", limit.omitted)
+		limit.omitted = 0
 	}
 	j.logger.Info("decision", fields...)
 }
 
-func fieldsOf(event relay.Event) []any {
+func eventFields(event relay.Event) []any {
 	fields := []any{"event", event.Kind.String()}
 	if !event.Flow.Client.IsZero() {
 		fields = append(fields, "client", event.Flow.Client, "service", event.Flow.Service)
--- a/internal/relaydaemon/executor.go
+++ b/internal/relaydaemon/executor.go
@@ -10,11 +10,11 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// minimumTick bounds how often a deciding part looks at its timeouts.
-const minimumTick = 5 * time.Millisecond
+// minTickDelay bounds how often a deciding part looks at its timeouts.
+const minTickDelay = 5 * time.Millisecond
 
-// decider is a deciding part: a relay.Balancer or a relay.Agent.
-type decider interface {
+// stateMachine is a deciding part: a relay.Balancer or a relay.Agent.
+type stateMachine interface {
 	Receive(now time.Duration, from segment.Address, message relay.Message) []relay.Effect
 	Tick(now time.Duration) []relay.Effect
 	NextTick(now time.Duration) time.Duration
@@ -24,29 +24,29 @@
 // effects.
 type executor struct {
 	mutex      sync.Mutex
-	decider    decider
-	started    time.Time
+	machine    stateMachine
+	startedAt  time.Time
 	clientPort uint16
-	journal    *journal
-	peers      *socket
-	// packets sends to clients and to the endpoint.
-	packets  *socket
-	endpoint segment.Address
-	encoded  []byte
-	timer    *time.Timer
-	armed    time.Duration
-	// confirm, if set, asks for a confirmation of the directory.
-	confirm func()
-	// after, if set, is called after each input.
-	after func(now time.Duration)
+	recorder   *eventRecorder
+	peerSocket *socket
+	// packetSocket sends to clients and to the endpoint.
+	packetSocket *socket
+	endpoint     segment.Address
+	encodeBuffer []byte
+	timer        *time.Timer
+	timerDue     time.Duration
+	// requestConfirmation, if set, asks for a confirmation of the directory.
+	requestConfirmation func()
+	// afterInput, if set, is called afterInput each input.
+	afterInput func(now time.Duration)
 }
 
-func newExecutor(decider decider, clientPort uint16, journal *journal) *executor {
+func newExecutor(decider stateMachine, clientPort uint16, journal *eventRecorder) *executor {
 	return &executor{
-		decider:    decider,
-		started:    time.Now(),
+		machine:    decider,
+		startedAt:  time.Now(),
 		clientPort: clientPort,
-		journal:    journal,
+		recorder:   journal,
 		timer:      time.NewTimer(0),
 	}
 }
@@ -56,54 +56,54 @@
 func (e *executor) do(input func(now time.Duration) []relay.Effect) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	now := time.Since(e.started)
-	e.execute(now, input(now))
-	e.journal.load.flush(now)
-	e.arm(now)
-	if e.after != nil {
-		e.after(now)
+	now := time.Since(e.startedAt)
+	e.executeEffects(now, input(now))
+	e.recorder.loadReporter.flush(now)
+	e.armTimer(now)
+	if e.afterInput != nil {
+		e.afterInput(now)
 	}
 }
 
-func (e *executor) execute(now time.Duration, effects []relay.Effect) {
+func (e *executor) executeEffects(now time.Duration, effects []relay.Effect) {
 	for index := range effects {
 		effect := &effects[index]
 		switch effect.Kind {
 		case relay.EffectSendMessage:
 			e.sendPeer(effect.To, &effect.Message)
 		case relay.EffectSendToClient:
-			e.packets.send(effect.To.WithPort(e.clientPort), effect.Packet)
+			e.packetSocket.send(effect.To.WithPort(e.clientPort), effect.Packet)
 		case relay.EffectSendToEndpoint:
-			e.packets.send(e.endpoint, effect.Packet)
+			e.packetSocket.send(e.endpoint, effect.Packet)
 		case relay.EffectEvent:
-			e.journal.record(now, effect.Event)
+			e.recorder.record(now, effect.Event)
 		case relay.EffectConfirmDirectory:
-			e.confirm()
+			e.requestConfirmation()
 		}
 	}
 }
 
 func (e *executor) sendPeer(to segment.Address, message *relay.Message) {
-	encoded, err := message.MarshalMsg(e.encoded[:0])
+	encoded, err := message.MarshalMsg(e.encodeBuffer[:0])
 	if err != nil {
 		panic("relaydaemon: cannot encode a message: " + err.Error())
 	}
-	e.encoded = encoded
-	e.peers.send(to, encoded)
+	e.encodeBuffer = encoded
+	e.peerSocket.send(to, encoded)
 }
 
-// arm sets the timer if the next timeout comes before it.
-func (e *executor) arm(now time.Duration) {
-	next := e.decider.NextTick(now)
-	if next >= e.armed {
+// armTimer sets the timer if the next timeout comes before it.
+func (e *executor) armTimer(now time.Duration) {
+	next := e.machine.NextTick(now)
+	if next >= e.timerDue {
 		return
 	}
-	e.armed = next
-	e.timer.Reset(max(next-now, minimumTick))
+	e.timerDue = next
+	e.timer.Reset(max(next-now, minTickDelay))
 }
 
-// tick lets the deciding part look at its timeouts until ctx ends.
-func (e *executor) tick(ctx context.Context) error {
+// runTimer lets the deciding part look at its timeouts until ctx ends.
+func (e *executor) runTimer(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -111,27 +111,27 @@
 		case <-e.timer.C:
 		}
 		e.do(func(now time.Duration) []relay.Effect {
-			effects := e.decider.Tick(now)
-			e.armed = e.decider.NextTick(now)
-			e.timer.Reset(max(e.armed-now, minimumTick))
+			effects := e.machine.Tick(now)
+			e.timerDue = e.machine.NextTick(now)
+			e.timer.Reset(max(e.timerDue-now, minTickDelay))
 			return effects
 		})
 	}
 }
 
-// message handles a datagram of another daemon.
-func (e *executor) message(from netip.AddrPort, datagram []byte) {
+// handleMessage handles a datagram of another daemon.
+func (e *executor) handleMessage(from netip.AddrPort, datagram []byte) {
 	sender := segment.AddressOf(from)
 	var message relay.Message
 	if _, err := message.UnmarshalMsg(datagram); err != nil {
-		e.record(relay.Event{Kind: relay.EventMalformed, Peer: sender, Reason: "message"})
+		e.recordEvent(relay.Event{Kind: relay.EventMalformed, Peer: sender, Reason: "message"})
 		return
 	}
-	e.do(func(now time.Duration) []relay.Effect { return e.decider.Receive(now, sender, message) })
+	e.do(func(now time.Duration) []relay.Effect { return e.machine.Receive(now, sender, message) })
 }
 
-func (e *executor) record(event relay.Event) {
+func (e *executor) recordEvent(event relay.Event) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.journal.record(time.Since(e.started), event)
+	e.recorder.record(time.Since(e.startedAt), event)
 }
--- a/internal/relaydaemon/load.go
+++ b/internal/relaydaemon/load.go
@@ -25,16 +25,16 @@
 )
 
 const (
-	// classLimit bounds the classes that are told apart, and with them the metrics.
-	classLimit = 256
+	// maxClasses bounds the classes that are told apart, and with them the metrics.
+	maxClasses = 256
 	// loadInterval is the least time between two lines about a class while requests wait or
 	// are turned away, and calmInterval while none are.
-	loadInterval = time.Second
-	calmInterval = 10 * time.Second
+	loadInterval  = time.Second
+	quietInterval = 10 * time.Second
 )
 
-// loadCount is what happened to the requests and flows of a class since the last line.
-type loadCount struct {
+// loadStats is what happened to the requests and flows of a class since the last line.
+type loadStats struct {
 	// since is when the first of events was counted.
 	since     time.Duration
 	events    int
@@ -50,12 +50,12 @@
 	longest time.Duration
 }
 
-func newLoadCount() *loadCount {
-	return &loadCount{returned: make(map[string]int), refused: make(map[string]int), waits: make(map[string]int)}
+func newLoadStats() *loadStats {
+	return &loadStats{returned: make(map[string]int), refused: make(map[string]int), waits: make(map[string]int)}
 }
 
-// count takes account of an event.
-func (c *loadCount) count(now time.Duration, event relay.Event) {
+// add takes account of an event.
+func (c *loadStats) add(now time.Duration, event relay.Event) {
 	if c.events == 0 {
 		c.since = now
 	}
@@ -76,37 +76,37 @@
 	case relay.EventNoEndpoint:
 		c.refused[event.Reason]++
 	case relay.EventAdmitted:
-		c.waited(event.Elapsed)
+		c.addWait(event.Elapsed)
 	}
 }
 
-func (c *loadCount) waited(elapsed time.Duration) {
+func (c *loadStats) addWait(elapsed time.Duration) {
 	c.waits[waitBucket(elapsed)]++
 	c.longest = max(c.longest, elapsed)
 }
 
-// longerWait is the bucket of waits beyond all bounds.
-const longerWait = "longer"
+// overflowBucket is the bucket of waits beyond all bounds.
+const overflowBucket = "longer"
 
 func waitBucket(elapsed time.Duration) string {
-	bucket, _ := slices.BinarySearch(secondsBuckets, elapsed.Seconds())
-	if bucket == len(secondsBuckets) {
-		return longerWait
+	bucket, _ := slices.BinarySearch(latencyBuckets, elapsed.Seconds())
+	if bucket == len(latencyBuckets) {
+		return overflowBucket
 	}
-	return strconv.FormatFloat(1000*secondsBuckets[bucket], 'f', -1, 64)
+	return strconv.FormatFloat(1000*latencyBuckets[bucket], 'f', -1, 64)
 }
 
-// pressed reports whether something waited or was turned away.
-func (c *loadCount) pressed() bool {
+// underPressure reports whether something waited or was turned away.
+func (c *loadStats) underPressure() bool {
 	return c.longest > 0 || c.expired > 0 || c.ownerless > 0 || len(c.returned) > 0 || len(c.refused) > 0
 }
 
-// due reports whether a line about the class is due.
-func (c *loadCount) due(now time.Duration) bool {
-	return c.pressed() || c.events > 0 && now-c.since >= calmInterval
+// reportDue reports whether a line about the class is reportDue.
+func (c *loadStats) reportDue(now time.Duration) bool {
+	return c.underPressure() || c.events > 0 && now-c.since >= quietInterval
 }
 
-func (c *loadCount) fields() []any {
+func (c *loadStats) fields() []any {
 	return []any{
 		"asked", c.asked, "answered", c.answered, "placed", c.placed, "expired", c.expired, "ownerless", c.ownerless,
 		"returned", c.returned, "refused", c.refused,
@@ -114,8 +114,8 @@
 	}
 }
 
-// isLoad reports whether an event tells what became of a request or a flow.
-func isLoad(kind relay.EventKind) bool {
+// isLoadEvent reports whether an event tells what became of a request or a flow.
+func isLoadEvent(kind relay.EventKind) bool {
 	switch kind {
 	case relay.EventGiven, relay.EventHeld, relay.EventAnswered, relay.EventPlaced, relay.EventExpired,
 		relay.EventOwnerless, relay.EventReturned, relay.EventNoEndpoint, relay.EventAdmitted:
@@ -124,23 +124,23 @@
 	return false
 }
 
-// loadLog sums up what became of requests and flows, by class, in metrics and in lines that
+// loadReporter sums up what became of requests and flows, by class, in metrics and in lines that
 // leave nothing out, unlike those of single decisions.
-type loadLog struct {
+type loadReporter struct {
 	logger *log.Logger
-	counts map[relay.TrafficClass]*loadCount
-	// next is when lines may be due.
-	next     time.Duration
-	requests metrics.Counter
-	returned metrics.Counter
-	refused  metrics.Counter
-	waits    metrics.Histogram
+	stats  map[relay.TrafficClass]*loadStats
+	// nextFlush is when lines may be due.
+	nextFlush time.Duration
+	requests  metrics.Counter
+	returned  metrics.Counter
+	refused   metrics.Counter
+	waits     metrics.Histogram
 }
 
-func newLoadLog(logger *log.Logger, registered *registry.Registry) *loadLog {
-	return &loadLog{
+func newLoadReporter(logger *log.Logger, registered *registry.Registry) *loadReporter {
+	return &loadReporter{
 		logger: logger,
-		counts: make(map[relay.TrafficClass]*loadCount),
+		stats:  make(map[relay.TrafficClass]*loadStats),
 		requests: registered.Counter("relay_requests_total", "Decisions about requests and flows, by service, priority and kind.",
 			serviceLabel, priorityLabel, kindLabel),
 		returned: registered.Counter("relay_returned_total", "New flows that an agent returned to their balancers, by service, priority and reason.",
@@ -148,21 +148,21 @@
 		refused: registered.Counter("relay_refused_total", "New flows that a balancer refused their clients, by service, priority and reason.",
 			serviceLabel, priorityLabel, reasonLabel),
 		waits: registered.Histogram("relay_class_wait_seconds", "Time that requests waited for a busy endpoint, by service and priority.",
-			secondsBuckets, serviceLabel, priorityLabel),
+			latencyBuckets, serviceLabel, priorityLabel),
 	}
 }
 
 // record takes account of an event.
-func (l *loadLog) record(now time.Duration, event relay.Event) {
-	if !isLoad(event.Kind) {
+func (l *loadReporter) record(now time.Duration, event relay.Event) {
+	if !isLoadEvent(event.Kind) {
 		return
 	}
-	class := l.bounded(event.Class)
-	if l.counts[class] == nil {
-		l.counts[class] = newLoadCount()
+	class := l.reportedClass(event.Class)
+	if l.stats[class] == nil {
+		l.stats[class] = newLoadStats()
 	}
-	l.counts[class].count(now, event)
-	labels := labelsOf(class)
+	l.stats[class].add(now, event)
+	labels := classLabels(class)
 	l.requests.With(append(labels, kindLabel, event.Kind.String())...).Add(1)
 	switch event.Kind {
 	case relay.EventReturned:
@@ -174,46 +174,46 @@
 	}
 }
 
-// bounded returns the class under which an event counts.
-func (l *loadLog) bounded(class relay.TrafficClass) relay.TrafficClass {
-	if _, exists := l.counts[class]; exists || len(l.counts) < classLimit {
+// reportedClass returns the class under which an event counts.
+func (l *loadReporter) reportedClass(class relay.TrafficClass) relay.TrafficClass {
+	if _, exists := l.stats[class]; exists || len(l.stats) < maxClasses {
 		return class
 	}
 	return relay.TrafficClass{Service: otherValue}
 }
 
 // flush writes the lines that are due.
-func (l *loadLog) flush(now time.Duration) {
-	if now < l.next {
+func (l *loadReporter) flush(now time.Duration) {
+	if now < l.nextFlush {
 		return
 	}
-	l.next = now + loadInterval
-	for _, class := range slices.SortedFunc(maps.Keys(l.counts), compareClasses) {
-		count := l.counts[class]
-		if !count.due(now) {
+	l.nextFlush = now + loadInterval
+	for _, class := range slices.SortedFunc(maps.Keys(l.stats), compareClasses) {
+		stats := l.stats[class]
+		if !stats.reportDue(now) {
 			continue
 		}
-		fields := append(fieldsOfClass(class), "interval_ms", (now - count.since).Milliseconds())
-		l.logger.Info("load", append(fields, count.fields()...)...)
-		l.counts[class] = newLoadCount()
+		fields := append(classFields(class), "interval_ms", (now - stats.since).Milliseconds())
+		l.logger.Info("load", append(fields, stats.fields()...)...)
+		l.stats[class] = newLoadStats()
 	}
 }
 
 func compareClasses(a, b relay.TrafficClass) int {
-	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(priorityOf(a), priorityOf(b)))
+	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(priorityValue(a), priorityValue(b)))
 }
 
-func fieldsOfClass(class relay.TrafficClass) []any {
-	return []any{serviceLabel, serviceOf(class), priorityLabel, priorityOf(class)}
+func classFields(class relay.TrafficClass) []any {
+	return []any{serviceLabel, serviceValue(class), priorityLabel, priorityValue(class)}
 }
 
-func labelsOf(class relay.TrafficClass) []string {
-	return []string{serviceLabel, serviceOf(class), priorityLabel, priorityOf(class)}
+func classLabels(class relay.TrafficClass) []string {
+	return []string{serviceLabel, serviceValue(class), priorityLabel, priorityValue(class)}
 }
 
-func serviceOf(class relay.TrafficClass) string { return cmp.Or(class.Service, unknownValue) }
+func serviceValue(class relay.TrafficClass) string { return cmp.Or(class.Service, unknownValue) }
 
-func priorityOf(class relay.TrafficClass) string {
+func priorityValue(class relay.TrafficClass) string {
 	if !class.PriorityKnown {
 		return unknownValue
 	}
--- a/internal/relaydaemon/load_test.go
+++ b/internal/relaydaemon/load_test.go
@@ -30,22 +30,22 @@
 	var (
 		written    *bytes.Buffer
 		registered *registry.Registry
-		watch      *journal
+		recorder   *eventRecorder
 	)
-	urgent := relay.TrafficClass{Service: "lookup", Priority: 0, PriorityKnown: true}
-	common := relay.TrafficClass{Service: "lookup", Priority: 2, PriorityKnown: true}
+	highPriority := relay.TrafficClass{Service: "lookup", Priority: 0, PriorityKnown: true}
+	lowPriority := relay.TrafficClass{Service: "lookup", Priority: 2, PriorityKnown: true}
 
 	BeforeEach(func() {
 		written = &bytes.Buffer{}
 		registered = registry.New()
-		watch = newJournal(logging.New(written, log.InfoLevel, "side-1", "zone-1"), registered)
+		recorder = newEventRecorder(logging.New(written, log.InfoLevel, "side-1", "zone-1"), registered)
 	})
 
 	record := func(now time.Duration, class relay.TrafficClass, kind relay.EventKind, reason string, elapsed time.Duration) {
-		watch.record(now, relay.Event{Kind: kind, Class: class, Reason: reason, Elapsed: elapsed})
+		recorder.record(now, relay.Event{Kind: kind, Class: class, Reason: reason, Elapsed: elapsed})
 	}
-	// lines returns the lines about load, and forgets them.
-	lines := func() []map[string]any {
+	// takeLoadLines returns the takeLoadLines about load, and forgets them.
+	takeLoadLines := func() []map[string]any {
 		var found []map[string]any
 		for line := range strings.Lines(written.String()) {
 			var fields map[string]any
@@ -60,15 +60,15 @@
 
 	It("has a line a second for each class under pressure, which leaves nothing out", func() {
 		for range 700 {
-			record(time.Second, common, relay.EventHeld, "", 0)
-			record(time.Second, common, relay.EventReturned, "busy", 0)
+			record(time.Second, lowPriority, relay.EventHeld, "", 0)
+			record(time.Second, lowPriority, relay.EventReturned, "busy", 0)
 		}
-		record(time.Second, common, relay.EventAdmitted, requestqueue.ReasonNewest.String(), 30*time.Millisecond)
-		record(time.Second, common, relay.EventAdmitted, requestqueue.ReasonNewest.String(), 7*time.Second)
-		record(time.Second, common, relay.EventExpired, "", 2*time.Second)
-		record(time.Second, urgent, relay.EventNoEndpoint, "all_returned", 0)
-		watch.load.flush(2 * time.Second)
-		found := lines()
+		record(time.Second, lowPriority, relay.EventAdmitted, requestqueue.ReasonNewest.String(), 30*time.Millisecond)
+		record(time.Second, lowPriority, relay.EventAdmitted, requestqueue.ReasonNewest.String(), 7*time.Second)
+		record(time.Second, lowPriority, relay.EventExpired, "", 2*time.Second)
+		record(time.Second, highPriority, relay.EventNoEndpoint, "all_returned", 0)
+		recorder.loadReporter.flush(2 * time.Second)
+		found := takeLoadLines()
 		Expect(found).To(HaveLen(2))
 		Expect(found[0]).To(And(HaveKeyWithValue("priority", "0"), HaveKeyWithValue("refused", HaveKeyWithValue("all_returned", 1.0))))
 		Expect(found[1]).To(And(
@@ -77,8 +77,8 @@
 			HaveKeyWithValue("expired", 1.0), HaveKeyWithValue("longest_ms", 7000.0),
 		))
 		Expect(found[1]["waits"]).To(Equal(map[string]any{"50": 1.0, "longer": 1.0}))
-		watch.load.flush(3 * time.Second)
-		Expect(lines()).To(BeEmpty(), "nothing has happened since")
+		recorder.loadReporter.flush(3 * time.Second)
+		Expect(takeLoadLines()).To(BeEmpty(), "nothing has happened since")
 	})
 
 	It("names the buckets of waits by their bounds, each wait being in the one that it does not exceed", func() {
@@ -92,21 +92,21 @@
 	It("has a line in ten seconds for each class that nothing presses, with what was asked meanwhile", func() {
 		for second := range 10 {
 			now := time.Duration(second) * time.Second
-			record(now, common, relay.EventGiven, "", 0)
-			watch.load.flush(now)
+			record(now, lowPriority, relay.EventGiven, "", 0)
+			recorder.loadReporter.flush(now)
 		}
-		Expect(lines()).To(BeEmpty())
-		watch.load.flush(10 * time.Second)
-		Expect(lines()).To(ConsistOf(HaveKeyWithValue("asked", 10.0)))
+		Expect(takeLoadLines()).To(BeEmpty())
+		recorder.loadReporter.flush(10 * time.Second)
+		Expect(takeLoadLines()).To(ConsistOf(HaveKeyWithValue("asked", 10.0)))
 	})
 
 	It("counts by service, priority and reason", func() {
-		record(0, common, relay.EventHeld, "", 0)
-		record(0, common, relay.EventAdmitted, requestqueue.ReasonNewest.String(), 30*time.Millisecond)
-		record(0, common, relay.EventReturned, "busy", 0)
-		record(0, urgent, relay.EventNoEndpoint, "all_returned", 0)
+		record(0, lowPriority, relay.EventHeld, "", 0)
+		record(0, lowPriority, relay.EventAdmitted, requestqueue.ReasonNewest.String(), 30*time.Millisecond)
+		record(0, lowPriority, relay.EventReturned, "busy", 0)
+		record(0, highPriority, relay.EventNoEndpoint, "all_returned", 0)
 		record(0, relay.TrafficClass{Service: "lookup"}, relay.EventGiven, "", 0)
-		record(0, common, relay.EventOwnerless, "", 25*time.Millisecond)
+		record(0, lowPriority, relay.EventOwnerless, "", 25*time.Millisecond)
 		Expect(scrape(registered)).To(And(
 			ContainSubstring(`vanetiller_relay_requests_total{kind="held",priority="2",service="lookup"} 1`),
 			ContainSubstring(`vanetiller_relay_requests_total{kind="given",priority="unknown",service="lookup"} 1`),
@@ -119,18 +119,18 @@
 	})
 
 	It("tells no more classes apart than its bound", func() {
-		for number := range 2 * classLimit {
+		for number := range 2 * maxClasses {
 			record(0, relay.TrafficClass{Service: strconv.Itoa(number)}, relay.EventGiven, "", 0)
 		}
-		Expect(scrape(registered)).To(ContainSubstring(`{kind="given",priority="unknown",service="other"} ` + strconv.Itoa(classLimit)))
-		Expect(watch.load.counts).To(HaveLen(classLimit + 1))
+		Expect(scrape(registered)).To(ContainSubstring(`{kind="given",priority="unknown",service="other"} ` + strconv.Itoa(maxClasses)))
+		Expect(recorder.loadReporter.stats).To(HaveLen(maxClasses + 1))
 	})
 
 	It("shows what an endpoint can do and what waits, and that nothing does any more", func() {
 		shown := newEndpointMetrics(registered, "lookup")
 		shown.observe(relay.EndpointLoad{
 			Service: "lookup", Slots: 2, Occupied: 3, ResponseTime: 20 * time.Millisecond,
-			Waiting: map[relay.TrafficClass]relay.QueueStats{common: {Requests: 4, LongestWait: time.Second}},
+			Waiting: map[relay.TrafficClass]relay.QueueStats{lowPriority: {Requests: 4, LongestWait: time.Second}},
 		})
 		Expect(scrape(registered)).To(And(
 			ContainSubstring(`vanetiller_relay_endpoint_capacity{service="lookup"} 100`),
--- a/internal/relaydaemon/loadmetrics.go
+++ b/internal/relaydaemon/loadmetrics.go
@@ -9,32 +9,32 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// observeInterval is the time between two looks at load, well below the time between two
+// updateInterval is the time between two looks at load, well below the time between two
 // scrapes.
-const observeInterval = 2 * time.Second
+const updateInterval = 2 * time.Second
 
-// pacer tells when the next look is due.
-type pacer struct{ next time.Duration }
+// throttle tells when the next look is due.
+type throttle struct{ next time.Duration }
 
-func (p *pacer) due(now time.Duration) bool {
+func (p *throttle) due(now time.Duration) bool {
 	if now < p.next {
 		return false
 	}
-	p.next = now + observeInterval
+	p.next = now + updateInterval
 	return true
 }
 
 // endpointMetrics show what the endpoint beside an agent can do, and what waits for it.
 type endpointMetrics struct {
-	pacer
-	slots    metrics.Gauge
-	occupied metrics.Gauge
-	pace     metrics.Gauge
-	capacity metrics.Gauge
-	waiting  metrics.Gauge
-	longest  metrics.Gauge
-	// shown are the classes that waited when last seen.
-	shown map[relay.TrafficClass]relay.QueueStats
+	throttle
+	slots        metrics.Gauge
+	occupied     metrics.Gauge
+	responseTime metrics.Gauge
+	capacity     metrics.Gauge
+	waiting      metrics.Gauge
+	longest      metrics.Gauge
+	// previous are the classes that waited when last seen.
+	previous map[relay.TrafficClass]relay.QueueStats
 }
 
 func newEndpointMetrics(registered *registry.Registry, service string) *endpointMetrics {
@@ -42,11 +42,11 @@
 		return registered.Gauge(name, help, serviceLabel).With(serviceLabel, service)
 	}
 	return &endpointMetrics{
-		slots:    gauge("relay_endpoint_slots", "Requests that the endpoint works on at the same time, 0 if not known."),
-		occupied: gauge("relay_endpoint_occupied", "Requests that the endpoint was given and has not answered."),
-		pace:     gauge("relay_endpoint_pace_seconds", "Mean time that the endpoint takes from a request to its answer, 0 if not known."),
-		capacity: gauge("relay_endpoint_capacity", "Requests a second that the endpoint can answer, 0 if not known."),
-		waiting:  registered.Gauge("relay_waiting_requests", "Requests that wait for the endpoint, by priority.", serviceLabel, priorityLabel),
+		slots:        gauge("relay_endpoint_slots", "Requests that the endpoint works on at the same time, 0 if not known."),
+		occupied:     gauge("relay_endpoint_occupied", "Requests that the endpoint was given and has not answered."),
+		responseTime: gauge("relay_endpoint_pace_seconds", "Mean time that the endpoint takes from a request to its answer, 0 if not known."),
+		capacity:     gauge("relay_endpoint_capacity", "Requests a second that the endpoint can answer, 0 if not known."),
+		waiting:      registered.Gauge("relay_waiting_requests", "Requests that wait for the endpoint, by priority.", serviceLabel, priorityLabel),
 		longest: registered.Gauge("relay_waiting_longest_seconds", "For how long the longest waiting client of a priority has been waiting.",
 			serviceLabel, priorityLabel),
 	}
@@ -55,31 +55,31 @@
 func (m *endpointMetrics) observe(load relay.EndpointLoad) {
 	m.slots.Set(float64(load.Slots))
 	m.occupied.Set(float64(load.Occupied))
-	m.pace.Set(load.ResponseTime.Seconds())
+	m.responseTime.Set(load.ResponseTime.Seconds())
 	m.capacity.Set(load.Capacity())
-	for class := range m.shown {
-		m.show(class, load.Waiting[class])
+	for class := range m.previous {
+		m.setWaiting(class, load.Waiting[class])
 	}
 	for class, waiting := range load.Waiting {
-		m.show(class, waiting)
+		m.setWaiting(class, waiting)
 	}
-	m.shown = load.Waiting
+	m.previous = load.Waiting
 }
 
-func (m *endpointMetrics) show(class relay.TrafficClass, waiting relay.QueueStats) {
-	labels := labelsOf(class)
+func (m *endpointMetrics) setWaiting(class relay.TrafficClass, waiting relay.QueueStats) {
+	labels := classLabels(class)
 	m.waiting.With(labels...).Set(float64(waiting.Requests))
 	m.longest.With(labels...).Set(waiting.LongestWait.Seconds())
 }
 
 // serviceMetrics show what a balancer takes the endpoints of each service to be able to do.
 type serviceMetrics struct {
-	pacer
+	throttle
 	endpoints metrics.Gauge
 	slots     metrics.Gauge
 	capacity  metrics.Gauge
-	// shown are the services that were there when last seen.
-	shown []relay.ServiceLoad
+	// previous are the services that were there when last seen.
+	previous []relay.ServiceLoad
 }
 
 func newServiceMetrics(registered *registry.Registry) *serviceMetrics {
@@ -92,16 +92,16 @@
 }
 
 func (m *serviceMetrics) observe(services []relay.ServiceLoad) {
-	for _, before := range m.shown {
-		m.show(relay.ServiceLoad{Service: before.Service})
+	for _, before := range m.previous {
+		m.setService(relay.ServiceLoad{Service: before.Service})
 	}
 	for _, load := range services {
-		m.show(load)
+		m.setService(load)
 	}
-	m.shown = services
+	m.previous = services
 }
 
-func (m *serviceMetrics) show(load relay.ServiceLoad) {
+func (m *serviceMetrics) setService(load relay.ServiceLoad) {
 	m.endpoints.With(serviceLabel, load.Service).Set(float64(load.Endpoints))
 	m.slots.With(serviceLabel, load.Service).Set(float64(load.Slots))
 	m.capacity.With(serviceLabel, load.Service).Set(load.Capacity)
--- a/internal/relaydaemon/peermembership.go
+++ b/internal/relaydaemon/peermembership.go
@@ -10,31 +10,31 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// handle takes an event of the membership.
-func (p *peers) handle(event membership.Effect) {
+// handleMembershipEvent takes an event of the membership.
+func (p *peerExchange) handleMembershipEvent(event membership.Effect) {
 	switch event.Kind {
 	case membership.EffectAttachment:
 		var digest directory.Digest
 		if _, err := digest.UnmarshalMsg(event.Attachment); err == nil {
 			p.role.executor.do(func(now time.Duration) []relay.Effect {
-				p.exchange.ReceiveDigest(now, event.Member.Address, digest)
+				p.fetcher.ReceiveDigest(now, event.Member.Address, digest)
 				return nil
 			})
 		}
 	case membership.EffectFailed, membership.EffectLeft:
-		p.joined.Store(true)
+		p.membersChanged.Store(true)
 		p.role.executor.do(func(time.Duration) []relay.Effect {
-			p.exchange.PeerLost(event.Member.Address)
-			p.role.spread.PeerLost(directory.Peer(event.Member.Address))
+			p.fetcher.PeerLost(event.Member.Address)
+			p.role.disseminator.PeerLost(directory.Peer(event.Member.Address))
 			return nil
 		})
 	case membership.EffectJoined, membership.EffectZoneReachable, membership.EffectZoneUnreachable:
-		p.joined.Store(true)
+		p.membersChanged.Store(true)
 	}
 }
 
-// announce attaches the digest to all further messages of the membership.
-func (p *peers) announce(digest directory.Digest) {
+// announceDigest attaches the digest to all further messages of the membership.
+func (p *peerExchange) announceDigest(digest directory.Digest) {
 	encoded, err := digest.MarshalMsg(nil)
 	if err != nil {
 		panic("relaydaemon: cannot encode a digest: " + err.Error())
@@ -42,9 +42,9 @@
 	p.membership.SetAttachment(encoded)
 }
 
-// refreshMembers gives the spread the members, if they have changed.
-func (p *peers) refreshMembers() {
-	if !p.joined.Swap(false) {
+// updateMembers gives the spread the members, if they have changed.
+func (p *peerExchange) updateMembers() {
+	if !p.membersChanged.Swap(false) {
 		return
 	}
 	var members []directory.Member
@@ -56,8 +56,8 @@
 		}
 	}
 	p.role.executor.do(func(time.Duration) []relay.Effect {
-		p.role.spread.SetMembers(members)
+		p.role.disseminator.SetMembers(members)
 		return nil
 	})
-	p.role.wakeFollow()
+	p.role.wakeFollower()
 }
--- a/internal/relaydaemon/peers.go
+++ b/internal/relaydaemon/peers.go
@@ -21,51 +21,51 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// peers is what balancers exchange: the membership, the digests of their directories, and
+// peerExchange is what balancers exchange: the membership, the digests of their directories, and
 // snapshots of the directory.
-type peers struct {
+type peerExchange struct {
 	role       *balancerRole
 	membership *transport.Endpoint
 	listener   net.Listener
 	server     *http.Server
 	client     *http.Client
-	exchange   *directory.PeerFetcher[membership.Address]
+	fetcher    *directory.PeerFetcher[membership.Address]
 	storeRate  float64
-	// confirms bounds the confirmations for others.
-	confirms *rate.Limiter
+	// confirmLimiter bounds the confirmations for others.
+	confirmLimiter *rate.Limiter
 	// wake wakes follow, and joined is set once the members have changed.
-	wake   chan struct{}
-	joined atomic.Bool
-	cache  stateCache
+	wake           chan struct{}
+	membersChanged atomic.Bool
+	stateCache     stateCache
 }
 
-func newPeers(checked *settings.Settings, role *balancerRole) (*peers, error) {
-	given := checked.Relay.Balancer
-	created := &peers{
-		role:      role,
-		storeRate: float64(given.StoreRate),
-		wake:      make(chan struct{}, 1),
-		confirms:  rate.NewLimiter(confirmRate, confirmBurst),
+func newPeerExchange(config *settings.Settings, role *balancerRole) (*peerExchange, error) {
+	balancerConfig := config.Relay.Balancer
+	created := &peerExchange{
+		role:           role,
+		storeRate:      float64(balancerConfig.StoreRate),
+		wake:           make(chan struct{}, 1),
+		confirmLimiter: rate.NewLimiter(peerConfirmRate, peerConfirmBurst),
 		client: &http.Client{Timeout: fetchTimeout, Transport: &http.Transport{
 			DisableKeepAlives: true,
 			DialContext:       (&net.Dialer{Timeout: connectTimeout}).DialContext,
 		}},
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	seeds := seedsOf(given)
-	created.exchange = directory.NewPeerFetcher(role.directory, timingOf(given), seeds, random)
+	seeds := otherSeeds(balancerConfig)
+	created.fetcher = directory.NewPeerFetcher(role.replica, timingOf(balancerConfig), seeds, random)
 	var err error
 	created.membership, err = transport.New(transport.Config{
-		Listen:     given.Exchange,
-		Membership: membership.DefaultConfig(identityOf(checked), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		OnEvent:    created.handle,
-		Logger:     role.executor.journal.logger,
+		Listen:     balancerConfig.Exchange,
+		Membership: membership.DefaultConfig(selfIdentity(config), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		OnEvent:    created.handleMembershipEvent,
+		Logger:     role.executor.recorder.logger,
 	})
 	if err != nil {
 		return nil, err
 	}
 	created.membership.SetSeeds(seeds)
-	created.listener, err = net.Listen("tcp4", given.Exchange.String())
+	created.listener, err = net.Listen("tcp4", balancerConfig.Exchange.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "exchange")
 	}
@@ -73,19 +73,19 @@
 	return created, nil
 }
 
-func identityOf(checked *settings.Settings) membership.Identity {
-	zones := slices.Sorted(slices.Values(checked.Relay.Balancer.Zones))
+func selfIdentity(config *settings.Settings) membership.Identity {
+	zones := slices.Sorted(slices.Values(config.Relay.Balancer.Zones))
 	return membership.Identity{
-		Zone:        membership.Zone(max(slices.Index(zones, checked.Zone), 0)),
+		Zone:        membership.Zone(max(slices.Index(zones, config.Zone), 0)),
 		Incarnation: membership.Incarnation(time.Now().UnixMilli()),
 	}
 }
 
-// seedsOf returns the seeds without this process.
-func seedsOf(given *settings.RelayBalancer) []membership.Address {
+// otherSeeds returns the seeds without this process.
+func otherSeeds(config *settings.RelayBalancer) []membership.Address {
 	var seeds []membership.Address
-	for _, seed := range given.Seeds {
-		if address, usable := membership.AddressOf(seed); usable && seed != given.Exchange {
+	for _, seed := range config.Seeds {
+		if address, usable := membership.AddressOf(seed); usable && seed != config.Exchange {
 			seeds = append(seeds, address)
 		}
 	}
@@ -93,18 +93,18 @@
 }
 
 // setSeeds replaces the balancers to ask where the membership has none.
-func (p *peers) setSeeds(given *settings.RelayBalancer) {
-	seeds := seedsOf(given)
+func (p *peerExchange) setSeeds(config *settings.RelayBalancer) {
+	seeds := otherSeeds(config)
 	p.membership.SetSeeds(seeds)
 	p.role.executor.do(func(time.Duration) []relay.Effect {
-		p.exchange.SetSeeds(seeds)
-		p.role.spread.SetSeeds(peersOf(seeds))
+		p.fetcher.SetSeeds(seeds)
+		p.role.disseminator.SetSeeds(toPeers(seeds))
 		return nil
 	})
 }
 
-func (p *peers) add(group *run.Group) {
+func (p *peerExchange) addActors(group *run.Group) {
 	addActor(group, p.membership.Run)
 	addActor(group, p.serve)
-	addActor(group, p.follow)
+	addActor(group, p.runFetcher)
 }
--- a/internal/relaydaemon/peerserver.go
+++ b/internal/relaydaemon/peerserver.go
@@ -19,22 +19,24 @@
 const (
 	// directoryPath is where a balancer serves snapshots of its directory to others.
 	directoryPath = "/v1/directory"
-	// parameterVersion and parameterComplete are the digest of who asks.
-	parameterVersion  = "version"
-	parameterComplete = "complete"
-	// parameterConfirm asks for a directory that the store has confirmed since.
-	parameterConfirm = "confirm"
-	// confirmRate bounds the confirmations a second that a balancer makes for others,
+	// versionParam and parameterComplete are the digest of who asks.
+	versionParam  = "version"
+	revisionParam = "complete"
+	// confirmParam asks for a directory that the store has confirmed since.
+	confirmParam = "confirm"
+	// peerConfirmRate bounds the confirmations a second that a balancer makes for others,
 	// each of which costs calls of the store, and confirmBurst those at once.
-	confirmRate  = 50
-	confirmBurst = 20
+	peerConfirmRate  = 50
+	peerConfirmBurst = 20
 )
 
 // handler serves the directory to other balancers.
-func (p *peers) handler() http.Handler {
+func (p *peerExchange) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+directoryPath, kithttp.NewServer(
-		func(ctx context.Context, asked any) (any, error) { return p.answer(ctx, asked.(directoryRequest)) },
+		func(ctx context.Context, asked any) (any, error) {
+			return p.serveDirectory(ctx, asked.(directoryRequest))
+		},
 		p.decodeRequest, encodeState))
 	return mux
 }
@@ -43,28 +45,28 @@
 type directoryRequest struct {
 	known   directory.Digest
 	confirm bool
-	// by is who asks.
-	by directory.Peer
+	// from is who asks.
+	from directory.Peer
 }
 
 // decodeRequest reads the digest of the asking balancer; what is missing is zero.
-func (p *peers) decodeRequest(_ context.Context, request *http.Request) (any, error) {
+func (p *peerExchange) decodeRequest(_ context.Context, request *http.Request) (any, error) {
 	query := request.URL.Query()
-	version, _ := strconv.ParseUint(query.Get(parameterVersion), 10, 64)
-	complete, _ := strconv.ParseUint(query.Get(parameterComplete), 10, 64)
+	version, _ := strconv.ParseUint(query.Get(versionParam), 10, 64)
+	complete, _ := strconv.ParseUint(query.Get(revisionParam), 10, 64)
 	asked := directoryRequest{
 		known:   directory.Digest{ConfigurationVersion: version, Revision: directory.Revision(complete)},
-		confirm: query.Has(parameterConfirm),
+		confirm: query.Has(confirmParam),
 	}
 	if from, err := netip.ParseAddrPort(request.RemoteAddr); err == nil {
-		asked.by, _ = p.role.updates.peerAt(from.Addr())
+		asked.from, _ = p.role.updates.peerAt(from.Addr())
 	}
 	return asked, nil
 }
 
-// answer returns the encoded state that a balancer has asked for.
-func (p *peers) answer(ctx context.Context, asked directoryRequest) ([]byte, error) {
-	if asked.confirm && !p.confirms.Allow() {
+// serveDirectory returns the encoded state that a balancer has asked for.
+func (p *peerExchange) serveDirectory(ctx context.Context, asked directoryRequest) ([]byte, error) {
+	if asked.confirm && !p.confirmLimiter.Allow() {
 		return nil, errUnconfirmed
 	}
 	if asked.confirm {
@@ -75,9 +77,9 @@
 	var encoded []byte
 	var err error
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
-		p.role.spread.StateSent(now, asked.by)
-		encoded, err = p.cache.encode(now, asked.known, p.role.directory.Digest(), func() directory.State {
-			return p.role.spread.State(now, asked.known)
+		p.role.disseminator.StateSent(now, asked.from)
+		encoded, err = p.stateCache.encode(now, asked.known, p.role.replica.Digest(), func() directory.State {
+			return p.role.disseminator.State(now, asked.known)
 		})
 		return nil
 	})
@@ -89,7 +91,7 @@
 	return err
 }
 
-func (p *peers) serve(ctx context.Context) error {
+func (p *peerExchange) serve(ctx context.Context) error {
 	stopped := context.AfterFunc(ctx, func() { p.server.Close() })
 	defer stopped()
 	if err := p.server.Serve(p.listener); err != nil && ctx.Err() == nil {
--- a/internal/relaydaemon/refusals.go
+++ b/internal/relaydaemon/refusals.go
@@ -18,50 +18,50 @@
 // refusalLog logs and counts the entries of the store that cannot be used.
 type refusalLog struct {
 	logger  *log.Logger
-	bound   limited
+	limit   logLimit
 	counts  map[directory.RefusalReason]metrics.Counter
-	present map[directory.RefusalReason]metrics.Gauge
+	current map[directory.RefusalReason]metrics.Gauge
 }
 
 func newRefusalLog(logger *log.Logger, registered *registry.Registry) *refusalLog {
 	created := &refusalLog{
 		logger:  logger,
-		bound:   newLimited(refusalsPerSecond, refusalsBurst),
+		limit:   newLogLimit(refusalsPerSecond, refusalsBurst),
 		counts:  make(map[directory.RefusalReason]metrics.Counter),
-		present: make(map[directory.RefusalReason]metrics.Gauge),
+		current: make(map[directory.RefusalReason]metrics.Gauge),
 	}
 	counter := registered.Counter("relay_entries_refused_total", "Revisions of entries of the store that cannot be used, by reason.", reasonLabel)
 	gauge := registered.Gauge("relay_refused_entries", "Entries of the store that cannot be used now, by reason.", reasonLabel)
 	for _, reason := range directory.RefusalReasons() {
 		created.counts[reason] = counter.With(reasonLabel, reason.String())
 		created.counts[reason].Add(0)
-		created.present[reason] = gauge.With(reasonLabel, reason.String())
+		created.current[reason] = gauge.With(reasonLabel, reason.String())
 	}
 	return created
 }
 
 // report tells of the entries that were refused since the last time.
-func (l *refusalLog) report(machine *directory.Replica) {
-	fresh := machine.TakeRefusals()
-	for _, refusal := range fresh {
+func (l *refusalLog) report(replica *directory.Replica) {
+	refusals := replica.TakeRefusals()
+	for _, refusal := range refusals {
 		l.counts[refusal.Reason].Add(1)
 		l.write(refusal)
 	}
-	present := machine.RefusalCounts()
-	for reason, gauge := range l.present {
+	present := replica.RefusalCounts()
+	for reason, gauge := range l.current {
 		gauge.Set(float64(present[reason]))
 	}
 }
 
 func (l *refusalLog) write(refusal directory.Refusal) {
-	if !l.bound.limiter.Allow() {
-		l.bound.omitted++
+	if !l.limit.limiter.Allow() {
+		l.limit.omitted++
 		return
 	}
 	fields := []any{"entry", refusal.Key, "revision", uint64(refusal.Revision), "reason", refusal.Reason.String()}
-	if l.bound.omitted > 0 {
-		fields = append(fields, "omitted", l.bound.omitted)
-		l.bound.omitted = 0
+	if l.limit.omitted > 0 {
+		fields = append(fields, "omitted", l.limit.omitted)
+		l.limit.omitted = 0
 	}
 	l.logger.Warn("entry refused", fields...)
 }
--- a/internal/relaydaemon/socket.go
+++ b/internal/relaydaemon/socket.go
@@ -11,9 +11,9 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// receiveBuffer is the size asked of the system for unread datagrams, in
+// receiveBufferSize is the size asked of the system for unread datagrams, in
 // bytes.
-const receiveBuffer = 1 << 20
+const receiveBufferSize = 1 << 20
 
 // socket is a UDP socket with its reader.
 type socket struct {
@@ -28,7 +28,7 @@
 		return nil, errors.Wrap(err, address.String())
 	}
 	// A smaller buffer than asked for is no failure.
-	_ = connection.SetReadBuffer(receiveBuffer)
+	_ = connection.SetReadBuffer(receiveBufferSize)
 	return &socket{connection, handle}, nil
 }
 
--- a/internal/relaydaemon/statecache.go
+++ b/internal/relaydaemon/statecache.go
@@ -13,30 +13,30 @@
 // they are at the end of that.
 const cacheLifetime = 100 * time.Millisecond
 
-// maximumState bounds the directory of a peer, in bytes.
-const maximumState = 16 << 20
+// maxStateSize bounds the directory of a peer, in bytes.
+const maxStateSize = 16 << 20
 
 // stateCache keeps the state that was encoded last: when a configuration is new or many
 // processes start, all ask for the same.
 type stateCache struct {
-	known   directory.Digest
-	digest  directory.Digest
-	at      time.Duration
-	encoded []byte
+	known     directory.Digest
+	digest    directory.Digest
+	encodedAt time.Duration
+	encoded   []byte
 }
 
 // encode returns the compressed state beyond what another process knows.
-func (c *stateCache) encode(now time.Duration, known, digest directory.Digest, state func() directory.State) ([]byte, error) {
-	if c.encoded != nil && c.known == known && c.digest == digest && now-c.at < cacheLifetime {
+func (c *stateCache) encode(now time.Duration, known, digest directory.Digest, buildState func() directory.State) ([]byte, error) {
+	if c.encoded != nil && c.known == known && c.digest == digest && now-c.encodedAt < cacheLifetime {
 		return c.encoded, nil
 	}
-	described := state()
-	described.Age += cacheLifetime
-	plain, err := described.MarshalMsg(nil)
+	state := buildState()
+	state.Age += cacheLifetime
+	plain, err := state.MarshalMsg(nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "directory")
 	}
-	*c = stateCache{known: known, digest: digest, at: now, encoded: s2.Encode(nil, plain)}
+	*c = stateCache{known: known, digest: digest, encodedAt: now, encoded: s2.Encode(nil, plain)}
 	return c.encoded, nil
 }
 
@@ -47,7 +47,7 @@
 	if err != nil {
 		return state, errors.Wrap(err, "directory of a peer")
 	}
-	if length > maximumState {
+	if length > maxStateSize {
 		return state, errors.Errorf("directory of a peer: %d bytes", length)
 	}
 	plain, err := s2.Decode(nil, encoded)
