--- a/cmd/vanetiller-relay/main.go
+++ b/cmd/vanetiller-relay/main.go
@@ -1,6 +1,5 @@
-// Command vanetiller-relay runs one process of a fleet that carries the packets
-// of flows whole, on the users' platform: a balancer, or the agent beside an
-// endpoint.
+// Command vanetiller-relay runs one process of a fleet that relays the packets of flows on
+// the platform: a balancer, or the agent next to an endpoint.
 package main
 
 import (
@@ -11,16 +10,16 @@
 	"github.com/vanetiller/vanetiller/platform"
 )
 
-// collectorPercent makes the garbage collector run when the heap has grown by a
-// quarter: memory is dear on the platform's machines, and the live heap small.
-const collectorPercent = 25
+// gcPercent makes the garbage collector run when the heap has grown by a quarter. Memory is
+// expensive on the platform's machines, and the live heap is small.
+const gcPercent = 25
 
-// collectorDelay is how long the collector has its usual setting after the start, in
-// which no collection is due while the process gets ready.
-const collectorDelay = 3 * time.Second
+// gcPercentDelay is how long the garbage collector keeps its default setting after the
+// start. No collection is due in that time, in which the process gets ready.
+const gcPercentDelay = 3 * time.Second
 
 func main() {
-	time.AfterFunc(collectorDelay, func() { debug.SetGCPercent(collectorPercent) })
+	time.AfterFunc(gcPercentDelay, func() { debug.SetGCPercent(gcPercent) })
 	relaydaemon.Program(relaydaemon.Dependencies{
 		Codec:    platform.PacketCodec{},
 		NewStore: platform.NewStore,
--- a/internal/relaydaemon/agent.go
+++ b/internal/relaydaemon/agent.go
@@ -14,7 +14,7 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// agentRole runs a relay.Agent.
+// agentRole runs a relay.Agent for the endpoint on the same machine.
 type agentRole struct {
 	settings settings.Relay
 	executor *executor
@@ -47,13 +47,13 @@
 	return created, err
 }
 
-// handleEndpointPacket handles a packet of the endpoint. Only the endpoint may send to this
-// address, from the machine itself.
+// handleEndpointPacket handles a packet that the endpoint has sent. Only the endpoint may
+// send to this socket, from the same machine, so the sender address is ignored.
 func (r *agentRole) handleEndpointPacket(_ netip.AddrPort, packet []byte) {
 	r.executor.do(func(now time.Duration) []relay.Effect { return r.agent.HandleEndpointPacket(now, packet) })
 }
 
-// updateMetrics shows the load of the endpoint.
+// updateMetrics exports the load of the endpoint.
 func (r *agentRole) updateMetrics(now time.Duration) {
 	if r.metrics.due(now) {
 		r.metrics.observe(r.agent.EndpointLoad(now))
@@ -66,15 +66,15 @@
 	addActor(group, r.executor.runTimer)
 }
 
-// beginStop lets flows end for as long as the beginStop may take: nobody else can carry
-// them.
+// beginStop lets open flows finish for as long as the stop timeout allows, because no other
+// process can carry them.
 func (r *agentRole) beginStop() time.Duration {
 	r.executor.do(r.agent.Stop)
 	return math.MaxInt64
 }
 
-// idle reports whether all flows of the endpoint have ended, as they have when
-// the agent is stopped after its endpoint.
+// idle reports whether the endpoint has no open flow left. This is usual when the endpoint
+// was stopped before its agent.
 func (r *agentRole) idle() bool {
 	idle := false
 	r.executor.do(func(time.Duration) []relay.Effect {
@@ -84,7 +84,8 @@
 	return idle
 }
 
-// reload compares what the agent was started with; nothing of it can change.
+// reload reports whether all settings but the stop timeout are unchanged. An agent applies
+// no other change without a restart.
 func (r *agentRole) reload(changed *settings.Relay) bool {
 	expected := *changed
 	expected.StopTimeout = r.settings.StopTimeout
--- a/internal/relaydaemon/balancer.go
+++ b/internal/relaydaemon/balancer.go
@@ -18,7 +18,8 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// balancerRole runs a relay.Balancer and keeps its directory current.
+// balancerRole runs a relay.Balancer and keeps its directory of routes and endpoints
+// current.
 type balancerRole struct {
 	settings     settings.Relay
 	newStore     func(netip.AddrPort) directory.Store
@@ -29,21 +30,23 @@
 	follower     *directory.Follower
 	confirmer    *directory.Confirmer
 	disseminator *directory.Disseminator
-	// followerWake wakes follow once what it waits for may have changed.
+	// followerWake wakes runFollower when the next store call may have changed.
 	followerWake chan struct{}
-	// confirmerWake wakes confirm; what is wanted is in the confirmer.
+	// confirmerWake wakes runConfirmer after a request for a confirmation. The request
+	// itself is kept by confirmer.
 	confirmerWake chan struct{}
 	store         directory.Store
-	// storeGeneration counts the stores that were turned to.
+	// storeGeneration counts the changes of store, so that answers of an earlier store can
+	// be recognized.
 	storeGeneration  int
 	peers            *peerExchange
 	updates          *updateTransport
 	directoryMetrics directoryMetrics
 	serviceMetrics   *serviceMetrics
 	refusals         *refusalLog
-	// closedZones are the zones that were reported last as closedZones.
+	// closedZones are the closed zones of the last installed snapshot.
 	closedZones []directory.ClosedZone
-	// isolated is what was reported last.
+	// isolated is whether the last health report said that no agent can be reached.
 	isolated bool
 }
 
@@ -102,8 +105,9 @@
 	return created, err
 }
 
-// timingOf returns how much time the news of the store have. Where there is nobody to ask,
-// a process that starts lists the store at once.
+// timingOf returns the time limits for learning of changes. ListingDelay stays zero if
+// there are no other seeds: the process lists the store at once because it cannot ask
+// another balancer.
 func timingOf(config *settings.RelayBalancer) directory.Timing {
 	timing := directory.Timing{
 		ApplyTimeout:   min(config.ApplyTimeout, config.DrainTimeout, config.CloseTimeout),
@@ -116,7 +120,7 @@
 	return timing
 }
 
-// selfMember returns how the membership names this process.
+// selfMember returns this process as a member of the dissemination.
 func selfMember(config *settings.Settings) directory.Member {
 	address, _ := membership.AddressOf(config.Relay.Balancer.Exchange)
 	return directory.Member{Peer: directory.Peer(address), Zone: int(selfIdentity(config).Zone)}
@@ -130,7 +134,8 @@
 	return peers
 }
 
-// updateMetrics shows the load of the services, and whether agents can be reached.
+// updateMetrics exports the load of the services and updates the readiness condition for
+// agents.
 func (r *balancerRole) updateMetrics(now time.Duration) {
 	if r.serviceMetrics.due(now) {
 		r.serviceMetrics.observe(r.balancer.ServiceLoads())
@@ -138,7 +143,8 @@
 	r.updateAgentReadiness()
 }
 
-// updateAgentReadiness makes the fabric leave a balancer out that reaches no agent.
+// updateAgentReadiness reports a balancer that reaches no agent as not ready, so that the
+// fabric sends it no packets.
 func (r *balancerRole) updateAgentReadiness() {
 	isolated := r.balancer.Isolated()
 	if isolated == r.isolated {
@@ -166,19 +172,20 @@
 	r.peers.addActors(group)
 }
 
-// fabricDetectionDelay is how long the fabric takes to notice that a balancer is not
-// ready, two probes half a second apart, and half as long again. Other balancers
-// then carry its flows. To go on for longer would keep more balancers of a zone
-// out at once while they are restarted in turn.
+// fabricDetectionDelay is how long the fabric takes to notice that a balancer is not ready
+// and to send its flows to other balancers: two probes 500 ms apart, plus half of that time
+// as a margin. A longer delay would keep more balancers of a zone out of service at once
+// during a rolling restart.
 const fabricDetectionDelay = 1500 * time.Millisecond
 
 func (r *balancerRole) beginStop() time.Duration { return fabricDetectionDelay }
 
-// idle is never so: the fabric may send further flows until it has noticed.
+// idle always returns false: the fabric may send packets of further flows until it has
+// noticed that the balancer is not ready.
 func (r *balancerRole) idle() bool { return false }
 
-// reload turns to another store, with a new listing, and to other seeds. All else
-// that has changed takes a new start.
+// reload applies a changed store address, which starts a new listing, and changed seeds. It
+// reports whether nothing else has changed that needs a restart.
 func (r *balancerRole) reload(changed *settings.Relay) bool {
 	if changed.Balancer == nil {
 		return false
@@ -199,7 +206,7 @@
 	return reflect.DeepEqual(*changed, r.settings)
 }
 
-// runFollower keeps the directory current until ctx ends.
+// runFollower keeps the directory current by calls of the store until ctx ends.
 func (r *balancerRole) runFollower(ctx context.Context) error {
 	for ctx.Err() == nil {
 		next, wait := r.nextStoreCall()
@@ -218,7 +225,7 @@
 	return nil
 }
 
-// wakeFollower makes follow decide again.
+// wakeFollower makes runFollower determine its next store call again.
 func (r *balancerRole) wakeFollower() {
 	select {
 	case r.followerWake <- struct{}{}:
@@ -226,14 +233,14 @@
 	}
 }
 
-// storeCall is a call of the store that was used when it was decided on.
+// storeCall is a call together with the store that was configured when the call was chosen.
 type storeCall struct {
 	call       directory.Call
 	store      directory.Store
 	generation int
 }
 
-// nextStoreCall returns the next call of the store and how long to wait before it.
+// nextStoreCall returns the next store call and how long to wait before making it.
 func (r *balancerRole) nextStoreCall() (storeCall, time.Duration) {
 	r.executor.mutex.Lock()
 	defer r.executor.mutex.Unlock()
@@ -262,9 +269,9 @@
 	r.finishStoreCall(parent, next.generation, err, func(now time.Duration) bool { return r.follower.HandleChanges(now, changes, rand.Float64()) })
 }
 
-// finishStoreCall hands the outcome of a call to the follower and puts a changed
-// snapshot in force. An answer of a store that is no longer used is dropped. A call
-// that fails since the process ends is no loss of the store.
+// finishStoreCall passes the outcome of a call to the follower and installs the snapshot if
+// it has changed. It drops an answer of a store that was replaced during the call. A call
+// that fails because the process is stopping is not logged as a loss of the store.
 func (r *balancerRole) finishStoreCall(parent context.Context, generation int, err error, apply func(now time.Duration) bool) {
 	stopped := parent.Err() != nil
 	r.executor.do(func(now time.Duration) []relay.Effect {
@@ -290,7 +297,8 @@
 	})
 }
 
-// installIfChanged puts the directory in force if it has changed.
+// installIfChanged installs the current snapshot if it has changed and the directory is
+// ready.
 func (r *balancerRole) installIfChanged(changed bool, now time.Duration) []relay.Effect {
 	r.peers.announceDigest(r.replica.Digest())
 	r.refusals.report(r.replica)
@@ -306,8 +314,9 @@
 	}
 }
 
-// logZoneChanges logs which zones have been closed or opened since the last time, each with the
-// revision at which that is known and for how long it has been closed.
+// logZoneChanges logs the zones that were closed or opened since the last snapshot. Each
+// line holds the revision at which the change is known and, for an opened zone, how long it
+// was closed.
 func (r *balancerRole) logZoneChanges(now time.Duration, closed []directory.ClosedZone) {
 	logger := r.executor.recorder.logger
 	for _, zone := range closed {
@@ -335,7 +344,7 @@
 	return r.balancer.Install(now, snapshot)
 }
 
-// sleep waits and reports whether ctx is still live.
+// sleep waits for duration and reports whether ctx is still active.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/relaydaemon/command.go
+++ b/internal/relaydaemon/command.go
@@ -12,18 +12,18 @@
 
 // Dependencies holds the platform-specific implementations that a daemon uses.
 type Dependencies struct {
-	// Codec reads and writes the packets of flows.
+	// Codec decodes and encodes the packets of flows.
 	Codec segment.Codec
-	// NewStore returns a client of the store at an address.
+	// NewStore returns a client for the store at address.
 	NewStore func(address netip.AddrPort) directory.Store
 }
 
-// Program is vanetiller-relay.
+// Program returns the command-line program vanetiller-relay.
 func Program(dependencies Dependencies) program.Program {
 	return program.Program{
 		Name:    "vanetiller-relay",
-		Purpose: "runs one process of a fleet that carries the packets of flows whole: a balancer, or the agent beside an endpoint.",
-		// The users' engineers collect standard output.
+		Purpose: "runs one process of a fleet that relays the packets of flows: a balancer, or the agent next to an endpoint.",
+		// The operators' log collector reads standard output.
 		LogToStdout: true,
 		New: func(config *settings.Settings, output io.Writer) (program.Server, error) {
 			return New(dependencies, config, output)
--- a/internal/relaydaemon/confirm.go
+++ b/internal/relaydaemon/confirm.go
@@ -10,14 +10,18 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// confirmRetryInterval is how often a wanted confirmation is considered that may not begin yet.
+// confirmRetryInterval is the time between attempts to begin a requested confirmation that
+// is not allowed yet.
 const confirmRetryInterval = 5 * time.Millisecond
 
-// errUnconfirmed tells that the store had changes which did not come.
-var errUnconfirmed = errors.New("the directory could not be confirmed")
+// errUnconfirmed is returned if nothing proved that the directory has all changes of the
+// store: missing changes did not arrive, the store was replaced during the call, no other
+// balancer is known, or the rate limit for confirmations on behalf of other balancers was
+// reached.
+var errUnconfirmed = errors.New("directory could not be confirmed")
 
-// requestConfirmation asks for a confirmation of the directory. It is called by the
-// executor, which holds its lock.
+// requestConfirmation requests a confirmation that the directory has all changes that the
+// store has accepted. The caller holds the lock of the executor.
 func (r *balancerRole) requestConfirmation() {
 	r.confirmer.Request()
 	select {
@@ -26,7 +30,7 @@
 	}
 }
 
-// runConfirmer confirms the directory whenever that is wanted, until ctx ends.
+// runConfirmer performs requested confirmations until ctx ends.
 func (r *balancerRole) runConfirmer(ctx context.Context) error {
 	for {
 		select {
@@ -39,9 +43,9 @@
 	}
 }
 
-// confirmIfRequested confirms the directory by a balancer that watches the store, else by the
-// store itself or else by any peer, if a confirmation may begin. It reports whether one is
-// still wanted.
+// confirmIfRequested confirms the directory if a confirmation is requested and allowed now:
+// by a balancer that watches the store, else by the store itself, else by any other
+// balancer. It reports whether a confirmation is still requested.
 func (r *balancerRole) confirmIfRequested(ctx context.Context) bool {
 	startedAt := time.Duration(0)
 	r.executor.do(func(now time.Duration) []relay.Effect {
@@ -66,7 +70,8 @@
 			return nil
 		}
 		if err != nil {
-			// Who has asked gets no answer in time and asks the store.
+			// Balancers that asked this one get no reply before their timeout and ask the
+			// store themselves.
 			r.updates.pendingConfirmations.TakeThrough(startedAt)
 			return nil
 		}
@@ -76,11 +81,12 @@
 	return requested
 }
 
-// errNoConfirmationDue tells that no confirmation is wanted, or that it is too early for one.
-var errNoConfirmationDue = errors.New("no confirmation now")
+// errNoConfirmationDue is returned if no confirmation is requested or the limits on store
+// calls do not allow one yet.
+var errNoConfirmationDue = errors.New("no confirmation of the directory is due")
 
-// confirmByStore makes the calls of a confirmer. It returns the time for which the
-// directory is confirmed.
+// confirmByStore makes the store calls that the confirmer asks for. It returns the time
+// through which the directory is confirmed.
 func (r *balancerRole) confirmByStore(ctx context.Context, confirmer *directory.Confirmer) (time.Duration, error) {
 	for {
 		var next storeCall
@@ -102,8 +108,8 @@
 	}
 }
 
-// performConfirmationCall makes one call of a confirmer. It reports whether no further one
-// is needed.
+// performConfirmationCall makes one store call of a confirmation. It reports whether the
+// confirmation is complete.
 func (r *balancerRole) performConfirmationCall(parent context.Context, confirmer *directory.Confirmer, next storeCall) (through time.Duration, complete bool, err error) {
 	ctx, cancel := context.WithTimeout(parent, next.call.Timeout)
 	defer cancel()
@@ -129,8 +135,8 @@
 	return through, complete, err
 }
 
-// finishConfirmationCall hands the outcome of a call to the confirmer. An answer of a
-// store that is no longer used is dropped.
+// finishConfirmationCall passes the outcome of a call to the confirmer. It drops an answer
+// of a store that was replaced during the call.
 func (r *balancerRole) finishConfirmationCall(confirmer *directory.Confirmer, generation int, err error, apply func(now time.Duration) []relay.Effect) error {
 	r.executor.do(func(now time.Duration) []relay.Effect {
 		if err == nil && generation != r.storeGeneration {
@@ -145,8 +151,8 @@
 	return err
 }
 
-// confirmForPeer confirms the directory for another balancer, which the store does not
-// answer.
+// confirmForPeer confirms the directory on behalf of another balancer, which gets no answer
+// from the store itself.
 func (r *balancerRole) confirmForPeer(ctx context.Context) error {
 	confirmer := directory.NewConfirmer(r.replica)
 	confirmer.Request()
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -1,6 +1,12 @@
-// Package relaydaemon implements the wiring of a process that carries the
-// packets of flows whole: sockets, timers, log and metrics around a
-// relay.Balancer or a relay.Agent.
+// Package relaydaemon runs the process vanetiller-relay, which relays the packets of flows
+// between clients and endpoints. According to its settings a process is a balancer, which
+// selects an endpoint for each new flow, or the agent next to one endpoint. Its input is
+// UDP packets of clients, endpoints and other processes, and the directory of routes and
+// endpoints in the platform's store.
+//
+// The decisions are made by relay.Balancer and relay.Agent, which do no I/O. This package
+// provides their sockets, timers, log and metrics, and sends what they return. For a
+// balancer it also keeps the directory current, from the store and from other balancers.
 package relaydaemon
 
 import (
@@ -19,31 +25,31 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// The conditions of readiness that /healthz reports.
+// The readiness conditions that /healthz reports.
 const (
-	// conditionServing holds from the start of the role to its planned stop.
+	// conditionServing is met from the start of the role until a planned stop begins.
 	conditionServing observability.Condition = "serving"
-	// conditionDirectory holds once routes and endpoints are known.
+	// conditionDirectory is met once routes and endpoints are known.
 	conditionDirectory observability.Condition = "directory"
-	// conditionAgents holds unless no agent can be reached.
+	// conditionAgents is met unless no agent can be reached.
 	conditionAgents observability.Condition = "agents"
 )
 
-// role is what the process does besides being observed.
+// role is the part of the process that depends on its settings: balancer or agent.
 type role interface {
-	// addActors adds the parts of the role to a group.
+	// addActors adds the goroutines of the role to group.
 	addActors(group *run.Group)
-	// beginStop begins a planned beginStop and returns how long the role should go on
-	// serving.
+	// beginStop begins a planned stop and returns how long the role should continue to
+	// serve.
 	beginStop() time.Duration
 	// idle reports whether a stopping role has nothing left to serve.
 	idle() bool
-	// reload puts in force what of changed settings can be without a new start,
-	// and reports whether that is all that has changed.
+	// reload applies those changed settings that need no restart. It reports whether that
+	// covers all changes.
 	reload(changed *settings.Relay) bool
 }
 
-// Daemon is one process of the fleet.
+// Daemon is one process of the fleet, with its role and its observability server.
 type Daemon struct {
 	stopTimeout   atomic.Int64
 	log           *logging.Async
@@ -53,9 +59,9 @@
 	observability *observability.Server
 }
 
-// New opens the sockets of the daemon and writes its log to output. It fails
-// if the settings have no relay table or an address cannot be bound. Nothing is
-// served before Run.
+// New opens the sockets of the daemon, which writes its log to output. It fails if the
+// settings have no relay table or an address cannot be bound. The daemon serves nothing
+// before Run.
 func New(dependencies Dependencies, config *settings.Settings, output io.Writer) (*Daemon, error) {
 	if config.Relay == nil {
 		return nil, settings.Errors{{Key: "relay", Rule: "is required"}}
@@ -87,8 +93,8 @@
 	return created, errors.Wrap(err, "relay")
 }
 
-// Reload puts in force what can be without a new start: the log level, the time
-// of a planned stop and, for a balancer, the store and the seeds.
+// Reload applies the settings that need no restart: the log level, the stop timeout and,
+// for a balancer, the store and the seeds.
 func (d *Daemon) Reload(changed *settings.Settings) {
 	d.logger.SetLevel(changed.Log.Level)
 	complete := false
@@ -99,24 +105,26 @@
 	d.logger.Info("settings read again", "log_level", changed.Log.Level, "changes_wait_for_start", !complete)
 }
 
-// ReloadFailed tells that the settings could not be read again.
+// ReloadFailed logs that the settings could not be read again and that the current ones
+// stay in force.
 func (d *Daemon) ReloadFailed(err error) {
-	d.logger.Error("settings kept, since the new ones are wrong", "error", err)
+	d.logger.Error("cannot reload settings, keeping the current ones", "error", err)
 }
 
-// logFlushTimeout is how long a process that ends waits for its log to be written.
+// logFlushTimeout is how long a stopping process waits until its log is written.
 const logFlushTimeout = 200 * time.Millisecond
 
-// stopMargin is what a planned stop leaves of its longest time.
+// stopMargin is subtracted from the stop timeout, so that a planned stop ends in time.
 const stopMargin = 1500 * time.Millisecond
 
-// idlePollInterval is the time between looks at whether a stopping role is idle; it
-// also is the least time that a stop takes.
+// idlePollInterval is the time between checks whether a stopping role is idle. It is also
+// the shortest time that the stop of an idle role takes.
 const idlePollInterval = 300 * time.Millisecond
 
-// Run serves until ctx ends and then stops as planned: it reports that it is
-// not ready and goes on serving until the stop timeout is nearly over. It
-// returns nil after a planned stop, and the first error if a part fails.
+// Run serves until ctx ends and then stops as planned: it reports not ready and continues
+// to serve until the role is idle, or for the time that the role asks for, within the stop
+// timeout less stopMargin. It returns nil after a planned stop, or the first error if a
+// part fails.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.log.Close(logFlushTimeout)
 	d.logger.Info("daemon started")
@@ -166,7 +174,7 @@
 	}
 }
 
-// addActor adds a part that runs until its context ends.
+// addActor adds to group a function that runs until its context ends.
 func addActor(group *run.Group, execute func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group.Add(func() error { return execute(ctx) }, func(error) { cancel() })
--- a/internal/relaydaemon/daemon_test.go
+++ b/internal/relaydaemon/daemon_test.go
@@ -29,7 +29,7 @@
 
 var codec = segmenttest.Codec{Key: 3}
 
-// fakeStore gives a listing, and no changes.
+// fakeStore returns a listing and no changes. If down is set, listings fail.
 type fakeStore struct {
 	page directory.Page
 	down bool
@@ -51,7 +51,7 @@
 	}
 }
 
-// changingStore gives a listing and, once changes is closed, one change.
+// changingStore returns a listing and, once changes is closed, one change.
 type changingStore struct {
 	fakeStore
 	changes chan struct{}
@@ -73,7 +73,7 @@
 	}
 }
 
-// logBuffer is a log that may be read while it is written.
+// logBuffer is a log that can be read while it is written.
 type logBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
@@ -91,10 +91,10 @@
 	return b.text.String()
 }
 
-// testNetwork is the machine addresses of one test. All daemons share ports, as on a
-// platform; the machines are addresses of the loopback network.
+// testNetwork holds the ports of one test. All daemons share them, as on a platform;
+// machines are addresses of the loopback network.
 type testNetwork struct {
-	packetPort, peerPort, healthPort, exchangePort, appPort, emittedPort, updatePort int
+	packetPort, peerPort, healthPort, exchangePort, endpointPort, emittedPort, updatePort int
 }
 
 func newTestNetwork() testNetwork {
@@ -103,12 +103,12 @@
 }
 
 func parseSettings(text string) *settings.Settings {
-	checked, err := settings.Parse("test.toml", []byte(text))
+	config, err := settings.Parse("test.toml", []byte(text))
 	Expect(err).NotTo(HaveOccurred())
-	return checked
+	return config
 }
 
-func (s testNetwork) balancer(ip string, seeds string) *settings.Settings {
+func (s testNetwork) balancerSettings(ip string, seeds string) *settings.Settings {
 	return parseSettings(fmt.Sprintf(`name = "balancer"
 zone = "zone-1"
 [observability]
@@ -126,7 +126,7 @@
 `, ip, s.healthPort, s.peerPort, s.packetPort, s.exchangePort, seeds, s.updatePort))
 }
 
-func (s testNetwork) agent(ip string) *settings.Settings {
+func (s testNetwork) agentSettings(ip string) *settings.Settings {
 	return parseSettings(fmt.Sprintf(`name = "agent"
 zone = "zone-1"
 [observability]
@@ -139,19 +139,20 @@
 endpoint = "%[1]s:%[4]d"
 emitted = "%[1]s:%[5]d"
 first_start = true
-`, ip, s.healthPort, s.packetPort, s.appPort, s.emittedPort))
+`, ip, s.healthPort, s.packetPort, s.endpointPort, s.emittedPort))
 }
 
-// start runs a daemon and returns what stops it and waits for its end.
+// start runs a daemon. It returns a function that stops it and a channel that receives the
+// result of Run.
 func start(config *settings.Settings, store directory.Store, log io.Writer) (stop context.CancelFunc, ended chan error) {
-	created, err := relaydaemon.New(relaydaemon.Dependencies{
+	daemon, err := relaydaemon.New(relaydaemon.Dependencies{
 		Codec: codec, NewStore: func(netip.AddrPort) directory.Store { return store },
 	}, config, log)
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended = make(chan error, 1)
 	go func() {
-		ended <- created.Run(ctx)
+		ended <- daemon.Run(ctx)
 		close(ended)
 	}()
 	DeferCleanup(func() {
@@ -163,7 +164,7 @@
 	return cancel, ended
 }
 
-func (s testNetwork) health(ip string) int {
+func (s testNetwork) healthStatus(ip string) int {
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/healthz", ip, s.healthPort))
 	if err != nil {
 		return 0
@@ -172,7 +173,7 @@
 	return response.StatusCode
 }
 
-// scrape returns the metrics of a daemon, nothing while it does not answer.
+// scrape returns the metrics of a daemon, or an empty string if it does not answer.
 func (s testNetwork) scrape(port int, ip string) string {
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", ip, port))
 	if err != nil {
@@ -209,13 +210,13 @@
 
 var route = segment.Address{IP: [4]byte{198, 51, 100, 1}, Port: 443}
 
-func (s testNetwork) listing() directory.Page {
+func (s testNetwork) storeListing() directory.Page {
 	return directory.Page{Revision: 5, Items: []directory.Item{
 		{Revision: 1, Configuration: &directory.Configuration{Version: 4, Routes: []directory.Route{{
 			IP: route.IP, Port: route.Port, WeightedServices: []directory.WeightedService{{Service: "lookup", Weight: 1}},
 		}}}},
 		{Revision: 2, EndpointID: directory.NameOnlyID("e-1"), Endpoint: &directory.Endpoint{
-			Service: "lookup", IP: [4]byte{127, 0, 1, 3}, Port: uint16(s.appPort), Slots: 3,
+			Service: "lookup", IP: [4]byte{127, 0, 1, 3}, Port: uint16(s.endpointPort), Slots: 3,
 		}},
 	}}
 }
@@ -231,64 +232,64 @@
 		log = &logBuffer{}
 	})
 
-	status := func(ip string) func() int { return func() int { return network.health(ip) } }
+	status := func(ip string) func() int { return func() int { return network.healthStatus(ip) } }
 
-	It("carries a handshake between a client and an endpoint", func() {
-		app := listenUDP(agentIP, network.appPort)
+	It("relays an opening handshake between a client and an endpoint", func() {
+		endpoint := listenUDP(agentIP, network.endpointPort)
 		client := listenUDP(clientIP, network.packetPort)
-		start(network.agent(agentIP), nil, log)
-		start(network.balancer(balancerIP, ""), fakeStore{page: network.listing()}, log)
+		start(network.agentSettings(agentIP), nil, log)
+		start(network.balancerSettings(balancerIP, ""), fakeStore{page: network.storeListing()}, log)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
-		caller := segment.Address{IP: [4]byte{127, 0, 1, 4}, Port: 5555}
-		opening := codec.Encode(segment.Header{Source: caller, Destination: route, Flags: segment.Synchronize, Sequence: 9}, nil)
-		_, err := client.WriteToUDP(opening, &net.UDPAddr{IP: net.ParseIP(balancerIP), Port: network.packetPort})
+		clientAddress := segment.Address{IP: [4]byte{127, 0, 1, 4}, Port: 5555}
+		synPacket := codec.Encode(segment.Header{Source: clientAddress, Destination: route, Flags: segment.Synchronize, Sequence: 9}, nil)
+		_, err := client.WriteToUDP(synPacket, &net.UDPAddr{IP: net.ParseIP(balancerIP), Port: network.packetPort})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(receive(app)).To(Equal(opening))
-		answer := codec.Encode(segment.Header{
-			Source: route, Destination: caller, Flags: segment.Synchronize | segment.Acknowledge, Sequence: 70, Acknowledgment: 10,
+		Expect(receive(endpoint)).To(Equal(synPacket))
+		synAck := codec.Encode(segment.Header{
+			Source: route, Destination: clientAddress, Flags: segment.Synchronize | segment.Acknowledge, Sequence: 70, Acknowledgment: 10,
 		}, nil)
-		_, err = app.WriteToUDP(answer, &net.UDPAddr{IP: net.ParseIP(agentIP), Port: network.emittedPort})
+		_, err = endpoint.WriteToUDP(synAck, &net.UDPAddr{IP: net.ParseIP(agentIP), Port: network.emittedPort})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(receive(client)).To(Equal(answer))
+		Expect(receive(client)).To(Equal(synAck))
 		Eventually(log.String).WithTimeout(10 * time.Second).Should(ContainSubstring(`"event":"placed"`))
 	})
 
-	It("is not ready without a directory, and ready once a peer has told it one while the store is down", func() {
-		start(network.balancer(balancerIP, ""), fakeStore{page: network.listing()}, log)
+	It("is not ready without a directory, and ready once a peer provides one while the store is down", func() {
+		start(network.balancerSettings(balancerIP, ""), fakeStore{page: network.storeListing()}, log)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		noSeeds := newTestNetwork()
 		noSeeds.exchangePort = network.exchangePort
-		start(noSeeds.balancer(otherIP, ""), fakeStore{down: true}, io.Discard)
-		Eventually(func() int { return noSeeds.health(otherIP) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusServiceUnavailable))
-		Consistently(func() int { return noSeeds.health(otherIP) }).Should(Equal(http.StatusServiceUnavailable))
-		informed := newTestNetwork()
-		informed.exchangePort, informed.updatePort = network.exchangePort, network.updatePort
-		start(informed.balancer("127.0.1.5", fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, network.exchangePort))), fakeStore{down: true}, log)
-		Eventually(func() int { return informed.health("127.0.1.5") }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
+		start(noSeeds.balancerSettings(otherIP, ""), fakeStore{down: true}, io.Discard)
+		Eventually(func() int { return noSeeds.healthStatus(otherIP) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusServiceUnavailable))
+		Consistently(func() int { return noSeeds.healthStatus(otherIP) }).Should(Equal(http.StatusServiceUnavailable))
+		second := newTestNetwork()
+		second.exchangePort, second.updatePort = network.exchangePort, network.updatePort
+		start(second.balancerSettings("127.0.1.5", fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, network.exchangePort))), fakeStore{down: true}, log)
+		Eventually(func() int { return second.healthStatus("127.0.1.5") }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		Expect(log.String()).To(ContainSubstring(`"msg":"directory fetched"`))
 	})
 
-	It("learns of changes from another balancer where the store does not answer", func() {
+	It("receives changes from another balancer if the store does not answer", func() {
 		addedEndpoint := directory.Item{Revision: 6, EndpointID: directory.NameOnlyID("e-2"), Endpoint: &directory.Endpoint{
-			Service: "lookup", IP: [4]byte{127, 0, 1, 9}, Port: uint16(network.appPort), Slots: 3,
+			Service: "lookup", IP: [4]byte{127, 0, 1, 9}, Port: uint16(network.endpointPort), Slots: 3,
 		}}
 		store := changingStore{
-			fakeStore: fakeStore{page: network.listing()}, changes: make(chan struct{}),
+			fakeStore: fakeStore{page: network.storeListing()}, changes: make(chan struct{}),
 			change: directory.Changes{Items: []directory.Item{addedEndpoint}, Through: 6},
 		}
-		start(network.balancer(balancerIP, ""), store, io.Discard)
+		start(network.balancerSettings(balancerIP, ""), store, io.Discard)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
-		told := network
-		told.healthPort = freePort()
+		second := network
+		second.healthPort = freePort()
 		seed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, network.exchangePort))
-		start(told.balancer(otherIP, seed), fakeStore{down: true}, log)
-		Eventually(func() int { return told.health(otherIP) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
+		start(second.balancerSettings(otherIP, seed), fakeStore{down: true}, log)
+		Eventually(func() int { return second.healthStatus(otherIP) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		close(store.changes)
 		Eventually(log.String).WithTimeout(10 * time.Second).Should(ContainSubstring(`"revision":6`))
 	})
 
-	It("learns the directory though a peer goes silent half way through telling it", func() {
-		asked := make(chan struct{}, 100)
+	It("loads the directory although a peer stalls in the middle of its response", func() {
+		requested := make(chan struct{}, 100)
 		release := make(chan struct{})
 		listener, err := net.Listen("tcp4", fmt.Sprintf("127.0.1.6:%d", network.exchangePort))
 		Expect(err).NotTo(HaveOccurred())
@@ -296,7 +297,7 @@
 			w.Header().Set("Content-Length", "1000")
 			_, _ = w.Write([]byte("the first half"))
 			w.(http.Flusher).Flush()
-			asked <- struct{}{}
+			requested <- struct{}{}
 			<-release
 		})}
 		go func() { _ = stalledServer.Serve(listener) }()
@@ -305,49 +306,49 @@
 			Expect(stalledServer.Close()).To(Succeed())
 		})
 		seed := fmt.Sprintf("%q", fmt.Sprintf("127.0.1.6:%d", network.exchangePort))
-		start(network.balancer(otherIP, seed), fakeStore{down: true}, log)
-		Eventually(asked).WithTimeout(10 * time.Second).Should(Receive())
-		told := network
-		told.healthPort = freePort()
-		informing := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", otherIP, network.exchangePort))
-		start(told.balancer(balancerIP, informing), fakeStore{page: network.listing()}, io.Discard)
+		start(network.balancerSettings(otherIP, seed), fakeStore{down: true}, log)
+		Eventually(requested).WithTimeout(10 * time.Second).Should(Receive())
+		second := network
+		second.healthPort = freePort()
+		secondSeed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", otherIP, network.exchangePort))
+		start(second.balancerSettings(balancerIP, secondSeed), fakeStore{page: network.storeListing()}, io.Discard)
 		Eventually(status(otherIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 	})
 
-	It("refuses new flows to a zone of whose closing it learns from another balancer, and says so", func() {
-		page := network.listing()
+	It("resets new flows to a zone that another balancer reports as closed, and logs and exports the closing", func() {
+		page := network.storeListing()
 		page.Items[1].Endpoint.Zone = "zone-1"
 		store := changingStore{
 			fakeStore: fakeStore{page: page}, changes: make(chan struct{}),
 			change: directory.Changes{Items: []directory.Item{{Revision: 6, Zone: "zone-1", ZoneClosed: true}}, Through: 6},
 		}
-		start(network.balancer(balancerIP, ""), store, io.Discard)
+		start(network.balancerSettings(balancerIP, ""), store, io.Discard)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
-		told := network
-		told.healthPort = freePort()
+		second := network
+		second.healthPort = freePort()
 		seed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, network.exchangePort))
-		start(told.balancer(otherIP, seed), fakeStore{down: true}, log)
-		Eventually(func() int { return told.health(otherIP) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
+		start(second.balancerSettings(otherIP, seed), fakeStore{down: true}, log)
+		Eventually(func() int { return second.healthStatus(otherIP) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		close(store.changes)
 		Eventually(log.String).WithTimeout(10 * time.Second).Should(ContainSubstring(`"msg":"zone closed to new flows"`))
 		client := listenUDP(clientIP, network.packetPort)
-		caller := segment.Address{IP: [4]byte{127, 0, 1, 4}, Port: 5555}
-		opening := codec.Encode(segment.Header{Source: caller, Destination: route, Flags: segment.Synchronize, Sequence: 9}, nil)
-		_, err := client.WriteToUDP(opening, &net.UDPAddr{IP: net.ParseIP(otherIP), Port: network.packetPort})
+		clientAddress := segment.Address{IP: [4]byte{127, 0, 1, 4}, Port: 5555}
+		synPacket := codec.Encode(segment.Header{Source: clientAddress, Destination: route, Flags: segment.Synchronize, Sequence: 9}, nil)
+		_, err := client.WriteToUDP(synPacket, &net.UDPAddr{IP: net.ParseIP(otherIP), Port: network.packetPort})
 		Expect(err).NotTo(HaveOccurred())
 		header, _ := codec.Decode(receive(client))
 		Expect(header.Flags.Has(segment.Reset)).To(BeTrue())
 		Eventually(log.String).WithTimeout(10 * time.Second).Should(ContainSubstring(`"reason":"zone_closed"`))
-		Expect(network.scrape(told.healthPort, otherIP)).To(SatisfyAll(
+		Expect(network.scrape(second.healthPort, otherIP)).To(SatisfyAll(
 			ContainSubstring("vanetiller_relay_closed_zones 1"), ContainSubstring("vanetiller_relay_closed_zone_endpoints 1")))
 	})
 
-	It("says which entry it cannot use, once, and serves with the others", func() {
-		page := network.listing()
+	It("reports an unusable store entry once and serves with the other entries", func() {
+		page := network.storeListing()
 		page.Items = append(page.Items, directory.Item{
 			Key: "endpoints/e-9", Revision: 4, EndpointID: directory.NameOnlyID("e-9"), RefusalReason: directory.RefusedWrongType,
 		})
-		start(network.balancer(balancerIP, ""), fakeStore{page: page}, log)
+		start(network.balancerSettings(balancerIP, ""), fakeStore{page: page}, log)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		refused := MatchRegexp(`"msg":"entry refused".*"entry":"endpoints/e-9","revision":4,"reason":"wrong_type"`)
 		Eventually(log.String).WithTimeout(10 * time.Second).Should(refused)
@@ -357,35 +358,35 @@
 			ContainSubstring("vanetiller_relay_endpoints 1")))
 	})
 
-	It("resets a flow that nobody holds, also where the store does not answer and a peer confirms the directory", func() {
+	It("resets a flow that no endpoint holds, even if the store does not answer and a peer confirms the directory", func() {
 		client := listenUDP(clientIP, network.packetPort)
-		start(network.agent(agentIP), nil, log)
-		start(network.balancer(balancerIP, ""), fakeStore{page: network.listing()}, log)
-		informed := network
-		informed.healthPort = freePort()
+		start(network.agentSettings(agentIP), nil, log)
+		start(network.balancerSettings(balancerIP, ""), fakeStore{page: network.storeListing()}, log)
+		second := network
+		second.healthPort = freePort()
 		seed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, network.exchangePort))
-		start(informed.balancer(otherIP, seed), fakeStore{down: true}, log)
+		start(second.balancerSettings(otherIP, seed), fakeStore{down: true}, log)
 		Eventually(status(agentIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		for port, ip := range []string{balancerIP, otherIP} {
 			health := network
 			if ip == otherIP {
-				health = informed
+				health = second
 			}
-			Eventually(func() int { return health.health(ip) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
-			caller := segment.Address{IP: [4]byte{127, 0, 1, 4}, Port: uint16(6000 + port)}
+			Eventually(func() int { return health.healthStatus(ip) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
+			clientAddress := segment.Address{IP: [4]byte{127, 0, 1, 4}, Port: uint16(6000 + port)}
 			stray := codec.Encode(segment.Header{
-				Source: caller, Destination: route, Flags: segment.Acknowledge, Sequence: 10, Acknowledgment: 71,
+				Source: clientAddress, Destination: route, Flags: segment.Acknowledge, Sequence: 10, Acknowledgment: 71,
 			}, []byte("request"))
 			_, err := client.WriteToUDP(stray, &net.UDPAddr{IP: net.ParseIP(ip), Port: network.packetPort})
 			Expect(err).NotTo(HaveOccurred())
-			answered, _ := codec.Decode(receive(client))
-			Expect(answered.Flags.Has(segment.Reset)).To(BeTrue(), ip)
-			Expect(answered.Destination).To(Equal(caller))
+			header, _ := codec.Decode(receive(client))
+			Expect(header.Flags.Has(segment.Reset)).To(BeTrue(), ip)
+			Expect(header.Destination).To(Equal(clientAddress))
 		}
 	})
 
-	It("goes on serving for a while after a stop has begun, not ready", func() {
-		stop, ended := start(network.balancer(balancerIP, ""), fakeStore{page: network.listing()}, log)
+	It("reports not ready after a stop has begun and keeps serving for a while", func() {
+		stop, ended := start(network.balancerSettings(balancerIP, ""), fakeStore{page: network.storeListing()}, log)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		stop()
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusServiceUnavailable))
@@ -394,20 +395,20 @@
 		Expect(log.String()).To(ContainSubstring(`"msg":"daemon stopped"`))
 	})
 
-	It("ends a stopping agent as soon as its endpoint has no flow", func() {
-		stop, ended := start(network.agent(agentIP), nil, log)
+	It("stops an agent as soon as its endpoint has no open flow", func() {
+		stop, ended := start(network.agentSettings(agentIP), nil, log)
 		Eventually(status(agentIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		stop()
 		Eventually(ended).WithTimeout(10 * time.Second).Should(Receive(BeNil()))
 		Expect(log.String()).To(ContainSubstring(`"msg":"agent is idle"`))
 	})
 
-	It("serves its counters, histograms and the version in force", func() {
+	It("exports counters, histograms and the version of the configuration in use", func() {
 		scrape := func(ip string) func() string {
 			return func() string { return network.scrape(network.healthPort, ip) }
 		}
-		start(network.agent(agentIP), nil, log)
-		start(network.balancer(balancerIP, ""), fakeStore{page: network.listing()}, log)
+		start(network.agentSettings(agentIP), nil, log)
+		start(network.balancerSettings(balancerIP, ""), fakeStore{page: network.storeListing()}, log)
 		Eventually(scrape(agentIP)).WithTimeout(10 * time.Second).Should(SatisfyAll(
 			ContainSubstring(`vanetiller_relay_events_total{kind="held"} 0`),
 			ContainSubstring("vanetiller_relay_wait_seconds_bucket")))
@@ -418,34 +419,34 @@
 			ContainSubstring("vanetiller_relay_endpoints 1")))
 	})
 
-	It("turns to another store when the settings are read again", func() {
+	It("switches to another store on reload, and logs whether other changes wait for a restart", func() {
 		stores := map[string]directory.Store{
-			"127.0.0.1:1": fakeStore{down: true}, "127.0.0.1:2": fakeStore{page: network.listing()},
+			"127.0.0.1:1": fakeStore{down: true}, "127.0.0.1:2": fakeStore{page: network.storeListing()},
 		}
-		checked := network.balancer(balancerIP, "")
-		created, err := relaydaemon.New(relaydaemon.Dependencies{
+		config := network.balancerSettings(balancerIP, "")
+		daemon, err := relaydaemon.New(relaydaemon.Dependencies{
 			Codec: codec, NewStore: func(address netip.AddrPort) directory.Store { return stores[address.String()] },
-		}, checked, log)
+		}, config, log)
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
-		go func() { ended <- created.Run(ctx) }()
+		go func() { ended <- daemon.Run(ctx) }()
 		DeferCleanup(func() {
 			cancel()
 			Eventually(ended).WithTimeout(10 * time.Second).Should(Receive())
 		})
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusServiceUnavailable))
-		changed := network.balancer(balancerIP, "")
+		changed := network.balancerSettings(balancerIP, "")
 		changed.Relay.Balancer.Store = netip.MustParseAddrPort("127.0.0.1:2")
-		created.Reload(changed)
+		daemon.Reload(changed)
 		Eventually(status(balancerIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		Expect(log.String()).To(ContainSubstring(`"changes_wait_for_start":false`))
 		changed.Relay.FlowLimit++
-		created.Reload(changed)
+		daemon.Reload(changed)
 		Eventually(log.String).Should(ContainSubstring(`"changes_wait_for_start":true`))
 	})
 
-	It("refuses settings without a relay table", func() {
+	It("rejects settings without a relay table", func() {
 		_, err := relaydaemon.New(relaydaemon.Dependencies{}, &settings.Settings{}, io.Discard)
 		Expect(err).To(MatchError(ContainSubstring("relay: is required")))
 	})
--- a/internal/relaydaemon/directorymetrics.go
+++ b/internal/relaydaemon/directorymetrics.go
@@ -10,8 +10,8 @@
 	"github.com/vanetiller/vanetiller/internal/observability/registry"
 )
 
-// directoryMetrics show what a balancer has in force, how it came to know, and what that
-// costs.
+// directoryMetrics export the directory that a balancer uses, how current it is, and the
+// store calls and updates that keep it current.
 type directoryMetrics struct {
 	version             metrics.Gauge
 	routes              metrics.Gauge
@@ -23,7 +23,8 @@
 	updates             metrics.Counter
 }
 
-// The labels of the counters, and the values that are not names of failures.
+// Labels of the counters, and those of their values that are not names of a
+// directory.StoreFailure.
 const (
 	outcomeLabel   = "outcome"
 	directionLabel = "direction"
@@ -39,16 +40,16 @@
 	directionReceived = "received"
 )
 
-func newDirectoryMetrics(registered *registry.Registry) directoryMetrics {
+func newDirectoryMetrics(reg *registry.Registry) directoryMetrics {
 	return directoryMetrics{
-		version:             registered.Gauge("relay_configuration_version", "Version of the configuration in force, 0 before the first."),
-		routes:              registered.Gauge("relay_routes", "Routes in force."),
-		endpoints:           registered.Gauge("relay_endpoints", "Endpoints known, those that are leaving or gone included."),
-		age:                 registered.Gauge("relay_directory_age_seconds", "Time since the store has confirmed the directory, to this balancer or to others."),
-		closedZones:         registered.Gauge("relay_closed_zones", "Zones that are closed to new flows."),
-		closedZoneEndpoints: registered.Gauge("relay_closed_zone_endpoints", "Endpoints that get no new flow only since their zone is closed."),
-		storeCalls:          registered.Counter("relay_store_calls_total", "Calls of the store, by kind and outcome.", kindLabel, outcomeLabel),
-		updates:             registered.Counter("relay_updates_total", "Datagrams with changes of the directory, from and to other balancers.", directionLabel),
+		version:             reg.Gauge("relay_configuration_version", "Version of the configuration in force, 0 before the first."),
+		routes:              reg.Gauge("relay_routes", "Routes in force."),
+		endpoints:           reg.Gauge("relay_endpoints", "Endpoints known, those that are leaving or gone included."),
+		age:                 reg.Gauge("relay_directory_age_seconds", "Time since the store has confirmed the directory, to this balancer or to others."),
+		closedZones:         reg.Gauge("relay_closed_zones", "Zones that are closed to new flows."),
+		closedZoneEndpoints: reg.Gauge("relay_closed_zone_endpoints", "Endpoints that get no new flow only since their zone is closed."),
+		storeCalls:          reg.Counter("relay_store_calls_total", "Calls of the store, by kind and outcome.", kindLabel, outcomeLabel),
+		updates:             reg.Counter("relay_updates_total", "Datagrams with changes of the directory, from and to other balancers.", directionLabel),
 	}
 }
 
@@ -66,14 +67,15 @@
 	m.closedZoneEndpoints.Set(float64(count))
 }
 
-// observeAge shows how old the latest confirmation is, once there is one.
+// observeAge sets the time since the latest confirmation. A negative confirmed means that
+// there has been none.
 func (m directoryMetrics) observeAge(now, confirmed time.Duration) {
 	if confirmed >= 0 {
 		m.age.Set((now - confirmed).Seconds())
 	}
 }
 
-// countStoreCall counts a call of the store.
+// countStoreCall counts a call of the store by its outcome.
 func (m directoryMetrics) countStoreCall(kind string, err error) {
 	outcome := outcomeAnswered
 	var failed *directory.StoreError
@@ -83,7 +85,7 @@
 	m.storeCalls.With(kindLabel, kind, outcomeLabel, outcome).Add(1)
 }
 
-// storeCallKind returns the kind of a call that keeps the directory current.
+// storeCallKind returns the metric label for a call that keeps the directory current.
 func storeCallKind(call directory.Call) string {
 	switch {
 	case call.Listing:
--- a/internal/relaydaemon/eventrecorder.go
+++ b/internal/relaydaemon/eventrecorder.go
@@ -13,15 +13,15 @@
 	"github.com/vanetiller/vanetiller/internal/requestqueue"
 )
 
-// The labels of the counters of events and of ejections.
+// Labels of the counters of events and of ejections.
 const (
 	kindLabel   = "kind"
 	reasonLabel = "reason"
 )
 
-// The log of decisions is bounded, so that it costs little under load. What is
-// left out is counted in the next line. Decisions that are part of every flow
-// that goes well have a bound of their own.
+// Limits of the decision log, so that it costs little under load. The next line counts the
+// lines that were omitted. Decisions that belong to every successful flow have a limit of
+// their own, so that they do not displace the others.
 const (
 	eventsPerSecond  = 50
 	eventsBurst      = 200
@@ -29,10 +29,10 @@
 	routineBurst     = 200
 )
 
-// latencyBuckets are the upper bounds of the buckets of latency histograms.
+// latencyBuckets are the upper bounds of the buckets of latency histograms, in seconds.
 var latencyBuckets = []float64{0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5}
 
-// eventRecorder logs, counts and times the decisions of a role.
+// eventRecorder logs, counts and times the events of a role.
 type eventRecorder struct {
 	logger       *log.Logger
 	unusual      logLimit
@@ -40,12 +40,12 @@
 	eventCounts  []metrics.Counter
 	durations    map[relay.EventKind]metrics.Histogram
 	loadReporter *loadReporter
-	// ejections count by the reason.
+	// ejections and admissions hold one counter for each reason.
 	ejections  map[string]metrics.Counter
 	admissions map[string]metrics.Counter
 }
 
-// logLimit is a part of the log with a bound.
+// logLimit limits the rate of log lines and counts those omitted since the last one.
 type logLimit struct {
 	limiter *rate.Limiter
 	omitted int
@@ -55,15 +55,15 @@
 	return logLimit{limiter: rate.NewLimiter(perSecond, burst)}
 }
 
-func newEventRecorder(logger *log.Logger, registered *registry.Registry) *eventRecorder {
+func newEventRecorder(logger *log.Logger, reg *registry.Registry) *eventRecorder {
 	histogram := func(name, help string) metrics.Histogram {
-		return registered.Histogram(name, help, latencyBuckets)
+		return reg.Histogram(name, help, latencyBuckets)
 	}
 	created := &eventRecorder{
 		logger:       logger,
 		unusual:      newLogLimit(eventsPerSecond, eventsBurst),
 		routine:      newLogLimit(routinePerSecond, routineBurst),
-		loadReporter: newLoadReporter(logger, registered),
+		loadReporter: newLoadReporter(logger, reg),
 		durations: map[relay.EventKind]metrics.Histogram{
 			relay.EventPlaced:   histogram("relay_placement_seconds", "Time from a flow's opening packet to the endpoint's answer to it."),
 			relay.EventAnswered: histogram("relay_answer_seconds", "Time from a request to the beginning of its answer."),
@@ -73,18 +73,18 @@
 				"Time from the first question for the owner of a flow to the reset of the flow, as no endpoint holds it."),
 		},
 	}
-	counter := registered.Counter("relay_events_total", "Decisions about packets and peers, by kind.", kindLabel)
+	counter := reg.Counter("relay_events_total", "Decisions about packets and peers, by kind.", kindLabel)
 	for _, kind := range relay.EventKinds() {
 		counted := counter.With(kindLabel, kind.String())
 		counted.Add(0)
 		created.eventCounts = append(created.eventCounts, counted)
 	}
-	ejections := registered.Counter("relay_ejections_total", "Ejections of the endpoint beside an agent, by reason.", reasonLabel)
+	ejections := reg.Counter("relay_ejections_total", "Ejections of the endpoint beside an agent, by reason.", reasonLabel)
 	created.ejections = make(map[string]metrics.Counter)
 	for _, outcome := range outlier.Outcomes()[outlier.Failure:] {
 		created.ejections[outcome.String()] = ejections.With(reasonLabel, outcome.String())
 	}
-	admitted := registered.Counter("relay_admitted_total", "Requests that waited and were given to the endpoint, by why each went first.", reasonLabel)
+	admitted := reg.Counter("relay_admitted_total", "Requests that waited and were given to the endpoint, by why each went first.", reasonLabel)
 	created.admissions = make(map[string]metrics.Counter)
 	for _, reason := range requestqueue.Reasons() {
 		created.admissions[reason.String()] = admitted.With(reasonLabel, reason.String())
@@ -92,26 +92,26 @@
 	return created
 }
 
-// isRoutine reports whether an event is part of every flow that goes well.
+// isRoutine reports whether an event belongs to every successful flow.
 func isRoutine(kind relay.EventKind) bool {
 	return kind == relay.EventPlaced || kind == relay.EventGiven || kind == relay.EventAnswered || kind == relay.EventReleased
 }
 
-func (j *eventRecorder) record(now time.Duration, event relay.Event) {
-	j.loadReporter.record(now, event)
-	j.eventCounts[event.Kind].Add(1)
-	if histogram, timed := j.durations[event.Kind]; timed {
+func (r *eventRecorder) record(now time.Duration, event relay.Event) {
+	r.loadReporter.record(now, event)
+	r.eventCounts[event.Kind].Add(1)
+	if histogram, timed := r.durations[event.Kind]; timed {
 		histogram.Observe(event.Elapsed.Seconds())
 	}
 	if event.Kind == relay.EventEjected {
-		j.ejections[event.Reason].Add(1)
+		r.ejections[event.Reason].Add(1)
 	}
 	if event.Kind == relay.EventAdmitted {
-		j.admissions[event.Reason].Add(1)
+		r.admissions[event.Reason].Add(1)
 	}
-	limit := &j.unusual
+	limit := &r.unusual
 	if isRoutine(event.Kind) {
-		limit = &j.routine
+		limit = &r.routine
 	}
 	if !limit.limiter.Allow() {
 		limit.omitted++
@@ -122,7 +122,7 @@
 		fields = append(fields, "omitted", limit.omitted)
 		limit.omitted = 0
 	}
-	j.logger.Info("decision", fields...)
+	r.logger.Info("decision", fields...)
 }
 
 func eventFields(event relay.Event) []any {
--- a/internal/relaydaemon/executor.go
+++ b/internal/relaydaemon/executor.go
@@ -10,18 +10,19 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// minTickDelay bounds how often a deciding part looks at its timeouts.
+// minTickDelay bounds how often the timeouts of a state machine are checked.
 const minTickDelay = 5 * time.Millisecond
 
-// stateMachine is a deciding part: a relay.Balancer or a relay.Agent.
+// stateMachine is a relay.Balancer or a relay.Agent. It decides without I/O and returns
+// effects to carry out.
 type stateMachine interface {
 	Receive(now time.Duration, from segment.Address, message relay.Message) []relay.Effect
 	Tick(now time.Duration) []relay.Effect
 	NextTick(now time.Duration) time.Duration
 }
 
-// executor gives a deciding part its inputs, one at a time, and carries out the
-// effects.
+// executor passes inputs to a state machine one at a time and carries out the effects that
+// it returns.
 type executor struct {
 	mutex      sync.Mutex
 	machine    stateMachine
@@ -29,30 +30,31 @@
 	clientPort uint16
 	recorder   *eventRecorder
 	peerSocket *socket
-	// packetSocket sends to clients and to the endpoint.
+	// packetSocket sends to clients or to the endpoint.
 	packetSocket *socket
 	endpoint     segment.Address
 	encodeBuffer []byte
 	timer        *time.Timer
 	timerDue     time.Duration
-	// requestConfirmation, if set, asks for a confirmation of the directory.
+	// requestConfirmation handles relay.EffectConfirmDirectory. It is nil for an agent,
+	// which does not return that effect.
 	requestConfirmation func()
-	// afterInput, if set, is called afterInput each input.
+	// afterInput, if set, is called after each input.
 	afterInput func(now time.Duration)
 }
 
-func newExecutor(decider stateMachine, clientPort uint16, journal *eventRecorder) *executor {
+func newExecutor(machine stateMachine, clientPort uint16, recorder *eventRecorder) *executor {
 	return &executor{
-		machine:    decider,
+		machine:    machine,
 		startedAt:  time.Now(),
 		clientPort: clientPort,
-		recorder:   journal,
+		recorder:   recorder,
 		timer:      time.NewTimer(0),
 	}
 }
 
-// do gives the deciding part an input at the present time, by the steady clock,
-// and carries out the effects.
+// do calls input with the present monotonic time and carries out the effects that it
+// returns.
 func (e *executor) do(input func(now time.Duration) []relay.Effect) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -86,13 +88,13 @@
 func (e *executor) sendPeer(to segment.Address, message *relay.Message) {
 	encoded, err := message.MarshalMsg(e.encodeBuffer[:0])
 	if err != nil {
-		panic("relaydaemon: cannot encode a message: " + err.Error())
+		panic("relaydaemon: cannot encode message: " + err.Error())
 	}
 	e.encodeBuffer = encoded
 	e.peerSocket.send(to, encoded)
 }
 
-// armTimer sets the timer if the next timeout comes before it.
+// armTimer resets the timer if the next timeout is due before the timer.
 func (e *executor) armTimer(now time.Duration) {
 	next := e.machine.NextTick(now)
 	if next >= e.timerDue {
@@ -102,7 +104,7 @@
 	e.timer.Reset(max(next-now, minTickDelay))
 }
 
-// runTimer lets the deciding part look at its timeouts until ctx ends.
+// runTimer calls Tick on the state machine when timeouts are due, until ctx ends.
 func (e *executor) runTimer(ctx context.Context) error {
 	for {
 		select {
@@ -119,7 +121,7 @@
 	}
 }
 
-// handleMessage handles a datagram of another daemon.
+// handleMessage decodes a datagram of another process and passes it to the state machine.
 func (e *executor) handleMessage(from netip.AddrPort, datagram []byte) {
 	sender := segment.AddressOf(from)
 	var message relay.Message
--- a/internal/relaydaemon/load.go
+++ b/internal/relaydaemon/load.go
@@ -14,28 +14,30 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// The labels of metrics of load, and their values where nothing better is known.
+// Labels of the load metrics, and their values for unknown or merged classes.
 const (
 	serviceLabel  = "service"
 	priorityLabel = "priority"
 
 	unknownValue = "unknown"
-	// otherValue stands for the classes beyond classLimit.
+	// otherValue is the service under which all classes beyond maxClasses are counted.
 	otherValue = "other"
 )
 
 const (
-	// maxClasses bounds the classes that are told apart, and with them the metrics.
+	// maxClasses bounds the classes that are counted separately, and with them the size of
+	// the metrics.
 	maxClasses = 256
-	// loadInterval is the least time between two lines about a class while requests wait or
-	// are turned away, and calmInterval while none are.
+	// loadInterval is the shortest time between two load lines about a class while requests
+	// wait or are refused. quietInterval applies while none are.
 	loadInterval  = time.Second
 	quietInterval = 10 * time.Second
 )
 
-// loadStats is what happened to the requests and flows of a class since the last line.
+// loadStats counts what happened to the requests and flows of a class since its last log
+// line.
 type loadStats struct {
-	// since is when the first of events was counted.
+	// since is the time of the first counted event.
 	since     time.Duration
 	events    int
 	asked     int
@@ -45,7 +47,8 @@
 	ownerless int
 	returned  map[string]int
 	refused   map[string]int
-	// waits counts by the upper bound of secondsBuckets in milliseconds, or longerWait.
+	// waits holds the number of waits by bucket of latencyBuckets. A key is the upper bound
+	// in milliseconds, or overflowBucket.
 	waits   map[string]int
 	longest time.Duration
 }
@@ -54,38 +57,38 @@
 	return &loadStats{returned: make(map[string]int), refused: make(map[string]int), waits: make(map[string]int)}
 }
 
-// add takes account of an event.
-func (c *loadStats) add(now time.Duration, event relay.Event) {
-	if c.events == 0 {
-		c.since = now
+// add counts an event.
+func (s *loadStats) add(now time.Duration, event relay.Event) {
+	if s.events == 0 {
+		s.since = now
 	}
-	c.events++
+	s.events++
 	switch event.Kind {
 	case relay.EventGiven, relay.EventHeld:
-		c.asked++
+		s.asked++
 	case relay.EventAnswered:
-		c.answered++
+		s.answered++
 	case relay.EventPlaced:
-		c.placed++
+		s.placed++
 	case relay.EventExpired:
-		c.expired++
+		s.expired++
 	case relay.EventOwnerless:
-		c.ownerless++
+		s.ownerless++
 	case relay.EventReturned:
-		c.returned[event.Reason]++
+		s.returned[event.Reason]++
 	case relay.EventNoEndpoint:
-		c.refused[event.Reason]++
+		s.refused[event.Reason]++
 	case relay.EventAdmitted:
-		c.addWait(event.Elapsed)
+		s.addWait(event.Elapsed)
 	}
 }
 
-func (c *loadStats) addWait(elapsed time.Duration) {
-	c.waits[waitBucket(elapsed)]++
-	c.longest = max(c.longest, elapsed)
+func (s *loadStats) addWait(elapsed time.Duration) {
+	s.waits[waitBucket(elapsed)]++
+	s.longest = max(s.longest, elapsed)
 }
 
-// overflowBucket is the bucket of waits beyond all bounds.
+// overflowBucket is the bucket of waits that exceed all bounds.
 const overflowBucket = "longer"
 
 func waitBucket(elapsed time.Duration) string {
@@ -96,25 +99,26 @@
 	return strconv.FormatFloat(1000*latencyBuckets[bucket], 'f', -1, 64)
 }
 
-// underPressure reports whether something waited or was turned away.
-func (c *loadStats) underPressure() bool {
-	return c.longest > 0 || c.expired > 0 || c.ownerless > 0 || len(c.returned) > 0 || len(c.refused) > 0
+// underPressure reports whether a request or flow of the class has waited, expired, been
+// returned or refused, or had no owner.
+func (s *loadStats) underPressure() bool {
+	return s.longest > 0 || s.expired > 0 || s.ownerless > 0 || len(s.returned) > 0 || len(s.refused) > 0
 }
 
-// reportDue reports whether a line about the class is reportDue.
-func (c *loadStats) reportDue(now time.Duration) bool {
-	return c.underPressure() || c.events > 0 && now-c.since >= quietInterval
+// reportDue reports whether a log line about the class is due.
+func (s *loadStats) reportDue(now time.Duration) bool {
+	return s.underPressure() || s.events > 0 && now-s.since >= quietInterval
 }
 
-func (c *loadStats) fields() []any {
+func (s *loadStats) fields() []any {
 	return []any{
-		"asked", c.asked, "answered", c.answered, "placed", c.placed, "expired", c.expired, "ownerless", c.ownerless,
-		"returned", c.returned, "refused", c.refused,
-		"waits", c.waits, "longest_ms", float64(c.longest.Microseconds()) / 1000,
+		"asked", s.asked, "answered", s.answered, "placed", s.placed, "expired", s.expired, "ownerless", s.ownerless,
+		"returned", s.returned, "refused", s.refused,
+		"waits", s.waits, "longest_ms", float64(s.longest.Microseconds()) / 1000,
 	}
 }
 
-// isLoadEvent reports whether an event tells what became of a request or a flow.
+// isLoadEvent reports whether an event is an outcome of a request or a flow.
 func isLoadEvent(kind relay.EventKind) bool {
 	switch kind {
 	case relay.EventGiven, relay.EventHeld, relay.EventAnswered, relay.EventPlaced, relay.EventExpired,
@@ -124,12 +128,12 @@
 	return false
 }
 
-// loadReporter sums up what became of requests and flows, by class, in metrics and in lines that
-// leave nothing out, unlike those of single decisions.
+// loadReporter aggregates the outcomes of requests and flows by class, in metrics and in
+// log lines. Unlike the decision log, the sums omit nothing.
 type loadReporter struct {
 	logger *log.Logger
 	stats  map[relay.TrafficClass]*loadStats
-	// nextFlush is when lines may be due.
+	// nextFlush is the earliest time of the next flush.
 	nextFlush time.Duration
 	requests  metrics.Counter
 	returned  metrics.Counter
@@ -137,22 +141,22 @@
 	waits     metrics.Histogram
 }
 
-func newLoadReporter(logger *log.Logger, registered *registry.Registry) *loadReporter {
+func newLoadReporter(logger *log.Logger, reg *registry.Registry) *loadReporter {
 	return &loadReporter{
 		logger: logger,
 		stats:  make(map[relay.TrafficClass]*loadStats),
-		requests: registered.Counter("relay_requests_total", "Decisions about requests and flows, by service, priority and kind.",
+		requests: reg.Counter("relay_requests_total", "Decisions about requests and flows, by service, priority and kind.",
 			serviceLabel, priorityLabel, kindLabel),
-		returned: registered.Counter("relay_returned_total", "New flows that an agent returned to their balancers, by service, priority and reason.",
+		returned: reg.Counter("relay_returned_total", "New flows that an agent returned to their balancers, by service, priority and reason.",
 			serviceLabel, priorityLabel, reasonLabel),
-		refused: registered.Counter("relay_refused_total", "New flows that a balancer refused their clients, by service, priority and reason.",
+		refused: reg.Counter("relay_refused_total", "New flows that a balancer refused their clients, by service, priority and reason.",
 			serviceLabel, priorityLabel, reasonLabel),
-		waits: registered.Histogram("relay_class_wait_seconds", "Time that requests waited for a busy endpoint, by service and priority.",
+		waits: reg.Histogram("relay_class_wait_seconds", "Time that requests waited for a busy endpoint, by service and priority.",
 			latencyBuckets, serviceLabel, priorityLabel),
 	}
 }
 
-// record takes account of an event.
+// record counts an event if it is an outcome of a request or a flow.
 func (l *loadReporter) record(now time.Duration, event relay.Event) {
 	if !isLoadEvent(event.Kind) {
 		return
@@ -174,7 +178,7 @@
 	}
 }
 
-// reportedClass returns the class under which an event counts.
+// reportedClass returns the class under which events of class are counted.
 func (l *loadReporter) reportedClass(class relay.TrafficClass) relay.TrafficClass {
 	if _, exists := l.stats[class]; exists || len(l.stats) < maxClasses {
 		return class
@@ -182,7 +186,7 @@
 	return relay.TrafficClass{Service: otherValue}
 }
 
-// flush writes the lines that are due.
+// flush writes the log lines that are due and resets the counts of their classes.
 func (l *loadReporter) flush(now time.Duration) {
 	if now < l.nextFlush {
 		return
--- a/internal/relaydaemon/load_test.go
+++ b/internal/relaydaemon/load_test.go
@@ -20,45 +20,45 @@
 	"github.com/vanetiller/vanetiller/internal/requestqueue"
 )
 
-func scrape(registered *registry.Registry) string {
+func scrape(reg *registry.Registry) string {
 	recorder := httptest.NewRecorder()
-	registered.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	reg.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	return recorder.Body.String()
 }
 
-var _ = Describe("load", func() {
+var _ = Describe("load reporting", func() {
 	var (
-		written    *bytes.Buffer
-		registered *registry.Registry
-		recorder   *eventRecorder
+		output   *bytes.Buffer
+		reg      *registry.Registry
+		recorder *eventRecorder
 	)
 	highPriority := relay.TrafficClass{Service: "lookup", Priority: 0, PriorityKnown: true}
 	lowPriority := relay.TrafficClass{Service: "lookup", Priority: 2, PriorityKnown: true}
 
 	BeforeEach(func() {
-		written = &bytes.Buffer{}
-		registered = registry.New()
-		recorder = newEventRecorder(logging.New(written, log.InfoLevel, "side-1", "zone-1"), registered)
+		output = &bytes.Buffer{}
+		reg = registry.New()
+		recorder = newEventRecorder(logging.New(output, log.InfoLevel, "side-1", "zone-1"), reg)
 	})
 
 	record := func(now time.Duration, class relay.TrafficClass, kind relay.EventKind, reason string, elapsed time.Duration) {
 		recorder.record(now, relay.Event{Kind: kind, Class: class, Reason: reason, Elapsed: elapsed})
 	}
-	// takeLoadLines returns the takeLoadLines about load, and forgets them.
+	// takeLoadLines returns the log lines about load and clears the log.
 	takeLoadLines := func() []map[string]any {
 		var found []map[string]any
-		for line := range strings.Lines(written.String()) {
+		for line := range strings.Lines(output.String()) {
 			var fields map[string]any
 			Expect(json.Unmarshal([]byte(line), &fields)).To(Succeed())
 			if fields["msg"] == "load" {
 				found = append(found, fields)
 			}
 		}
-		written.Reset()
+		output.Reset()
 		return found
 	}
 
-	It("has a line a second for each class under pressure, which leaves nothing out", func() {
+	It("logs one line per second for each class under pressure, with complete counts", func() {
 		for range 700 {
 			record(time.Second, lowPriority, relay.EventHeld, "", 0)
 			record(time.Second, lowPriority, relay.EventReturned, "busy", 0)
@@ -78,10 +78,10 @@
 		))
 		Expect(found[1]["waits"]).To(Equal(map[string]any{"50": 1.0, "longer": 1.0}))
 		recorder.loadReporter.flush(3 * time.Second)
-		Expect(takeLoadLines()).To(BeEmpty(), "nothing has happened since")
+		Expect(takeLoadLines()).To(BeEmpty(), "no events since the last flush")
 	})
 
-	It("names the buckets of waits by their bounds, each wait being in the one that it does not exceed", func() {
+	It("names each wait bucket by its upper bound, which is inclusive", func() {
 		for elapsed, bucket := range map[time.Duration]string{
 			0: "1", time.Millisecond: "1", 1001 * time.Microsecond: "2", 500 * time.Millisecond: "500", 6 * time.Second: "longer",
 		} {
@@ -89,7 +89,7 @@
 		}
 	})
 
-	It("has a line in ten seconds for each class that nothing presses, with what was asked meanwhile", func() {
+	It("logs one line every ten seconds for a class without pressure, with the requests of that time", func() {
 		for second := range 10 {
 			now := time.Duration(second) * time.Second
 			record(now, lowPriority, relay.EventGiven, "", 0)
@@ -100,14 +100,14 @@
 		Expect(takeLoadLines()).To(ConsistOf(HaveKeyWithValue("asked", 10.0)))
 	})
 
-	It("counts by service, priority and reason", func() {
+	It("counts events by service, priority and reason", func() {
 		record(0, lowPriority, relay.EventHeld, "", 0)
 		record(0, lowPriority, relay.EventAdmitted, requestqueue.ReasonNewest.String(), 30*time.Millisecond)
 		record(0, lowPriority, relay.EventReturned, "busy", 0)
 		record(0, highPriority, relay.EventNoEndpoint, "all_returned", 0)
 		record(0, relay.TrafficClass{Service: "lookup"}, relay.EventGiven, "", 0)
 		record(0, lowPriority, relay.EventOwnerless, "", 25*time.Millisecond)
-		Expect(scrape(registered)).To(And(
+		Expect(scrape(reg)).To(And(
 			ContainSubstring(`vanetiller_relay_requests_total{kind="held",priority="2",service="lookup"} 1`),
 			ContainSubstring(`vanetiller_relay_requests_total{kind="given",priority="unknown",service="lookup"} 1`),
 			ContainSubstring(`vanetiller_relay_class_wait_seconds_bucket{priority="2",service="lookup",le="0.05"} 1`),
@@ -118,34 +118,34 @@
 		))
 	})
 
-	It("tells no more classes apart than its bound", func() {
+	It("counts classes beyond the limit together under the service other", func() {
 		for number := range 2 * maxClasses {
 			record(0, relay.TrafficClass{Service: strconv.Itoa(number)}, relay.EventGiven, "", 0)
 		}
-		Expect(scrape(registered)).To(ContainSubstring(`{kind="given",priority="unknown",service="other"} ` + strconv.Itoa(maxClasses)))
+		Expect(scrape(reg)).To(ContainSubstring(`{kind="given",priority="unknown",service="other"} ` + strconv.Itoa(maxClasses)))
 		Expect(recorder.loadReporter.stats).To(HaveLen(maxClasses + 1))
 	})
 
-	It("shows what an endpoint can do and what waits, and that nothing does any more", func() {
-		shown := newEndpointMetrics(registered, "lookup")
-		shown.observe(relay.EndpointLoad{
+	It("exports the capacity and the queue of an endpoint, and zero once nothing waits", func() {
+		metrics := newEndpointMetrics(reg, "lookup")
+		metrics.observe(relay.EndpointLoad{
 			Service: "lookup", Slots: 2, Occupied: 3, ResponseTime: 20 * time.Millisecond,
 			Waiting: map[relay.TrafficClass]relay.QueueStats{lowPriority: {Requests: 4, LongestWait: time.Second}},
 		})
-		Expect(scrape(registered)).To(And(
+		Expect(scrape(reg)).To(And(
 			ContainSubstring(`vanetiller_relay_endpoint_capacity{service="lookup"} 100`),
 			ContainSubstring(`vanetiller_relay_waiting_requests{priority="2",service="lookup"} 4`),
 			ContainSubstring(`vanetiller_relay_waiting_longest_seconds{priority="2",service="lookup"} 1`),
 		))
-		shown.observe(relay.EndpointLoad{Service: "lookup"})
-		Expect(scrape(registered)).To(ContainSubstring(`vanetiller_relay_waiting_requests{priority="2",service="lookup"} 0`))
+		metrics.observe(relay.EndpointLoad{Service: "lookup"})
+		Expect(scrape(reg)).To(ContainSubstring(`vanetiller_relay_waiting_requests{priority="2",service="lookup"} 0`))
 	})
 
-	It("shows what services can do, and nothing for one that has gone", func() {
-		shown := newServiceMetrics(registered)
-		shown.observe([]relay.ServiceLoad{{Service: "lookup", Endpoints: 3, Slots: 12, Capacity: 450}})
-		Expect(scrape(registered)).To(ContainSubstring(`vanetiller_relay_service_capacity{service="lookup"} 450`))
-		shown.observe(nil)
-		Expect(scrape(registered)).To(ContainSubstring(`vanetiller_relay_service_capacity{service="lookup"} 0`))
+	It("exports the capacity of services, and zero for a service that is gone", func() {
+		metrics := newServiceMetrics(reg)
+		metrics.observe([]relay.ServiceLoad{{Service: "lookup", Endpoints: 3, Slots: 12, Capacity: 450}})
+		Expect(scrape(reg)).To(ContainSubstring(`vanetiller_relay_service_capacity{service="lookup"} 450`))
+		metrics.observe(nil)
+		Expect(scrape(reg)).To(ContainSubstring(`vanetiller_relay_service_capacity{service="lookup"} 0`))
 	})
 })
--- a/internal/relaydaemon/loadmetrics.go
+++ b/internal/relaydaemon/loadmetrics.go
@@ -9,22 +9,23 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// updateInterval is the time between two looks at load, well below the time between two
-// scrapes.
+// updateInterval is the time between two updates of the load gauges. It is well below the
+// time between two scrapes.
 const updateInterval = 2 * time.Second
 
-// throttle tells when the next look is due.
+// throttle limits the updates of gauges to one in each updateInterval.
 type throttle struct{ next time.Duration }
 
-func (p *throttle) due(now time.Duration) bool {
-	if now < p.next {
+func (t *throttle) due(now time.Duration) bool {
+	if now < t.next {
 		return false
 	}
-	p.next = now + updateInterval
+	t.next = now + updateInterval
 	return true
 }
 
-// endpointMetrics show what the endpoint beside an agent can do, and what waits for it.
+// endpointMetrics export the capacity of the endpoint of an agent and the requests that
+// wait for it.
 type endpointMetrics struct {
 	throttle
 	slots        metrics.Gauge
@@ -33,21 +34,22 @@
 	capacity     metrics.Gauge
 	waiting      metrics.Gauge
 	longest      metrics.Gauge
-	// previous are the classes that waited when last seen.
+	// previous are the classes that waited at the last update. Their gauges are set to zero
+	// once nothing waits.
 	previous map[relay.TrafficClass]relay.QueueStats
 }
 
-func newEndpointMetrics(registered *registry.Registry, service string) *endpointMetrics {
+func newEndpointMetrics(reg *registry.Registry, service string) *endpointMetrics {
 	gauge := func(name, help string) metrics.Gauge {
-		return registered.Gauge(name, help, serviceLabel).With(serviceLabel, service)
+		return reg.Gauge(name, help, serviceLabel).With(serviceLabel, service)
 	}
 	return &endpointMetrics{
 		slots:        gauge("relay_endpoint_slots", "Requests that the endpoint works on at the same time, 0 if not known."),
 		occupied:     gauge("relay_endpoint_occupied", "Requests that the endpoint was given and has not answered."),
 		responseTime: gauge("relay_endpoint_pace_seconds", "Mean time that the endpoint takes from a request to its answer, 0 if not known."),
 		capacity:     gauge("relay_endpoint_capacity", "Requests a second that the endpoint can answer, 0 if not known."),
-		waiting:      registered.Gauge("relay_waiting_requests", "Requests that wait for the endpoint, by priority.", serviceLabel, priorityLabel),
-		longest: registered.Gauge("relay_waiting_longest_seconds", "For how long the longest waiting client of a priority has been waiting.",
+		waiting:      reg.Gauge("relay_waiting_requests", "Requests that wait for the endpoint, by priority.", serviceLabel, priorityLabel),
+		longest: reg.Gauge("relay_waiting_longest_seconds", "For how long the longest waiting client of a priority has been waiting.",
 			serviceLabel, priorityLabel),
 	}
 }
@@ -72,21 +74,23 @@
 	m.longest.With(labels...).Set(waiting.LongestWait.Seconds())
 }
 
-// serviceMetrics show what a balancer takes the endpoints of each service to be able to do.
+// serviceMetrics export the capacity of the endpoints of each service, as far as a balancer
+// knows it.
 type serviceMetrics struct {
 	throttle
 	endpoints metrics.Gauge
 	slots     metrics.Gauge
 	capacity  metrics.Gauge
-	// previous are the services that were there when last seen.
+	// previous are the services of the last update. The gauges of those that are gone are
+	// set to zero.
 	previous []relay.ServiceLoad
 }
 
-func newServiceMetrics(registered *registry.Registry) *serviceMetrics {
+func newServiceMetrics(reg *registry.Registry) *serviceMetrics {
 	return &serviceMetrics{
-		endpoints: registered.Gauge("relay_service_endpoints", "Endpoints of a service that take new flows.", serviceLabel),
-		slots:     registered.Gauge("relay_service_slots", "Requests that the endpoints of a service work on at the same time.", serviceLabel),
-		capacity: registered.Gauge("relay_service_capacity",
+		endpoints: reg.Gauge("relay_service_endpoints", "Endpoints of a service that take new flows.", serviceLabel),
+		slots:     reg.Gauge("relay_service_slots", "Requests that the endpoints of a service work on at the same time.", serviceLabel),
+		capacity: reg.Gauge("relay_service_capacity",
 			"Requests a second that the endpoints of a service can answer, as far as this balancer knows, 0 if not known.", serviceLabel),
 	}
 }
--- a/internal/relaydaemon/peerfetch.go
+++ b/internal/relaydaemon/peerfetch.go
@@ -19,19 +19,22 @@
 )
 
 const (
-	// fetchCheckInterval is how often a balancer considers a fetch from a peer, and startTick
-	// how often while it has no directory.
+	// fetchCheckInterval is the time between checks whether to fetch from another balancer,
+	// and startupCheckInterval that time while there is no directory or seeds are still
+	// asked.
 	fetchCheckInterval   = 100 * time.Millisecond
 	startupCheckInterval = 50 * time.Millisecond
-	// seedQueryPeriod bounds how long after its start a balancer asks seeds.
+	// seedQueryPeriod is how long after its start a balancer asks seeds for a source of the
+	// directory.
 	seedQueryPeriod = 3 * time.Second
-	// fetchTimeout bounds a fetch from a peer, and connectTimeout the connection to it:
-	// a machine without power refuses nothing.
+	// fetchTimeout bounds a fetch from another balancer, and connectTimeout its connection:
+	// a machine without power does not refuse connections.
 	fetchTimeout   = 800 * time.Millisecond
 	connectTimeout = 250 * time.Millisecond
 )
 
-// fetchMissing makes follow fetch what an update did not hold. The executor holds its lock.
+// fetchMissing makes runFetcher fetch the changes that an update announced but did not
+// contain. The caller holds the lock of the executor.
 func (p *peerExchange) fetchMissing(now time.Duration, from membership.Address) {
 	p.fetcher.UpdateIncomplete(now, from)
 	select {
@@ -40,14 +43,14 @@
 	}
 }
 
-// runFetcher fetches from peers whenever the exchange wants to, and keeps the spread's members
-// current.
+// runFetcher fetches the directory from other balancers when the fetcher asks for it, and
+// passes changes of the membership to the disseminator, until ctx ends.
 func (p *peerExchange) runFetcher(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.updateMembers()
-		from, asked, wanted := p.nextFetch()
+		from, request, wanted := p.nextFetch()
 		if wanted {
-			state, at, err := p.fetch(ctx, from.AddrPort(), asked)
+			state, at, err := p.fetch(ctx, from.AddrPort(), request)
 			p.finishFetch(from, state, at, err)
 		}
 		timer := time.NewTimer(p.checkInterval())
@@ -61,7 +64,7 @@
 	return nil
 }
 
-// checkInterval returns how long follow waits if nothing happens.
+// checkInterval returns the time until runFetcher checks again if nothing wakes it.
 func (p *peerExchange) checkInterval() time.Duration {
 	hasDirectory, queryingSeeds := false, false
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
@@ -76,13 +79,14 @@
 	return startupCheckInterval
 }
 
-// nextFetch returns the fetch to make now. A balancer without a directory asks a seed for a
-// source.
-func (p *peerExchange) nextFetch() (from membership.Address, asked directoryRequest, wanted bool) {
+// nextFetch returns the fetch to make now, if any. It also updates the limits on store
+// calls and sends the updates that are due: repeats, renewals and, shortly after the start,
+// a request to a seed for a source of the directory.
+func (p *peerExchange) nextFetch() (from membership.Address, request directoryRequest, wanted bool) {
 	balancers := p.membership.LiveCount()
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
 		from, wanted = p.fetcher.Next(now)
-		asked.known = p.role.replica.Digest()
+		request.known = p.role.replica.Digest()
 		p.role.follower.SetStoreRate(balancers, p.storeRate)
 		p.role.confirmer.SetStoreRate(balancers, p.storeRate)
 		p.role.updates.send(p.role.disseminator.Repeat(now))
@@ -95,10 +99,11 @@
 		}
 		return nil
 	})
-	return from, asked, wanted
+	return from, request, wanted
 }
 
-// confirmByPeer lets another balancer confirm the directory, and adopts the answer.
+// confirmByPeer asks another balancer to confirm its directory and applies the state that
+// it returns.
 func (p *peerExchange) confirmByPeer(ctx context.Context) error {
 	var from membership.Address
 	var known directory.Digest
@@ -117,7 +122,8 @@
 	}
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
 		changed := p.role.replica.ApplyState(now, state)
-		// Whoever knows nothing yet is behind any state that has something.
+		// A directory without any revision counts as revision 1, so that a state with
+		// content can confirm it.
 		if !p.role.replica.ConfirmedBy(state.Through, max(known.Revision, 1)) {
 			err = errUnconfirmed
 		}
@@ -127,49 +133,50 @@
 	return err
 }
 
-func (p *peerExchange) finishFetch(from membership.Address, state directory.State, at time.Duration, err error) {
+func (p *peerExchange) finishFetch(from membership.Address, state directory.State, startedAt time.Duration, err error) {
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
 		if err != nil {
 			p.fetcher.FetchFailed()
 			return nil
 		}
 		changed := p.fetcher.Fetched(now, state)
-		p.role.updates.send(p.role.disseminator.StateFetched(now, at, directory.Peer(from), state))
+		p.role.updates.send(p.role.disseminator.StateFetched(now, startedAt, directory.Peer(from), state))
 		p.role.balancer.MarkConfirmed(p.role.disseminator.ConfirmedAt())
 		p.role.executor.recorder.logger.Info("directory fetched", "peer", from.String(), "changed", changed,
-			"took_ms", (now - at).Milliseconds(),
+			"took_ms", (now - startedAt).Milliseconds(),
 			"endpoints", len(state.Endpoints), "revision", uint64(state.Through))
 		return p.role.installIfChanged(changed, now)
 	})
 }
 
-// fetch asks another balancer for its directory. It returns when that was.
-func (p *peerExchange) fetch(ctx context.Context, from netip.AddrPort, asked directoryRequest) (state directory.State, at time.Duration, err error) {
-	at = time.Since(p.role.executor.startedAt)
+// fetch gets the state of the directory from another balancer. It also returns the time at
+// which the request began.
+func (p *peerExchange) fetch(ctx context.Context, from netip.AddrPort, request directoryRequest) (state directory.State, startedAt time.Duration, err error) {
+	startedAt = time.Since(p.role.executor.startedAt)
 	query := url.Values{
-		versionParam:  {strconv.FormatUint(asked.known.ConfigurationVersion, 10)},
-		revisionParam: {strconv.FormatUint(uint64(asked.known.Revision), 10)},
+		versionParam:  {strconv.FormatUint(request.known.ConfigurationVersion, 10)},
+		revisionParam: {strconv.FormatUint(uint64(request.known.Revision), 10)},
 	}
-	if asked.confirm {
+	if request.confirm {
 		query.Set(confirmParam, "")
 	}
 	target := url.URL{Scheme: "http", Host: from.String(), Path: directoryPath, RawQuery: query.Encode()}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return state, at, errors.Wrap(err, "directory of a peer")
+		return state, startedAt, errors.Wrap(err, "create directory request to peer")
 	}
-	response, err := p.client.Do(request)
+	response, err := p.client.Do(httpRequest)
 	if err != nil {
-		return state, at, errors.Wrap(err, "directory of a peer")
+		return state, startedAt, errors.Wrap(err, "request directory of peer")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return state, at, errors.Errorf("directory of a peer: %s", response.Status)
+		return state, startedAt, errors.Errorf("request directory of peer: HTTP status %s", response.Status)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxStateSize))
 	if err != nil {
-		return state, at, errors.Wrap(err, "directory of a peer")
+		return state, startedAt, errors.Wrap(err, "read directory of peer")
 	}
 	state, err = decodeState(body)
-	return state, at, err
+	return state, startedAt, err
 }
--- a/internal/relaydaemon/peermembership.go
+++ b/internal/relaydaemon/peermembership.go
@@ -1,4 +1,4 @@
-// This file connects the membership of balancers to the directory.
+// This file connects the membership of balancers to the dissemination of the directory.
 
 package relaydaemon
 
@@ -10,7 +10,8 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// handleMembershipEvent takes an event of the membership.
+// handleMembershipEvent passes the digests, joins and losses of other balancers to the
+// parts that fetch and disseminate the directory.
 func (p *peerExchange) handleMembershipEvent(event membership.Effect) {
 	switch event.Kind {
 	case membership.EffectAttachment:
@@ -33,16 +34,16 @@
 	}
 }
 
-// announceDigest attaches the digest to all further messages of the membership.
+// announceDigest attaches digest to all further membership messages.
 func (p *peerExchange) announceDigest(digest directory.Digest) {
 	encoded, err := digest.MarshalMsg(nil)
 	if err != nil {
-		panic("relaydaemon: cannot encode a digest: " + err.Error())
+		panic("relaydaemon: cannot encode digest: " + err.Error())
 	}
 	p.membership.SetAttachment(encoded)
 }
 
-// updateMembers gives the spread the members, if they have changed.
+// updateMembers passes the reachable members to the disseminator if they have changed.
 func (p *peerExchange) updateMembers() {
 	if !p.membersChanged.Swap(false) {
 		return
--- a/internal/relaydaemon/peers.go
+++ b/internal/relaydaemon/peers.go
@@ -1,4 +1,4 @@
-// This file sets up the exchange between balancers.
+// This file sets up the exchange of membership and directories between balancers.
 
 package relaydaemon
 
@@ -21,8 +21,8 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// peerExchange is what balancers exchange: the membership, the digests of their directories, and
-// snapshots of the directory.
+// peerExchange runs the exchange between balancers: the membership with the digests of
+// their directories, and the fetching and serving of directory states.
 type peerExchange struct {
 	role       *balancerRole
 	membership *transport.Endpoint
@@ -31,9 +31,10 @@
 	client     *http.Client
 	fetcher    *directory.PeerFetcher[membership.Address]
 	storeRate  float64
-	// confirmLimiter bounds the confirmations for others.
+	// confirmLimiter bounds the confirmations on behalf of other balancers.
 	confirmLimiter *rate.Limiter
-	// wake wakes follow, and joined is set once the members have changed.
+	// wake wakes runFetcher. membersChanged is set when the membership has changed since
+	// the last call of updateMembers.
 	wake           chan struct{}
 	membersChanged atomic.Bool
 	stateCache     stateCache
@@ -67,7 +68,7 @@
 	created.membership.SetSeeds(seeds)
 	created.listener, err = net.Listen("tcp4", balancerConfig.Exchange.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "exchange")
+		return nil, errors.Wrap(err, "listen on exchange address")
 	}
 	created.server = &http.Server{Handler: created.handler(), ReadTimeout: fetchTimeout, WriteTimeout: fetchTimeout}
 	return created, nil
@@ -81,7 +82,7 @@
 	}
 }
 
-// otherSeeds returns the seeds without this process.
+// otherSeeds returns the seeds other than this process.
 func otherSeeds(config *settings.RelayBalancer) []membership.Address {
 	var seeds []membership.Address
 	for _, seed := range config.Seeds {
@@ -92,7 +93,7 @@
 	return seeds
 }
 
-// setSeeds replaces the balancers to ask where the membership has none.
+// setSeeds replaces the seeds, which are asked where no member is known.
 func (p *peerExchange) setSeeds(config *settings.RelayBalancer) {
 	seeds := otherSeeds(config)
 	p.membership.SetSeeds(seeds)
--- a/internal/relaydaemon/peerserver.go
+++ b/internal/relaydaemon/peerserver.go
@@ -17,59 +17,60 @@
 )
 
 const (
-	// directoryPath is where a balancer serves snapshots of its directory to others.
+	// directoryPath is the HTTP path under which a balancer serves its directory to others.
 	directoryPath = "/v1/directory"
-	// versionParam and parameterComplete are the digest of who asks.
+	// versionParam and revisionParam hold the digest of the requesting balancer.
 	versionParam  = "version"
 	revisionParam = "complete"
-	// confirmParam asks for a directory that the store has confirmed since.
+	// confirmParam requests a confirmation by the store before the answer.
 	confirmParam = "confirm"
-	// peerConfirmRate bounds the confirmations a second that a balancer makes for others,
-	// each of which costs calls of the store, and confirmBurst those at once.
+	// peerConfirmRate bounds the confirmations per second on behalf of other balancers,
+	// each of which costs store calls, and peerConfirmBurst how many may begin at once.
 	peerConfirmRate  = 50
 	peerConfirmBurst = 20
 )
 
-// handler serves the directory to other balancers.
+// handler returns the HTTP handler that serves the directory to other balancers.
 func (p *peerExchange) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+directoryPath, kithttp.NewServer(
-		func(ctx context.Context, asked any) (any, error) {
-			return p.serveDirectory(ctx, asked.(directoryRequest))
+		func(ctx context.Context, request any) (any, error) {
+			return p.serveDirectory(ctx, request.(directoryRequest))
 		},
 		p.decodeRequest, encodeState))
 	return mux
 }
 
-// directoryRequest is what another balancer asks.
+// directoryRequest is a request of a balancer for the directory of another.
 type directoryRequest struct {
 	known   directory.Digest
 	confirm bool
-	// from is who asks.
+	// from is the requesting balancer.
 	from directory.Peer
 }
 
-// decodeRequest reads the digest of the asking balancer; what is missing is zero.
-func (p *peerExchange) decodeRequest(_ context.Context, request *http.Request) (any, error) {
-	query := request.URL.Query()
+// decodeRequest reads the digest of the requesting balancer. Missing parameters count as
+// zero.
+func (p *peerExchange) decodeRequest(_ context.Context, httpRequest *http.Request) (any, error) {
+	query := httpRequest.URL.Query()
 	version, _ := strconv.ParseUint(query.Get(versionParam), 10, 64)
 	complete, _ := strconv.ParseUint(query.Get(revisionParam), 10, 64)
-	asked := directoryRequest{
+	request := directoryRequest{
 		known:   directory.Digest{ConfigurationVersion: version, Revision: directory.Revision(complete)},
 		confirm: query.Has(confirmParam),
 	}
-	if from, err := netip.ParseAddrPort(request.RemoteAddr); err == nil {
-		asked.from, _ = p.role.updates.peerAt(from.Addr())
+	if from, err := netip.ParseAddrPort(httpRequest.RemoteAddr); err == nil {
+		request.from, _ = p.role.updates.peerAt(from.Addr())
 	}
-	return asked, nil
+	return request, nil
 }
 
-// serveDirectory returns the encoded state that a balancer has asked for.
-func (p *peerExchange) serveDirectory(ctx context.Context, asked directoryRequest) ([]byte, error) {
-	if asked.confirm && !p.confirmLimiter.Allow() {
+// serveDirectory returns the encoded state that the requesting balancer lacks.
+func (p *peerExchange) serveDirectory(ctx context.Context, request directoryRequest) ([]byte, error) {
+	if request.confirm && !p.confirmLimiter.Allow() {
 		return nil, errUnconfirmed
 	}
-	if asked.confirm {
+	if request.confirm {
 		if err := p.role.confirmForPeer(ctx); err != nil {
 			return nil, err
 		}
@@ -77,9 +78,9 @@
 	var encoded []byte
 	var err error
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
-		p.role.disseminator.StateSent(now, asked.from)
-		encoded, err = p.stateCache.encode(now, asked.known, p.role.replica.Digest(), func() directory.State {
-			return p.role.disseminator.State(now, asked.known)
+		p.role.disseminator.StateSent(now, request.from)
+		encoded, err = p.stateCache.encode(now, request.known, p.role.replica.Digest(), func() directory.State {
+			return p.role.disseminator.State(now, request.known)
 		})
 		return nil
 	})
@@ -95,7 +96,7 @@
 	stopped := context.AfterFunc(ctx, func() { p.server.Close() })
 	defer stopped()
 	if err := p.server.Serve(p.listener); err != nil && ctx.Err() == nil {
-		return errors.Wrap(err, "exchange")
+		return errors.Wrap(err, "serve directory to peers")
 	}
 	return nil
 }
--- a/internal/relaydaemon/ports_test.go
+++ b/internal/relaydaemon/ports_test.go
@@ -8,9 +8,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// freePorts returns ports that are free for TCP and UDP on all addresses of these specs. All
-// are held until the last is chosen: of ports that are given back one by one, the system may
-// choose one twice, and a daemon that is told it for two sockets cannot bind the second.
+// freePorts returns ports that are free for TCP and UDP on all addresses of these specs. It
+// holds all of them open until the last is chosen. If they were closed one by one, the
+// system could return a port twice, and a daemon that gets it for two sockets could not
+// bind the second.
 func freePorts(count int) []int {
 	GinkgoHelper()
 	var ports []int
@@ -27,8 +28,8 @@
 		held = append(held, socket)
 		ports = append(ports, port)
 	}
-	for _, each := range held {
-		Expect(each.Close()).To(Succeed())
+	for _, closer := range held {
+		Expect(closer.Close()).To(Succeed())
 	}
 	return ports
 }
--- a/internal/relaydaemon/refusals.go
+++ b/internal/relaydaemon/refusals.go
@@ -8,14 +8,14 @@
 	"github.com/vanetiller/vanetiller/internal/observability/registry"
 )
 
-// The log of refused entries is bounded apart from that of decisions: whoever fills the
-// store with rubbish must not hide what else happens. The counter has them all.
+// The log of refused entries has its own limit, so that a store with many unusable entries
+// does not displace other events from the log. The counter includes omitted lines.
 const (
 	refusalsPerSecond = 2
 	refusalsBurst     = 20
 )
 
-// refusalLog logs and counts the entries of the store that cannot be used.
+// refusalLog logs and counts the store entries that cannot be used.
 type refusalLog struct {
 	logger  *log.Logger
 	limit   logLimit
@@ -23,15 +23,15 @@
 	current map[directory.RefusalReason]metrics.Gauge
 }
 
-func newRefusalLog(logger *log.Logger, registered *registry.Registry) *refusalLog {
+func newRefusalLog(logger *log.Logger, reg *registry.Registry) *refusalLog {
 	created := &refusalLog{
 		logger:  logger,
 		limit:   newLogLimit(refusalsPerSecond, refusalsBurst),
 		counts:  make(map[directory.RefusalReason]metrics.Counter),
 		current: make(map[directory.RefusalReason]metrics.Gauge),
 	}
-	counter := registered.Counter("relay_entries_refused_total", "Revisions of entries of the store that cannot be used, by reason.", reasonLabel)
-	gauge := registered.Gauge("relay_refused_entries", "Entries of the store that cannot be used now, by reason.", reasonLabel)
+	counter := reg.Counter("relay_entries_refused_total", "Revisions of entries of the store that cannot be used, by reason.", reasonLabel)
+	gauge := reg.Gauge("relay_refused_entries", "Entries of the store that cannot be used now, by reason.", reasonLabel)
 	for _, reason := range directory.RefusalReasons() {
 		created.counts[reason] = counter.With(reasonLabel, reason.String())
 		created.counts[reason].Add(0)
@@ -40,7 +40,8 @@
 	return created
 }
 
-// report tells of the entries that were refused since the last time.
+// report logs and counts the entries refused since the last call and updates the gauges of
+// those that are refused now.
 func (l *refusalLog) report(replica *directory.Replica) {
 	refusals := replica.TakeRefusals()
 	for _, refusal := range refusals {
--- a/internal/relaydaemon/socket.go
+++ b/internal/relaydaemon/socket.go
@@ -11,14 +11,14 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// receiveBufferSize is the size asked of the system for unread datagrams, in
+// receiveBufferSize is the requested size of the kernel buffer for unread datagrams, in
 // bytes.
 const receiveBufferSize = 1 << 20
 
-// socket is a UDP socket with its reader.
+// socket is a UDP socket that passes received datagrams to a handler.
 type socket struct {
 	connection *net.UDPConn
-	// handle gets each datagram, which is valid until it returns.
+	// handle is called for each datagram. The datagram is valid only until handle returns.
 	handle func(from netip.AddrPort, datagram []byte)
 }
 
@@ -27,12 +27,12 @@
 	if err != nil {
 		return nil, errors.Wrap(err, address.String())
 	}
-	// A smaller buffer than asked for is no failure.
+	// The system may grant a smaller buffer; that is no error.
 	_ = connection.SetReadBuffer(receiveBufferSize)
 	return &socket{connection, handle}, nil
 }
 
-// run reads until ctx ends.
+// run reads datagrams until ctx ends.
 func (s *socket) run(ctx context.Context) error {
 	stopped := context.AfterFunc(ctx, func() { s.connection.Close() })
 	defer stopped()
@@ -43,7 +43,7 @@
 			return nil
 		}
 		if errors.Is(err, net.ErrClosed) {
-			return errors.Wrap(err, "read")
+			return errors.Wrap(err, "read from UDP socket")
 		}
 		if err == nil {
 			s.handle(from, buffer[:length])
@@ -51,7 +51,8 @@
 	}
 }
 
-// send transmits a datagram. The network may lose it, so may the system.
+// send transmits a datagram. Errors are ignored because the network may lose datagrams
+// anyway.
 func (s *socket) send(to segment.Address, datagram []byte) {
 	_, _ = s.connection.WriteToUDPAddrPort(datagram, to.AddrPort())
 }
--- a/internal/relaydaemon/statecache.go
+++ b/internal/relaydaemon/statecache.go
@@ -9,15 +9,16 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// cacheLifetime is how long an encoded state may be given to others. Its ages are told as
-// they are at the end of that.
+// cacheLifetime is how long an encoded state may be reused. The age in it is that at the
+// end of the lifetime.
 const cacheLifetime = 100 * time.Millisecond
 
-// maxStateSize bounds the directory of a peer, in bytes.
+// maxStateSize bounds the directory state of another balancer, in bytes, both as received
+// and decompressed.
 const maxStateSize = 16 << 20
 
-// stateCache keeps the state that was encoded last: when a configuration is new or many
-// processes start, all ask for the same.
+// stateCache keeps the last encoded state. After a new configuration, or when many
+// processes start, all of them ask for the same state.
 type stateCache struct {
 	known     directory.Digest
 	digest    directory.Digest
@@ -25,7 +26,8 @@
 	encoded   []byte
 }
 
-// encode returns the compressed state beyond what another process knows.
+// encode returns the compressed state for a process that has the digest known. buildState
+// is called only if the cached state is for other digests or too old.
 func (c *stateCache) encode(now time.Duration, known, digest directory.Digest, buildState func() directory.State) ([]byte, error) {
 	if c.encoded != nil && c.known == known && c.digest == digest && now-c.encodedAt < cacheLifetime {
 		return c.encoded, nil
@@ -40,20 +42,20 @@
 	return c.encoded, nil
 }
 
-// decodeState reads a state that another process has encoded.
+// decodeState decodes a compressed state of another balancer.
 func decodeState(encoded []byte) (directory.State, error) {
 	var state directory.State
 	length, err := s2.DecodedLen(encoded)
 	if err != nil {
-		return state, errors.Wrap(err, "directory of a peer")
+		return state, errors.Wrap(err, "read size of compressed directory of peer")
 	}
 	if length > maxStateSize {
-		return state, errors.Errorf("directory of a peer: %d bytes", length)
+		return state, errors.Errorf("decompressed directory of peer exceeds the size limit: %d bytes", length)
 	}
 	plain, err := s2.Decode(nil, encoded)
 	if err != nil {
-		return state, errors.Wrap(err, "directory of a peer")
+		return state, errors.Wrap(err, "decompress directory of peer")
 	}
 	_, err = state.UnmarshalMsg(plain)
-	return state, errors.Wrap(err, "directory of a peer")
+	return state, errors.Wrap(err, "decode directory of peer")
 }
--- a/internal/relaydaemon/statecache_test.go
+++ b/internal/relaydaemon/statecache_test.go
@@ -13,10 +13,10 @@
 func TestStateCache(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var cache stateCache
-	made := 0
+	builds := 0
 	encode := func(now time.Duration, known, digest directory.Digest) directory.State {
 		encoded, err := cache.encode(now, known, digest, func() directory.State {
-			made++
+			builds++
 			return directory.State{Through: digest.Revision, ConfigurationVersion: digest.ConfigurationVersion, Confirmed: true, Age: time.Second}
 		})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -27,14 +27,14 @@
 	known, digest := directory.Digest{ConfigurationVersion: 1, Revision: 2}, directory.Digest{ConfigurationVersion: 3, Revision: 4}
 	first := encode(0, known, digest)
 	g.Expect(first.Through).To(gomega.Equal(directory.Revision(4)))
-	g.Expect(first.Age).To(gomega.Equal(time.Second+cacheLifetime), "its age when it is given last")
+	g.Expect(first.Age).To(gomega.Equal(time.Second+cacheLifetime), "age at the end of the cache lifetime")
 	encode(cacheLifetime-1, known, digest)
-	g.Expect(made).To(gomega.Equal(1), "the same for all who ask for the same")
+	g.Expect(builds).To(gomega.Equal(1), "cached state reused for the same digests")
 	encode(cacheLifetime-1, digest, digest)
 	encode(cacheLifetime-1, digest, directory.Digest{ConfigurationVersion: 3, Revision: 5})
-	g.Expect(made).To(gomega.Equal(3))
+	g.Expect(builds).To(gomega.Equal(3))
 	encode(2*cacheLifetime, digest, directory.Digest{ConfigurationVersion: 3, Revision: 5})
-	g.Expect(made).To(gomega.Equal(4), "ages change")
+	g.Expect(builds).To(gomega.Equal(4), "cached state expired")
 }
 
 func TestDecodeState(t *testing.T) {
--- a/internal/relaydaemon/updates.go
+++ b/internal/relaydaemon/updates.go
@@ -12,26 +12,29 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// updateTransport carries what balancers tell each other of the directory by datagrams.
+// updateTransport sends and receives the datagrams by which balancers tell each other of
+// changes of the directory and confirm it for each other.
 type updateTransport struct {
 	role   *balancerRole
 	socket *socket
-	// listenAddress is where this balancer takes updates; all of a fleet use its port, and
-	// exchange is the port by which they name each other.
+	// listenAddress is where this balancer receives updates. All balancers of a fleet use
+	// the same port. exchangePort is the port in the addresses that identify balancers.
 	listenAddress netip.AddrPort
 	exchangePort  uint16
 	encodeBuffer  []byte
-	// pendingConfirmations are those of others that wait for a confirmation by the store.
+	// pendingConfirmations are the requests of other balancers that wait for a confirmation
+	// by the store.
 	pendingConfirmations directory.ConfirmationQueue
-	// outstanding is the question of this balancer that is under way.
+	// outstanding is the request of this balancer that waits for a reply.
 	outstanding confirmationRequest
-	// replied wakes who waits for its answer.
+	// replied wakes confirmByWatcher when outstanding is confirmed.
 	replied       chan struct{}
 	lastRequestID uint32
 }
 
-// confirmationRequest is one of this balancer for a confirmation of the directory, which was sent to a
-// watcher at a time, when the directory had a revision; confirmed is set once it was answered.
+// confirmationRequest is a request to a watcher, a balancer that watches the store, to
+// confirm the directory. knownRevision is the revision of the directory when the request
+// was sent.
 type confirmationRequest struct {
 	id            uint32
 	watcher       directory.Peer
@@ -49,13 +52,13 @@
 	return created, err
 }
 
-// peerAt returns the name of the balancer on a machine.
+// peerAt returns the identity of the balancer on a machine.
 func (u *updateTransport) peerAt(machine netip.Addr) (directory.Peer, bool) {
 	address, usable := membership.AddressOf(netip.AddrPortFrom(machine, u.exchangePort))
 	return directory.Peer(address), usable
 }
 
-// receive handles a datagram of another balancer.
+// receive decodes a datagram of another balancer and handles it.
 func (u *updateTransport) receive(from netip.AddrPort, datagram []byte) {
 	peer, usable := u.peerAt(from.Addr())
 	var update directory.Update
@@ -67,12 +70,13 @@
 	u.role.executor.do(func(now time.Duration) []relay.Effect { return u.handleUpdate(now, peer, update) })
 }
 
-// handleUpdate hands an update to the parts that decide on it. The executor holds its lock.
+// handleUpdate applies an update, sends the replies, and handles a confirmation request or
+// reply. The caller holds the lock of the executor.
 func (u *updateTransport) handleUpdate(now time.Duration, from directory.Peer, update directory.Update) []relay.Effect {
 	role := u.role
-	changed, lacks, answers := role.disseminator.Receive(now, from, update)
-	u.send(answers)
-	if lacks {
+	changed, incomplete, replies := role.disseminator.Receive(now, from, update)
+	u.send(replies)
+	if incomplete {
 		role.peers.fetchMissing(now, membership.Address(update.SourceOrSender(from)))
 	}
 	role.balancer.MarkConfirmed(role.disseminator.ConfirmedAt())
@@ -81,7 +85,7 @@
 	case update.Confirmation && update.RequestsChanges:
 		u.pendingConfirmations.Add(now, from, update)
 		role.requestConfirmation()
-	case update.Confirmation && !lacks && role.replica.ConfirmedBy(update.State.Through, u.outstanding.knownRevision):
+	case update.Confirmation && !incomplete && role.replica.ConfirmedBy(update.State.Through, u.outstanding.knownRevision):
 		u.handleReply(update.RequestID)
 	}
 	return effects
@@ -98,12 +102,12 @@
 	}
 }
 
-// send transmits updates. The executor holds its lock.
+// send transmits updates. The caller holds the lock of the executor.
 func (u *updateTransport) send(outgoing []directory.Outgoing) {
 	for index := range outgoing {
 		encoded, err := outgoing[index].Update.MarshalMsg(u.encodeBuffer[:0])
 		if err != nil {
-			panic("relaydaemon: cannot encode an update: " + err.Error())
+			panic("relaydaemon: cannot encode update: " + err.Error())
 		}
 		u.encodeBuffer = encoded
 		machine := membership.Address(outgoing[index].To).AddrPort().Addr()
@@ -112,35 +116,38 @@
 	u.role.directoryMetrics.updates.With(directionLabel, directionSent).Add(float64(len(outgoing)))
 }
 
-// replyThrough answers the questions that came until the time for which the directory
-// is confirmed. The executor holds its lock.
+// replyThrough replies to the requests received until through, the time for which the
+// directory is confirmed. The caller holds the lock of the executor.
 func (u *updateTransport) replyThrough(now, through time.Duration) {
-	for _, each := range u.pendingConfirmations.TakeThrough(through) {
-		u.send(u.role.disseminator.ConfirmationReplies(now, each.From, each.Update))
+	for _, pending := range u.pendingConfirmations.TakeThrough(through) {
+		u.send(u.role.disseminator.ConfirmationReplies(now, pending.From, pending.Update))
 	}
 }
 
 // watcherReplyTimeout is how long a balancer waits for a watcher to confirm its directory
-// before it asks the store. It is several times as long as a watcher takes, and short enough
-// for a client whose flow is dead to be served in time if a datagram is lost.
+// before it asks the store. It is several times as long as a watcher takes. It is short
+// enough that a client whose flow no endpoint holds any more is still served in time if a
+// datagram is lost.
 const watcherReplyTimeout = 150 * time.Millisecond
 
-// watcherOutcome is what became of asking a watcher for a confirmation.
+// watcherOutcome is the result of asking a watcher for a confirmation.
 type watcherOutcome uint8
 
 const (
-	// watcherNotAsked: there is no watcher to ask, or others wait for this balancer.
+	// watcherNotAsked: there is no watcher to ask, or other balancers wait for this one to
+	// ask the store.
 	watcherNotAsked watcherOutcome = iota
-	// watcherAskLater: nothing is wanted, or the next question must wait.
+	// watcherAskLater: no confirmation is requested, or the rate limit does not allow a
+	// request yet.
 	watcherAskLater
 	// watcherNoReply: the watcher has not confirmed the directory in time.
 	watcherNoReply
-	// watcherConfirmed: it has.
+	// watcherConfirmed: the watcher has confirmed the directory.
 	watcherConfirmed
 )
 
-// confirmByWatcher lets a balancer that watches the store confirm the directory, unless
-// others wait for this one to do it. It returns the time for which it is confirmed, if it is.
+// confirmByWatcher asks a watcher to confirm the directory, unless other balancers wait for
+// this one to do so. If it is confirmed, the returned time is the one through which it is.
 func (u *updateTransport) confirmByWatcher(ctx context.Context) (time.Duration, watcherOutcome) {
 	select {
 	case <-u.replied:
@@ -160,7 +167,8 @@
 	return u.takeReply()
 }
 
-// askWatcher sends a question to a watcher. It returns askUnanswered once it is sent.
+// askWatcher sends a request to a watcher. It returns watcherNoReply once the request is
+// sent.
 func (u *updateTransport) askWatcher() watcherOutcome {
 	outcome := watcherNotAsked
 	u.role.executor.do(func(now time.Duration) []relay.Effect {
@@ -182,7 +190,7 @@
 	return outcome
 }
 
-// takeReply ends the question under way.
+// takeReply ends the outstanding request and returns its outcome.
 func (u *updateTransport) takeReply() (through time.Duration, outcome watcherOutcome) {
 	u.role.executor.do(func(now time.Duration) []relay.Effect {
 		request := u.outstanding
