--- a/cmd/vanetiller-relay/main.go
+++ b/cmd/vanetiller-relay/main.go
@@ -1,5 +1,5 @@
-// Command vanetiller-relay runs one process of a fleet that relays the packets of flows on
-// the platform: a balancer, or the agent next to an endpoint.
+// Command vanetiller-relay runs one process of a fleet that relays whole packets of flows on
+// the users' platform: a balancer, or the agent next to an endpoint.
 package main
 
 import (
@@ -14,8 +14,8 @@
 // expensive on the platform's machines, and the live heap is small.
 const gcPercent = 25
 
-// gcPercentDelay is how long the garbage collector keeps its default setting after the
-// start. No collection is due in that time, in which the process gets ready.
+// gcPercentDelay is how long after the start the garbage collector keeps its default
+// setting. With that setting no collection is due while the process gets ready.
 const gcPercentDelay = 3 * time.Second
 
 func main() {
--- a/internal/relaydaemon/agent.go
+++ b/internal/relaydaemon/agent.go
@@ -22,7 +22,7 @@
 	metrics  *endpointMetrics
 }
 
-func newAgentRole(dependencies Dependencies, config *settings.Relay, recorder *eventRecorder, metrics *registry.Registry) (*agentRole, error) {
+func newAgentRole(dependencies Dependencies, config *settings.Relay, recorder *eventRecorder, reg *registry.Registry) (*agentRole, error) {
 	agent := relay.NewAgent(relay.AgentConfig{
 		Service:             config.Agent.Service,
 		Codec:               dependencies.Codec,
@@ -34,7 +34,7 @@
 		QueuePolicy:         config.Agent.QueuePolicy,
 	})
 	created := &agentRole{
-		*config, newExecutor(agent, config.Peers.Port(), recorder), agent, newEndpointMetrics(metrics, config.Agent.Service),
+		*config, newExecutor(agent, config.Peers.Port(), recorder), agent, newEndpointMetrics(reg, config.Agent.Service),
 	}
 	created.executor.afterInput = created.updateMetrics
 	created.executor.endpoint = segment.AddressOf(config.Agent.Endpoint)
@@ -47,8 +47,9 @@
 	return created, err
 }
 
-// handleEndpointPacket handles a packet that the endpoint has sent. Only the endpoint may
-// send to this socket, from the same machine, so the sender address is ignored.
+// handleEndpointPacket handles a packet that the endpoint has sent, or a client's packet
+// that it has returned. Only the endpoint may send to this socket, from the same machine, so
+// the sender address is ignored.
 func (r *agentRole) handleEndpointPacket(_ netip.AddrPort, packet []byte) {
 	r.executor.do(func(now time.Duration) []relay.Effect { return r.agent.HandleEndpointPacket(now, packet) })
 }
@@ -73,8 +74,8 @@
 	return math.MaxInt64
 }
 
-// idle reports whether the endpoint has no open flow left. This is usual when the endpoint
-// was stopped before its agent.
+// idle reports whether all flows of the endpoint have ended. They have if the endpoint was
+// stopped before its agent.
 func (r *agentRole) idle() bool {
 	idle := false
 	r.executor.do(func(time.Duration) []relay.Effect {
@@ -84,10 +85,10 @@
 	return idle
 }
 
-// reload reports whether all settings but the stop timeout are unchanged. An agent applies
-// no other change without a restart.
+// reload reports whether all settings are unchanged except the stop timeout, which Daemon
+// applies. Every other change needs a restart of the agent.
 func (r *agentRole) reload(changed *settings.Relay) bool {
-	expected := *changed
-	expected.StopTimeout = r.settings.StopTimeout
-	return reflect.DeepEqual(expected, r.settings)
+	compared := *changed
+	compared.StopTimeout = r.settings.StopTimeout
+	return reflect.DeepEqual(compared, r.settings)
 }
--- a/internal/relaydaemon/balancer.go
+++ b/internal/relaydaemon/balancer.go
@@ -30,14 +30,15 @@
 	follower     *directory.Follower
 	confirmer    *directory.Confirmer
 	disseminator *directory.Disseminator
-	// followerWake wakes runFollower when the next store call may have changed.
+	// followerWake wakes runFollower when another store call may be due, or the same one at
+	// another time.
 	followerWake chan struct{}
 	// confirmerWake wakes runConfirmer after a request for a confirmation. The request
 	// itself is kept by confirmer.
 	confirmerWake chan struct{}
 	store         directory.Store
-	// storeGeneration counts the changes of store, so that answers of an earlier store can
-	// be recognized.
+	// storeGeneration is incremented when store is replaced. An answer to a call with a
+	// lower generation comes from an earlier store.
 	storeGeneration  int
 	peers            *peerExchange
 	updates          *updateTransport
@@ -46,11 +47,11 @@
 	refusals         *refusalLog
 	// closedZones are the closed zones of the last installed snapshot.
 	closedZones []directory.ClosedZone
-	// isolated is whether the last health report said that no agent can be reached.
+	// isolated is set while conditionAgents is reported as not met.
 	isolated bool
 }
 
-func newBalancerRole(dependencies Dependencies, config *settings.Settings, health *observability.Health, recorder *eventRecorder, metrics *registry.Registry) (*balancerRole, error) {
+func newBalancerRole(dependencies Dependencies, config *settings.Settings, health *observability.Health, recorder *eventRecorder, reg *registry.Registry) (*balancerRole, error) {
 	balancerConfig := config.Relay.Balancer
 	balancer := relay.NewBalancer(relay.BalancerConfig{
 		Zone:         config.Zone,
@@ -78,9 +79,9 @@
 		disseminator:     disseminator,
 		followerWake:     make(chan struct{}, 1),
 		store:            dependencies.NewStore(balancerConfig.Store),
-		directoryMetrics: newDirectoryMetrics(metrics),
-		serviceMetrics:   newServiceMetrics(metrics),
-		refusals:         newRefusalLog(recorder.logger, metrics),
+		directoryMetrics: newDirectoryMetrics(reg),
+		serviceMetrics:   newServiceMetrics(reg),
+		refusals:         newRefusalLog(recorder.logger, reg),
 
 		confirmerWake: make(chan struct{}, 1),
 	}
@@ -105,9 +106,9 @@
 	return created, err
 }
 
-// timingOf returns the time limits for learning of changes. ListingDelay stays zero if
-// there are no other seeds: the process lists the store at once because it cannot ask
-// another balancer.
+// timingOf returns the time limits within which the directory must follow the store.
+// ListingDelay stays zero if there are no other seeds: the process lists the store at once
+// because it cannot ask another balancer.
 func timingOf(config *settings.RelayBalancer) directory.Timing {
 	timing := directory.Timing{
 		ApplyTimeout:   min(config.ApplyTimeout, config.DrainTimeout, config.CloseTimeout),
@@ -120,7 +121,8 @@
 	return timing
 }
 
-// selfMember returns this process as a member of the dissemination.
+// selfMember returns the exchange address and the zone by which the membership identifies
+// this process.
 func selfMember(config *settings.Settings) directory.Member {
 	address, _ := membership.AddressOf(config.Relay.Balancer.Exchange)
 	return directory.Member{Peer: directory.Peer(address), Zone: int(selfIdentity(config).Zone)}
@@ -185,7 +187,8 @@
 func (r *balancerRole) idle() bool { return false }
 
 // reload applies a changed store address, which starts a new listing, and changed seeds. It
-// reports whether nothing else has changed that needs a restart.
+// reports whether these and the stop timeout, which Daemon applies, are the only changes.
+// Every other change needs a restart.
 func (r *balancerRole) reload(changed *settings.Relay) bool {
 	if changed.Balancer == nil {
 		return false
@@ -200,9 +203,9 @@
 		return nil
 	})
 	r.wakeFollower()
-	kept := *r.settings.Balancer
-	kept.Store, kept.Seeds = changed.Balancer.Store, changed.Balancer.Seeds
-	r.settings.Balancer, r.settings.StopTimeout = &kept, changed.StopTimeout
+	applied := *r.settings.Balancer
+	applied.Store, applied.Seeds = changed.Balancer.Store, changed.Balancer.Seeds
+	r.settings.Balancer, r.settings.StopTimeout = &applied, changed.StopTimeout
 	return reflect.DeepEqual(*changed, r.settings)
 }
 
@@ -225,7 +228,7 @@
 	return nil
 }
 
-// wakeFollower makes runFollower determine its next store call again.
+// wakeFollower makes runFollower stop waiting and determine the next store call again.
 func (r *balancerRole) wakeFollower() {
 	select {
 	case r.followerWake <- struct{}{}:
@@ -308,15 +311,16 @@
 	return r.installSnapshot(now)
 }
 
-func (r *balancerRole) logStoreLoss(wasInSync bool, err error) {
-	if wasInSync {
+func (r *balancerRole) logStoreLoss(lost bool, err error) {
+	if lost {
 		r.executor.recorder.logger.Warn("store lost", "error", err)
 	}
 }
 
-// logZoneChanges logs the zones that were closed or opened since the last snapshot. Each
-// line holds the revision at which the change is known and, for an opened zone, how long it
-// was closed.
+// logZoneChanges logs the zones that were closed or opened since the last installed
+// snapshot. A closed zone is logged with the revision of the store entry that closes it. An
+// opened zone is logged with the revision of the directory and the time for which it was
+// closed.
 func (r *balancerRole) logZoneChanges(now time.Duration, closed []directory.ClosedZone) {
 	logger := r.executor.recorder.logger
 	for _, zone := range closed {
--- a/internal/relaydaemon/command.go
+++ b/internal/relaydaemon/command.go
@@ -14,7 +14,7 @@
 type Dependencies struct {
 	// Codec decodes and encodes the packets of flows.
 	Codec segment.Codec
-	// NewStore returns a client for the store at address.
+	// NewStore returns a client of the store at address.
 	NewStore func(address netip.AddrPort) directory.Store
 }
 
@@ -22,8 +22,8 @@
 func Program(dependencies Dependencies) program.Program {
 	return program.Program{
 		Name:    "vanetiller-relay",
-		Purpose: "runs one process of a fleet that relays the packets of flows: a balancer, or the agent next to an endpoint.",
-		// The operators' log collector reads standard output.
+		Purpose: "runs one process of a fleet that relays whole packets of flows: a balancer, or the agent next to an endpoint.",
+		// Operators collect the log from standard output.
 		LogToStdout: true,
 		New: func(config *settings.Settings, output io.Writer) (program.Server, error) {
 			return New(dependencies, config, output)
--- a/internal/relaydaemon/confirm.go
+++ b/internal/relaydaemon/confirm.go
@@ -14,10 +14,10 @@
 // is not allowed yet.
 const confirmRetryInterval = 5 * time.Millisecond
 
-// errUnconfirmed is returned if nothing proved that the directory has all changes of the
-// store: missing changes did not arrive, the store was replaced during the call, no other
-// balancer is known, or the rate limit for confirmations on behalf of other balancers was
-// reached.
+// errUnconfirmed is returned if it is not proved that the directory has all changes of the
+// store: changes that the store or another balancer has announced did not arrive, the store
+// was replaced during the call, no other balancer is known, or the rate limit for
+// confirmations on behalf of other balancers was reached.
 var errUnconfirmed = errors.New("directory could not be confirmed")
 
 // requestConfirmation requests a confirmation that the directory has all changes that the
@@ -81,8 +81,9 @@
 	return requested
 }
 
-// errNoConfirmationDue is returned if no confirmation is requested or the limits on store
-// calls do not allow one yet.
+// errNoConfirmationDue is returned if no confirmation is requested, the limits on store
+// calls and on requests to watchers do not allow one yet, or the directory has no revision
+// to confirm.
 var errNoConfirmationDue = errors.New("no confirmation of the directory is due")
 
 // confirmByStore makes the store calls that the confirmer asks for. It returns the time
--- a/internal/relaydaemon/daemon.go
+++ b/internal/relaydaemon/daemon.go
@@ -1,12 +1,14 @@
-// Package relaydaemon runs the process vanetiller-relay, which relays the packets of flows
-// between clients and endpoints. According to its settings a process is a balancer, which
-// selects an endpoint for each new flow, or the agent next to one endpoint. Its input is
-// UDP packets of clients, endpoints and other processes, and the directory of routes and
-// endpoints in the platform's store.
+// Package relaydaemon runs the process vanetiller-relay, which relays whole packets of flows
+// between clients and endpoints. Its settings make a process either a balancer, which
+// selects an endpoint for each new flow, or the agent next to one endpoint. A balancer
+// receives the packets of clients, an agent those of its endpoint, and both exchange
+// messages; all of them are UDP datagrams. A balancer also reads the directory of routes and
+// endpoints from the platform's store.
 //
 // The decisions are made by relay.Balancer and relay.Agent, which do no I/O. This package
-// provides their sockets, timers, log and metrics, and sends what they return. For a
-// balancer it also keeps the directory current, from the store and from other balancers.
+// provides their sockets, timers, log and metrics, and carries out the effects that they
+// return. For a balancer it also keeps the directory current, from the store and from other
+// balancers.
 package relaydaemon
 
 import (
@@ -44,8 +46,8 @@
 	beginStop() time.Duration
 	// idle reports whether a stopping role has nothing left to serve.
 	idle() bool
-	// reload applies those changed settings that need no restart. It reports whether that
-	// covers all changes.
+	// reload applies those changed settings of the role that need no restart. It reports
+	// whether no other change waits for a restart.
 	reload(changed *settings.Relay) bool
 }
 
@@ -67,7 +69,7 @@
 		return nil, settings.Errors{{Key: "relay", Rule: "is required"}}
 	}
 	health := observability.NewHealth(conditionServing)
-	metrics := registry.New()
+	reg := registry.New()
 	log := logging.NewAsync(output)
 	created := &Daemon{
 		log:    log,
@@ -79,16 +81,16 @@
 	created.observability, err = observability.NewServer(observability.ServerConfig{
 		Listen:  config.Observability.Listen,
 		Health:  health,
-		Metrics: metrics.Handler(),
+		Metrics: reg.Handler(),
 	})
 	if err != nil {
 		return nil, err
 	}
-	recorder := newEventRecorder(created.logger, metrics)
+	recorder := newEventRecorder(created.logger, reg)
 	if config.Relay.Balancer != nil {
-		created.role, err = newBalancerRole(dependencies, config, health, recorder, metrics)
+		created.role, err = newBalancerRole(dependencies, config, health, recorder, reg)
 	} else {
-		created.role, err = newAgentRole(dependencies, config.Relay, recorder, metrics)
+		created.role, err = newAgentRole(dependencies, config.Relay, recorder, reg)
 	}
 	return created, errors.Wrap(err, "relay")
 }
@@ -97,34 +99,35 @@
 // for a balancer, the store and the seeds.
 func (d *Daemon) Reload(changed *settings.Settings) {
 	d.logger.SetLevel(changed.Log.Level)
-	complete := false
+	allApplied := false
 	if changed.Relay != nil {
 		d.stopTimeout.Store(int64(changed.Relay.StopTimeout))
-		complete = d.role.reload(changed.Relay)
+		allApplied = d.role.reload(changed.Relay)
 	}
-	d.logger.Info("settings read again", "log_level", changed.Log.Level, "changes_wait_for_start", !complete)
+	d.logger.Info("settings read again", "log_level", changed.Log.Level, "changes_wait_for_start", !allApplied)
 }
 
-// ReloadFailed logs that the settings could not be read again and that the current ones
-// stay in force.
+// ReloadFailed logs that the settings were not reloaded, because the new ones cannot be read
+// or are invalid, and that the previous settings stay in effect.
 func (d *Daemon) ReloadFailed(err error) {
-	d.logger.Error("cannot reload settings, keeping the current ones", "error", err)
+	d.logger.Error("settings not reloaded, previous settings stay in effect", "error", err)
 }
 
 // logFlushTimeout is how long a stopping process waits until its log is written.
 const logFlushTimeout = 200 * time.Millisecond
 
-// stopMargin is subtracted from the stop timeout, so that a planned stop ends in time.
+// stopMargin is the part of the stop timeout that a planned stop leaves unused, so that the
+// process ends before the timeout.
 const stopMargin = 1500 * time.Millisecond
 
 // idlePollInterval is the time between checks whether a stopping role is idle. It is also
 // the shortest time that the stop of an idle role takes.
 const idlePollInterval = 300 * time.Millisecond
 
-// Run serves until ctx ends and then stops as planned: it reports not ready and continues
-// to serve until the role is idle, or for the time that the role asks for, within the stop
-// timeout less stopMargin. It returns nil after a planned stop, or the first error if a
-// part fails.
+// Run serves until ctx ends and then stops as planned: it reports not ready and continues to
+// serve until the role is idle or the time returned by its beginStop is over, but no longer
+// than the stop timeout less stopMargin. It returns nil after a planned stop, or the first
+// error if a part fails.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.log.Close(logFlushTimeout)
 	d.logger.Info("daemon started")
@@ -145,6 +148,8 @@
 	return nil
 }
 
+// awaitStop returns at the end of a planned stop, which begins when stopping ends. It returns
+// early if ended ends because another part has failed.
 func (d *Daemon) awaitStop(stopping, ended context.Context) {
 	select {
 	case <-stopping.Done():
--- a/internal/relaydaemon/daemon_test.go
+++ b/internal/relaydaemon/daemon_test.go
@@ -108,7 +108,7 @@
 	return config
 }
 
-func (s testNetwork) balancerSettings(ip string, seeds string) *settings.Settings {
+func (n testNetwork) balancerSettings(ip string, seeds string) *settings.Settings {
 	return parseSettings(fmt.Sprintf(`name = "balancer"
 zone = "zone-1"
 [observability]
@@ -123,10 +123,10 @@
 seeds = [%[6]s]
 zones = ["zone-1"]
 updates = "%[1]s:%[7]d"
-`, ip, s.healthPort, s.peerPort, s.packetPort, s.exchangePort, seeds, s.updatePort))
+`, ip, n.healthPort, n.peerPort, n.packetPort, n.exchangePort, seeds, n.updatePort))
 }
 
-func (s testNetwork) agentSettings(ip string) *settings.Settings {
+func (n testNetwork) agentSettings(ip string) *settings.Settings {
 	return parseSettings(fmt.Sprintf(`name = "agent"
 zone = "zone-1"
 [observability]
@@ -139,11 +139,11 @@
 endpoint = "%[1]s:%[4]d"
 emitted = "%[1]s:%[5]d"
 first_start = true
-`, ip, s.healthPort, s.packetPort, s.endpointPort, s.emittedPort))
+`, ip, n.healthPort, n.packetPort, n.endpointPort, n.emittedPort))
 }
 
 // start runs a daemon. It returns a function that stops it and a channel that receives the
-// result of Run.
+// result of Run and is then closed.
 func start(config *settings.Settings, store directory.Store, log io.Writer) (stop context.CancelFunc, ended chan error) {
 	daemon, err := relaydaemon.New(relaydaemon.Dependencies{
 		Codec: codec, NewStore: func(netip.AddrPort) directory.Store { return store },
@@ -164,8 +164,8 @@
 	return cancel, ended
 }
 
-func (s testNetwork) healthStatus(ip string) int {
-	response, err := http.Get(fmt.Sprintf("http://%s:%d/healthz", ip, s.healthPort))
+func (n testNetwork) healthStatus(ip string) int {
+	response, err := http.Get(fmt.Sprintf("http://%s:%d/healthz", ip, n.healthPort))
 	if err != nil {
 		return 0
 	}
@@ -174,7 +174,7 @@
 }
 
 // scrape returns the metrics of a daemon, or an empty string if it does not answer.
-func (s testNetwork) scrape(port int, ip string) string {
+func (n testNetwork) scrape(port int, ip string) string {
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", ip, port))
 	if err != nil {
 		return ""
@@ -210,13 +210,13 @@
 
 var route = segment.Address{IP: [4]byte{198, 51, 100, 1}, Port: 443}
 
-func (s testNetwork) storeListing() directory.Page {
+func (n testNetwork) storeListing() directory.Page {
 	return directory.Page{Revision: 5, Items: []directory.Item{
 		{Revision: 1, Configuration: &directory.Configuration{Version: 4, Routes: []directory.Route{{
 			IP: route.IP, Port: route.Port, WeightedServices: []directory.WeightedService{{Service: "lookup", Weight: 1}},
 		}}}},
 		{Revision: 2, EndpointID: directory.NameOnlyID("e-1"), Endpoint: &directory.Endpoint{
-			Service: "lookup", IP: [4]byte{127, 0, 1, 3}, Port: uint16(s.endpointPort), Slots: 3,
+			Service: "lookup", IP: [4]byte{127, 0, 1, 3}, Port: uint16(n.endpointPort), Slots: 3,
 		}},
 	}}
 }
@@ -358,7 +358,7 @@
 			ContainSubstring("vanetiller_relay_endpoints 1")))
 	})
 
-	It("resets a flow that no endpoint holds, even if the store does not answer and a peer confirms the directory", func() {
+	It("resets a flow that no endpoint holds, also if only a peer can confirm the directory because the store does not answer", func() {
 		client := listenUDP(clientIP, network.packetPort)
 		start(network.agentSettings(agentIP), nil, log)
 		start(network.balancerSettings(balancerIP, ""), fakeStore{page: network.storeListing()}, log)
@@ -367,13 +367,13 @@
 		seed := fmt.Sprintf("%q", fmt.Sprintf("%s:%d", balancerIP, network.exchangePort))
 		start(second.balancerSettings(otherIP, seed), fakeStore{down: true}, log)
 		Eventually(status(agentIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
-		for port, ip := range []string{balancerIP, otherIP} {
+		for index, ip := range []string{balancerIP, otherIP} {
 			health := network
 			if ip == otherIP {
 				health = second
 			}
 			Eventually(func() int { return health.healthStatus(ip) }).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
-			clientAddress := segment.Address{IP: [4]byte{127, 0, 1, 4}, Port: uint16(6000 + port)}
+			clientAddress := segment.Address{IP: [4]byte{127, 0, 1, 4}, Port: uint16(6000 + index)}
 			stray := codec.Encode(segment.Header{
 				Source: clientAddress, Destination: route, Flags: segment.Acknowledge, Sequence: 10, Acknowledgment: 71,
 			}, []byte("request"))
@@ -395,7 +395,7 @@
 		Expect(log.String()).To(ContainSubstring(`"msg":"daemon stopped"`))
 	})
 
-	It("stops an agent as soon as its endpoint has no open flow", func() {
+	It("ends the planned stop of an agent as soon as its endpoint has no open flow", func() {
 		stop, ended := start(network.agentSettings(agentIP), nil, log)
 		Eventually(status(agentIP)).WithTimeout(10 * time.Second).Should(Equal(http.StatusOK))
 		stop()
--- a/internal/relaydaemon/directorymetrics.go
+++ b/internal/relaydaemon/directorymetrics.go
@@ -23,8 +23,8 @@
 	updates             metrics.Counter
 }
 
-// Labels of the counters, and those of their values that are not names of a
-// directory.StoreFailure.
+// Labels of the counters and their values. The outcome of a failed store call is the name of
+// its directory.StoreFailure.
 const (
 	outcomeLabel   = "outcome"
 	directionLabel = "direction"
@@ -75,7 +75,7 @@
 	}
 }
 
-// countStoreCall counts a call of the store by its outcome.
+// countStoreCall counts a call of the store by its kind and outcome.
 func (m directoryMetrics) countStoreCall(kind string, err error) {
 	outcome := outcomeAnswered
 	var failed *directory.StoreError
--- a/internal/relaydaemon/eventrecorder.go
+++ b/internal/relaydaemon/eventrecorder.go
@@ -19,9 +19,9 @@
 	reasonLabel = "reason"
 )
 
-// Limits of the decision log, so that it costs little under load. The next line counts the
-// lines that were omitted. Decisions that belong to every successful flow have a limit of
-// their own, so that they do not displace the others.
+// Limits of the decision log, so that it costs little under load. The next line that is
+// written states how many were omitted before it. Decisions that belong to every successful
+// flow have a limit of their own, so that they do not displace the others.
 const (
 	eventsPerSecond  = 50
 	eventsBurst      = 200
@@ -34,9 +34,10 @@
 
 // eventRecorder logs, counts and times the events of a role.
 type eventRecorder struct {
-	logger       *log.Logger
-	unusual      logLimit
-	routine      logLimit
+	logger  *log.Logger
+	unusual logLimit
+	routine logLimit
+	// eventCounts is indexed by relay.EventKind.
 	eventCounts  []metrics.Counter
 	durations    map[relay.EventKind]metrics.Histogram
 	loadReporter *loadReporter
@@ -45,7 +46,8 @@
 	admissions map[string]metrics.Counter
 }
 
-// logLimit limits the rate of log lines and counts those omitted since the last one.
+// logLimit limits the rate of log lines. omitted is the number of lines left out since the
+// last written one.
 type logLimit struct {
 	limiter *rate.Limiter
 	omitted int
@@ -97,6 +99,8 @@
 	return kind == relay.EventPlaced || kind == relay.EventGiven || kind == relay.EventAnswered || kind == relay.EventReleased
 }
 
+// record counts an event and logs it within the limits. The caller holds the lock of the
+// executor.
 func (r *eventRecorder) record(now time.Duration, event relay.Event) {
 	r.loadReporter.record(now, event)
 	r.eventCounts[event.Kind].Add(1)
--- a/internal/relaydaemon/executor.go
+++ b/internal/relaydaemon/executor.go
@@ -35,7 +35,8 @@
 	endpoint     segment.Address
 	encodeBuffer []byte
 	timer        *time.Timer
-	timerDue     time.Duration
+	// timerDue is the time after startedAt at which the state machine has its next timeout.
+	timerDue time.Duration
 	// requestConfirmation handles relay.EffectConfirmDirectory. It is nil for an agent,
 	// which does not return that effect.
 	requestConfirmation func()
@@ -53,8 +54,8 @@
 	}
 }
 
-// do calls input with the present monotonic time and carries out the effects that it
-// returns.
+// do calls input with the present time and carries out the effects that it returns. The time
+// is monotonic and counted from startedAt.
 func (e *executor) do(input func(now time.Duration) []relay.Effect) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -94,7 +95,7 @@
 	e.peerSocket.send(to, encoded)
 }
 
-// armTimer resets the timer if the next timeout is due before the timer.
+// armTimer sets the timer to the next timeout if that is earlier than timerDue.
 func (e *executor) armTimer(now time.Duration) {
 	next := e.machine.NextTick(now)
 	if next >= e.timerDue {
--- a/internal/relaydaemon/load.go
+++ b/internal/relaydaemon/load.go
@@ -14,7 +14,8 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// Labels of the load metrics, and their values for unknown or merged classes.
+// Labels of the load metrics, and their values for classes that are unknown or counted
+// together.
 const (
 	serviceLabel  = "service"
 	priorityLabel = "priority"
@@ -35,7 +36,7 @@
 )
 
 // loadStats counts what happened to the requests and flows of a class since its last log
-// line.
+// line. The method fields names the counters as in that line.
 type loadStats struct {
 	// since is the time of the first counted event.
 	since     time.Duration
@@ -128,8 +129,8 @@
 	return false
 }
 
-// loadReporter aggregates the outcomes of requests and flows by class, in metrics and in
-// log lines. Unlike the decision log, the sums omit nothing.
+// loadReporter counts the outcomes of requests and flows by class, in metrics and in log
+// lines. Unlike the decision log, these counts omit no event.
 type loadReporter struct {
 	logger *log.Logger
 	stats  map[relay.TrafficClass]*loadStats
@@ -178,7 +179,8 @@
 	}
 }
 
-// reportedClass returns the class under which events of class are counted.
+// reportedClass returns the class under which events of class are counted: class itself, or
+// the one for otherValue if maxClasses others are counted already.
 func (l *loadReporter) reportedClass(class relay.TrafficClass) relay.TrafficClass {
 	if _, exists := l.stats[class]; exists || len(l.stats) < maxClasses {
 		return class
--- a/internal/relaydaemon/loadmetrics.go
+++ b/internal/relaydaemon/loadmetrics.go
@@ -16,6 +16,7 @@
 // throttle limits the updates of gauges to one in each updateInterval.
 type throttle struct{ next time.Duration }
 
+// due reports whether an update is due. If so, the next one is due after updateInterval.
 func (t *throttle) due(now time.Duration) bool {
 	if now < t.next {
 		return false
@@ -34,8 +35,8 @@
 	capacity     metrics.Gauge
 	waiting      metrics.Gauge
 	longest      metrics.Gauge
-	// previous are the classes that waited at the last update. Their gauges are set to zero
-	// once nothing waits.
+	// previous are the classes with waiting requests at the last update. Their gauges are
+	// set to zero once none wait.
 	previous map[relay.TrafficClass]relay.QueueStats
 }
 
--- a/internal/relaydaemon/peerfetch.go
+++ b/internal/relaydaemon/peerfetch.go
@@ -19,16 +19,17 @@
 )
 
 const (
-	// fetchCheckInterval is the time between checks whether to fetch from another balancer,
-	// and startupCheckInterval that time while there is no directory or seeds are still
-	// asked.
+	// fetchCheckInterval is the time between checks whether to fetch from another balancer.
+	// startupCheckInterval replaces it while there is no directory and during
+	// seedQueryPeriod.
 	fetchCheckInterval   = 100 * time.Millisecond
 	startupCheckInterval = 50 * time.Millisecond
-	// seedQueryPeriod is how long after its start a balancer asks seeds for a source of the
-	// directory.
+	// seedQueryPeriod is how long after its start a balancer asks seeds which balancer has a
+	// directory to fetch.
 	seedQueryPeriod = 3 * time.Second
-	// fetchTimeout bounds a fetch from another balancer, and connectTimeout its connection:
-	// a machine without power does not refuse connections.
+	// fetchTimeout bounds a fetch from another balancer, and connectTimeout the
+	// establishment of its connection. A machine without power does not refuse connections,
+	// so only a timeout detects it.
 	fetchTimeout   = 800 * time.Millisecond
 	connectTimeout = 250 * time.Millisecond
 )
@@ -50,8 +51,8 @@
 		p.updateMembers()
 		from, request, wanted := p.nextFetch()
 		if wanted {
-			state, at, err := p.fetch(ctx, from.AddrPort(), request)
-			p.finishFetch(from, state, at, err)
+			state, startedAt, err := p.fetch(ctx, from.AddrPort(), request)
+			p.finishFetch(from, state, startedAt, err)
 		}
 		timer := time.NewTimer(p.checkInterval())
 		select {
@@ -79,9 +80,10 @@
 	return startupCheckInterval
 }
 
-// nextFetch returns the fetch to make now, if any. It also updates the limits on store
-// calls and sends the updates that are due: repeats, renewals and, shortly after the start,
-// a request to a seed for a source of the directory.
+// nextFetch returns the fetch to make now, if any. It also updates the limits on store calls
+// and sends the updates that are due: repeats, renewals and, during seedQueryPeriod and
+// unless there is a fetch to make, a request that asks a seed which balancer has a directory.
+// That request is repeated until this balancer and a seed have one.
 func (p *peerExchange) nextFetch() (from membership.Address, request directoryRequest, wanted bool) {
 	balancers := p.membership.LiveCount()
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
@@ -116,18 +118,18 @@
 	if !exists {
 		return errUnconfirmed
 	}
-	state, at, err := p.fetch(ctx, from.AddrPort(), directoryRequest{known: known, confirm: true})
+	state, startedAt, err := p.fetch(ctx, from.AddrPort(), directoryRequest{known: known, confirm: true})
 	if err != nil {
 		return err
 	}
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
 		changed := p.role.replica.ApplyState(now, state)
-		// A directory without any revision counts as revision 1, so that a state with
-		// content can confirm it.
+		// ConfirmedBy is false for a known revision of 0, that of a balancer without a
+		// directory. With 1, any state that has a revision can confirm the directory.
 		if !p.role.replica.ConfirmedBy(state.Through, max(known.Revision, 1)) {
 			err = errUnconfirmed
 		}
-		p.role.updates.send(p.role.disseminator.StateFetched(now, at, directory.Peer(from), state))
+		p.role.updates.send(p.role.disseminator.StateFetched(now, startedAt, directory.Peer(from), state))
 		return p.role.installIfChanged(changed, now)
 	})
 	return err
--- a/internal/relaydaemon/peermembership.go
+++ b/internal/relaydaemon/peermembership.go
@@ -10,8 +10,8 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// handleMembershipEvent passes the digests, joins and losses of other balancers to the
-// parts that fetch and disseminate the directory.
+// handleMembershipEvent passes the digests and losses of other balancers to the fetcher and
+// the disseminator, and notes that the members have changed for updateMembers.
 func (p *peerExchange) handleMembershipEvent(event membership.Effect) {
 	switch event.Kind {
 	case membership.EffectAttachment:
@@ -43,7 +43,8 @@
 	p.membership.SetAttachment(encoded)
 }
 
-// updateMembers passes the reachable members to the disseminator if they have changed.
+// updateMembers passes the reachable members to the disseminator if the membership has
+// changed, and wakes the follower, whose next store call depends on them.
 func (p *peerExchange) updateMembers() {
 	if !p.membersChanged.Swap(false) {
 		return
--- a/internal/relaydaemon/peers.go
+++ b/internal/relaydaemon/peers.go
@@ -30,7 +30,8 @@
 	server     *http.Server
 	client     *http.Client
 	fetcher    *directory.PeerFetcher[membership.Address]
-	storeRate  float64
+	// storeRate is how many calls per second the store answers of all balancers together.
+	storeRate float64
 	// confirmLimiter bounds the confirmations on behalf of other balancers.
 	confirmLimiter *rate.Limiter
 	// wake wakes runFetcher. membersChanged is set when the membership has changed since
@@ -74,6 +75,9 @@
 	return created, nil
 }
 
+// selfIdentity returns the identity of this process in the membership. The zone is its index
+// among the sorted names of all zones, 0 if it is not among them. The incarnation is the start
+// time in milliseconds.
 func selfIdentity(config *settings.Settings) membership.Identity {
 	zones := slices.Sorted(slices.Values(config.Relay.Balancer.Zones))
 	return membership.Identity{
@@ -93,7 +97,7 @@
 	return seeds
 }
 
-// setSeeds replaces the seeds, which are asked where no member is known.
+// setSeeds replaces the seeds, the balancers to ask where no member is known.
 func (p *peerExchange) setSeeds(config *settings.RelayBalancer) {
 	seeds := otherSeeds(config)
 	p.membership.SetSeeds(seeds)
--- a/internal/relaydaemon/peerserver.go
+++ b/internal/relaydaemon/peerserver.go
@@ -19,10 +19,12 @@
 const (
 	// directoryPath is the HTTP path under which a balancer serves its directory to others.
 	directoryPath = "/v1/directory"
-	// versionParam and revisionParam hold the digest of the requesting balancer.
+	// versionParam and revisionParam are the query parameters with the digest of the
+	// requesting balancer.
 	versionParam  = "version"
 	revisionParam = "complete"
-	// confirmParam requests a confirmation by the store before the answer.
+	// confirmParam is the query parameter that requests a directory which the store has
+	// confirmed since the request.
 	confirmParam = "confirm"
 	// peerConfirmRate bounds the confirmations per second on behalf of other balancers,
 	// each of which costs store calls, and peerConfirmBurst how many may begin at once.
@@ -41,7 +43,8 @@
 	return mux
 }
 
-// directoryRequest is a request of a balancer for the directory of another.
+// directoryRequest is a request of another balancer for the directory. known is the digest
+// of its own directory.
 type directoryRequest struct {
 	known   directory.Digest
 	confirm bool
@@ -54,9 +57,9 @@
 func (p *peerExchange) decodeRequest(_ context.Context, httpRequest *http.Request) (any, error) {
 	query := httpRequest.URL.Query()
 	version, _ := strconv.ParseUint(query.Get(versionParam), 10, 64)
-	complete, _ := strconv.ParseUint(query.Get(revisionParam), 10, 64)
+	revision, _ := strconv.ParseUint(query.Get(revisionParam), 10, 64)
 	request := directoryRequest{
-		known:   directory.Digest{ConfigurationVersion: version, Revision: directory.Revision(complete)},
+		known:   directory.Digest{ConfigurationVersion: version, Revision: directory.Revision(revision)},
 		confirm: query.Has(confirmParam),
 	}
 	if from, err := netip.ParseAddrPort(httpRequest.RemoteAddr); err == nil {
@@ -65,7 +68,8 @@
 	return request, nil
 }
 
-// serveDirectory returns the encoded state that the requesting balancer lacks.
+// serveDirectory returns the encoded state that the requesting balancer lacks. If the request
+// asks for it, the store confirms the directory first.
 func (p *peerExchange) serveDirectory(ctx context.Context, request directoryRequest) ([]byte, error) {
 	if request.confirm && !p.confirmLimiter.Allow() {
 		return nil, errUnconfirmed
@@ -93,8 +97,8 @@
 }
 
 func (p *peerExchange) serve(ctx context.Context) error {
-	stopped := context.AfterFunc(ctx, func() { p.server.Close() })
-	defer stopped()
+	stop := context.AfterFunc(ctx, func() { p.server.Close() })
+	defer stop()
 	if err := p.server.Serve(p.listener); err != nil && ctx.Err() == nil {
 		return errors.Wrap(err, "serve directory to peers")
 	}
--- a/internal/relaydaemon/ports_test.go
+++ b/internal/relaydaemon/ports_test.go
@@ -10,8 +10,8 @@
 
 // freePorts returns ports that are free for TCP and UDP on all addresses of these specs. It
 // holds all of them open until the last is chosen. If they were closed one by one, the
-// system could return a port twice, and a daemon that gets it for two sockets could not
-// bind the second.
+// system could return the same port twice, and a daemon that is configured with it for two
+// sockets could not bind the second.
 func freePorts(count int) []int {
 	GinkgoHelper()
 	var ports []int
@@ -37,7 +37,7 @@
 func freePort() int { return freePorts(1)[0] }
 
 var _ = Describe("freePorts", func() {
-	It("never returns a port twice", func() {
+	It("returns no port twice in one call", func() {
 		for range 200 {
 			seen := make(map[int]bool)
 			for _, port := range freePorts(7) {
--- a/internal/relaydaemon/refusals.go
+++ b/internal/relaydaemon/refusals.go
@@ -9,7 +9,7 @@
 )
 
 // The log of refused entries has its own limit, so that a store with many unusable entries
-// does not displace other events from the log. The counter includes omitted lines.
+// does not displace other events from the log. The counter includes refusals without a line.
 const (
 	refusalsPerSecond = 2
 	refusalsBurst     = 20
@@ -48,9 +48,9 @@
 		l.counts[refusal.Reason].Add(1)
 		l.write(refusal)
 	}
-	present := replica.RefusalCounts()
+	current := replica.RefusalCounts()
 	for reason, gauge := range l.current {
-		gauge.Set(float64(present[reason]))
+		gauge.Set(float64(current[reason]))
 	}
 }
 
--- a/internal/relaydaemon/socket.go
+++ b/internal/relaydaemon/socket.go
@@ -34,8 +34,8 @@
 
 // run reads datagrams until ctx ends.
 func (s *socket) run(ctx context.Context) error {
-	stopped := context.AfterFunc(ctx, func() { s.connection.Close() })
-	defer stopped()
+	stop := context.AfterFunc(ctx, func() { s.connection.Close() })
+	defer stop()
 	buffer := make([]byte, relay.MaxMessageSize)
 	for {
 		length, from, err := s.connection.ReadFromUDPAddrPort(buffer)
--- a/internal/relaydaemon/statecache.go
+++ b/internal/relaydaemon/statecache.go
@@ -9,16 +9,16 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// cacheLifetime is how long an encoded state may be reused. The age in it is that at the
-// end of the lifetime.
+// cacheLifetime is how long an encoded state may be reused. The age in the state includes
+// this time, so that a reused state never seems more recent than it is.
 const cacheLifetime = 100 * time.Millisecond
 
 // maxStateSize bounds the directory state of another balancer, in bytes, both as received
 // and decompressed.
 const maxStateSize = 16 << 20
 
-// stateCache keeps the last encoded state. After a new configuration, or when many
-// processes start, all of them ask for the same state.
+// stateCache keeps the last encoded state, because many balancers request the same state
+// when a configuration is new or when many of them start at once.
 type stateCache struct {
 	known     directory.Digest
 	digest    directory.Digest
@@ -36,7 +36,7 @@
 	state.Age += cacheLifetime
 	plain, err := state.MarshalMsg(nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "directory")
+		return nil, errors.Wrap(err, "encode directory for peer")
 	}
 	*c = stateCache{known: known, digest: digest, encodedAt: now, encoded: s2.Encode(nil, plain)}
 	return c.encoded, nil
--- a/internal/relaydaemon/statecache_test.go
+++ b/internal/relaydaemon/statecache_test.go
@@ -10,7 +10,7 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-func TestStateCache(t *testing.T) {
+func TestStateCacheReusesCurrentState(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var cache stateCache
 	builds := 0
@@ -37,7 +37,7 @@
 	g.Expect(builds).To(gomega.Equal(4), "cached state expired")
 }
 
-func TestDecodeState(t *testing.T) {
+func TestDecodeStateRejectsInvalidData(t *testing.T) {
 	g := gomega.NewWithT(t)
 	huge := append([]byte{0xff, 0xff, 0xff, 0xff, 0x0f}, make([]byte, 100)...)
 	for _, encoded := range [][]byte{nil, {1, 2, 3}, huge, s2.Encode(nil, []byte("no state"))} {
--- a/internal/relaydaemon/updates.go
+++ b/internal/relaydaemon/updates.go
@@ -12,8 +12,8 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// updateTransport sends and receives the datagrams by which balancers tell each other of
-// changes of the directory and confirm it for each other.
+// updateTransport sends and receives the datagrams that carry changes and confirmations of
+// the directory between balancers.
 type updateTransport struct {
 	role   *balancerRole
 	socket *socket
@@ -34,7 +34,7 @@
 
 // confirmationRequest is a request to a watcher, a balancer that watches the store, to
 // confirm the directory. knownRevision is the revision of the directory when the request
-// was sent.
+// was sent. confirmed is set when a reply has confirmed it.
 type confirmationRequest struct {
 	id            uint32
 	watcher       directory.Peer
@@ -52,7 +52,8 @@
 	return created, err
 }
 
-// peerAt returns the identity of the balancer on a machine.
+// peerAt returns the identity of the balancer on a machine, false if the address is not
+// usable.
 func (u *updateTransport) peerAt(machine netip.Addr) (directory.Peer, bool) {
 	address, usable := membership.AddressOf(netip.AddrPortFrom(machine, u.exchangePort))
 	return directory.Peer(address), usable
@@ -116,8 +117,8 @@
 	u.role.directoryMetrics.updates.With(directionLabel, directionSent).Add(float64(len(outgoing)))
 }
 
-// replyThrough replies to the requests received until through, the time for which the
-// directory is confirmed. The caller holds the lock of the executor.
+// replyThrough replies to the confirmation requests that were received until through, the
+// time for which the directory is confirmed. The caller holds the lock of the executor.
 func (u *updateTransport) replyThrough(now, through time.Duration) {
 	for _, pending := range u.pendingConfirmations.TakeThrough(through) {
 		u.send(u.role.disseminator.ConfirmationReplies(now, pending.From, pending.Update))
@@ -147,7 +148,8 @@
 )
 
 // confirmByWatcher asks a watcher to confirm the directory, unless other balancers wait for
-// this one to do so. If it is confirmed, the returned time is the one through which it is.
+// this one to ask the store. With watcherConfirmed it returns the time through which the
+// directory is confirmed.
 func (u *updateTransport) confirmByWatcher(ctx context.Context) (time.Duration, watcherOutcome) {
 	select {
 	case <-u.replied:
@@ -190,7 +192,8 @@
 	return outcome
 }
 
-// takeReply ends the outstanding request and returns its outcome.
+// takeReply ends the outstanding request and returns its outcome. If there was no reply, a
+// confirmation is requested again and another watcher is preferred for a while.
 func (u *updateTransport) takeReply() (through time.Duration, outcome watcherOutcome) {
 	u.role.executor.do(func(now time.Duration) []relay.Effect {
 		request := u.outstanding
