--- a/internal/relaydaemon/agent.go
+++ b/internal/relaydaemon/agent.go
@@ -14,7 +14,7 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// agentRole runs a relay.Agent.
+// agentRole runs a relay.Agent for the endpoint on the same machine.
 type agentRole struct {
 	settings settings.Relay
 	executor *executor
@@ -22,59 +22,60 @@
 	metrics  *endpointMetrics
 }
 
-func newAgentRole(surroundings Surroundings, checked *settings.Relay, journal *journal, registered *registry.Registry) (*agentRole, error) {
+func newAgentRole(dependencies Dependencies, config *settings.Relay, recorder *eventRecorder, reg *registry.Registry) (*agentRole, error) {
 	agent := relay.NewAgent(relay.AgentConfig{
-		Service:             checked.Agent.Service,
-		Codec:               surroundings.Codec,
-		StartedWithEndpoint: checked.Agent.FirstStart,
-		FlowLifetime:        checked.FlowLifetime,
-		FlowLimit:           checked.FlowLimit,
-		ColdStartLimit:      relay.ColdStartLimit{Overrun: checked.Agent.ColdOverrun, Slack: checked.Agent.ColdSlack},
-		OutlierLimits:       checked.Agent.OutlierDetection,
-		QueuePolicy:         checked.Agent.QueuePolicy,
+		Service:             config.Agent.Service,
+		Codec:               dependencies.Codec,
+		StartedWithEndpoint: config.Agent.FirstStart,
+		FlowLifetime:        config.FlowLifetime,
+		FlowLimit:           config.FlowLimit,
+		ColdStartLimit:      relay.ColdStartLimit{Overrun: config.Agent.ColdOverrun, Slack: config.Agent.ColdSlack},
+		OutlierLimits:       config.Agent.OutlierDetection,
+		QueuePolicy:         config.Agent.QueuePolicy,
 	})
 	created := &agentRole{
-		*checked, newExecutor(agent, checked.Peers.Port(), journal), agent, newEndpointMetrics(registered, checked.Agent.Service),
+		*config, newExecutor(agent, config.Peers.Port(), recorder), agent, newEndpointMetrics(reg, config.Agent.Service),
 	}
-	created.executor.after = created.observe
-	created.executor.endpoint = segment.AddressOf(checked.Agent.Endpoint)
+	created.executor.afterInput = created.updateMetrics
+	created.executor.endpoint = segment.AddressOf(config.Agent.Endpoint)
 	var err error
-	created.executor.packets, err = listen(checked.Agent.Emitted, created.emitted)
+	created.executor.packetSocket, err = listen(config.Agent.Emitted, created.handleEndpointPacket)
 	if err != nil {
 		return nil, err
 	}
-	created.executor.peers, err = listen(checked.Peers, created.executor.message)
+	created.executor.peerSocket, err = listen(config.Peers, created.executor.handleMessage)
 	return created, err
 }
 
-// emitted handles a packet of the endpoint. Only the endpoint may send to this
-// address, from the machine itself.
-func (r *agentRole) emitted(_ netip.AddrPort, packet []byte) {
+// handleEndpointPacket handles a packet that the endpoint has sent, or a client's packet
+// that it has returned. Only the endpoint may send to this socket, from the same machine, so
+// the sender address is ignored.
+func (r *agentRole) handleEndpointPacket(_ netip.AddrPort, packet []byte) {
 	r.executor.do(func(now time.Duration) []relay.Effect { return r.agent.HandleEndpointPacket(now, packet) })
 }
 
-// observe shows the load of the endpoint.
-func (r *agentRole) observe(now time.Duration) {
+// updateMetrics exports the load of the endpoint.
+func (r *agentRole) updateMetrics(now time.Duration) {
 	if r.metrics.due(now) {
 		r.metrics.observe(r.agent.EndpointLoad(now))
 	}
 }
 
-func (r *agentRole) add(group *run.Group) {
-	addActor(group, r.executor.packets.run)
-	addActor(group, r.executor.peers.run)
-	addActor(group, r.executor.tick)
+func (r *agentRole) addActors(group *run.Group) {
+	addActor(group, r.executor.packetSocket.run)
+	addActor(group, r.executor.peerSocket.run)
+	addActor(group, r.executor.runTimer)
 }
 
-// stop lets flows end for as long as the stop may take: nobody else can carry
-// them.
-func (r *agentRole) stop() time.Duration {
+// beginStop lets open flows finish for as long as the stop timeout allows, because no other
+// process can carry them.
+func (r *agentRole) beginStop() time.Duration {
 	r.executor.do(r.agent.Stop)
 	return math.MaxInt64
 }
 
-// idle reports whether all flows of the endpoint have ended, as they have when
-// the agent is stopped after its endpoint.
+// idle reports whether all flows of the endpoint have ended. They have if the endpoint was
+// stopped before its agent.
 func (r *agentRole) idle() bool {
 	idle := false
 	r.executor.do(func(time.Duration) []relay.Effect {
@@ -84,9 +85,10 @@
 	return idle
 }
 
-// reload compares what the agent was started with; nothing of it can change.
+// reload reports whether all settings are unchanged except the stop timeout, which Daemon
+// applies. Every other change needs a restart of the agent.
 func (r *agentRole) reload(changed *settings.Relay) bool {
-	same := *changed
-	same.StopTimeout = r.settings.StopTimeout
-	return reflect.DeepEqual(same, r.settings)
+	compared := *changed
+	compared.StopTimeout = r.settings.StopTimeout
+	return reflect.DeepEqual(compared, r.settings)
 }
--- a/internal/relaydaemon/command.go
+++ b/internal/relaydaemon/command.go
@@ -10,23 +10,23 @@
 	"github.com/vanetiller/vanetiller/internal/settings"
 )
 
-// Surroundings are the parts that depend on the platform.
-type Surroundings struct {
-	// Codec reads and writes the packets of flows.
+// Dependencies holds the platform-specific implementations that a daemon uses.
+type Dependencies struct {
+	// Codec decodes and encodes the packets of flows.
 	Codec segment.Codec
-	// NewStore returns a client of the store at an address.
+	// NewStore returns a client of the store at address.
 	NewStore func(address netip.AddrPort) directory.Store
 }
 
-// Program is vanetiller-relay.
-func Program(surroundings Surroundings) program.Program {
+// Program returns the command-line program vanetiller-relay.
+func Program(dependencies Dependencies) program.Program {
 	return program.Program{
 		Name:    "vanetiller-relay",
-		Summary: "runs one process of a fleet that carries the packets of flows whole: a balancer, or the agent beside an endpoint.",
-		// The users' engineers collect standard output.
+		Summary: "runs one process of a fleet that relays whole packets of flows :a balancer ,or the agent next to an endpoint.",
+		// Operators collectthe log from standard output.
 		LogToStdout: true,
-		New: func(checked *settings.Settings, output io.Writer) (program.Server, error) {
-			return New(surroundings, checked, output)
+		New: func(config *settings.Settings, output io.Writer) (program.Server, error) {
+			return New(dependencies, config, output)
 		},
 	}
 }
--- a/internal/relaydaemon/load.go
+++ b/internal/relaydaemon/load.go
@@ -14,28 +14,31 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// The labels of metrics of load, and their values where nothing better is known.
+// Labels of the load metrics, and their values for classes that are unknown or counted
+// together.
 const (
 	serviceLabel  = "service"
 	priorityLabel = "priority"
 
 	unknownValue = "unknown"
-	// otherValue stands for the classes beyond classLimit.
+	// otherValue is the service under which all classes beyond maxClasses are counted.
 	otherValue = "other"
 )
 
 const (
-	// classLimit bounds the classes that are told apart, and with them the metrics.
-	classLimit = 256
-	// loadInterval is the least time between two lines about a class while requests wait or
-	// are turned away, and calmInterval while none are.
-	loadInterval = time.Second
-	calmInterval = 10 * time.Second
+	// maxClasses bounds the classes that are counted separately, and with them the size of
+	// the metrics.
+	maxClasses = 256
+	// loadInterval is the shortest time between two load lines about a class while requests
+	// wait or are refused. quietInterval applies while none are.
+	loadInterval  = time.Second
+	quietInterval = 10 * time.Second
 )
 
-// loadCount is what happened to the requests and flows of a class since the last line.
-type loadCount struct {
-	// since is when the first of events was counted.
+// loadStats counts what happened to the requests and flows of a class since its last log
+// line. The method fields names the counters as in that line.
+type loadStats struct {
+	// since is the time of the first counted event.
 	since     time.Duration
 	events    int
 	asked     int
@@ -45,77 +48,79 @@
 	ownerless int
 	returned  map[string]int
 	refused   map[string]int
-	// waits counts by the upper bound of secondsBuckets in milliseconds, or longerWait.
+	// waits holds the number of waits by bucket of latencyBuckets. A key is the upper bound
+	// in milliseconds, or overflowBucket.
 	waits   map[string]int
 	longest time.Duration
 }
 
-func newLoadCount() *loadCount {
-	return &loadCount{returned: make(map[string]int), refused: make(map[string]int), waits: make(map[string]int)}
+func newLoadStats() *loadStats {
+	return &loadStats{returned: make(map[string]int), refused: make(map[string]int), waits: make(map[string]int)}
 }
 
-// count takes account of an event.
-func (c *loadCount) count(now time.Duration, event relay.Event) {
-	if c.events == 0 {
-		c.since = now
+// add counts an event.
+func (s *loadStats) add(now time.Duration, event relay.Event) {
+	if s.events == 0 {
+		s.since = now
 	}
-	c.events++
+	s.events++
 	switch event.Kind {
 	case relay.EventGiven, relay.EventHeld:
-		c.asked++
+		s.asked++
 	case relay.EventAnswered:
-		c.answered++
+		s.answered++
 	case relay.EventPlaced:
-		c.placed++
+		s.placed++
 	case relay.EventExpired:
-		c.expired++
+		s.expired++
 	case relay.EventOwnerless:
-		c.ownerless++
+		s.ownerless++
 	case relay.EventReturned:
-		c.returned[event.Reason]++
+		s.returned[event.Reason]++
 	case relay.EventNoEndpoint:
-		c.refused[event.Reason]++
+		s.refused[event.Reason]++
 	case relay.EventAdmitted:
-		c.waited(event.Elapsed)
+		s.addWait(event.Elapsed)
 	}
 }
 
-func (c *loadCount) waited(elapsed time.Duration) {
-	c.waits[waitBucket(elapsed)]++
-	c.longest = max(c.longest, elapsed)
+func (s *loadStats) addWait(elapsed time.Duration) {
+	s.waits[waitBucket(elapsed)]++
+	s.longest = max(s.longest, elapsed)
 }
 
-// longerWait is the bucket of waits beyond all bounds.
-const longerWait = "longer"
+// overflowBucket is the bucket of waits that exceed all bounds.
+const overflowBucket = "longer"
 
 func waitBucket(elapsed time.Duration) string {
-	bucket, _ := slices.BinarySearch(secondsBuckets, elapsed.Seconds())
-	if bucket == len(secondsBuckets) {
-		return longerWait
+	bucket, _ := slices.BinarySearch(latencyBuckets, elapsed.Seconds())
+	if bucket == len(latencyBuckets) {
+		return overflowBucket
 	}
-	return strconv.FormatFloat(1000*secondsBuckets[bucket], 'f', -1, 64)
+	return strconv.FormatFloat(1000*latencyBuckets[bucket], 'f', -1, 64)
 }
 
-// pressed reports whether something waited or was turned away.
-func (c *loadCount) pressed() bool {
-	return c.longest > 0 || c.expired > 0 || c.ownerless > 0 || len(c.returned) > 0 || len(c.refused) > 0
+// underPressure reports whether a request or flow of the class has waited, expired, been
+// returned or refused, or had no owner.
+func (s *loadStats) underPressure() bool {
+	return s.longest > 0 || s.expired > 0 || s.ownerless > 0 || len(s.returned) > 0 || len(s.refused) > 0
 }
 
-// due reports whether a line about the class is due.
-func (c *loadCount) due(now time.Duration) bool {
-	return c.pressed() || c.events > 0 && now-c.since >= calmInterval
+// reportDue reports whether a log line about the class is due.
+func (s *loadStats) reportDue(now time.Duration) bool {
+	return s.underPressure() || s.events > 0 && now-s.since >= quietInterval
 }
 
-func (c *loadCount) fields() []any {
+func (s *loadStats) fields() []any {
 	return []any{
-		"asked", c.asked, "answered", c.answered, "placed", c.placed, "expired", c.expired, "ownerless", c.ownerless,
-		"returned", c.returned, "refused", c.refused,
-		"waits", c.waits, "longest_ms", float64(c.longest.Microseconds()) / 1000,
+		"asked", s.asked, "answered", s.answered, "placed", s.placed, "expired", s.expired, "ownerless", s.ownerless,
+		"returned", s.returned, "refused", s.refused,
+		"waits", s.waits, "longest_ms", float64(s.longest.Microseconds()) / 1000,
 	}
 }
 
-// isLoad reports whether an event tells what became of a request or a flow.
-func isLoad(kind relay.EventKind) bool {
+// isLoadEvent reports whether an event is an outcome of a request or a flow.
+func isLoadEvent(kind relay.EventKind) bool {
 	switch kind {
 	case relay.EventGiven, relay.EventHeld, relay.EventAnswered, relay.EventPlaced, relay.EventExpired,
 		relay.EventOwnerless, relay.EventReturned, relay.EventNoEndpoint, relay.EventAdmitted:
@@ -124,45 +129,45 @@
 	return false
 }
 
-// loadLog sums up what became of requests and flows, by class, in metrics and in lines that
-// leave nothing out, unlike those of single decisions.
-type loadLog struct {
+// loadReporter counts the outcomes of requests and flows by class, in metrics and in log
+// lines. Unlike the decision log, these counts omit no event.
+type loadReporter struct {
 	logger *log.Logger
-	counts map[relay.TrafficClass]*loadCount
-	// next is when lines may be due.
-	next     time.Duration
-	requests metrics.Counter
-	returned metrics.Counter
-	refused  metrics.Counter
-	waits    metrics.Histogram
+	stats  map[relay.TrafficClass]*loadStats
+	// nextFlush is the earliest time of the next flush.
+	nextFlush time.Duration
+	requests  metrics.Counter
+	returned  metrics.Counter
+	refused   metrics.Counter
+	waits     metrics.Histogram
 }
 
-func newLoadLog(logger *log.Logger, registered *registry.Registry) *loadLog {
-	return &loadLog{
+func newLoadReporter(logger *log.Logger, reg *registry.Registry) *loadReporter {
+	return &loadReporter{
 		logger: logger,
-		counts: make(map[relay.TrafficClass]*loadCount),
-		requests: registered.Counter("relay_requests_total", "Decisions about requests and flows, by service, priority and kind.",
+		stats:  make(map[relay.TrafficClass]*loadStats),
+		requests: reg.Counter("relay_requests_total", "Decisions about requests and flows, by service, priority and kind.",
 			serviceLabel, priorityLabel, kindLabel),
-		returned: registered.Counter("relay_returned_total", "New flows that an agent returned to their balancers, by service, priority and reason.",
+		returned: reg.Counter("relay_returned_total", "New flows that an agent returned to their balancers, by service, priority and reason.",
 			serviceLabel, priorityLabel, reasonLabel),
-		refused: registered.Counter("relay_refused_total", "New flows that a balancer refused their clients, by service, priority and reason.",
+		refused: reg.Counter("relay_refused_total", "New flows that a balancer refused their clients, by service, priority and reason.",
 			serviceLabel, priorityLabel, reasonLabel),
-		waits: registered.Histogram("relay_class_wait_seconds", "Time that requests waited for a busy endpoint, by service and priority.",
-			secondsBuckets, serviceLabel, priorityLabel),
+		waits: reg.Histogram("relay_class_wait_seconds", "Time that requests waited for a busy endpoint, by service and priority.",
+			latencyBuckets, serviceLabel, priorityLabel),
 	}
 }
 
-// record takes account of an event.
-func (l *loadLog) record(now time.Duration, event relay.Event) {
-	if !isLoad(event.Kind) {
+// record counts an event if it is an outcome of a request or a flow.
+func (l *loadReporter) record(now time.Duration, event relay.Event) {
+	if !isLoadEvent(event.Kind) {
 		return
 	}
-	class := l.bounded(event.Class)
-	if l.counts[class] == nil {
-		l.counts[class] = newLoadCount()
+	class := l.reportedClass(event.Class)
+	if l.stats[class] == nil {
+		l.stats[class] = newLoadStats()
 	}
-	l.counts[class].count(now, event)
-	labels := labelsOf(class)
+	l.stats[class].add(now, event)
+	labels := classLabels(class)
 	l.requests.With(append(labels, kindLabel, event.Kind.String())...).Add(1)
 	switch event.Kind {
 	case relay.EventReturned:
@@ -174,46 +179,47 @@
 	}
 }
 
-// bounded returns the class under which an event counts.
-func (l *loadLog) bounded(class relay.TrafficClass) relay.TrafficClass {
-	if _, exists := l.counts[class]; exists || len(l.counts) < classLimit {
+// reportedClass returns the class under which events of class are counted: class itself, or
+// the one for otherValue if maxClasses others are counted already.
+func (l *loadReporter) reportedClass(class relay.TrafficClass) relay.TrafficClass {
+	if _, exists := l.stats[class]; exists || len(l.stats) < maxClasses {
 		return class
 	}
 	return relay.TrafficClass{Service: otherValue}
 }
 
-// flush writes the lines that are due.
-func (l *loadLog) flush(now time.Duration) {
-	if now < l.next {
+// flush writes the log lines that are due and resets the counts of their classes.
+func (l *loadReporter) flush(now time.Duration) {
+	if now < l.nextFlush {
 		return
 	}
-	l.next = now + loadInterval
-	for _, class := range slices.SortedFunc(maps.Keys(l.counts), compareClasses) {
-		count := l.counts[class]
-		if !count.due(now) {
+	l.nextFlush = now + loadInterval
+	for _, class := range slices.SortedFunc(maps.Keys(l.stats), compareClasses) {
+		stats := l.stats[class]
+		if !stats.reportDue(now) {
 			continue
 		}
-		fields := append(fieldsOfClass(class), "interval_ms", (now - count.since).Milliseconds())
-		l.logger.Info("load", append(fields, count.fields()...)...)
-		l.counts[class] = newLoadCount()
+		fields := append(classFields(class), "interval_ms", (now - stats.since).Milliseconds())
+		l.logger.Info("load", append(fields, stats.fields()...)...)
+		l.stats[class] = newLoadStats()
 	}
 }
 
 func compareClasses(a, b relay.TrafficClass) int {
-	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(priorityOf(a), priorityOf(b)))
+	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(priorityValue(a), priorityValue(b)))
 }
 
-func fieldsOfClass(class relay.TrafficClass) []any {
-	return []any{serviceLabel, serviceOf(class), priorityLabel, priorityOf(class)}
+func classFields(class relay.TrafficClass) []any {
+	return []any{serviceLabel, serviceValue(class), priorityLabel, priorityValue(class)}
 }
 
-func labelsOf(class relay.TrafficClass) []string {
-	return []string{serviceLabel, serviceOf(class), priorityLabel, priorityOf(class)}
+func classLabels(class relay.TrafficClass) []string {
+	return []string{serviceLabel, serviceValue(class), priorityLabel, priorityValue(class)}
 }
 
-func serviceOf(class relay.TrafficClass) string { return cmp.Or(class.Service, unknownValue) }
+func serviceValue(class relay.TrafficClass) string { return cmp.Or(class.Service, unknownValue) }
 
-func priorityOf(class relay.TrafficClass) string {
+func priorityValue(class relay.TrafficClass) string {
 	if !class.PriorityKnown {
 		return unknownValue
 	}
--- a/internal/relaydaemon/peerserver.go
+++ b/internal/relaydaemon/peerserver.go
@@ -17,57 +17,64 @@
 )
 
 const (
-	// directoryPath is where a balancer serves snapshots of its directory to others.
+	// directoryPath is the HTTP path under which a balancer serves its directory to others.
 	directoryPath = "/v1/directory"
-	// parameterVersion and parameterComplete are the digest of who asks.
-	parameterVersion  = "version"
-	parameterComplete = "complete"
-	// parameterConfirm asks for a directory that the store has confirmed since.
-	parameterConfirm = "confirm"
-	// confirmRate bounds the confirmations a second that a balancer makes for others,
-	// each of which costs calls of the store, and confirmBurst those at once.
-	confirmRate  = 50
-	confirmBurst = 20
+	// versionParam and revisionParam are the query parameters with the digest of the
+	// requesting balancer.
+	versionParam  = "version"
+	revisionParam = "complete"
+	// confirmParam is the query parameter that requests a directory which the store has
+	// confirmed since the request.
+	confirmParam = "confirm"
+	// peerConfirmRate bounds the confirmations per second on behalf of other balancers,
+	// each of which costs store calls, and peerConfirmBurst how many may begin at once.
+	peerConfirmRate  = 50
+	peerConfirmBurst = 20
 )
 
-// handler serves the directory to other balancers.
-func (p *peers) handler() http.Handler {
+// handler returns the HTTP handler that serves the directory to other balancers.
+func (p *peerExchange) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+directoryPath, kithttp.NewServer(
-		func(ctx context.Context, asked any) (any, error) { return p.answer(ctx, asked.(directoryRequest)) },
+		func(ctx context.Context, request any) (any, error) {
+			return p.serveDirectory(ctx, request.(directoryRequest))
+		},
 		p.decodeRequest, encodeState))
 	return mux
 }
 
-// directoryRequest is what another balancer asks.
+// directoryRequest is a request of another balancer for the directory. known is the digest
+// of its own directory.
 type directoryRequest struct {
 	known   directory.Digest
 	confirm bool
-	// by is who asks.
-	by directory.Peer
+	// from is the requesting balancer.
+	from directory.Peer
 }
 
-// decodeRequest reads the digest of the asking balancer; what is missing is zero.
-func (p *peers) decodeRequest(_ context.Context, request *http.Request) (any, error) {
-	query := request.URL.Query()
-	version, _ := strconv.ParseUint(query.Get(parameterVersion), 10, 64)
-	complete, _ := strconv.ParseUint(query.Get(parameterComplete), 10, 64)
-	asked := directoryRequest{
-		known:   directory.Digest{ConfigurationVersion: version, Revision: directory.Revision(complete)},
-		confirm: query.Has(parameterConfirm),
+// decodeRequest reads the digest of the requesting balancer. Missing parameters count as
+// zero.
+func (p *peerExchange) decodeRequest(_ context.Context, httpRequest *http.Request) (any, error) {
+	query := httpRequest.URL.Query()
+	version, _ := strconv.ParseUint(query.Get(versionParam), 10, 64)
+	revision, _ := strconv.ParseUint(query.Get(revisionParam), 10, 64)
+	request := directoryRequest{
+		known:   directory.Digest{ConfigurationVersion: version, Revision: directory.Revision(revision)},
+		confirm: query.Has(confirmParam),
 	}
-	if from, err := netip.ParseAddrPort(request.RemoteAddr); err == nil {
-		asked.by, _ = p.role.updates.peerAt(from.Addr())
+	if from, err := netip.ParseAddrPort(httpRequest.RemoteAddr); err == nil {
+		request.from, _ = p.role.updates.peerAt(from.Addr())
 	}
-	return asked, nil
+	return request, nil
 }
 
-// answer returns the encoded state that a balancer has asked for.
-func (p *peers) answer(ctx context.Context, asked directoryRequest) ([]byte, error) {
-	if asked.confirm && !p.confirms.Allow() {
+// serveDirectory returns the encoded state that the requesting balancer lacks. If the request
+// asks for it, the store confirms the directory first.
+func (p *peerExchange) serveDirectory(ctx context.Context, request directoryRequest) ([]byte, error) {
+	if request.confirm && !p.confirmLimiter.Allow() {
 		return nil, errUnconfirmed
 	}
-	if asked.confirm {
+	if request.confirm {
 		if err := p.role.confirmForPeer(ctx); err != nil {
 			return nil, err
 		}
@@ -75,9 +82,9 @@
 	var encoded []byte
 	var err error
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
-		p.role.spread.StateSent(now, asked.by)
-		encoded, err = p.cache.encode(now, asked.known, p.role.directory.Digest(), func() directory.State {
-			return p.role.spread.State(now, asked.known)
+		p.role.disseminator.StateSent(now, request.from)
+		encoded, err = p.stateCache.encode(now, request.known, p.role.replica.Digest(), func() directory.State {
+			return p.role.disseminator.State(now, request.known)
 		})
 		return nil
 	})
@@ -89,11 +96,11 @@
 	return err
 }
 
-func (p *peers) serve(ctx context.Context) error {
-	stopped := context.AfterFunc(ctx, func() { p.server.Close() })
-	defer stopped()
+func (p *peerExchange) serve(ctx context.Context) error {
+	stop := context.AfterFunc(ctx, func() { p.server.Close() })
+	defer stop()
 	if err := p.server.Serve(p.listener); err != nil && ctx.Err() == nil {
-		return errors.Wrap(err, "exchange")
+		return errors.Wrap(err, "serve directory to peers")
 	}
 	return nil
 }
--- a/internal/relaydaemon/ports_test.go
+++ b/internal/relaydaemon/ports_test.go
@@ -8,9 +8,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// freePorts returns ports that are free for TCP and UDP on all addresses of these specs. All
-// are held until the last is chosen: of ports that are given back one by one, the system may
-// choose one twice, and a daemon that is told it for two sockets cannot bind the second.
+// freePorts returns ports that are free for TCP and UDP on all addresses of these specs. It
+// holds all of them open until the last is chosen. If they were closed one by one, the
+// system could return the same port twice, and a daemon that is configured with it for two
+// sockets could not bind the second.
 func freePorts(count int) []int {
 	GinkgoHelper()
 	var ports []int
@@ -27,8 +28,8 @@
 		held = append(held, socket)
 		ports = append(ports, port)
 	}
-	for _, each := range held {
-		Expect(each.Close()).To(Succeed())
+	for _, closer := range held {
+		Expect(closer.Close()).To(Succeed())
 	}
 	return ports
 }
@@ -36,7 +37,7 @@
 func freePort() int { return freePorts(1)[0] }
 
 var _ = Describe("freePorts", func() {
-	It("never returns a port twice", func() {
+	It("returns no port twice in one call", func() {
 		for range 200 {
 			seen := make(map[int]bool)
 			for _, port := range freePorts(7) {
--- a/internal/relaydaemon/statecache.go
+++ b/internal/relaydaemon/statecache.go
@@ -9,51 +9,53 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// cacheLifetime is how long an encoded state may be given to others. Its ages are told as
-// they are at the end of that.
+// cacheLifetime is how long an encoded state may be reused. The age in the state includes
+// this time, so that a reused state never seems more recent than it is.
 const cacheLifetime = 100 * time.Millisecond
 
-// maximumState bounds the directory of a peer, in bytes.
-const maximumState = 16 << 20
+// maxStateSize bounds the directory state of another balancer, in bytes, both as received
+// and decompressed.
+const maxStateSize = 16 << 20
 
-// stateCache keeps the state that was encoded last: when a configuration is new or many
-// processes start, all ask for the same.
+// stateCache keeps the last encoded state, because many balancers request the same state
+// when a configuration is new or when many of them start at once.
 type stateCache struct {
-	known   directory.Digest
-	digest  directory.Digest
-	at      time.Duration
-	encoded []byte
+	known     directory.Digest
+	digest    directory.Digest
+	encodedAt time.Duration
+	encoded   []byte
 }
 
-// encode returns the compressed state beyond what another process knows.
-func (c *stateCache) encode(now time.Duration, known, digest directory.Digest, state func() directory.State) ([]byte, error) {
-	if c.encoded != nil && c.known == known && c.digest == digest && now-c.at < cacheLifetime {
+// encode returns the compressed state for a process that has the digest known. buildState
+// is called only if the cached state is for other digests or too old.
+func (c *stateCache) encode(now time.Duration, known, digest directory.Digest, buildState func() directory.State) ([]byte, error) {
+	if c.encoded != nil && c.known == known && c.digest == digest && now-c.encodedAt < cacheLifetime {
 		return c.encoded, nil
 	}
-	described := state()
-	described.Age += cacheLifetime
-	plain, err := described.MarshalMsg(nil)
+	state := buildState()
+	state.Age += cacheLifetime
+	plain, err := state.MarshalMsg(nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "directory")
+		return nil, errors.Wrap(err, "encode directory for peer")
 	}
-	*c = stateCache{known: known, digest: digest, at: now, encoded: s2.Encode(nil, plain)}
+	*c = stateCache{known: known, digest: digest, encodedAt: now, encoded: s2.Encode(nil, plain)}
 	return c.encoded, nil
 }
 
-// decodeState reads a state that another process has encoded.
+// decodeState decodes a compressed state of another balancer.
 func decodeState(encoded []byte) (directory.State, error) {
 	var state directory.State
 	length, err := s2.DecodedLen(encoded)
 	if err != nil {
-		return state, errors.Wrap(err, "directory of a peer")
+		return state, errors.Wrap(err, "read size of compressed directory of peer")
 	}
-	if length > maximumState {
-		return state, errors.Errorf("directory of a peer: %d bytes", length)
+	if length > maxStateSize {
+		return state, errors.Errorf("decompressed directory of peer exceeds the size limit: %d bytes", length)
 	}
 	plain, err := s2.Decode(nil, encoded)
 	if err != nil {
-		return state, errors.Wrap(err, "directory of a peer")
+		return state, errors.Wrap(err, "decompress directory of peer")
 	}
 	_, err = state.UnmarshalMsg(plain)
-	return state, errors.Wrap(err, "directory of a peer")
+	return state, errors.Wrap(err, "decode directory of peer")
 }
