--- a/internal/relaydaemon/command.go
+++ b/internal/relaydaemon/command.go
@@ -22,8 +22,8 @@
 func Program(dependencies Dependencies) program.Program {
 	return program.Program{
 		Name:    "vanetiller-relay",
-		Summary: "runs one process of a fleet that relays whole packets of flows :a balancer ,or the agent next to an endpoint.",
-		// Operators collectthe log from standard output.
+		Summary: "runs one process of a fleet that relays whole packets of flows: a balancer, or the agent next to an endpoint.",
+		// Operators collect the log from standard output.
 		LogToStdout: true,
 		New: func(config *settings.Settings, output io.Writer) (program.Server, error) {
 			return New(dependencies, config, output)
