--- a/internal/table/zone.go
+++ b/internal/table/zone.go
@@ -78,7 +78,7 @@
 	}
 	for _, row := range t.Backends {
 		if row.Closed != (row.Zone != "" && seen[row.Zone]) {
-			return CellError{row.rowName(), "closed", "must be true exactly if the zone of the row is closed"}
+			return CellError{row.rowName(), "closed", "must tell whether the zone of the row is closed"}
 		}
 	}
 	return nil
