--- a/cmd/vanetillerctl/change.go
+++ b/cmd/vanetillerctl/change.go
@@ -18,11 +18,11 @@
 
 // header returns what every change has, made at a version unless -base gives
 // another.
-func (o options) header(current table.Version) (adminapi.Header, error) {
+func (o options) header(current table.Version) (adminapi.ChangeMetadata, error) {
 	if o.reason == "" {
-		return adminapi.Header{}, wrongUsage("-reason is required for a change")
+		return adminapi.ChangeMetadata{}, wrongUsage("-reason is required for a change")
 	}
-	made := adminapi.Header{ID: o.id, Reason: o.reason, BaseVersion: &current, DryRun: o.dryRun}
+	made := adminapi.ChangeMetadata{ID: o.id, Reason: o.reason, BaseVersion: &current, DryRun: o.dryRun}
 	if made.ID == "" {
 		made.ID = idPrefix + strings.ToLower(rand.Text())
 	}
@@ -110,9 +110,9 @@
 		return err
 	}
 	return i.submit(ctx, client, adminapi.ChangeRequest{
-		Header:       made,
-		ExpectedRows: []adminapi.RowVersion{{Backend: update.Backend, Version: rowVersion(answer.RowVersions, update.Backend)}},
-		Parts:        adminapi.Parts{SetCells: []adminapi.CellUpdate{update}},
+		ChangeMetadata: made,
+		ExpectedRows:   []adminapi.RowVersion{{Backend: update.Backend, Version: rowVersion(answer.RowVersions, update.Backend)}},
+		Operations:     adminapi.Operations{SetCells: []adminapi.CellUpdate{update}},
 	})
 }
 
@@ -174,7 +174,7 @@
 		return err
 	}
 	return called.submit(ctx, client, adminapi.ChangeRequest{
-		Header: made, ExpectedVersion: answer.Table.Version, Parts: parts,
+		ChangeMetadata: made, ExpectedVersion: answer.Table.Version, Operations: parts,
 	})
 }
 
@@ -189,7 +189,7 @@
 	return outcomeOf(answer, *change.BaseVersion)
 }
 
-func (i invocation) printAnswer(answer adminapi.ChangeAnswer) error {
+func (i invocation) printAnswer(answer adminapi.ChangeResponse) error {
 	if i.options.format(formatTable) == formatJSON {
 		return printJSON(i.output, answer)
 	}
@@ -218,7 +218,7 @@
 }
 
 // outcomeOf returns the error of a change that was not accepted.
-func outcomeOf(answer adminapi.ChangeAnswer, base table.Version) error {
+func outcomeOf(answer adminapi.ChangeResponse, base table.Version) error {
 	switch answer.Outcome {
 	case adminapi.Accepted:
 		return nil
--- a/cmd/vanetillerctl/command.go
+++ b/cmd/vanetillerctl/command.go
@@ -102,7 +102,7 @@
 	if errors.As(err, &usage) {
 		return exitUsage
 	}
-	var failure adminapi.Failure
+	var failure adminapi.Error
 	if errors.As(err, &failure) && failure.Code == adminapi.CodeRateExceeded {
 		return exitNotAccepted
 	}
--- a/cmd/vanetillerctl/connect.go
+++ b/cmd/vanetillerctl/connect.go
@@ -43,18 +43,18 @@
 func (o options) tls() (*tls.Config, error) {
 	now := time.Now()
 	if o.certificate != "" {
-		source, err := tlsfiles.Open(tlsfiles.Files{Certificate: o.certificate, Key: o.key, Authority: o.authority}, now)
+		source, err := tlsfiles.Open(tlsfiles.Files{Certificate: o.certificate, Key: o.key, CA: o.authority}, now)
 		if err != nil {
 			return nil, err
 		}
 		// The name of the server is that of its URL.
-		return source.Client(""), nil
+		return source.ClientConfig(""), nil
 	}
 	config := &tls.Config{MinVersion: tls.VersionTLS13}
 	if o.authority == "" {
 		return config, nil
 	}
-	authority, err := tlsfiles.LoadAuthority(o.authority, now)
+	authority, err := tlsfiles.LoadCAPool(o.authority, now)
 	config.RootCAs = authority
 	return config, err
 }
--- a/cmd/vanetillerctl/server_test.go
+++ b/cmd/vanetillerctl/server_test.go
@@ -36,13 +36,13 @@
 	token := tenant.NewToken()
 	entry, err := tenant.TokenEntry{Name: "anna", Hash: token.Hash().String(), Role: tenant.RoleAdministrator}.Encode()
 	Expect(err).NotTo(HaveOccurred())
-	directory, err := tenant.ParseDirectory("tokens.toml", []byte(entry))
+	directory, err := tenant.ParseCredentials("tokens.toml", []byte(entry))
 	Expect(err).NotTo(HaveOccurred())
 	created := &fleet{member: adminapi.NewSingleMember("balancer-1", "zone-1")}
 	store := adminapi.NewSingleReplicaStore(changelog.DefaultLimits(), created.member,
-		func(changed *table.Table) { created.member.SetInForce(changed.Version) })
+		func(changed *table.Table) { created.member.SetActiveVersion(changed.Version) })
 	var handler http.Handler = adminapi.NewHandler(adminapi.HandlerConfig{
-		Store: store, Gate: tenant.NewGate(directory), Now: func() time.Time { return time.Unix(0, 0) },
+		Store: store, Admission: tenant.NewAdmissionController(directory), Now: func() time.Time { return time.Unix(0, 0) },
 	})
 	if wrap != nil {
 		handler = wrap(handler)
@@ -165,7 +165,7 @@
 	It("waits for a version and names the members without it", func() {
 		Expect(fleet.done("table", "wait", "1")).To(Equal("version 1 is in force on all 1 members\n"))
 		Expect(fleet.done("members")).To(Equal("NAME        ZONE    STATE  VERSION\nbalancer-1  zone-1  live   1\n"))
-		fleet.member.SetInForce(0)
+		fleet.member.SetActiveVersion(0)
 		late := fleet.interrupted("table", "wait", "1")
 		Expect(late.Status).To(Equal(exitFailed))
 		Expect(late.Stderr).To(ContainSubstring("version 1 is in force on 0 members and not on balancer-1"))
@@ -260,7 +260,7 @@
 		Expect(printed.Status).To(Equal(exitDone))
 		token, entry, found := strings.Cut(printed.Stdout, "\n\n")
 		Expect(found).To(BeTrue())
-		directory, err := tenant.ParseDirectory("tokens.toml", []byte(entry))
+		directory, err := tenant.ParseCredentials("tokens.toml", []byte(entry))
 		Expect(err).NotTo(HaveOccurred())
 		holder, known := directory.Authenticate(tenant.Token(token), time.Now())
 		Expect(known).To(BeTrue())
--- a/cmd/vanetillerctl/watch.go
+++ b/cmd/vanetillerctl/watch.go
@@ -44,7 +44,7 @@
 		}
 		for _, cell := range cells {
 			columns.rows = append(columns.rows, []string{
-				versionText(record.Version), record.When.Format(time.RFC3339), record.Who, record.Why, record.ID,
+				versionText(record.Version), record.Timestamp.Format(time.RFC3339), record.Author, record.Reason, record.ID,
 				cell.Row, cell.Column, cell.Before, cell.After,
 			})
 		}
@@ -108,9 +108,9 @@
 	if err != nil {
 		return err
 	}
-	var last adminapi.ReachAnswer
+	var last adminapi.VersionStatusResponse
 	for {
-		answer, err := client.Reached(ctx, table.Version(number))
+		answer, err := client.VersionStatus(ctx, table.Version(number))
 		if err != nil && (ctx.Err() == nil || last.Version == 0) {
 			return err
 		}
@@ -139,7 +139,7 @@
 	}
 }
 
-func notReached(last adminapi.ReachAnswer) error {
+func notReached(last adminapi.VersionStatusResponse) error {
 	if !last.Accepted {
 		return errors.Errorf("version %d has not been accepted", last.Version)
 	}
--- a/cmd/vanetillerctl/zone.go
+++ b/cmd/vanetillerctl/zone.go
@@ -31,7 +31,7 @@
 	for _, zone := range shown {
 		state, since, reached := "open", "-", "-"
 		if zone.Closed {
-			state, since, reached = "closed", versionText(zone.Since), reachText(zone.Reach)
+			state, since, reached = "closed", versionText(zone.Since), reachText(zone.VersionStatus)
 		}
 		columns.rows = append(columns.rows, []string{
 			zone.Zone, state, since, reached, strconv.Itoa(zone.Backends), sharesText(zone.Shares),
@@ -40,7 +40,7 @@
 	return columns
 }
 
-func reachText(reach *adminapi.ReachAnswer) string {
+func reachText(reach *adminapi.VersionStatusResponse) string {
 	if reach == nil {
 		return "-"
 	}
@@ -86,7 +86,7 @@
 	}
 	update := adminapi.ZoneUpdate{Zone: i.arguments[0], Closed: closed, Force: closed && i.options.force}
 	return i.submit(ctx, client, adminapi.ChangeRequest{
-		Header: made, Parts: adminapi.Parts{SetZones: []adminapi.ZoneUpdate{update}},
+		ChangeMetadata: made, Operations: adminapi.Operations{SetZones: []adminapi.ZoneUpdate{update}},
 	})
 }
 
--- a/internal/adminapi/api.go
+++ b/internal/adminapi/api.go
@@ -59,9 +59,9 @@
 	Version table.Version   `json:"version"`
 }
 
-// Parts are what a change does, in the order of the fields. All of them are
+// Operations are what a change does, in the order of the fields. All of them are
 // applied, or none.
-type Parts struct {
+type Operations struct {
 	AddServices    []table.Service   `json:"add_services,omitempty"`
 	AddBackends    []table.Backend   `json:"add_backends,omitempty"`
 	SetCells       []CellUpdate      `json:"set_cells,omitempty"`
@@ -71,13 +71,13 @@
 }
 
 // Empty reports whether there is nothing to do.
-func (p Parts) Empty() bool {
+func (p Operations) Empty() bool {
 	return len(p.AddServices) == 0 && len(p.AddBackends) == 0 && len(p.SetCells) == 0 &&
 		len(p.RemoveBackends) == 0 && len(p.RemoveServices) == 0 && len(p.SetZones) == 0
 }
 
-// Header is what every request for a change has.
-type Header struct {
+// ChangeMetadata is what every request for a change has.
+type ChangeMetadata struct {
 	// ID is chosen by the caller, unique among the changes of the team, and
 	// the same when the change is repeated.
 	ID string `json:"id"`
@@ -93,18 +93,18 @@
 
 // ChangeRequest is the body of POST /v1/changes.
 type ChangeRequest struct {
-	Header
+	ChangeMetadata
 	// ExpectedVersion, unless 0, is the only table version to apply to.
 	ExpectedVersion table.Version `json:"expected_version,omitempty"`
 	// ExpectedRows are rows that must not have changed since a version;
 	// version 0 means that the row does not exist.
 	ExpectedRows []RowVersion `json:"expected_rows,omitempty"`
-	Parts
+	Operations
 }
 
 // DrainRequest is the body of POST /v1/backends/{id}/drain.
 type DrainRequest struct {
-	Header
+	ChangeMetadata
 	// Drain is the flag to set; required.
 	Drain *bool `json:"drain"`
 }
@@ -112,7 +112,7 @@
 // SnapshotRequest is the body of POST /v1/snapshot. It applies to no other
 // version than its base.
 type SnapshotRequest struct {
-	Header
+	ChangeMetadata
 	Table *table.Table `json:"table"`
 }
 
@@ -134,8 +134,8 @@
 	After  string `json:"after"`
 }
 
-// ChangeAnswer is the answer to a change.
-type ChangeAnswer struct {
+// ChangeResponse is the answer to a change.
+type ChangeResponse struct {
 	ID      string        `json:"id"`
 	Outcome ChangeOutcome `json:"outcome"`
 	// Version is the table version after an accepted change, and the current
@@ -155,7 +155,7 @@
 
 // ZoneRequest is the body of POST /v1/zones/{zone}.
 type ZoneRequest struct {
-	Header
+	ChangeMetadata
 	// Closed tells whether the zone shall get no new flows; required.
 	Closed *bool `json:"closed"`
 	Force  bool  `json:"force,omitempty"`
@@ -167,8 +167,8 @@
 	Closed bool   `json:"closed"`
 	// Since is the table version that closed it, 0 if it is open, and Reach where that
 	// version is in force.
-	Since table.Version `json:"since,omitempty"`
-	Reach *ReachAnswer  `json:"reach,omitempty"`
+	Since         table.Version          `json:"since,omitempty"`
+	VersionStatus *VersionStatusResponse `json:"reach,omitempty"`
 	// Backends is the number of rows.
 	Backends int `json:"backends"`
 	// Shares are, for each service with rows in the zone, what is left while it is closed.
@@ -183,29 +183,29 @@
 	Remaining float64 `json:"remaining"`
 }
 
-// ZonesAnswer is the answer to GET /v1/zones, in the order of names.
-type ZonesAnswer struct {
+// ZonesResponse is the answer to GET /v1/zones, in the order of names.
+type ZonesResponse struct {
 	Zones []Zone `json:"zones"`
 }
 
-// TableAnswer is the answer to GET /v1/table.
-type TableAnswer struct {
+// TableResponse is the answer to GET /v1/table.
+type TableResponse struct {
 	Table       *table.Table `json:"table"`
 	RowVersions []RowVersion `json:"row_versions"`
 }
 
 // HistoryRecord is one accepted change.
 type HistoryRecord struct {
-	Version table.Version `json:"version"`
-	ID      string        `json:"id"`
-	Who     string        `json:"who"`
-	When    time.Time     `json:"when"`
-	Why     string        `json:"why"`
-	Cells   []CellChange  `json:"cells"`
+	Version   table.Version `json:"version"`
+	ID        string        `json:"id"`
+	Author    string        `json:"who"`
+	Timestamp time.Time     `json:"when"`
+	Reason    string        `json:"why"`
+	Cells     []CellChange  `json:"cells"`
 }
 
-// HistoryAnswer is the answer to GET /v1/history, oldest first.
-type HistoryAnswer struct {
+// HistoryResponse is the answer to GET /v1/history, oldest first.
+type HistoryResponse struct {
 	Records []HistoryRecord `json:"records"`
 }
 
@@ -218,13 +218,13 @@
 	Version table.Version `json:"version"`
 }
 
-// MembersAnswer is the answer to GET /v1/members.
-type MembersAnswer struct {
+// MembersResponse is the answer to GET /v1/members.
+type MembersResponse struct {
 	Members []Member `json:"members"`
 }
 
-// ReachAnswer is the answer to GET /v1/versions/{version}.
-type ReachAnswer struct {
+// VersionStatusResponse is the answer to GET /v1/versions/{version}.
+type VersionStatusResponse struct {
 	Version table.Version `json:"version"`
 	// Accepted reports whether the version exists.
 	Accepted bool `json:"accepted"`
@@ -236,7 +236,7 @@
 }
 
 // Complete reports whether the version is in force everywhere.
-func (r ReachAnswer) Complete() bool { return r.Accepted && len(r.NotReached) == 0 }
+func (r VersionStatusResponse) Complete() bool { return r.Accepted && len(r.NotReached) == 0 }
 
 func cellChanges(cells []changelog.CellChange) []CellChange {
 	converted := make([]CellChange, len(cells))
--- a/internal/adminapi/api_test.go
+++ b/internal/adminapi/api_test.go
@@ -22,10 +22,10 @@
 	BeforeEach(func() { api = newFixture() })
 
 	It("makes a change once, however often it is repeated", func() {
-		change := adminapi.ChangeRequest{Header: header("c1", 1), Parts: setWeight(10, 9)}
-		accepted := adminapi.ChangeAnswer{ID: "c1", Outcome: adminapi.Accepted, Version: 2}
+		change := adminapi.ChangeRequest{ChangeMetadata: header("c1", 1), Operations: setWeight(10, 9)}
+		accepted := adminapi.ChangeResponse{ID: "c1", Outcome: adminapi.Accepted, Version: 2}
 		Expect(api.submit(editorToken, change)).To(Equal(accepted))
-		Expect(api.submit(editorToken, adminapi.ChangeRequest{Header: header("c2", 2), Parts: setWeight(10, 3)}).Version).
+		Expect(api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("c2", 2), Operations: setWeight(10, 3)}).Version).
 			To(Equal(table.Version(3)))
 		Expect(api.submit(editorToken, change)).To(Equal(accepted))
 		Expect(api.weightOf(10)).To(Equal(uint32(3)))
@@ -33,7 +33,7 @@
 	})
 
 	It("answers a repeated removal as accepted, although the row is gone", func() {
-		removal := adminapi.ChangeRequest{Header: header("gone", 1), Parts: adminapi.Parts{RemoveBackends: []table.BackendID{11}}}
+		removal := adminapi.ChangeRequest{ChangeMetadata: header("gone", 1), Operations: adminapi.Operations{RemoveBackends: []table.BackendID{11}}}
 		Expect(api.submit(editorToken, removal).Outcome).To(Equal(adminapi.Accepted))
 		Expect(api.submit(editorToken, removal).Outcome).To(Equal(adminapi.Accepted))
 	})
@@ -47,10 +47,10 @@
 	It("refuses a broken rule by row, column and rule, and takes nothing of the change", func() {
 		weight := uint32(10_001)
 		drain := true
-		refused := api.submit(editorToken, adminapi.ChangeRequest{Header: header("c1", 1), Parts: adminapi.Parts{
+		refused := api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("c1", 1), Operations: adminapi.Operations{
 			SetCells: []adminapi.CellUpdate{{Backend: 11, Drain: &drain}, {Backend: 10, Weight: &weight}},
 		}})
-		Expect(refused).To(Equal(adminapi.ChangeAnswer{
+		Expect(refused).To(Equal(adminapi.ChangeResponse{
 			ID: "c1", Outcome: adminapi.Refused, Version: 1,
 			Refusal: &adminapi.Refusal{Row: `back end "lookup-1" (10)`, Column: "weight", Rule: "must be at most 10000"},
 		}))
@@ -61,9 +61,9 @@
 
 	DescribeTable("answers a compare-and-set that fails as a conflict",
 		func(adapt func(*adminapi.ChangeRequest), rule string) {
-			Expect(api.submit(editorToken, adminapi.ChangeRequest{Header: header("first", 1), Parts: setWeight(10, 9)}).Version).
+			Expect(api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("first", 1), Operations: setWeight(10, 9)}).Version).
 				To(Equal(table.Version(2)))
-			change := adminapi.ChangeRequest{Header: header("second", 1), Parts: setWeight(10, 7)}
+			change := adminapi.ChangeRequest{ChangeMetadata: header("second", 1), Operations: setWeight(10, 7)}
 			adapt(&change)
 			answer := api.submit(editorToken, change)
 			Expect(answer.Outcome).To(Equal(adminapi.Conflict))
@@ -79,17 +79,17 @@
 	)
 
 	It("lets a compare-and-set of another row pass", func() {
-		Expect(api.submit(editorToken, adminapi.ChangeRequest{Header: header("first", 1), Parts: setWeight(10, 9)}).Version).
+		Expect(api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("first", 1), Operations: setWeight(10, 9)}).Version).
 			To(Equal(table.Version(2)))
-		change := adminapi.ChangeRequest{Header: header("second", 1), Parts: setWeight(11, 7)}
+		change := adminapi.ChangeRequest{ChangeMetadata: header("second", 1), Operations: setWeight(11, 7)}
 		change.ExpectedRows = []adminapi.RowVersion{{Backend: 11, Version: 1}}
 		Expect(api.submit(editorToken, change).Outcome).To(Equal(adminapi.Accepted))
 	})
 
 	It("tells what a change would do without making it", func() {
-		change := adminapi.ChangeRequest{Header: header("dry", 1), Parts: setWeight(10, 9)}
+		change := adminapi.ChangeRequest{ChangeMetadata: header("dry", 1), Operations: setWeight(10, 9)}
 		change.DryRun = true
-		Expect(api.submit(editorToken, change)).To(Equal(adminapi.ChangeAnswer{
+		Expect(api.submit(editorToken, change)).To(Equal(adminapi.ChangeResponse{
 			ID: "dry", Outcome: adminapi.Accepted, Version: 2, DryRun: true,
 			Cells: []adminapi.CellChange{{Row: `back end "lookup-1" (10)`, Column: "weight", Before: "5", After: "9"}},
 		}))
@@ -101,7 +101,7 @@
 
 	It("sets the drain flag", func() {
 		drain := true
-		answer, err := api.client(editorToken).Drain(ctx, 10, adminapi.DrainRequest{Header: header("d", 1), Drain: &drain})
+		answer, err := api.client(editorToken).Drain(ctx, 10, adminapi.DrainRequest{ChangeMetadata: header("d", 1), Drain: &drain})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Outcome).To(Equal(adminapi.Accepted))
 		row, _ := api.store.Table().Table.Backend(10)
@@ -109,18 +109,18 @@
 	})
 
 	It("keeps who, when, what and why in the history", func() {
-		api.submit(editorToken, adminapi.ChangeRequest{Header: header("c1", 1), Parts: setWeight(10, 9)})
+		api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("c1", 1), Operations: setWeight(10, 9)})
 		answer, err := api.client(viewerToken).History(ctx, 1, 10)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Records).To(Equal([]adminapi.HistoryRecord{{
-			Version: 2, ID: "c1", Who: "anna", When: noon, Why: "reason of c1",
+			Version: 2, ID: "c1", Author: "anna", Timestamp: noon, Reason: "reason of c1",
 			Cells: []adminapi.CellChange{{Row: `back end "lookup-1" (10)`, Column: "weight", Before: "5", After: "9"}},
 		}}))
 	})
 
 	It("gives the latest records up to the limit, oldest first", func() {
 		for base, id := range []string{"c1", "c2", "c3"} {
-			api.submit(editorToken, adminapi.ChangeRequest{Header: header(id, table.Version(base+1)), Parts: setWeight(10, uint32(base))})
+			api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header(id, table.Version(base+1)), Operations: setWeight(10, uint32(base))})
 		}
 		answer, err := api.client(adminToken).History(ctx, 0, 2)
 		Expect(err).NotTo(HaveOccurred())
@@ -131,26 +131,26 @@
 	})
 
 	It("tells where a version is in force", func() {
-		Expect(api.client(viewerToken).Reached(ctx, 1)).To(Equal(
-			adminapi.ReachAnswer{Version: 1, Accepted: true, Reached: 1, NotReached: []string{}}))
-		Expect(api.client(viewerToken).Reached(ctx, 2)).To(Equal(
-			adminapi.ReachAnswer{Version: 2, NotReached: []string{"balancer-1"}}))
-		Expect(api.client(viewerToken).Members(ctx)).To(Equal(adminapi.MembersAnswer{
+		Expect(api.client(viewerToken).VersionStatus(ctx, 1)).To(Equal(
+			adminapi.VersionStatusResponse{Version: 1, Accepted: true, Reached: 1, NotReached: []string{}}))
+		Expect(api.client(viewerToken).VersionStatus(ctx, 2)).To(Equal(
+			adminapi.VersionStatusResponse{Version: 2, NotReached: []string{"balancer-1"}}))
+		Expect(api.client(viewerToken).Members(ctx)).To(Equal(adminapi.MembersResponse{
 			Members: []adminapi.Member{{Name: "balancer-1", Zone: "zone-1", State: "live", Version: 1}}}))
 	})
 
 	It("goes back to a snapshot, as a further version", func() {
 		saved, err := api.client(adminToken).Snapshot(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(api.submit(adminToken, adminapi.ChangeRequest{Header: header("c1", 1), Parts: adminapi.Parts{
+		Expect(api.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: header("c1", 1), Operations: adminapi.Operations{
 			SetCells:       setWeight(10, 9).SetCells,
 			RemoveBackends: []table.BackendID{20}, RemoveServices: nil,
 		}}).Outcome).To(Equal(adminapi.Accepted))
-		restore := adminapi.SnapshotRequest{Header: header("restore", 2), Table: saved}
+		restore := adminapi.SnapshotRequest{ChangeMetadata: header("restore", 2), Table: saved}
 		Expect(api.client(adminToken).ImportSnapshot(ctx, restore)).To(Equal(
-			adminapi.ChangeAnswer{ID: "restore", Outcome: adminapi.Accepted, Version: 3}))
+			adminapi.ChangeResponse{ID: "restore", Outcome: adminapi.Accepted, Version: 3}))
 		Expect(api.client(adminToken).ImportSnapshot(ctx, restore)).To(Equal(
-			adminapi.ChangeAnswer{ID: "restore", Outcome: adminapi.Accepted, Version: 3}))
+			adminapi.ChangeResponse{ID: "restore", Outcome: adminapi.Accepted, Version: 3}))
 		for _, cell := range table.Diff(saved, api.store.Table().Table) {
 			Expect(cell.Column).To(Equal("incarnation"), cell.Row)
 		}
@@ -160,7 +160,7 @@
 		Expect(row.Incarnation).To(Equal(table.Incarnation(2)))
 
 		By("refusing one made at another version")
-		late := adminapi.SnapshotRequest{Header: header("late", 2), Table: saved}
+		late := adminapi.SnapshotRequest{ChangeMetadata: header("late", 2), Table: saved}
 		answer, err := api.client(adminToken).ImportSnapshot(ctx, late)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Outcome).To(Equal(adminapi.Conflict))
--- a/internal/adminapi/authorize.go
+++ b/internal/adminapi/authorize.go
@@ -59,7 +59,7 @@
 		existing:  make(map[table.BackendID]bool, len(whole.Backends)),
 		whole:     whole,
 	}
-	view := principal.View(whole)
+	view := principal.VisibleTable(whole)
 	for _, service := range view.Services {
 		seen.services[service.ID] = true
 	}
@@ -125,7 +125,7 @@
 func (v visibility) authorizeAdditions(change *changelog.Change) error {
 	added := make(map[table.ServiceID]bool, len(change.AddServices))
 	for _, service := range change.AddServices {
-		if !v.principal.Sees(service) {
+		if !v.principal.CanView(service) {
 			rule := fmt.Sprintf("must be the team %q", v.principal.Team)
 			return table.CellError{Row: serviceRow(service.Name, service.ID), Column: "owner", Rule: rule}
 		}
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -23,8 +23,8 @@
 	"github.com/vanetiller/vanetiller/internal/tenant"
 )
 
-// MaxAnswerSize bounds the body of an answer, in bytes.
-const MaxAnswerSize = 64 << 20
+// MaxResponseSize bounds the body of an answer, in bytes.
+const MaxResponseSize = 64 << 20
 
 // Client asks one server. It is safe for concurrent use.
 type Client struct {
@@ -44,31 +44,31 @@
 }
 
 // Table returns the table, or one service of it unless the name is empty.
-func (c *Client) Table(ctx context.Context, service string) (TableAnswer, error) {
+func (c *Client) Table(ctx context.Context, service string) (TableResponse, error) {
 	query := url.Values{}
 	if service != "" {
 		query.Set(serviceParameter, service)
 	}
-	return get[TableAnswer](ctx, c, query, "v1", "table")
+	return get[TableResponse](ctx, c, query, "v1", "table")
 }
 
 // History returns the latest records after a version, oldest first.
-func (c *Client) History(ctx context.Context, after table.Version, limit int) (HistoryAnswer, error) {
+func (c *Client) History(ctx context.Context, after table.Version, limit int) (HistoryResponse, error) {
 	query := url.Values{
 		afterParameter: {strconv.FormatUint(uint64(after), 10)},
 		limitParameter: {strconv.Itoa(limit)},
 	}
-	return get[HistoryAnswer](ctx, c, query, "v1", "history")
+	return get[HistoryResponse](ctx, c, query, "v1", "history")
 }
 
-// Reached tells where a version is in force.
-func (c *Client) Reached(ctx context.Context, version table.Version) (ReachAnswer, error) {
-	return get[ReachAnswer](ctx, c, nil, "v1", "versions", strconv.FormatUint(uint64(version), 10))
+// VersionStatus tells where a version is in force.
+func (c *Client) VersionStatus(ctx context.Context, version table.Version) (VersionStatusResponse, error) {
+	return get[VersionStatusResponse](ctx, c, nil, "v1", "versions", strconv.FormatUint(uint64(version), 10))
 }
 
 // Members returns the processes that forward by the table.
-func (c *Client) Members(ctx context.Context) (MembersAnswer, error) {
-	return get[MembersAnswer](ctx, c, nil, "v1", "members")
+func (c *Client) Members(ctx context.Context) (MembersResponse, error) {
+	return get[MembersResponse](ctx, c, nil, "v1", "members")
 }
 
 // Snapshot returns the whole table.
@@ -78,46 +78,46 @@
 }
 
 // Outcome returns what became of a change.
-func (c *Client) Outcome(ctx context.Context, id string) (ChangeAnswer, error) {
-	return get[ChangeAnswer](ctx, c, nil, "v1", "changes", id)
+func (c *Client) Outcome(ctx context.Context, id string) (ChangeResponse, error) {
+	return get[ChangeResponse](ctx, c, nil, "v1", "changes", id)
 }
 
 // Change makes a change. If the answer is lost or not one of the API, the
 // outcome is Unknown.
-func (c *Client) Change(ctx context.Context, request ChangeRequest) (ChangeAnswer, error) {
+func (c *Client) Change(ctx context.Context, request ChangeRequest) (ChangeResponse, error) {
 	return c.submit(ctx, request.ID, request, "v1", "changes")
 }
 
 // Drain sets the drain flag of one row.
-func (c *Client) Drain(ctx context.Context, backend table.BackendID, request DrainRequest) (ChangeAnswer, error) {
+func (c *Client) Drain(ctx context.Context, backend table.BackendID, request DrainRequest) (ChangeResponse, error) {
 	return c.submit(ctx, request.ID, request, "v1", "backends", strconv.FormatUint(uint64(backend), 10), "drain")
 }
 
 // Zones returns the zones in which the caller sees rows.
-func (c *Client) Zones(ctx context.Context) (ZonesAnswer, error) {
-	return get[ZonesAnswer](ctx, c, nil, "v1", "zones")
+func (c *Client) Zones(ctx context.Context) (ZonesResponse, error) {
+	return get[ZonesResponse](ctx, c, nil, "v1", "zones")
 }
 
 // CloseZone closes a zone to new flows, or opens it again.
-func (c *Client) CloseZone(ctx context.Context, zone string, request ZoneRequest) (ChangeAnswer, error) {
+func (c *Client) CloseZone(ctx context.Context, zone string, request ZoneRequest) (ChangeResponse, error) {
 	return c.submit(ctx, request.ID, request, "v1", "zones", zone)
 }
 
 // ImportSnapshot makes the change that leads to the table of the request.
-func (c *Client) ImportSnapshot(ctx context.Context, request SnapshotRequest) (ChangeAnswer, error) {
+func (c *Client) ImportSnapshot(ctx context.Context, request SnapshotRequest) (ChangeResponse, error) {
 	return c.submit(ctx, request.ID, request, "v1", "snapshot")
 }
 
-func (c *Client) submit(ctx context.Context, id string, body any, path ...string) (ChangeAnswer, error) {
-	answer, err := call[ChangeAnswer](ctx, c, http.MethodPost, body, nil, path...)
+func (c *Client) submit(ctx context.Context, id string, body any, path ...string) (ChangeResponse, error) {
+	answer, err := call[ChangeResponse](ctx, c, http.MethodPost, body, nil, path...)
 	var lost lostAnswer
 	var unusable unusableAnswer
 	switch {
 	case errors.As(err, &lost) && lost.beforeSending():
-		return ChangeAnswer{ID: id, Outcome: NotAccepted, Message: err.Error()}, nil
+		return ChangeResponse{ID: id, Outcome: NotAccepted, Message: err.Error()}, nil
 	case errors.As(err, &lost) || errors.As(err, &unusable):
 		// Something in between may have passed the change on.
-		return ChangeAnswer{ID: id, Outcome: Unknown, Message: err.Error()}, nil
+		return ChangeResponse{ID: id, Outcome: Unknown, Message: err.Error()}, nil
 	}
 	return answer, err
 }
@@ -178,7 +178,7 @@
 
 // answerError marks errors of the connection.
 func answerError(err error) error {
-	var failure Failure
+	var failure Error
 	var unusable unusableAnswer
 	if errors.As(err, &failure) || errors.As(err, &unusable) {
 		return err
@@ -195,14 +195,14 @@
 }
 
 func decodeAnswer[Answer any](_ context.Context, response *http.Response) (any, error) {
-	data, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswerSize+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, MaxResponseSize+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(data) > MaxAnswerSize {
-		return nil, unusableAnswer{fmt.Sprintf("it is larger than %d bytes", MaxAnswerSize)}
+	if len(data) > MaxResponseSize {
+		return nil, unusableAnswer{fmt.Sprintf("it is larger than %d bytes", MaxResponseSize)}
 	}
-	var failure Failure
+	var failure Error
 	if json.Unmarshal(data, &failure) == nil && failure.Code != "" {
 		failure.RetryAfter = retryAfter(response)
 		return nil, failure
--- a/internal/adminapi/convert.go
+++ b/internal/adminapi/convert.go
@@ -37,7 +37,7 @@
 }
 
 // validate checks what can be checked without the table.
-func (h Header) validate() error {
+func (h ChangeMetadata) validate() error {
 	if len(h.ID) > MaxIDLength || !idPattern.MatchString(h.ID) {
 		return invalid("id must have 1 to %d letters, digits, dots, hyphens or underscores and begin with a letter or digit", MaxIDLength)
 	}
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (p Parts) validate() error {
+func (p Operations) validate() error {
 	if p.Empty() {
 		return invalid("the change has no parts")
 	}
@@ -78,7 +78,7 @@
 }
 
 func invalid(rule string, arguments ...any) error {
-	return Failure{Code: CodeInvalid, Message: fmt.Sprintf(rule, arguments...)}
+	return Error{Code: CodeInvalid, Message: fmt.Sprintf(rule, arguments...)}
 }
 
 // author is who makes a change, and when.
@@ -90,10 +90,10 @@
 func (r ChangeRequest) change(by author) *changelog.Change {
 	change := &changelog.Change{
 		ID:              scopedID(by.principal.Team, r.ID),
-		Base:            *r.BaseVersion,
-		Who:             by.principal.Name,
-		When:            by.now.UnixNano(),
-		Why:             r.Reason,
+		BaseVersion:     *r.BaseVersion,
+		Author:          by.principal.Name,
+		Timestamp:       by.now.UnixNano(),
+		Reason:          r.Reason,
 		ExpectedVersion: r.ExpectedVersion,
 		AddServices:     r.AddServices,
 		AddBackends:     r.AddBackends,
@@ -101,7 +101,7 @@
 		RemoveServices:  r.RemoveServices,
 	}
 	for _, expected := range r.ExpectedRows {
-		change.ExpectedRows = append(change.ExpectedRows, changelog.RowExpectation(expected))
+		change.ExpectedRows = append(change.ExpectedRows, changelog.RowPrecondition(expected))
 	}
 	for _, update := range r.SetCells {
 		change.Cells = append(change.Cells, changelog.CellUpdate(update))
@@ -116,8 +116,8 @@
 const versionColumn = "version"
 
 // answerTo converts the outcome of a change.
-func answerTo(id string, outcome changelog.Outcome, seen visibility) ChangeAnswer {
-	answer := ChangeAnswer{ID: id, Outcome: Accepted, Version: outcome.Version}
+func answerTo(id string, outcome changelog.Outcome, seen visibility) ChangeResponse {
+	answer := ChangeResponse{ID: id, Outcome: Accepted, Version: outcome.Version}
 	if outcome.Accepted {
 		return answer
 	}
@@ -133,11 +133,11 @@
 }
 
 // answerSubmission converts what became of a submitted change.
-func answerSubmission(id string, submitted Submission, seen visibility) ChangeAnswer {
+func answerSubmission(id string, submitted SubmitResult, seen visibility) ChangeResponse {
 	if submitted.Decided {
 		return answerTo(id, submitted.Outcome, seen)
 	}
-	answer := ChangeAnswer{ID: id, Outcome: NotAccepted, Message: submitted.Reason, retryAfter: submitted.RetryAfter}
+	answer := ChangeResponse{ID: id, Outcome: NotAccepted, Message: submitted.Reason, retryAfter: submitted.RetryAfter}
 	if submitted.MayApply {
 		answer.Outcome = Unknown
 	}
@@ -153,12 +153,12 @@
 			continue
 		}
 		converted = append(converted, HistoryRecord{
-			Version: record.Version,
-			ID:      shownID(seen.principal.Team, record.ID),
-			Who:     record.Who,
-			When:    time.Unix(0, record.When).UTC(),
-			Why:     record.Why,
-			Cells:   cells,
+			Version:   record.Version,
+			ID:        shownID(seen.principal.Team, record.ID),
+			Author:    record.Author,
+			Timestamp: time.Unix(0, record.Timestamp).UTC(),
+			Reason:    record.Reason,
+			Cells:     cells,
 		})
 	}
 	return converted
--- a/internal/adminapi/endpoints.go
+++ b/internal/adminapi/endpoints.go
@@ -32,7 +32,7 @@
 	return func(next endpoint.Endpoint) endpoint.Endpoint {
 		return func(ctx context.Context, request any) (any, error) {
 			if !principalOf(ctx).Role.Includes(role) {
-				return nil, Failure{Code: CodeForbidden, Message: "this takes the role " + string(role)}
+				return nil, Error{Code: CodeForbidden, Message: "this takes the role " + string(role)}
 			}
 			return next(ctx, request)
 		}
@@ -77,9 +77,9 @@
 }
 
 func (s *service) reachEndpoint(_ context.Context, request any) (any, error) {
-	return s.store.Reached(request.(reachRequest).version), nil
+	return s.store.VersionStatus(request.(reachRequest).version), nil
 }
 
 func (s *service) membersEndpoint(context.Context, any) (any, error) {
-	return MembersAnswer{s.store.Members()}, nil
+	return MembersResponse{s.store.Members()}, nil
 }
--- a/internal/adminapi/failure.go
+++ b/internal/adminapi/error.go
@@ -13,22 +13,22 @@
 	"github.com/pkg/errors"
 )
 
-// Code tells why a request was not served.
-type Code string
+// ErrorCode tells why a request was not served.
+type ErrorCode string
 
 // The reasons for not serving a request.
 const (
-	CodeUnauthenticated Code = "unauthenticated"
-	CodeForbidden       Code = "forbidden"
-	CodeInvalid         Code = "invalid"
-	CodeTooLarge        Code = "too_large"
-	CodeRateExceeded    Code = "rate_exceeded"
-	CodeNotFound        Code = "not_found"
-	CodeInternal        Code = "internal"
+	CodeUnauthenticated ErrorCode = "unauthenticated"
+	CodeForbidden       ErrorCode = "forbidden"
+	CodeInvalid         ErrorCode = "invalid"
+	CodeTooLarge        ErrorCode = "too_large"
+	CodeRateExceeded    ErrorCode = "rate_exceeded"
+	CodeNotFound        ErrorCode = "not_found"
+	CodeInternal        ErrorCode = "internal"
 )
 
 // Status returns the status of the HTTP answer.
-func (c Code) Status() int {
+func (c ErrorCode) Status() int {
 	switch c {
 	case CodeUnauthenticated:
 		return http.StatusUnauthorized
@@ -46,25 +46,25 @@
 	return http.StatusInternalServerError
 }
 
-// Failure is the answer to a request that was not served. A change in it was
+// Error is the answer to a request that was not served. A change in it was
 // not applied.
-type Failure struct {
-	Code    Code   `json:"error"`
-	Message string `json:"message"`
+type Error struct {
+	Code    ErrorCode `json:"error"`
+	Message string    `json:"message"`
 	// RetryAfter is sent in the header of the answer, unless it is zero.
 	RetryAfter time.Duration `json:"-"`
 }
 
 // Error implements error.
-func (f Failure) Error() string { return string(f.Code) + ": " + f.Message }
+func (f Error) Error() string { return string(f.Code) + ": " + f.Message }
 
 const jsonContent = "application/json; charset=utf-8"
 
 // writeFailure is the error encoder of all paths.
 func writeFailure(_ context.Context, err error, writer http.ResponseWriter) {
-	var failure Failure
+	var failure Error
 	if !errors.As(err, &failure) {
-		failure = Failure{Code: CodeInternal, Message: err.Error()}
+		failure = Error{Code: CodeInternal, Message: err.Error()}
 	}
 	if failure.Code == CodeUnauthenticated {
 		writer.Header().Set("WWW-Authenticate", "Bearer")
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -35,8 +35,8 @@
 // HandlerConfig holds the settings of a Handler.
 type HandlerConfig struct {
 	Store Store
-	// Gate decides who may ask, and how often.
-	Gate *tenant.Gate
+	// Admission decides who may ask, and how often.
+	Admission *tenant.AdmissionController
 	// Now is the clock; nil means that of the system.
 	Now func() time.Time
 	// SubmitTimeout is DefaultSubmitTimeout if it is zero.
@@ -84,7 +84,7 @@
 	h.add("GET /v1/snapshot", administrator(served.exportSnapshotEndpoint), decodeNothing)
 	h.add("POST /v1/snapshot", administrator(served.importSnapshotEndpoint), decodeSnapshot)
 	h.mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
-		writeFailure(request.Context(), Failure{Code: CodeNotFound, Message: "no such method and path"}, writer)
+		writeFailure(request.Context(), Error{Code: CodeNotFound, Message: "no such method and path"}, writer)
 	})
 }
 
@@ -106,14 +106,14 @@
 }
 
 func (h *Handler) serve(writer http.ResponseWriter, request *http.Request) {
-	admission := h.config.Gate.Admit(bearerToken(request), h.config.Now())
+	admission := h.config.Admission.Admit(bearerToken(request), h.config.Now())
 	switch admission.Verdict {
 	case tenant.Unauthenticated:
-		writeFailure(request.Context(), Failure{
+		writeFailure(request.Context(), Error{
 			Code: CodeUnauthenticated, Message: "a valid token is required in the header Authorization: Bearer TOKEN"}, writer)
 		return
-	case tenant.RateExceeded:
-		writeFailure(request.Context(), Failure{
+	case tenant.RateLimited:
+		writeFailure(request.Context(), Error{
 			Code: CodeRateExceeded, Message: "the team asks too often; nothing was done", RetryAfter: admission.RetryAfter}, writer)
 		return
 	}
@@ -153,7 +153,7 @@
 
 func encodeAnswer(_ context.Context, writer http.ResponseWriter, answer any) error {
 	switch typed := answer.(type) {
-	case ChangeAnswer:
+	case ChangeResponse:
 		writeJSON(writer, typed.Outcome.Status(), typed.retryAfter, typed)
 	case rememberedOutcome:
 		writeJSON(writer, typed.status(), 0, typed)
@@ -164,7 +164,7 @@
 }
 
 // rememberedOutcome is the answer to GET /v1/changes/{id}.
-type rememberedOutcome struct{ ChangeAnswer }
+type rememberedOutcome struct{ ChangeResponse }
 
 func (o rememberedOutcome) status() int {
 	if o.Outcome == Unknown {
--- a/internal/adminapi/logstore.go
+++ b/internal/adminapi/logstore.go
@@ -14,8 +14,8 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Decision is what became of a proposal for the log.
-type Decision struct {
+// ProposalResult is what became of a proposal for the log.
+type ProposalResult struct {
 	Status ProposalStatus
 	// Reason says why the proposal was not committed.
 	Reason string
@@ -45,11 +45,11 @@
 	// Propose returns when the proposal is decided or ctx ends. Whoever
 	// implements it calls LogStore.Apply with every committed payload, in the
 	// order of the log.
-	Propose(ctx context.Context, id changelog.ChangeID, payload []byte) Decision
+	Propose(ctx context.Context, id changelog.ChangeID, payload []byte) ProposalResult
 }
 
-// Fleet knows the processes that forward by the table.
-type Fleet interface {
+// MemberLister knows the processes that forward by the table.
+type MemberLister interface {
 	Members() []Member
 }
 
@@ -57,10 +57,10 @@
 type LogStoreConfig struct {
 	Limits   changelog.Limits
 	Proposer Proposer
-	Fleet    Fleet
-	// Changed is called, one at a time and in the order of versions, with
+	Members  MemberLister
+	// OnChange is called, one at a time and in the order of versions, with
 	// each table that comes from a change.
-	Changed func(*table.Table)
+	OnChange func(*table.Table)
 }
 
 // LogStore holds the table that the committed changes of a log lead to.
@@ -81,8 +81,8 @@
 
 // NewLogStore returns a store with an empty table.
 func NewLogStore(config LogStoreConfig) *LogStore {
-	if config.Changed == nil {
-		config.Changed = func(*table.Table) {}
+	if config.OnChange == nil {
+		config.OnChange = func(*table.Table) {}
 	}
 	return &LogStore{
 		config:  config,
@@ -107,20 +107,20 @@
 	}
 	delete(s.waiting, change.ID)
 	if s.state.Version() != before {
-		s.config.Changed(s.state.Table())
+		s.config.OnChange(s.state.Table())
 	}
 	return nil
 }
 
-// Follow replaces the table by a newer one of the configuration service. It fails
+// ReplaceTable replaces the table by a newer one of the configuration service. It fails
 // for one that is not newer or not valid.
-func (s *LogStore) Follow(record changelog.Record, newer *table.Table) error {
+func (s *LogStore) ReplaceTable(record changelog.Record, newer *table.Table) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.state.Follow(record, newer); err != nil {
+	if err := s.state.ReplaceTable(record, newer); err != nil {
 		return err
 	}
-	s.config.Changed(s.state.Table())
+	s.config.OnChange(s.state.Table())
 	return nil
 }
 
@@ -131,9 +131,9 @@
 	return s.state.Encode()
 }
 
-// Install replaces the state by one that Snapshot has returned. It fails for
+// InstallSnapshot replaces the state by one that Snapshot has returned. It fails for
 // other text and for a state older than the one held.
-func (s *LogStore) Install(encoded []byte) error {
+func (s *LogStore) InstallSnapshot(encoded []byte) error {
 	installed, err := changelog.Decode(s.config.Limits, encoded)
 	if err != nil {
 		return err
@@ -147,7 +147,7 @@
 	s.state = installed
 	s.answerWaiting()
 	if changed {
-		s.config.Changed(s.state.Table())
+		s.config.OnChange(s.state.Table())
 	}
 	return nil
 }
@@ -168,19 +168,19 @@
 }
 
 // Submit implements Store.
-func (s *LogStore) Submit(ctx context.Context, change *changelog.Change) Submission {
+func (s *LogStore) Submit(ctx context.Context, change *changelog.Change) SubmitResult {
 	if outcome, known := s.Outcome(change.ID); known {
-		return Submission{Decided: true, Outcome: outcome}
+		return SubmitResult{Decided: true, Outcome: outcome}
 	}
 	payload, err := change.MarshalMsg(nil)
 	if err != nil {
-		return Submission{Reason: "the change cannot be encoded: " + err.Error()}
+		return SubmitResult{Reason: "the change cannot be encoded: " + err.Error()}
 	}
 	applied := s.wait(change.ID)
 	defer s.stopWaiting(change.ID, applied)
 	decision := s.config.Proposer.Propose(ctx, change.ID, payload)
 	if decision.Status == ProposalCommitted && decision.Outcome != nil {
-		return Submission{Decided: true, Outcome: *decision.Outcome}
+		return SubmitResult{Decided: true, Outcome: *decision.Outcome}
 	}
 	if decision.Status == ProposalCommitted {
 		return s.awaitOutcome(ctx, change.ID, applied)
@@ -188,16 +188,16 @@
 	if decision.Status == ProposalUndecided {
 		s.noteUndecided(change.ID)
 	}
-	return Submission{MayApply: s.isUndecided(change.ID), Reason: decision.Reason, RetryAfter: decision.RetryAfter}
+	return SubmitResult{MayApply: s.isUndecided(change.ID), Reason: decision.Reason, RetryAfter: decision.RetryAfter}
 }
 
-func (s *LogStore) awaitOutcome(ctx context.Context, id changelog.ChangeID, applied <-chan changelog.Outcome) Submission {
+func (s *LogStore) awaitOutcome(ctx context.Context, id changelog.ChangeID, applied <-chan changelog.Outcome) SubmitResult {
 	select {
 	case outcome := <-applied:
-		return Submission{Decided: true, Outcome: outcome}
+		return SubmitResult{Decided: true, Outcome: outcome}
 	case <-ctx.Done():
 		s.noteUndecided(id)
-		return Submission{MayApply: true, Reason: "the change is committed and not applied here yet"}
+		return SubmitResult{MayApply: true, Reason: "the change is committed and not applied here yet"}
 	}
 }
 
@@ -266,10 +266,10 @@
 }
 
 // Table implements Store.
-func (s *LogStore) Table() State {
+func (s *LogStore) Table() VersionedTable {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	current := State{Table: s.state.Table()}
+	current := VersionedTable{Table: s.state.Table()}
 	for _, row := range current.Table.Backends {
 		current.RowVersions = append(current.RowVersions, RowVersion{row.ID, s.state.RowVersion(row.ID)})
 	}
@@ -284,11 +284,11 @@
 }
 
 // Members implements Store.
-func (s *LogStore) Members() []Member { return s.config.Fleet.Members() }
+func (s *LogStore) Members() []Member { return s.config.Members.Members() }
 
 // Reached implements Store.
-func (s *LogStore) Reached(version table.Version) ReachAnswer {
-	answer := ReachAnswer{Version: version, NotReached: []string{}}
+func (s *LogStore) VersionStatus(version table.Version) VersionStatusResponse {
+	answer := VersionStatusResponse{Version: version, NotReached: []string{}}
 	answer.Accepted = version != 0 && version <= s.version()
 	for _, member := range s.Members() {
 		if member.Version >= version {
--- a/internal/adminapi/logstore_test.go
+++ b/internal/adminapi/logstore_test.go
@@ -17,12 +17,12 @@
 // scriptedLog decides on proposals as a spec says, and commits the payloads
 // when the spec says so.
 type scriptedLog struct {
-	decision adminapi.Decision
+	decision adminapi.ProposalResult
 	payloads [][]byte
 	proposed func()
 }
 
-func (l *scriptedLog) Propose(_ context.Context, _ changelog.ChangeID, payload []byte) adminapi.Decision {
+func (l *scriptedLog) Propose(_ context.Context, _ changelog.ChangeID, payload []byte) adminapi.ProposalResult {
 	l.payloads = append(l.payloads, payload)
 	if l.proposed != nil {
 		l.proposed()
@@ -32,8 +32,8 @@
 
 func newLogStore(log *scriptedLog, versions *[]table.Version) *adminapi.LogStore {
 	return adminapi.NewLogStore(adminapi.LogStoreConfig{
-		Limits: changelog.DefaultLimits(), Proposer: log, Fleet: adminapi.NewSingleMember("b", "z"),
-		Changed: func(changed *table.Table) { *versions = append(*versions, changed.Version) },
+		Limits: changelog.DefaultLimits(), Proposer: log, Members: adminapi.NewSingleMember("b", "z"),
+		OnChange: func(changed *table.Table) { *versions = append(*versions, changed.Version) },
 	})
 }
 
@@ -56,8 +56,8 @@
 
 	DescribeTable("passes on why a change is not decided",
 		func(status adminapi.ProposalStatus, mayApply bool, outcome adminapi.ChangeOutcome, code int) {
-			log.decision = adminapi.Decision{Status: status, Reason: "no quorum", RetryAfter: 1500 * time.Millisecond}
-			Expect(store.Submit(ctx, setup())).To(Equal(adminapi.Submission{
+			log.decision = adminapi.ProposalResult{Status: status, Reason: "no quorum", RetryAfter: 1500 * time.Millisecond}
+			Expect(store.Submit(ctx, setup())).To(Equal(adminapi.SubmitResult{
 				MayApply: mayApply, Reason: "no quorum", RetryAfter: 1500 * time.Millisecond}))
 			answer := request(serve(store), adminToken, "POST", "/v1/changes",
 				`{"id": "c", "reason": "r", "base_version": 0, "remove_backends": [1]}`)
@@ -72,7 +72,7 @@
 
 	It("answers a committed change once it is applied", func() {
 		log.proposed = func() { go func() { _ = store.Apply(log.payloads[0]) }() }
-		Expect(store.Submit(ctx, setup())).To(Equal(adminapi.Submission{
+		Expect(store.Submit(ctx, setup())).To(Equal(adminapi.SubmitResult{
 			Decided: true, Outcome: changelog.Outcome{ID: "setup", Accepted: true, Version: 1}}))
 		Expect(versions).To(Equal([]table.Version{1}))
 	})
@@ -129,10 +129,10 @@
 		Expect(err).NotTo(HaveOccurred())
 
 		log.decision.Status = adminapi.ProposalCommitted
-		log.proposed = func() { go func() { _ = store.Install(snapshot) }() }
+		log.proposed = func() { go func() { _ = store.InstallSnapshot(snapshot) }() }
 		Expect(store.Submit(ctx, setup()).Outcome.Version).To(Equal(table.Version(1)))
 		Expect(store.Table()).To(Equal(other.Table()))
-		Expect(store.Install(empty)).To(MatchError("snapshot of version 0 is older than 1"))
+		Expect(store.InstallSnapshot(empty)).To(MatchError("snapshot of version 0 is older than 1"))
 		Expect(versions).To(Equal([]table.Version{1}))
 	})
 })
@@ -143,7 +143,7 @@
 		DeferCleanup(broken.Close)
 		client, err := adminapi.NewClient(broken.URL, adminToken, http.DefaultClient)
 		Expect(err).NotTo(HaveOccurred())
-		change := adminapi.ChangeRequest{Header: header("c", 1), Parts: setWeight(1, 1)}
+		change := adminapi.ChangeRequest{ChangeMetadata: header("c", 1), Operations: setWeight(1, 1)}
 		answer, err := client.Change(context.Background(), change)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Outcome).To(Equal(adminapi.Unknown))
--- a/internal/adminapi/plan.go
+++ b/internal/adminapi/plan.go
@@ -11,13 +11,13 @@
 	alteredRowRule     = "cannot be altered; remove the row and add it again under a higher incarnation"
 )
 
-// Missing tells what becomes of rows and services that a wanted table lacks.
-type Missing uint8
+// MissingPolicy tells what becomes of rows and services that a wanted table lacks.
+type MissingPolicy uint8
 
 // What becomes of missing rows and services.
 const (
 	// KeepMissing leaves them as they are.
-	KeepMissing Missing = iota
+	KeepMissing MissingPolicy = iota
 	// RemoveMissing removes them.
 	RemoveMissing
 )
@@ -26,13 +26,13 @@
 // wanted one. A row that is wanted again after its removal gets a new
 // incarnation, and one that has got it since keeps it. Plan fails with a
 // table.CellError for cells that no change can alter.
-func Plan(current, wanted *table.Table, missing Missing) (Parts, error) {
-	var parts Parts
+func Plan(current, wanted *table.Table, missing MissingPolicy) (Operations, error) {
+	var parts Operations
 	if err := parts.planServices(current, wanted); err != nil {
-		return Parts{}, err
+		return Operations{}, err
 	}
 	if err := parts.planBackends(current, wanted); err != nil {
-		return Parts{}, err
+		return Operations{}, err
 	}
 	if missing == RemoveMissing {
 		parts.planRemovals(current, wanted)
@@ -43,7 +43,7 @@
 
 // planZones closes the zones that are closed in the wanted table. Others that are closed
 // count as missing there.
-func (p *Parts) planZones(current, wanted *table.Table, missing Missing) {
+func (p *Operations) planZones(current, wanted *table.Table, missing MissingPolicy) {
 	for _, closed := range wanted.ClosedZones {
 		if _, already := current.ClosedSince(closed.Zone); !already {
 			p.SetZones = append(p.SetZones, ZoneUpdate{Zone: closed.Zone, Closed: true, Force: true})
@@ -59,7 +59,7 @@
 	}
 }
 
-func (p *Parts) planServices(current, wanted *table.Table) error {
+func (p *Operations) planServices(current, wanted *table.Table) error {
 	for _, service := range wanted.Services {
 		existing, exists := current.Service(service.ID)
 		if !exists {
@@ -81,7 +81,7 @@
 	return table.CellError{Row: cell.Row, Column: cell.Column, Rule: rule}
 }
 
-func (p *Parts) planBackends(current, wanted *table.Table) error {
+func (p *Operations) planBackends(current, wanted *table.Table) error {
 	index := make(map[table.BackendID]table.Backend, len(current.Backends))
 	for _, row := range current.Backends {
 		index[row.ID] = row
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (p *Parts) planCells(existing, row table.Backend) error {
+func (p *Operations) planCells(existing, row table.Backend) error {
 	update := CellUpdate{
 		Backend:         row.ID,
 		Weight:          changedCell(existing.Weight, row.Weight),
@@ -137,7 +137,7 @@
 	return &wanted
 }
 
-func (p *Parts) planRemovals(current, wanted *table.Table) {
+func (p *Operations) planRemovals(current, wanted *table.Table) {
 	kept := make(map[table.BackendID]bool, len(wanted.Backends))
 	for _, row := range wanted.Backends {
 		kept[row.ID] = !row.Removed
--- a/internal/adminapi/plan_test.go
+++ b/internal/adminapi/plan_test.go
@@ -30,11 +30,11 @@
 			return created
 		}
 		north := table.ClosedZone{Zone: "north", Since: 2}
-		Expect(adminapi.Plan(zoned(), zoned(north), adminapi.KeepMissing)).To(Equal(adminapi.Parts{
+		Expect(adminapi.Plan(zoned(), zoned(north), adminapi.KeepMissing)).To(Equal(adminapi.Operations{
 			SetZones: []adminapi.ZoneUpdate{{Zone: "north", Closed: true, Force: true}},
 		}))
-		Expect(adminapi.Plan(zoned(north), zoned(), adminapi.KeepMissing)).To(Equal(adminapi.Parts{}))
-		Expect(adminapi.Plan(zoned(north), zoned(), adminapi.RemoveMissing)).To(Equal(adminapi.Parts{
+		Expect(adminapi.Plan(zoned(north), zoned(), adminapi.KeepMissing)).To(Equal(adminapi.Operations{}))
+		Expect(adminapi.Plan(zoned(north), zoned(), adminapi.RemoveMissing)).To(Equal(adminapi.Operations{
 			SetZones: []adminapi.ZoneUpdate{{Zone: "north"}},
 		}))
 	})
@@ -44,7 +44,7 @@
 		wanted.Backends[0].Weight = 0
 		wanted.Backends[1].Drain = true
 		weight, drain := uint32(0), true
-		Expect(adminapi.Plan(exampleTable(), wanted, adminapi.KeepMissing)).To(Equal(adminapi.Parts{
+		Expect(adminapi.Plan(exampleTable(), wanted, adminapi.KeepMissing)).To(Equal(adminapi.Operations{
 			SetCells: []adminapi.CellUpdate{{Backend: 10, Weight: &weight}, {Backend: 11, Drain: &drain}},
 		}))
 	})
@@ -53,8 +53,8 @@
 		wanted := exampleTable()
 		wanted.Services = wanted.Services[:1]
 		wanted.Backends = wanted.Backends[:2]
-		Expect(adminapi.Plan(exampleTable(), wanted, adminapi.KeepMissing)).To(Equal(adminapi.Parts{}))
-		Expect(adminapi.Plan(exampleTable(), wanted, adminapi.RemoveMissing)).To(Equal(adminapi.Parts{
+		Expect(adminapi.Plan(exampleTable(), wanted, adminapi.KeepMissing)).To(Equal(adminapi.Operations{}))
+		Expect(adminapi.Plan(exampleTable(), wanted, adminapi.RemoveMissing)).To(Equal(adminapi.Operations{
 			RemoveBackends: []table.BackendID{20}, RemoveServices: []table.ServiceID{2},
 		}))
 	})
--- a/internal/adminapi/requests.go
+++ b/internal/adminapi/requests.go
@@ -175,5 +175,5 @@
 }
 
 func tooLargeFailure(limit int64) error {
-	return Failure{Code: CodeTooLarge, Message: "the body must have at most " + strconv.FormatInt(limit, 10) + " bytes"}
+	return Error{Code: CodeTooLarge, Message: "the body must have at most " + strconv.FormatInt(limit, 10) + " bytes"}
 }
--- a/internal/adminapi/service.go
+++ b/internal/adminapi/service.go
@@ -22,13 +22,13 @@
 }
 
 // table returns what the principal sees of the table, or of one service.
-func (s *service) table(principal tenant.Principal, request tableRequest) (TableAnswer, error) {
+func (s *service) table(principal tenant.Principal, request tableRequest) (TableResponse, error) {
 	state := s.store.Table()
-	view := principal.View(state.Table)
+	view := principal.VisibleTable(state.Table)
 	if request.service != "" {
 		id, found := serviceNamed(view, request.service)
 		if !found {
-			return TableAnswer{}, Failure{Code: CodeNotFound, Message: "no service " + request.service}
+			return TableResponse{}, Error{Code: CodeNotFound, Message: "no service " + request.service}
 		}
 		view = view.ForServices([]table.ServiceID{id})
 	}
@@ -44,7 +44,7 @@
 	return 0, false
 }
 
-func tableAnswer(view *table.Table, versions []RowVersion) TableAnswer {
+func tableAnswer(view *table.Table, versions []RowVersion) TableResponse {
 	seen := make(map[table.BackendID]bool, len(view.Backends))
 	for _, row := range view.Backends {
 		seen[row.ID] = true
@@ -57,7 +57,7 @@
 	if shown.Backends == nil {
 		shown.Backends = []table.Backend{}
 	}
-	answer := TableAnswer{Table: shown, RowVersions: []RowVersion{}}
+	answer := TableResponse{Table: shown, RowVersions: []RowVersion{}}
 	for _, row := range versions {
 		if seen[row.Backend] {
 			answer.RowVersions = append(answer.RowVersions, row)
@@ -67,12 +67,12 @@
 }
 
 // change makes a change or, for a dry run, tells what would become of it.
-func (s *service) change(ctx context.Context, principal tenant.Principal, request ChangeRequest) (ChangeAnswer, error) {
-	if err := request.Header.validate(); err != nil {
-		return ChangeAnswer{}, err
+func (s *service) change(ctx context.Context, principal tenant.Principal, request ChangeRequest) (ChangeResponse, error) {
+	if err := request.ChangeMetadata.validate(); err != nil {
+		return ChangeResponse{}, err
 	}
-	if err := request.Parts.validate(); err != nil {
-		return ChangeAnswer{}, err
+	if err := request.Operations.validate(); err != nil {
+		return ChangeResponse{}, err
 	}
 	current := s.store.Table().Table
 	seen := newVisibility(principal, current)
@@ -85,7 +85,7 @@
 	var broken table.CellError
 	if errors.As(seen.authorize(change), &broken) {
 		refusal := Refusal(broken)
-		return ChangeAnswer{
+		return ChangeResponse{
 			ID: request.ID, Outcome: Refused, Version: current.Version, Refusal: &refusal, DryRun: request.DryRun,
 		}, nil
 	}
@@ -97,10 +97,10 @@
 	return answerSubmission(request.ID, s.store.Submit(ctx, change), seen), nil
 }
 
-func (s *service) preview(id string, change *changelog.Change, seen visibility) (ChangeAnswer, error) {
+func (s *service) preview(id string, change *changelog.Change, seen visibility) (ChangeResponse, error) {
 	preview, err := s.store.Preview(change)
 	if err != nil {
-		return ChangeAnswer{}, err
+		return ChangeResponse{}, err
 	}
 	answer := answerTo(id, preview.Outcome, seen)
 	answer.DryRun = true
@@ -109,34 +109,34 @@
 }
 
 // drain sets the drain flag of one row.
-func (s *service) drain(ctx context.Context, principal tenant.Principal, request drainRequest) (ChangeAnswer, error) {
+func (s *service) drain(ctx context.Context, principal tenant.Principal, request drainRequest) (ChangeResponse, error) {
 	if request.body.Drain == nil {
-		return ChangeAnswer{}, invalid("drain is required")
+		return ChangeResponse{}, invalid("drain is required")
 	}
 	return s.change(ctx, principal, ChangeRequest{
-		Header: request.body.Header,
-		Parts:  Parts{SetCells: []CellUpdate{{Backend: request.backend, Drain: request.body.Drain}}},
+		ChangeMetadata: request.body.ChangeMetadata,
+		Operations:     Operations{SetCells: []CellUpdate{{Backend: request.backend, Drain: request.body.Drain}}},
 	})
 }
 
 // closeZone closes a zone to new flows, or opens it again.
-func (s *service) closeZone(ctx context.Context, principal tenant.Principal, request zoneRequest) (ChangeAnswer, error) {
+func (s *service) closeZone(ctx context.Context, principal tenant.Principal, request zoneRequest) (ChangeResponse, error) {
 	if request.body.Closed == nil {
-		return ChangeAnswer{}, invalid("closed is required")
+		return ChangeResponse{}, invalid("closed is required")
 	}
 	return s.change(ctx, principal, ChangeRequest{
-		Header: request.body.Header,
-		Parts:  Parts{SetZones: []ZoneUpdate{{Zone: request.zone, Closed: *request.body.Closed, Force: request.body.Force}}},
+		ChangeMetadata: request.body.ChangeMetadata,
+		Operations:     Operations{SetZones: []ZoneUpdate{{Zone: request.zone, Closed: *request.body.Closed, Force: request.body.Force}}},
 	})
 }
 
 // importSnapshot makes the change that leads to the table of a snapshot.
-func (s *service) importSnapshot(ctx context.Context, principal tenant.Principal, request SnapshotRequest) (ChangeAnswer, error) {
-	if err := request.Header.validate(); err != nil {
-		return ChangeAnswer{}, err
+func (s *service) importSnapshot(ctx context.Context, principal tenant.Principal, request SnapshotRequest) (ChangeResponse, error) {
+	if err := request.ChangeMetadata.validate(); err != nil {
+		return ChangeResponse{}, err
 	}
 	if request.Table == nil {
-		return ChangeAnswer{}, invalid("table is required")
+		return ChangeResponse{}, invalid("table is required")
 	}
 	current := s.store.Table().Table
 	seen := newVisibility(principal, current)
@@ -145,7 +145,7 @@
 	}
 	if *request.BaseVersion != current.Version {
 		rule := fmt.Sprintf("expected %d, is %d", *request.BaseVersion, current.Version)
-		return ChangeAnswer{
+		return ChangeResponse{
 			ID: request.ID, Outcome: Conflict, Version: current.Version, DryRun: request.DryRun,
 			Refusal: &Refusal{Row: "table", Column: versionColumn, Rule: rule},
 		}, nil
@@ -153,36 +153,36 @@
 	parts, err := planSnapshot(current, request.Table)
 	var broken table.CellError
 	if errors.As(err, &broken) {
-		return ChangeAnswer{
+		return ChangeResponse{
 			ID: request.ID, Outcome: Refused, Version: current.Version, Refusal: seen.refusal(broken), DryRun: request.DryRun,
 		}, nil
 	}
 	return s.change(ctx, principal, ChangeRequest{
-		Header:          request.Header,
+		ChangeMetadata:  request.ChangeMetadata,
 		ExpectedVersion: current.Version,
-		Parts:           parts,
+		Operations:      parts,
 	})
 }
 
-func planSnapshot(current, wanted *table.Table) (Parts, error) {
+func planSnapshot(current, wanted *table.Table) (Operations, error) {
 	wanted.ApplyClosedZones()
 	if err := wanted.Validate(); err != nil {
-		return Parts{}, err
+		return Operations{}, err
 	}
 	return Plan(current, wanted, RemoveMissing)
 }
 
 // outcome returns what became of a change of the principal's team.
-func (s *service) outcome(principal tenant.Principal, id string) ChangeAnswer {
+func (s *service) outcome(principal tenant.Principal, id string) ChangeResponse {
 	outcome, known := s.store.Outcome(scopedID(principal.Team, id))
 	if !known {
-		return ChangeAnswer{ID: id, Outcome: Unknown, Message: "no outcome of this change is remembered here"}
+		return ChangeResponse{ID: id, Outcome: Unknown, Message: "no outcome of this change is remembered here"}
 	}
 	return answerTo(id, outcome, newVisibility(principal, s.store.Table().Table))
 }
 
 // history returns the latest records after a version, oldest first.
-func (s *service) history(principal tenant.Principal, request historyRequest) HistoryAnswer {
+func (s *service) history(principal tenant.Principal, request historyRequest) HistoryResponse {
 	var records []changelog.Record
 	for _, record := range s.store.History() {
 		if record.Version > request.after {
@@ -193,5 +193,5 @@
 	if excess := len(converted) - request.limit; excess > 0 {
 		converted = converted[excess:]
 	}
-	return HistoryAnswer{Records: converted}
+	return HistoryResponse{Records: converted}
 }
--- a/internal/adminapi/single.go
+++ b/internal/adminapi/singlereplica.go
@@ -19,21 +19,21 @@
 
 // NewSingleReplicaStore returns a store of one process. Its changes end with
 // the process.
-func NewSingleReplicaStore(limits changelog.Limits, fleet Fleet, changed func(*table.Table)) *LogStore {
+func NewSingleReplicaStore(limits changelog.Limits, fleet MemberLister, changed func(*table.Table)) *LogStore {
 	proposer := &singleReplica{}
-	store := NewLogStore(LogStoreConfig{Limits: limits, Proposer: proposer, Fleet: fleet, Changed: changed})
+	store := NewLogStore(LogStoreConfig{Limits: limits, Proposer: proposer, Members: fleet, OnChange: changed})
 	proposer.apply = store.Apply
 	return store
 }
 
 // Propose implements Proposer.
-func (r *singleReplica) Propose(_ context.Context, _ changelog.ChangeID, payload []byte) Decision {
+func (r *singleReplica) Propose(_ context.Context, _ changelog.ChangeID, payload []byte) ProposalResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if err := r.apply(payload); err != nil {
-		return Decision{Status: ProposalRefused, Reason: err.Error()}
+		return ProposalResult{Status: ProposalRefused, Reason: err.Error()}
 	}
-	return Decision{Status: ProposalCommitted}
+	return ProposalResult{Status: ProposalCommitted}
 }
 
 // SingleMember is a fleet of one process.
@@ -53,8 +53,8 @@
 	return &SingleMember{name: name, zone: zone}
 }
 
-// SetInForce notes the version that the process forwards by.
-func (m *SingleMember) SetInForce(version table.Version) {
+// SetActiveVersion notes the version that the process forwards by.
+func (m *SingleMember) SetActiveVersion(version table.Version) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.inForce = version
--- a/internal/adminapi/store.go
+++ b/internal/adminapi/store.go
@@ -10,8 +10,8 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Submission is what became of a change handed to a Store.
-type Submission struct {
+// SubmitResult is what became of a change handed to a Store.
+type SubmitResult struct {
 	// Decided reports whether Outcome is known. If it is not, MayApply tells
 	// the two other cases apart.
 	Decided bool
@@ -31,8 +31,8 @@
 	Cells   []changelog.CellChange
 }
 
-// State is the table with the versions of its rows.
-type State struct {
+// VersionedTable is the table with the versions of its rows.
+type VersionedTable struct {
 	// Table must not be changed.
 	Table       *table.Table
 	RowVersions []RowVersion
@@ -42,18 +42,18 @@
 type Store interface {
 	// Submit makes a change, at most once for each identifier. When ctx ends
 	// early the change may still be applied.
-	Submit(ctx context.Context, change *changelog.Change) Submission
+	Submit(ctx context.Context, change *changelog.Change) SubmitResult
 	// Preview tells what would become of a change now, without making it.
 	Preview(change *changelog.Change) (Preview, error)
 	// Outcome returns what became of a change, if that is remembered.
 	Outcome(id changelog.ChangeID) (changelog.Outcome, bool)
 	// Table returns the current table.
-	Table() State
+	Table() VersionedTable
 	// History returns the remembered records of accepted changes, oldest
 	// first.
 	History() []changelog.Record
-	// Reached tells where a version is in force.
-	Reached(version table.Version) ReachAnswer
+	// VersionStatus tells where a version is in force.
+	VersionStatus(version table.Version) VersionStatusResponse
 	// Members returns the processes that forward by the table.
 	Members() []Member
 }
--- a/internal/adminapi/target_bench_test.go
+++ b/internal/adminapi/store_bench_test.go
@@ -17,8 +17,8 @@
 	targetRows     = 12000
 )
 
-func targetParts() adminapi.Parts {
-	var parts adminapi.Parts
+func targetParts() adminapi.Operations {
+	var parts adminapi.Operations
 	for id := 1; id <= targetServices; id++ {
 		parts.AddServices = append(parts.AddServices, table.Service{
 			ID: table.ServiceID(id), Name: fmt.Sprintf("service-%d", id), Protocol: table.ProtocolTCP,
@@ -49,7 +49,7 @@
 func oneCell(number int) *changelog.Change {
 	weight := uint32(number % table.MaxWeight)
 	return &changelog.Change{
-		ID: changelog.ChangeID(fmt.Sprint("change-", number)), Base: 1,
+		ID: changelog.ChangeID(fmt.Sprint("change-", number)), BaseVersion: 1,
 		Cells: []changelog.CellUpdate{{Backend: table.BackendID(number%targetRows + 1), Weight: &weight}},
 	}
 }
@@ -60,7 +60,7 @@
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
 		change := oneCell(number)
-		change.Base = store.Table().Table.Version
+		change.BaseVersion = store.Table().Table.Version
 		if submitted := store.Submit(context.Background(), change); !submitted.Decided {
 			b.Fatal(submitted)
 		}
@@ -84,7 +84,7 @@
 	principal := tenant.Principal{Role: tenant.RoleViewer, Team: "team-7"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if rows := len(principal.View(store.Table().Table).Backends); rows != targetRows/50 {
+		if rows := len(principal.VisibleTable(store.Table().Table).Backends); rows != targetRows/50 {
 			b.Fatal(rows)
 		}
 	}
--- a/internal/adminapi/suite_test.go
+++ b/internal/adminapi/suite_test.go
@@ -67,8 +67,8 @@
 var noon = time.Date(2029, 6, 1, 12, 0, 0, 0, time.UTC)
 
 // example is the table of version 1, made by example's change.
-func example() adminapi.Parts {
-	return adminapi.Parts{
+func example() adminapi.Operations {
+	return adminapi.Operations{
 		AddServices: []table.Service{
 			{ID: 1, Name: "lookup", Address: "198.51.100.1:80", Protocol: table.ProtocolTCP, Owner: "gateway"},
 			{ID: 2, Name: "audio", Address: "198.51.100.2:80", Protocol: table.ProtocolTCP, Owner: "sawt"},
@@ -88,15 +88,15 @@
 	server *httptest.Server
 }
 
-func newGate() *tenant.Gate {
-	directory, err := tenant.ParseDirectory("tokens.toml", []byte(tokensFile))
+func newGate() *tenant.AdmissionController {
+	directory, err := tenant.ParseCredentials("tokens.toml", []byte(tokensFile))
 	Expect(err).NotTo(HaveOccurred())
-	return tenant.NewGate(directory)
+	return tenant.NewAdmissionController(directory)
 }
 
 func serve(store adminapi.Store) *httptest.Server {
 	server := httptest.NewServer(adminapi.NewHandler(adminapi.HandlerConfig{
-		Store: store, Gate: newGate(), Now: func() time.Time { return noon },
+		Store: store, Admission: newGate(), Now: func() time.Time { return noon },
 	}))
 	DeferCleanup(server.Close)
 	return server
@@ -105,9 +105,9 @@
 func newFixture() *fixture {
 	created := &fixture{member: adminapi.NewSingleMember("balancer-1", "zone-1")}
 	created.store = adminapi.NewSingleReplicaStore(changelog.DefaultLimits(), created.member,
-		func(changed *table.Table) { created.member.SetInForce(changed.Version) })
+		func(changed *table.Table) { created.member.SetActiveVersion(changed.Version) })
 	created.server = serve(created.store)
-	answer := created.submit(adminToken, adminapi.ChangeRequest{Header: header("setup", 0), Parts: example()})
+	answer := created.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: header("setup", 0), Operations: example()})
 	Expect(answer.Outcome).To(Equal(adminapi.Accepted))
 	return created
 }
@@ -118,7 +118,7 @@
 	return client
 }
 
-func (f *fixture) submit(token tenant.Token, request adminapi.ChangeRequest) adminapi.ChangeAnswer {
+func (f *fixture) submit(token tenant.Token, request adminapi.ChangeRequest) adminapi.ChangeResponse {
 	answer, err := f.client(token).Change(context.Background(), request)
 	Expect(err).NotTo(HaveOccurred())
 	return answer
@@ -130,12 +130,12 @@
 	return row.Weight
 }
 
-func header(id string, base table.Version) adminapi.Header {
-	return adminapi.Header{ID: id, Reason: "reason of " + id, BaseVersion: &base}
+func header(id string, base table.Version) adminapi.ChangeMetadata {
+	return adminapi.ChangeMetadata{ID: id, Reason: "reason of " + id, BaseVersion: &base}
 }
 
-func setWeight(id table.BackendID, weight uint32) adminapi.Parts {
-	return adminapi.Parts{SetCells: []adminapi.CellUpdate{{Backend: id, Weight: &weight}}}
+func setWeight(id table.BackendID, weight uint32) adminapi.Operations {
+	return adminapi.Operations{SetCells: []adminapi.CellUpdate{{Backend: id, Weight: &weight}}}
 }
 
 // raw is an HTTP answer.
--- a/internal/adminapi/team_test.go
+++ b/internal/adminapi/team_test.go
@@ -27,7 +27,7 @@
 	It("see their own rows only", func() {
 		seen, err := api.client(sawtToken).Table(ctx, "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen).To(Equal(adminapi.TableAnswer{
+		Expect(seen).To(Equal(adminapi.TableResponse{
 			Table:       &table.Table{Version: 1, Services: example().AddServices[1:], Backends: example().AddBackends[2:]},
 			RowVersions: []adminapi.RowVersion{{Backend: 20, Version: 1}},
 		}))
@@ -37,45 +37,45 @@
 	})
 
 	DescribeTable("cannot change or probe the rows of another team",
-		func(parts adminapi.Parts, expected []adminapi.RowVersion, refusal adminapi.Refusal) {
+		func(parts adminapi.Operations, expected []adminapi.RowVersion, refusal adminapi.Refusal) {
 			before := api.store.Table()
-			answer := api.submit(sawtToken, adminapi.ChangeRequest{Header: header("c", 1), Parts: parts, ExpectedRows: expected})
+			answer := api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: header("c", 1), Operations: parts, ExpectedRows: expected})
 			Expect(answer.Outcome).To(Equal(adminapi.Refused))
 			Expect(answer.Refusal).To(Equal(&refusal))
 			Expect(api.store.Table()).To(Equal(before))
 		},
 		Entry("cells", setWeight(10, 0), nil,
 			adminapi.Refusal{Row: `back end "" (10)`, Column: "id", Rule: "names no row of the table"}),
-		Entry("cells beside own ones", adminapi.Parts{SetCells: append(setWeight(20, 1).SetCells, setWeight(11, 1).SetCells...)}, nil,
+		Entry("cells beside own ones", adminapi.Operations{SetCells: append(setWeight(20, 1).SetCells, setWeight(11, 1).SetCells...)}, nil,
 			adminapi.Refusal{Row: `back end "" (11)`, Column: "id", Rule: "names no row of the table"}),
-		Entry("removal", adminapi.Parts{RemoveBackends: []table.BackendID{10}}, nil,
+		Entry("removal", adminapi.Operations{RemoveBackends: []table.BackendID{10}}, nil,
 			adminapi.Refusal{Row: `back end "" (10)`, Column: "id", Rule: "names no row of the table"}),
-		Entry("removal of a service", adminapi.Parts{RemoveServices: []table.ServiceID{1}}, nil,
+		Entry("removal of a service", adminapi.Operations{RemoveServices: []table.ServiceID{1}}, nil,
 			adminapi.Refusal{Row: `service "" (1)`, Column: "id", Rule: "names no service of the table"}),
 		Entry("expected row", setWeight(20, 1), []adminapi.RowVersion{{Backend: 10, Version: 9}},
 			adminapi.Refusal{Row: `back end "" (10)`, Column: "id", Rule: "names no row of the table"}),
-		Entry("row added to a service", adminapi.Parts{AddBackends: []table.Backend{backend(30, 1, "x")}}, nil,
+		Entry("row added to a service", adminapi.Operations{AddBackends: []table.Backend{backend(30, 1, "x")}}, nil,
 			adminapi.Refusal{Row: `back end "x" (30)`, Column: "service", Rule: "names no service of the table"}),
-		Entry("row taken over", adminapi.Parts{AddBackends: []table.Backend{backend(10, 2, "x")}}, nil,
+		Entry("row taken over", adminapi.Operations{AddBackends: []table.Backend{backend(10, 2, "x")}}, nil,
 			adminapi.Refusal{Row: `back end "x" (10)`, Column: "id", Rule: "must be unique"}),
 		Entry("row added and set under a foreign identifier",
-			adminapi.Parts{AddBackends: []table.Backend{backend(10, 2, "x")}, SetCells: setWeight(10, 0).SetCells}, nil,
+			adminapi.Operations{AddBackends: []table.Backend{backend(10, 2, "x")}, SetCells: setWeight(10, 0).SetCells}, nil,
 			adminapi.Refusal{Row: `back end "x" (10)`, Column: "id", Rule: "must be unique"}),
-		Entry("service for another team", adminapi.Parts{AddServices: []table.Service{service(3, "x", "gateway", "198.51.100.3:80")}}, nil,
+		Entry("service for another team", adminapi.Operations{AddServices: []table.Service{service(3, "x", "gateway", "198.51.100.3:80")}}, nil,
 			adminapi.Refusal{Row: `service "x" (3)`, Column: "owner", Rule: `must be the team "sawt"`}),
-		Entry("service without owner", adminapi.Parts{AddServices: []table.Service{service(3, "x", "", "198.51.100.3:80")}}, nil,
+		Entry("service without owner", adminapi.Operations{AddServices: []table.Service{service(3, "x", "", "198.51.100.3:80")}}, nil,
 			adminapi.Refusal{Row: `service "x" (3)`, Column: "owner", Rule: `must be the team "sawt"`}),
-		Entry("address of another team's service", adminapi.Parts{AddServices: []table.Service{service(3, "x", "sawt", "198.51.100.1:80")}}, nil,
+		Entry("address of another team's service", adminapi.Operations{AddServices: []table.Service{service(3, "x", "sawt", "198.51.100.1:80")}}, nil,
 			adminapi.Refusal{Row: `service "x" (3)`, Column: "address", Rule: "already used by another service"}),
-		Entry("identifier of another team's service", adminapi.Parts{AddServices: []table.Service{service(1, "x", "sawt", "198.51.100.3:80")}}, nil,
+		Entry("identifier of another team's service", adminapi.Operations{AddServices: []table.Service{service(1, "x", "sawt", "198.51.100.3:80")}}, nil,
 			adminapi.Refusal{Row: `service "x" (1)`, Column: "id", Rule: "must be unique"}),
 	)
 
 	It("do not learn the name of the service that a rule was broken with", func() {
-		Expect(api.submit(adminToken, adminapi.ChangeRequest{Header: header("secret", 1), Parts: adminapi.Parts{
+		Expect(api.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: header("secret", 1), Operations: adminapi.Operations{
 			AddServices: []table.Service{service(9, "secret", "gateway", "198.51.100.9:80")},
 		}}).Outcome).To(Equal(adminapi.Accepted))
-		answer := api.submit(sawtToken, adminapi.ChangeRequest{Header: header("c", 2), Parts: adminapi.Parts{
+		answer := api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: header("c", 2), Operations: adminapi.Operations{
 			AddServices: []table.Service{service(3, "x", "sawt", "198.51.100.9:80")},
 		}})
 		Expect(answer.Refusal).To(Equal(&adminapi.Refusal{
@@ -83,7 +83,7 @@
 	})
 
 	It("add services and rows of their own in one change", func() {
-		Expect(api.submit(sawtToken, adminapi.ChangeRequest{Header: header("c", 1), Parts: adminapi.Parts{
+		Expect(api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: header("c", 1), Operations: adminapi.Operations{
 			AddServices: []table.Service{service(3, "status", "sawt", "198.51.100.3:80")},
 			AddBackends: []table.Backend{backend(30, 3, "status-1")},
 			SetCells:    setWeight(30, 4).SetCells,
@@ -92,20 +92,20 @@
 	})
 
 	It("have identifiers of their own", func() {
-		Expect(api.submit(editorToken, adminapi.ChangeRequest{Header: header("c", 1), Parts: setWeight(10, 9)}).Outcome).
+		Expect(api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("c", 1), Operations: setWeight(10, 9)}).Outcome).
 			To(Equal(adminapi.Accepted))
 		answer, err := api.client(sawtToken).Outcome(ctx, "c")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Outcome).To(Equal(adminapi.Unknown))
-		Expect(api.submit(sawtToken, adminapi.ChangeRequest{Header: header("c", 2), Parts: setWeight(20, 9)}).Outcome).
+		Expect(api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: header("c", 2), Operations: setWeight(20, 9)}).Outcome).
 			To(Equal(adminapi.Accepted))
 		Expect(api.weightOf(20)).To(Equal(uint32(9)))
 	})
 
 	It("see their part of the history only", func() {
-		both := adminapi.Parts{SetCells: append(setWeight(10, 9).SetCells, setWeight(20, 9).SetCells...)}
-		Expect(api.submit(adminToken, adminapi.ChangeRequest{Header: header("both", 1), Parts: both}).Version).To(Equal(table.Version(2)))
-		Expect(api.submit(editorToken, adminapi.ChangeRequest{Header: header("own", 2), Parts: setWeight(10, 8)}).Version).To(Equal(table.Version(3)))
+		both := adminapi.Operations{SetCells: append(setWeight(10, 9).SetCells, setWeight(20, 9).SetCells...)}
+		Expect(api.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: header("both", 1), Operations: both}).Version).To(Equal(table.Version(2)))
+		Expect(api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("own", 2), Operations: setWeight(10, 8)}).Version).To(Equal(table.Version(3)))
 		seen, err := api.client(sawtToken).History(ctx, 1, 10)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen.Records).To(HaveLen(1))
--- a/internal/adminapi/zones.go
+++ b/internal/adminapi/zones.go
@@ -10,8 +10,8 @@
 )
 
 // zones returns the zones in which the principal sees rows, and those that are closed.
-func (s *service) zones(principal tenant.Principal) ZonesAnswer {
-	view := principal.View(s.store.Table().Table)
+func (s *service) zones(principal tenant.Principal) ZonesResponse {
+	view := principal.VisibleTable(s.store.Table().Table)
 	var names []string
 	for _, row := range view.Backends {
 		if row.Zone != "" && !row.Removed {
@@ -22,7 +22,7 @@
 		names = append(names, closed.Zone)
 	}
 	slices.Sort(names)
-	answer := ZonesAnswer{Zones: []Zone{}}
+	answer := ZonesResponse{Zones: []Zone{}}
 	for _, name := range slices.Compact(names) {
 		shown := Zone{Zone: name, Shares: zoneShares(view, name)}
 		for _, row := range view.Backends {
@@ -31,8 +31,8 @@
 			}
 		}
 		if since, closed := view.ClosedSince(name); closed {
-			reach := s.store.Reached(since)
-			shown.Closed, shown.Since, shown.Reach = true, since, &reach
+			reach := s.store.VersionStatus(since)
+			shown.Closed, shown.Since, shown.VersionStatus = true, since, &reach
 		}
 		answer.Zones = append(answer.Zones, shown)
 	}
--- a/internal/adminapi/zones_test.go
+++ b/internal/adminapi/zones_test.go
@@ -18,9 +18,9 @@
 	zone := func(id table.BackendID, name string) adminapi.CellUpdate {
 		return adminapi.CellUpdate{Backend: id, Zone: &name}
 	}
-	closeZone := func(name string, base table.Version, closed bool) adminapi.ChangeAnswer {
+	closeZone := func(name string, base table.Version, closed bool) adminapi.ChangeResponse {
 		answer, err := api.client(adminToken).CloseZone(ctx, name, adminapi.ZoneRequest{
-			Header: header("zone-"+name+map[bool]string{true: "-closed", false: "-open"}[closed], base), Closed: &closed,
+			ChangeMetadata: header("zone-"+name+map[bool]string{true: "-closed", false: "-open"}[closed], base), Closed: &closed,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		return answer
@@ -28,7 +28,7 @@
 
 	BeforeEach(func() {
 		api = newFixture()
-		Expect(api.submit(adminToken, adminapi.ChangeRequest{Header: header("zones", 1), Parts: adminapi.Parts{
+		Expect(api.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: header("zones", 1), Operations: adminapi.Operations{
 			SetCells: []adminapi.CellUpdate{zone(10, "north"), zone(11, "south"), zone(20, "south")},
 		}}).Outcome).To(Equal(adminapi.Accepted))
 	})
@@ -40,8 +40,8 @@
 		Expect(answer.Zones).To(Equal([]adminapi.Zone{
 			{
 				Zone: "north", Closed: true, Since: 3, Backends: 1,
-				Reach:  &adminapi.ReachAnswer{Version: 3, Accepted: true, Reached: 1, NotReached: []string{}},
-				Shares: []adminapi.ZoneShare{{Service: "lookup", Remaining: 0.5}},
+				VersionStatus: &adminapi.VersionStatusResponse{Version: 3, Accepted: true, Reached: 1, NotReached: []string{}},
+				Shares:        []adminapi.ZoneShare{{Service: "lookup", Remaining: 0.5}},
 			},
 			{
 				Zone: "south", Backends: 2,
@@ -59,9 +59,9 @@
 
 	It("are closed by administrators only, by either path", func() {
 		closed := true
-		_, err := api.client(editorToken).CloseZone(ctx, "north", adminapi.ZoneRequest{Header: header("z", 2), Closed: &closed})
+		_, err := api.client(editorToken).CloseZone(ctx, "north", adminapi.ZoneRequest{ChangeMetadata: header("z", 2), Closed: &closed})
 		Expect(err).To(MatchError(ContainSubstring("administrator")))
-		refused := api.submit(editorToken, adminapi.ChangeRequest{Header: header("y", 2), Parts: adminapi.Parts{
+		refused := api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("y", 2), Operations: adminapi.Operations{
 			SetZones: []adminapi.ZoneUpdate{{Zone: "north", Closed: true}},
 		}})
 		Expect(refused.Outcome).To(Equal(adminapi.Refused))
@@ -72,7 +72,7 @@
 		Expect(closeZone("south", 2, true).Refusal.Rule).To(ContainSubstring(`service "audio"`))
 		closed := true
 		answer, err := api.client(adminToken).CloseZone(ctx, "south", adminapi.ZoneRequest{
-			Header: header("forced", 2), Closed: &closed, Force: true,
+			ChangeMetadata: header("forced", 2), Closed: &closed, Force: true,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Outcome).To(Equal(adminapi.Accepted))
--- a/internal/changelog/change.go
+++ b/internal/changelog/change.go
@@ -40,9 +40,9 @@
 	Force bool `msg:"f"`
 }
 
-// RowExpectation makes a change depend on a row not having changed since a
+// RowPrecondition makes a change depend on a row not having changed since a
 // table version.
-type RowExpectation struct {
+type RowPrecondition struct {
 	Backend table.BackendID `msg:"b"`
 	// Version is the table version of the row's last change; zero means that
 	// the row does not exist.
@@ -62,17 +62,17 @@
 // fields.
 type Change struct {
 	ID ChangeID `msg:"id"`
-	// Base is the table version known to the author when the change was made.
+	// BaseVersion is the table version known to the author when the change was made.
 	// A repeat keeps it.
-	Base table.Version `msg:"base"`
-	Who  string        `msg:"who"`
-	// When is the author's time, in nanoseconds since 1970.
-	When int64  `msg:"when"`
-	Why  string `msg:"why"`
+	BaseVersion table.Version `msg:"base"`
+	Author      string        `msg:"who"`
+	// Timestamp is the author's time, in nanoseconds since 1970.
+	Timestamp int64  `msg:"when"`
+	Reason    string `msg:"why"`
 	// ExpectedVersion is the table version that the change depends on; zero
 	// means any.
 	ExpectedVersion table.Version     `msg:"ev"`
-	ExpectedRows    []RowExpectation  `msg:"er"`
+	ExpectedRows    []RowPrecondition `msg:"er"`
 	AddServices     []table.Service   `msg:"as"`
 	AddBackends     []table.Backend   `msg:"ab"`
 	Cells           []CellUpdate      `msg:"c"`
@@ -83,7 +83,7 @@
 }
 
 // Time returns the author's time of the change.
-func (c *Change) Time() time.Time { return time.Unix(0, c.When).UTC() }
+func (c *Change) Time() time.Time { return time.Unix(0, c.Timestamp).UTC() }
 
 // Refusal names the row, the column and the rule that a change breaks.
 type Refusal struct {
@@ -117,10 +117,10 @@
 
 // Record is one accepted change in the history.
 type Record struct {
-	Version table.Version `msg:"v"`
-	ID      ChangeID      `msg:"id"`
-	Who     string        `msg:"who"`
-	When    int64         `msg:"when"`
-	Why     string        `msg:"why"`
-	Cells   []CellChange  `msg:"cells"`
+	Version   table.Version `msg:"v"`
+	ID        ChangeID      `msg:"id"`
+	Author    string        `msg:"who"`
+	Timestamp int64         `msg:"when"`
+	Reason    string        `msg:"why"`
+	Cells     []CellChange  `msg:"cells"`
 }
--- a/internal/changelog/change_gen.go
+++ b/internal/changelog/change_gen.go
@@ -618,27 +618,27 @@
 				z.ID = ChangeID(zb0002)
 			}
 		case "base":
-			err = z.Base.DecodeMsg(dc)
+			err = z.BaseVersion.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Base")
+				err = msgp.WrapError(err, "BaseVersion")
 				return
 			}
 		case "who":
-			z.Who, err = dc.ReadString()
+			z.Author, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Who")
+				err = msgp.WrapError(err, "Author")
 				return
 			}
 		case "when":
-			z.When, err = dc.ReadInt64()
+			z.Timestamp, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "When")
+				err = msgp.WrapError(err, "Timestamp")
 				return
 			}
 		case "why":
-			z.Why, err = dc.ReadString()
+			z.Reason, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Why")
+				err = msgp.WrapError(err, "Reason")
 				return
 			}
 		case "ev":
@@ -661,7 +661,7 @@
 			if cap(z.ExpectedRows) >= int(zb0003) {
 				z.ExpectedRows = (z.ExpectedRows)[:zb0003]
 			} else {
-				z.ExpectedRows = make([]RowExpectation, zb0003)
+				z.ExpectedRows = make([]RowPrecondition, zb0003)
 			}
 			for za0001 := range z.ExpectedRows {
 				var zb0004 uint32
@@ -934,9 +934,9 @@
 		if err != nil {
 			return
 		}
-		err = z.Base.EncodeMsg(en)
+		err = z.BaseVersion.EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Base")
+			err = msgp.WrapError(err, "BaseVersion")
 			return
 		}
 		// write "who"
@@ -944,9 +944,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Who)
+		err = en.WriteString(z.Author)
 		if err != nil {
-			err = msgp.WrapError(err, "Who")
+			err = msgp.WrapError(err, "Author")
 			return
 		}
 		// write "when"
@@ -954,9 +954,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteInt64(z.When)
+		err = en.WriteInt64(z.Timestamp)
 		if err != nil {
-			err = msgp.WrapError(err, "When")
+			err = msgp.WrapError(err, "Timestamp")
 			return
 		}
 		// write "why"
@@ -964,9 +964,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Why)
+		err = en.WriteString(z.Reason)
 		if err != nil {
-			err = msgp.WrapError(err, "Why")
+			err = msgp.WrapError(err, "Reason")
 			return
 		}
 		// write "ev"
@@ -1184,20 +1184,20 @@
 		o = msgp.AppendString(o, string(z.ID))
 		// string "base"
 		o = append(o, 0xa4, 0x62, 0x61, 0x73, 0x65)
-		o, err = z.Base.MarshalMsg(o)
+		o, err = z.BaseVersion.MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Base")
+			err = msgp.WrapError(err, "BaseVersion")
 			return
 		}
 		// string "who"
 		o = append(o, 0xa3, 0x77, 0x68, 0x6f)
-		o = msgp.AppendString(o, z.Who)
+		o = msgp.AppendString(o, z.Author)
 		// string "when"
 		o = append(o, 0xa4, 0x77, 0x68, 0x65, 0x6e)
-		o = msgp.AppendInt64(o, z.When)
+		o = msgp.AppendInt64(o, z.Timestamp)
 		// string "why"
 		o = append(o, 0xa3, 0x77, 0x68, 0x79)
-		o = msgp.AppendString(o, z.Why)
+		o = msgp.AppendString(o, z.Reason)
 		// string "ev"
 		o = append(o, 0xa2, 0x65, 0x76)
 		o, err = z.ExpectedVersion.MarshalMsg(o)
@@ -1336,27 +1336,27 @@
 				z.ID = ChangeID(zb0002)
 			}
 		case "base":
-			bts, err = z.Base.UnmarshalMsg(bts)
+			bts, err = z.BaseVersion.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Base")
+				err = msgp.WrapError(err, "BaseVersion")
 				return
 			}
 		case "who":
-			z.Who, bts, err = msgp.ReadStringBytes(bts)
+			z.Author, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Who")
+				err = msgp.WrapError(err, "Author")
 				return
 			}
 		case "when":
-			z.When, bts, err = msgp.ReadInt64Bytes(bts)
+			z.Timestamp, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "When")
+				err = msgp.WrapError(err, "Timestamp")
 				return
 			}
 		case "why":
-			z.Why, bts, err = msgp.ReadStringBytes(bts)
+			z.Reason, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Why")
+				err = msgp.WrapError(err, "Reason")
 				return
 			}
 		case "ev":
@@ -1379,7 +1379,7 @@
 			if cap(z.ExpectedRows) >= int(zb0003) {
 				z.ExpectedRows = (z.ExpectedRows)[:zb0003]
 			} else {
-				z.ExpectedRows = make([]RowExpectation, zb0003)
+				z.ExpectedRows = make([]RowPrecondition, zb0003)
 			}
 			for za0001 := range z.ExpectedRows {
 				var zb0004 uint32
@@ -1621,7 +1621,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Change) Msgsize() (s int) {
-	s = 1 + 3 + msgp.StringPrefixSize + len(string(z.ID)) + 5 + z.Base.Msgsize() + 4 + msgp.StringPrefixSize + len(z.Who) + 5 + msgp.Int64Size + 4 + msgp.StringPrefixSize + len(z.Why) + 3 + z.ExpectedVersion.Msgsize() + 3 + msgp.ArrayHeaderSize
+	s = 1 + 3 + msgp.StringPrefixSize + len(string(z.ID)) + 5 + z.BaseVersion.Msgsize() + 4 + msgp.StringPrefixSize + len(z.Author) + 5 + msgp.Int64Size + 4 + msgp.StringPrefixSize + len(z.Reason) + 3 + z.ExpectedVersion.Msgsize() + 3 + msgp.ArrayHeaderSize
 	for za0001 := range z.ExpectedRows {
 		s += 1 + 2 + z.ExpectedRows[za0001].Backend.Msgsize() + 2 + z.ExpectedRows[za0001].Version.Msgsize()
 	}
@@ -2453,21 +2453,21 @@
 				z.ID = ChangeID(zb0002)
 			}
 		case "who":
-			z.Who, err = dc.ReadString()
+			z.Author, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Who")
+				err = msgp.WrapError(err, "Author")
 				return
 			}
 		case "when":
-			z.When, err = dc.ReadInt64()
+			z.Timestamp, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "When")
+				err = msgp.WrapError(err, "Timestamp")
 				return
 			}
 		case "why":
-			z.Why, err = dc.ReadString()
+			z.Reason, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Why")
+				err = msgp.WrapError(err, "Reason")
 				return
 			}
 		case "cells":
@@ -2532,9 +2532,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Who)
+	err = en.WriteString(z.Author)
 	if err != nil {
-		err = msgp.WrapError(err, "Who")
+		err = msgp.WrapError(err, "Author")
 		return
 	}
 	// write "when"
@@ -2542,9 +2542,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt64(z.When)
+	err = en.WriteInt64(z.Timestamp)
 	if err != nil {
-		err = msgp.WrapError(err, "When")
+		err = msgp.WrapError(err, "Timestamp")
 		return
 	}
 	// write "why"
@@ -2552,9 +2552,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Why)
+	err = en.WriteString(z.Reason)
 	if err != nil {
-		err = msgp.WrapError(err, "Why")
+		err = msgp.WrapError(err, "Reason")
 		return
 	}
 	// write "cells"
@@ -2593,13 +2593,13 @@
 	o = msgp.AppendString(o, string(z.ID))
 	// string "who"
 	o = append(o, 0xa3, 0x77, 0x68, 0x6f)
-	o = msgp.AppendString(o, z.Who)
+	o = msgp.AppendString(o, z.Author)
 	// string "when"
 	o = append(o, 0xa4, 0x77, 0x68, 0x65, 0x6e)
-	o = msgp.AppendInt64(o, z.When)
+	o = msgp.AppendInt64(o, z.Timestamp)
 	// string "why"
 	o = append(o, 0xa3, 0x77, 0x68, 0x79)
-	o = msgp.AppendString(o, z.Why)
+	o = msgp.AppendString(o, z.Reason)
 	// string "cells"
 	o = append(o, 0xa5, 0x63, 0x65, 0x6c, 0x6c, 0x73)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Cells)))
@@ -2648,21 +2648,21 @@
 				z.ID = ChangeID(zb0002)
 			}
 		case "who":
-			z.Who, bts, err = msgp.ReadStringBytes(bts)
+			z.Author, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Who")
+				err = msgp.WrapError(err, "Author")
 				return
 			}
 		case "when":
-			z.When, bts, err = msgp.ReadInt64Bytes(bts)
+			z.Timestamp, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "When")
+				err = msgp.WrapError(err, "Timestamp")
 				return
 			}
 		case "why":
-			z.Why, bts, err = msgp.ReadStringBytes(bts)
+			z.Reason, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Why")
+				err = msgp.WrapError(err, "Reason")
 				return
 			}
 		case "cells":
@@ -2702,7 +2702,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Record) Msgsize() (s int) {
-	s = 1 + 2 + z.Version.Msgsize() + 3 + msgp.StringPrefixSize + len(string(z.ID)) + 4 + msgp.StringPrefixSize + len(z.Who) + 5 + msgp.Int64Size + 4 + msgp.StringPrefixSize + len(z.Why) + 6 + msgp.ArrayHeaderSize
+	s = 1 + 2 + z.Version.Msgsize() + 3 + msgp.StringPrefixSize + len(string(z.ID)) + 4 + msgp.StringPrefixSize + len(z.Author) + 5 + msgp.Int64Size + 4 + msgp.StringPrefixSize + len(z.Reason) + 6 + msgp.ArrayHeaderSize
 	for za0001 := range z.Cells {
 		s += z.Cells[za0001].Msgsize()
 	}
@@ -2915,7 +2915,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *RowExpectation) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *RowPrecondition) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2956,7 +2956,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *RowExpectation) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *RowPrecondition) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 2
 	// write "b"
 	err = en.Append(0x82, 0xa1, 0x62)
@@ -2982,7 +2982,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *RowExpectation) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RowPrecondition) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "b"
@@ -3003,7 +3003,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *RowExpectation) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RowPrecondition) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3045,7 +3045,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *RowExpectation) Msgsize() (s int) {
+func (z *RowPrecondition) Msgsize() (s int) {
 	s = 1 + 2 + z.Backend.Msgsize() + 2 + z.Version.Msgsize()
 	return
 }
--- a/internal/changelog/changelog_bench_test.go
+++ b/internal/changelog/changelog_bench_test.go
@@ -37,8 +37,8 @@
 				number++
 				weight := uint32(number % table.MaxWeight)
 				change := changelog.Change{
-					ID: changelog.ChangeID(fmt.Sprintf("change-%d", number)), Base: state.Version(),
-					Who: "operator", Why: "benchmark", Cells: weightOf(1, weight),
+					ID: changelog.ChangeID(fmt.Sprintf("change-%d", number)), BaseVersion: state.Version(),
+					Author: "operator", Reason: "benchmark", Cells: weightOf(1, weight),
 				}
 				if outcome := state.Apply(&change); !outcome.Accepted {
 					b.Fatal(outcome.Refusal)
@@ -59,7 +59,7 @@
 				revision++
 				current.Backends[0].Weight = uint32(revision % table.MaxWeight)
 				change := changelog.Change{
-					ID: changelog.ChangeID(fmt.Sprintf("revision-%d", revision)), Base: state.Version(),
+					ID: changelog.ChangeID(fmt.Sprintf("revision-%d", revision)), BaseVersion: state.Version(),
 					Import: &changelog.Import{
 						Revision: revision, Services: current.Services, Backends: current.Backends,
 					},
@@ -80,8 +80,8 @@
 			state := largeState(b, rows)
 			for number := range changelog.DefaultLimits().Outcomes + 1 {
 				change := changelog.Change{
-					ID: changelog.ChangeID(fmt.Sprintf("change-%d", number)), Base: state.Version(),
-					Who: "operator", Why: "benchmark", Cells: weightOf(1, uint32(number)),
+					ID: changelog.ChangeID(fmt.Sprintf("change-%d", number)), BaseVersion: state.Version(),
+					Author: "operator", Reason: "benchmark", Cells: weightOf(1, uint32(number)),
 				}
 				state.Apply(&change)
 			}
--- a/internal/changelog/importing_test.go
+++ b/internal/changelog/import_test.go
@@ -12,7 +12,7 @@
 	var state *changelog.State
 
 	apply := func(change changelog.Change) changelog.Outcome {
-		change.Base = state.Version()
+		change.BaseVersion = state.Version()
 		return state.Apply(&change)
 	}
 
--- a/internal/changelog/following.go
+++ b/internal/changelog/replace_table.go
@@ -7,11 +7,11 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Follow replaces the table by a newer one of the configuration service, which
+// ReplaceTable replaces the table by a newer one of the configuration service, which
 // numbers the versions itself. The record tells who, when and why; its version
 // and cells are filled in. It returns a table.CellError if the table is not newer
 // or not valid, and then changes nothing.
-func (s *State) Follow(record Record, newer *table.Table) error {
+func (s *State) ReplaceTable(record Record, newer *table.Table) error {
 	if newer.Version <= s.Version() {
 		return tableError("version", fmt.Sprintf("version %d is not newer than %d", newer.Version, s.Version()))
 	}
--- a/internal/changelog/following_test.go
+++ b/internal/changelog/replace_table_test.go
@@ -12,7 +12,7 @@
 	var state *changelog.State
 
 	follow := func(version table.Version, rows ...table.Backend) error {
-		return state.Follow(changelog.Record{Who: "platform"}, &table.Table{
+		return state.ReplaceTable(changelog.Record{Author: "platform"}, &table.Table{
 			Version: version, Services: []table.Service{serviceOf(1)}, Backends: rows,
 		})
 	}
@@ -31,7 +31,7 @@
 		Expect(state.RowVersion(2)).To(Equal(table.Version(7)))
 		history := state.History()
 		Expect(history).To(HaveLen(2))
-		Expect(history[1]).To(And(HaveField("Version", table.Version(12)), HaveField("Who", "platform")))
+		Expect(history[1]).To(And(HaveField("Version", table.Version(12)), HaveField("Author", "platform")))
 		Expect(history[1].Cells).To(HaveLen(1))
 		Expect(history[1].Cells[0]).To(And(HaveField("Column", "weight"), HaveField("New", "50")))
 	})
--- a/internal/changelog/snapshot.go
+++ b/internal/changelog/snapshot.go
@@ -29,8 +29,8 @@
 	Imported Import `msg:"imported"`
 	// Outcomes are in the order of application.
 	Outcomes []Outcome `msg:"outcomes"`
-	// Forgotten is the table version up to which outcomes were dropped.
-	Forgotten table.Version `msg:"forgotten"`
+	// OutcomesDroppedThrough is the table version up to which outcomes were dropped.
+	OutcomesDroppedThrough table.Version `msg:"forgotten"`
 	// History is in the order of application.
 	History []Record `msg:"history"`
 }
--- a/internal/changelog/snapshot_gen.go
+++ b/internal/changelog/snapshot_gen.go
@@ -277,9 +277,9 @@
 				}
 			}
 		case "forgotten":
-			err = z.Forgotten.DecodeMsg(dc)
+			err = z.OutcomesDroppedThrough.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Forgotten")
+				err = msgp.WrapError(err, "OutcomesDroppedThrough")
 				return
 			}
 		case "history":
@@ -411,9 +411,9 @@
 	if err != nil {
 		return
 	}
-	err = z.Forgotten.EncodeMsg(en)
+	err = z.OutcomesDroppedThrough.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Forgotten")
+		err = msgp.WrapError(err, "OutcomesDroppedThrough")
 		return
 	}
 	// write "history"
@@ -496,9 +496,9 @@
 	}
 	// string "forgotten"
 	o = append(o, 0xa9, 0x66, 0x6f, 0x72, 0x67, 0x6f, 0x74, 0x74, 0x65, 0x6e)
-	o, err = z.Forgotten.MarshalMsg(o)
+	o, err = z.OutcomesDroppedThrough.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Forgotten")
+		err = msgp.WrapError(err, "OutcomesDroppedThrough")
 		return
 	}
 	// string "history"
@@ -643,9 +643,9 @@
 				}
 			}
 		case "forgotten":
-			bts, err = z.Forgotten.UnmarshalMsg(bts)
+			bts, err = z.OutcomesDroppedThrough.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Forgotten")
+				err = msgp.WrapError(err, "OutcomesDroppedThrough")
 				return
 			}
 		case "history":
@@ -697,7 +697,7 @@
 	for za0003 := range z.Outcomes {
 		s += z.Outcomes[za0003].Msgsize()
 	}
-	s += 10 + z.Forgotten.Msgsize() + 8 + msgp.ArrayHeaderSize
+	s += 10 + z.OutcomesDroppedThrough.Msgsize() + 8 + msgp.ArrayHeaderSize
 	for za0004 := range z.History {
 		s += z.History[za0004].Msgsize()
 	}
--- a/internal/changelog/snapshot_test.go
+++ b/internal/changelog/snapshot_test.go
@@ -16,8 +16,8 @@
 	row := table.BackendID(rapid.IntRange(1, 5).Draw(t, "row"))
 	service := table.ServiceID(rapid.IntRange(1, 3).Draw(t, "service"))
 	change := &changelog.Change{
-		ID:   changelog.ChangeID(fmt.Sprintf("change-%d", rapid.IntRange(max(0, number-5), number).Draw(t, "id"))),
-		Base: version,
+		ID:          changelog.ChangeID(fmt.Sprintf("change-%d", rapid.IntRange(max(0, number-5), number).Draw(t, "id"))),
+		BaseVersion: version,
 	}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
--- a/internal/changelog/state.go
+++ b/internal/changelog/state.go
@@ -90,15 +90,15 @@
 
 // checkChange checks what does not depend on the rows that are changed.
 func (s *State) checkChange(change *Change) error {
-	if len(change.Who) > MaximumTextLength || len(change.Why) > MaximumTextLength {
+	if len(change.Author) > MaximumTextLength || len(change.Reason) > MaximumTextLength {
 		return tableError("change", fmt.Sprintf("author and reason must have at most %d bytes", MaximumTextLength))
 	}
-	if change.Base < s.snapshot.Forgotten {
+	if change.BaseVersion < s.snapshot.OutcomesDroppedThrough {
 		return tableError("version", fmt.Sprintf(
-			"change was made at %d, before the oldest remembered outcome at %d", change.Base, s.snapshot.Forgotten))
+			"change was made at %d, before the oldest remembered outcome at %d", change.BaseVersion, s.snapshot.OutcomesDroppedThrough))
 	}
-	if change.Base > s.Version() {
-		return tableError("version", fmt.Sprintf("change was made at %d, is %d", change.Base, s.Version()))
+	if change.BaseVersion > s.Version() {
+		return tableError("version", fmt.Sprintf("change was made at %d, is %d", change.BaseVersion, s.Version()))
 	}
 	if change.ExpectedVersion != 0 && change.ExpectedVersion != s.Version() {
 		return tableError("version", fmt.Sprintf("expected %d, is %d", change.ExpectedVersion, s.Version()))
@@ -106,7 +106,7 @@
 	return s.checkRows(change.ExpectedRows)
 }
 
-func (s *State) checkRows(expectations []RowExpectation) error {
+func (s *State) checkRows(expectations []RowPrecondition) error {
 	for _, expected := range expectations {
 		if is := s.RowVersion(expected.Backend); is != expected.Version {
 			return table.CellError{
@@ -162,7 +162,7 @@
 	s.touchRows(&before, after)
 	s.record(Record{
 		Version: after.Version, ID: change.ID,
-		Who: change.Who, When: change.When, Why: change.Why, Cells: cells,
+		Author: change.Author, Timestamp: change.Timestamp, Reason: change.Reason, Cells: cells,
 	})
 	outcome := Outcome{ID: change.ID, Accepted: true, Version: after.Version}
 	s.remember(outcome)
@@ -184,7 +184,7 @@
 	s.outcomes[outcome.ID] = outcome
 	for len(s.snapshot.Outcomes) > s.limits.Outcomes {
 		dropped := s.snapshot.Outcomes[0]
-		s.snapshot.Forgotten = dropped.Version
+		s.snapshot.OutcomesDroppedThrough = dropped.Version
 		delete(s.outcomes, dropped.ID)
 		s.snapshot.Outcomes = slices.Delete(s.snapshot.Outcomes, 0, 1)
 	}
--- a/internal/changelog/state_test.go
+++ b/internal/changelog/state_test.go
@@ -43,8 +43,8 @@
 		if change.ID == "" {
 			change.ID = changelog.ChangeID(fmt.Sprintf("change-%d", count))
 		}
-		change.Base = state.Version()
-		change.Who, change.Why = "operator", "test"
+		change.BaseVersion = state.Version()
+		change.Author, change.Reason = "operator", "test"
 		return state.Apply(&change)
 	}
 
@@ -96,7 +96,7 @@
 		Entry("service with rows", changelog.Change{RemoveServices: []table.ServiceID{1}}, "row-1", "service"),
 		Entry("unknown service", changelog.Change{RemoveServices: []table.ServiceID{5}}, "(5)", "id"),
 		Entry("table version", changelog.Change{ExpectedVersion: 1}, "table", "version"),
-		Entry("row version", changelog.Change{ExpectedRows: []changelog.RowExpectation{{Backend: 2, Version: 1}}}, "row-2", "version"),
+		Entry("row version", changelog.Change{ExpectedRows: []changelog.RowPrecondition{{Backend: 2, Version: 1}}}, "row-2", "version"),
 	)
 
 	It("does not use a removed service's identifier again", func() {
@@ -118,7 +118,7 @@
 	It("compares a row's version and not that of other rows", func() {
 		seen := state.RowVersion(1)
 		apply(changelog.Change{Cells: weightOf(2, 20)})
-		expected := []changelog.RowExpectation{{Backend: 1, Version: seen}}
+		expected := []changelog.RowPrecondition{{Backend: 1, Version: seen}}
 		Expect(apply(changelog.Change{ExpectedRows: expected, Cells: weightOf(1, 30)}).Accepted).To(BeTrue())
 		Expect(apply(changelog.Change{ExpectedRows: expected, Cells: weightOf(1, 40)}).Accepted).To(BeFalse())
 		Expect(row(1).Weight).To(Equal(uint32(30)))
@@ -134,7 +134,7 @@
 	It("refuses a repeat whose outcome is forgotten", func() {
 		state = changelog.NewState(changelog.Limits{Outcomes: 3, History: 3})
 		apply(changelog.Change{AddServices: []table.Service{serviceOf(1)}, AddBackends: []table.Backend{rowOf(1, 1)}})
-		repeated := changelog.Change{ID: "repeated", Base: state.Version(), Cells: weightOf(1, 20)}
+		repeated := changelog.Change{ID: "repeated", BaseVersion: state.Version(), Cells: weightOf(1, 20)}
 		Expect(state.Apply(&repeated).Accepted).To(BeTrue())
 		for weight := range uint32(5) {
 			apply(changelog.Change{Cells: weightOf(1, 30+weight)})
@@ -147,10 +147,10 @@
 	})
 
 	It("records who changed which cell, when and why", func() {
-		apply(changelog.Change{ID: "noted", When: 5, Cells: weightOf(1, 20)})
+		apply(changelog.Change{ID: "noted", Timestamp: 5, Cells: weightOf(1, 20)})
 		history := state.History()
 		Expect(history[len(history)-1]).To(Equal(changelog.Record{
-			Version: 2, ID: "noted", Who: "operator", When: 5, Why: "test",
+			Version: 2, ID: "noted", Author: "operator", Timestamp: 5, Reason: "test",
 			Cells: []changelog.CellChange{{Row: `back end "row-1" (1)`, Column: "weight", Old: "10", New: "20"}},
 		}))
 	})
--- a/internal/changelog/zone_test.go
+++ b/internal/changelog/zone_test.go
@@ -17,7 +17,7 @@
 		if change.ID == "" {
 			change.ID = changelog.ChangeID(rune('A' + number))
 		}
-		change.Base = state.Version()
+		change.BaseVersion = state.Version()
 		return state.Apply(&change)
 	}
 	inZone := func(id table.BackendID, zone string) table.Backend {
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -80,7 +80,7 @@
 	if len(answer.State) == 0 {
 		return 0, errNothing
 	}
-	if err := n.store.Install(answer.State); err != nil {
+	if err := n.store.InstallSnapshot(answer.State); err != nil {
 		return 0, err
 	}
 	return n.store.version(), nil
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -127,9 +127,9 @@
 
 func (n *Node) newStore() {
 	n.store = &Store{node: n, LogStore: adminapi.NewLogStore(adminapi.LogStoreConfig{
-		Limits:  n.config.Limits,
-		Fleet:   n,
-		Changed: n.config.OnTable,
+		Limits:   n.config.Limits,
+		Members:  n,
+		OnChange: n.config.OnTable,
 	})}
 }
 
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -42,9 +42,9 @@
 		Expect(err).To(MatchError(ContainSubstring("service")))
 
 		By("showing the members and where the table is in force")
-		Eventually(func() bool { return nodes[2].Store().Reached(12).Complete() }, patience).Should(BeTrue())
-		Expect(nodes[2].Store().Reached(12).Reached).To(Equal(5))
-		Expect(nodes[2].Store().Reached(13)).To(And(HaveField("Accepted", false), HaveField("NotReached", HaveLen(5))))
+		Eventually(func() bool { return nodes[2].Store().VersionStatus(12).Complete() }, patience).Should(BeTrue())
+		Expect(nodes[2].Store().VersionStatus(12).Reached).To(Equal(5))
+		Expect(nodes[2].Store().VersionStatus(13)).To(And(HaveField("Accepted", false), HaveField("NotReached", HaveLen(5))))
 		nodes[2].SetMachines([]cluster.MachineName{{Address: nodes[0].Address().Addr(), Name: "first"}})
 		members := nodes[2].Store().Members()
 		Expect(members).To(HaveLen(5))
@@ -60,14 +60,14 @@
 		nodes[3].stop()
 		late := started.start(5)
 		expectInForce([]*node{late}, 12)
-		Expect(late.Store().History()).To(ContainElement(HaveField("Why", "version 12 of the configuration service")))
+		Expect(late.Store().History()).To(ContainElement(HaveField("Reason", "version 12 of the configuration service")))
 	})
 
 	It("refuses changes, and shows what one would do", func() {
 		alone := newFleet(1).start(0)
 		alone.follow(tableOf(4, 1))
 		weight := uint32(9)
-		change := &changelog.Change{ID: "c1", Base: 4, Cells: []changelog.CellUpdate{{Backend: 1, Weight: &weight}}}
+		change := &changelog.Change{ID: "c1", BaseVersion: 4, Cells: []changelog.CellUpdate{{Backend: 1, Weight: &weight}}}
 		submitted := alone.Store().Submit(context.Background(), change)
 		Expect(submitted.Decided).To(BeTrue())
 		Expect(submitted.Outcome.Accepted).To(BeFalse())
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -34,12 +34,12 @@
 		return false, nil
 	}
 	record := changelog.Record{
-		ID:   changelog.ChangeID(fmt.Sprintf("platform-version-%d", newer.Version)),
-		Who:  serviceAuthor,
-		When: time.Now().UnixNano(),
-		Why:  fmt.Sprintf("version %d of the configuration service", newer.Version),
+		ID:        changelog.ChangeID(fmt.Sprintf("platform-version-%d", newer.Version)),
+		Author:    serviceAuthor,
+		Timestamp: time.Now().UnixNano(),
+		Reason:    fmt.Sprintf("version %d of the configuration service", newer.Version),
 	}
-	if err := s.Follow(record, newer); err != nil {
+	if err := s.ReplaceTable(record, newer); err != nil {
 		return false, err
 	}
 	return true, nil
@@ -49,9 +49,9 @@
 func (s *Store) version() table.Version { return s.Table().Table.Version }
 
 // Submit implements adminapi.Store: it refuses every change.
-func (s *Store) Submit(_ context.Context, change *changelog.Change) adminapi.Submission {
+func (s *Store) Submit(_ context.Context, change *changelog.Change) adminapi.SubmitResult {
 	refusal := changelog.Refusal{Row: "table", Column: "change", Rule: readOnly}
-	return adminapi.Submission{
+	return adminapi.SubmitResult{
 		Decided: true,
 		Outcome: changelog.Outcome{ID: change.ID, Version: s.version(), Refusal: &refusal},
 	}
@@ -63,8 +63,8 @@
 
 // Reached implements adminapi.Store by a survey of the daemons that run. Of a
 // zone with many members behind, only some are named.
-func (s *Store) Reached(version table.Version) adminapi.ReachAnswer {
-	answer := adminapi.ReachAnswer{Version: version, NotReached: []string{}}
+func (s *Store) VersionStatus(version table.Version) adminapi.VersionStatusResponse {
+	answer := adminapi.VersionStatusResponse{Version: version, NotReached: []string{}}
 	answer.Accepted = version != 0 && version <= s.version()
 	surveyed, done := s.node.survey(version)
 	if !done {
--- a/internal/daemon/administration.go
+++ b/internal/daemon/administration.go
@@ -36,25 +36,25 @@
 // newAdministration opens the files and the listener of the API for a store.
 func newAdministration(shared parts, store adminapi.Store) (*administration, error) {
 	configured := shared.settings.API
-	tokens, err := tenant.OpenFile(configured.Tokens)
+	tokens, err := tenant.OpenTokenFile(configured.Tokens)
 	if err != nil {
 		return nil, err
 	}
 	certificates, err := tlsfiles.Open(tlsfiles.Files{
 		Certificate: configured.Certificate,
 		Key:         configured.Key,
-		Authority:   configured.ClientAuthority,
+		CA:          configured.ClientAuthority,
 	}, time.Now())
 	if err != nil {
 		return nil, err
 	}
 	server, err := adminapi.NewServer(adminapi.ServerConfig{
 		Listen: configured.Listen,
-		TLS:    certificates.Server(),
+		TLS:    certificates.ServerConfig(),
 		Handler: adminapi.NewHandler(adminapi.HandlerConfig{
-			Store:    store,
-			Gate:     tokens.Gate(),
-			Requests: newAPIRequests(shared),
+			Store:     store,
+			Admission: tokens.AdmissionController(),
+			Requests:  newAPIRequests(shared),
 		}),
 	})
 	if err != nil {
--- a/internal/daemon/administration_test.go
+++ b/internal/daemon/administration_test.go
@@ -93,13 +93,13 @@
 		By("putting a change in force")
 		weight, base := uint32(77), table.Version(1)
 		answer, err := balancer.client(firstToken).Change(ctx, adminapi.ChangeRequest{
-			Header: adminapi.Header{ID: "c1", Reason: "more", BaseVersion: &base},
-			Parts:  adminapi.Parts{SetCells: []adminapi.CellUpdate{{Backend: 9, Weight: &weight}}},
+			ChangeMetadata: adminapi.ChangeMetadata{ID: "c1", Reason: "more", BaseVersion: &base},
+			Operations:     adminapi.Operations{SetCells: []adminapi.CellUpdate{{Backend: 9, Weight: &weight}}},
 		})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer).To(Equal(adminapi.ChangeAnswer{ID: "c1", Outcome: adminapi.Accepted, Version: 2}))
-		Expect(balancer.client(firstToken).Reached(ctx, 2)).To(Equal(
-			adminapi.ReachAnswer{Version: 2, Accepted: true, Reached: 1, NotReached: []string{}}))
+		Expect(answer).To(Equal(adminapi.ChangeResponse{ID: "c1", Outcome: adminapi.Accepted, Version: 2}))
+		Expect(balancer.client(firstToken).VersionStatus(ctx, 2)).To(Equal(
+			adminapi.VersionStatusResponse{Version: 2, Accepted: true, Reached: 1, NotReached: []string{}}))
 		Expect(balancer.metrics()).To(And(
 			ContainSubstring("\nvanetiller_table_version 2\n"),
 			ContainSubstring(`vanetiller_api_requests_total{operation="POST /v1/changes",status="200"} 1`)))
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -75,8 +75,8 @@
 		By("refusing a change and showing what it would do")
 		weight, base := uint32(77), table.Version(5)
 		request := adminapi.ChangeRequest{
-			Header: adminapi.Header{ID: "c1", Reason: "more", BaseVersion: &base},
-			Parts:  adminapi.Parts{SetCells: []adminapi.CellUpdate{{Backend: 9, Weight: &weight}}},
+			ChangeMetadata: adminapi.ChangeMetadata{ID: "c1", Reason: "more", BaseVersion: &base},
+			Operations:     adminapi.Operations{SetCells: []adminapi.CellUpdate{{Backend: 9, Weight: &weight}}},
 		}
 		answer, err := balancers[1].client(firstToken).Change(ctx, request)
 		Expect(err).NotTo(HaveOccurred())
@@ -92,9 +92,9 @@
 		By("following the service, and never going back")
 		reached.publish(3, tableOf(6, 20))
 		expectInForce(6, 20)
-		Eventually(func() (adminapi.ReachAnswer, error) {
-			return balancers[1].client(firstToken).Reached(ctx, 6)
-		}, generous).Should(Equal(adminapi.ReachAnswer{Version: 6, Accepted: true, Reached: 3, NotReached: []string{}}))
+		Eventually(func() (adminapi.VersionStatusResponse, error) {
+			return balancers[1].client(firstToken).VersionStatus(ctx, 6)
+		}, generous).Should(Equal(adminapi.VersionStatusResponse{Version: 6, Accepted: true, Reached: 3, NotReached: []string{}}))
 		cut.publish(1, tableOf(4, 1))
 		Eventually(balancers[2].metrics, generous).Should(
 			ContainSubstring(`vanetiller_platform_polls_total{outcome="new",service="configuration"} 1`))
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -50,7 +50,7 @@
 	case shared.settings.API != nil:
 		member := adminapi.NewSingleMember(shared.settings.Name, shared.settings.Zone)
 		created.store = adminapi.NewSingleReplicaStore(changelog.DefaultLimits(), member, served.Publish)
-		created.inForce = member.SetInForce
+		created.inForce = member.SetActiveVersion
 		shared.logger.Warn("table changes are held by this process alone and end with it")
 	}
 	return created, nil
@@ -74,11 +74,11 @@
 func (s *tableSource) importRevision(ctx context.Context, configuration platform.Configuration) {
 	revision := uint64(configuration.Revision)
 	submitted := s.store.Submit(ctx, &changelog.Change{
-		ID:   changelog.ChangeID(fmt.Sprintf("platform-revision-%d", revision)),
-		Base: s.store.Table().Table.Version,
-		Who:  platformAuthor,
-		When: time.Now().UnixNano(),
-		Why:  fmt.Sprintf("revision %d of the configuration service", revision),
+		ID:          changelog.ChangeID(fmt.Sprintf("platform-revision-%d", revision)),
+		BaseVersion: s.store.Table().Table.Version,
+		Author:      platformAuthor,
+		Timestamp:   time.Now().UnixNano(),
+		Reason:      fmt.Sprintf("revision %d of the configuration service", revision),
 		Import: &changelog.Import{
 			Revision: changelog.Revision(revision),
 			Services: configuration.Table.Services,
--- a/internal/tenant/gate.go
+++ b/internal/tenant/admission.go
@@ -19,8 +19,8 @@
 	Admitted Verdict = iota
 	// Unauthenticated: the token is missing, unknown or expired.
 	Unauthenticated
-	// RateExceeded: the team has asked too often.
-	RateExceeded
+	// RateLimited: the team has asked too often.
+	RateLimited
 )
 
 // Admission is a Verdict with what belongs to it.
@@ -33,23 +33,23 @@
 	RetryAfter time.Duration
 }
 
-// Gate decides on requests. It is safe for concurrent use.
-type Gate struct {
+// AdmissionController decides on requests. It is safe for concurrent use.
+type AdmissionController struct {
 	mutex     sync.Mutex
-	directory *Directory
+	directory *Credentials
 	limiters  map[Team]*rate.Limiter
 }
 
-// NewGate returns a gate that admits the holders in a directory.
-func NewGate(directory *Directory) *Gate {
-	gate := &Gate{limiters: make(map[Team]*rate.Limiter)}
+// NewAdmissionController returns a gate that admits the holders in a directory.
+func NewAdmissionController(directory *Credentials) *AdmissionController {
+	gate := &AdmissionController{limiters: make(map[Team]*rate.Limiter)}
 	gate.Replace(directory, time.Time{})
 	return gate
 }
 
 // Replace makes another directory count from now on. A team that keeps its
 // limits keeps what it has used of them.
-func (g *Gate) Replace(directory *Directory, now time.Time) {
+func (g *AdmissionController) Replace(directory *Credentials, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.directory = directory
@@ -70,7 +70,7 @@
 }
 
 // Admit decides on one request at a time.
-func (g *Gate) Admit(token Token, now time.Time) Admission {
+func (g *AdmissionController) Admit(token Token, now time.Time) Admission {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	principal, known := g.directory.Authenticate(token, now)
@@ -80,7 +80,7 @@
 	reservation := g.limiters[principal.Team].ReserveN(now, 1)
 	if delay := reservation.DelayFrom(now); delay > 0 {
 		reservation.CancelAt(now)
-		return Admission{Verdict: RateExceeded, RetryAfter: delay}
+		return Admission{Verdict: RateLimited, RetryAfter: delay}
 	}
 	return Admission{Verdict: Admitted, Principal: principal}
 }
--- a/internal/tenant/directory.go
+++ b/internal/tenant/credentials.go
@@ -45,8 +45,8 @@
 	expires time.Time
 }
 
-// Directory is the checked content of a tokens file. It is never changed.
-type Directory struct {
+// Credentials is the checked content of a tokens file. It is never changed.
+type Credentials struct {
 	holders map[Hash]holder
 	limits  map[Team]Limits
 }
@@ -100,7 +100,7 @@
 // Encode returns the entry as it stands in a tokens file. It fails with an
 // Error if the entry breaks a rule; that the team exists is not checked.
 func (e TokenEntry) Encode() (string, error) {
-	trial := &Directory{
+	trial := &Credentials{
 		holders: make(map[Hash]holder),
 		limits:  map[Team]Limits{"": DefaultLimits(), e.Team: DefaultLimits()},
 	}
@@ -113,16 +113,16 @@
 	return string(encoded), errors.Wrap(err, "tokens")
 }
 
-// ParseDirectory checks the content of a tokens file; file is the name used in
+// ParseCredentials checks the content of a tokens file; file is the name used in
 // errors. It returns an Error for the first broken rule.
-func ParseDirectory(file string, data []byte) (*Directory, error) {
+func ParseCredentials(file string, data []byte) (*Credentials, error) {
 	var raw document
 	decoder := toml.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&raw); err != nil {
 		return nil, syntaxError(file, err)
 	}
-	directory := &Directory{
+	directory := &Credentials{
 		holders: make(map[Hash]holder, len(raw.Tokens)),
 		limits:  map[Team]Limits{"": DefaultLimits()},
 	}
@@ -165,7 +165,7 @@
 	return Error{File: file, Rule: err.Error()}
 }
 
-func (d *Directory) addTeam(entry teamEntry) error {
+func (d *Credentials) addTeam(entry teamEntry) error {
 	broken := func(key, rule string, arguments ...any) error {
 		return Error{Entry: fmt.Sprintf("team %q", entry.Name), Key: key, Rule: fmt.Sprintf(rule, arguments...)}
 	}
@@ -202,7 +202,7 @@
 	return nil
 }
 
-func (d *Directory) addToken(entry TokenEntry, names map[string]bool) error {
+func (d *Credentials) addToken(entry TokenEntry, names map[string]bool) error {
 	broken := func(key, rule string, arguments ...any) error {
 		return Error{Entry: fmt.Sprintf("token %q", entry.Name), Key: key, Rule: fmt.Sprintf(rule, arguments...)}
 	}
@@ -245,7 +245,7 @@
 
 // Authenticate returns the holder of a token, if the token is known and has
 // not expired.
-func (d *Directory) Authenticate(token Token, now time.Time) (Principal, bool) {
+func (d *Credentials) Authenticate(token Token, now time.Time) (Principal, bool) {
 	found, known := d.holders[token.Hash()]
 	if !known || !found.expires.IsZero() && !now.Before(found.expires) {
 		return Principal{}, false
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -47,21 +47,21 @@
 	RequestSize int64
 }
 
-// Sees reports whether the principal may see a service.
-func (p Principal) Sees(service table.Service) bool {
+// CanView reports whether the principal may see a service.
+func (p Principal) CanView(service table.Service) bool {
 	return p.Role == RoleAdministrator || p.Team != "" && service.Owner == string(p.Team)
 }
 
-// View returns the part of a table that the principal may see, at the same
+// VisibleTable returns the part of a table that the principal may see, at the same
 // version.
-func (p Principal) View(whole *table.Table) *table.Table {
+func (p Principal) VisibleTable(whole *table.Table) *table.Table {
 	if p.Role == RoleAdministrator {
 		return whole
 	}
 	owned := make(map[table.ServiceID]bool)
 	part := &table.Table{Version: whole.Version}
 	for _, service := range whole.Services {
-		if p.Sees(service) {
+		if p.CanView(service) {
 			owned[service.ID] = true
 			part.Services = append(part.Services, service)
 		}
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -56,8 +56,8 @@
 
 var start = time.Date(2029, 6, 1, 0, 0, 0, 0, time.UTC)
 
-func parse(text string) *tenant.Directory {
-	parsed, err := tenant.ParseDirectory("tokens.toml", []byte(text))
+func parse(text string) *tenant.Credentials {
+	parsed, err := tenant.ParseCredentials("tokens.toml", []byte(text))
 	Expect(err).NotTo(HaveOccurred())
 	return parsed
 }
@@ -89,7 +89,7 @@
 	DescribeTable("reports a broken rule",
 		func(old, replacement, expected string) {
 			Expect(strings.Count(tokensFile, old)).To(Equal(1))
-			_, err := tenant.ParseDirectory("t.toml", []byte(strings.Replace(tokensFile, old, replacement, 1)))
+			_, err := tenant.ParseCredentials("t.toml", []byte(strings.Replace(tokensFile, old, replacement, 1)))
 			Expect(err).To(BeAssignableToTypeOf(tenant.Error{}))
 			Expect(err.Error()).To(HavePrefix(expected))
 		},
@@ -124,13 +124,13 @@
 	}
 
 	It("sees the rows of its team only", func() {
-		view := tenant.Principal{Role: tenant.RoleEditor, Team: "sawt"}.View(whole)
+		view := tenant.Principal{Role: tenant.RoleEditor, Team: "sawt"}.VisibleTable(whole)
 		Expect(*view).To(Equal(table.Table{Version: 4, Services: whole.Services[1:2], Backends: whole.Backends[1:2]}))
 	})
 
 	It("sees every row as an administrator and none without a team", func() {
-		Expect(tenant.Principal{Role: tenant.RoleAdministrator}.View(whole)).To(Equal(whole))
-		Expect(tenant.Principal{Role: tenant.RoleViewer}.View(whole).Services).To(BeEmpty())
+		Expect(tenant.Principal{Role: tenant.RoleAdministrator}.VisibleTable(whole)).To(Equal(whole))
+		Expect(tenant.Principal{Role: tenant.RoleViewer}.VisibleTable(whole).Services).To(BeEmpty())
 	})
 
 	It("orders the roles", func() {
@@ -143,21 +143,21 @@
 
 var _ = Describe("Gate", func() {
 	It("holds each team to its own rate and says when to come again", func() {
-		gate := tenant.NewGate(parse(tokensFile))
+		gate := tenant.NewAdmissionController(parse(tokensFile))
 		for range 3 {
 			Expect(gate.Admit(annaToken, start).Verdict).To(Equal(tenant.Admitted))
 		}
 		for range 10 {
 			Expect(gate.Admit(annaToken, start)).To(Equal(
-				tenant.Admission{Verdict: tenant.RateExceeded, RetryAfter: 500 * time.Millisecond}))
+				tenant.Admission{Verdict: tenant.RateLimited, RetryAfter: 500 * time.Millisecond}))
 		}
 		Expect(gate.Admit(omarToken, start).Verdict).To(Equal(tenant.Admitted))
-		Expect(gate.Admit(annaToken, start.Add(499*time.Millisecond)).Verdict).To(Equal(tenant.RateExceeded))
+		Expect(gate.Admit(annaToken, start.Add(499*time.Millisecond)).Verdict).To(Equal(tenant.RateLimited))
 		Expect(gate.Admit(annaToken, start.Add(500*time.Millisecond)).Verdict).To(Equal(tenant.Admitted))
 	})
 
 	It("does not count unknown tokens against anyone", func() {
-		gate := tenant.NewGate(parse(tokensFile))
+		gate := tenant.NewAdmissionController(parse(tokensFile))
 		for range 100 {
 			Expect(gate.Admit("guess", start).Verdict).To(Equal(tenant.Unauthenticated))
 		}
@@ -170,10 +170,10 @@
 		path := filepath.Join(GinkgoT().TempDir(), "tokens.toml")
 		write := func(text string) { Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed()) }
 		write(tokensFile)
-		file, err := tenant.OpenFile(path)
+		file, err := tenant.OpenTokenFile(path)
 		Expect(err).NotTo(HaveOccurred())
 		for range 3 {
-			Expect(file.Gate().Admit(annaToken, start).Verdict).To(Equal(tenant.Admitted))
+			Expect(file.AdmissionController().Admit(annaToken, start).Verdict).To(Equal(tenant.Admitted))
 		}
 		changed, err := file.Reload(start)
 		Expect(changed).To(BeFalse())
@@ -183,25 +183,25 @@
 		write("token = 1")
 		_, err = file.Reload(start)
 		Expect(err).To(BeAssignableToTypeOf(tenant.Error{}))
-		Expect(file.Gate().Admit(omarToken, start).Verdict).To(Equal(tenant.Admitted))
+		Expect(file.AdmissionController().Admit(omarToken, start).Verdict).To(Equal(tenant.Admitted))
 
 		By("dropping a token and a team, without giving the others a new burst")
 		withoutOmar := tokensFile[:strings.Index(tokensFile, "[[team]]\nname = \"sawt\"")] +
 			tokensFile[strings.Index(tokensFile, "[[token]]\nname = \"anna\""):strings.Index(tokensFile, "[[token]]\nname = \"omar\"")]
 		write(withoutOmar)
 		Expect(file.Reload(start)).To(BeTrue())
-		Expect(file.Gate().Admit(omarToken, start).Verdict).To(Equal(tenant.Unauthenticated))
-		Expect(file.Gate().Admit(annaToken, start).Verdict).To(Equal(tenant.RateExceeded))
+		Expect(file.AdmissionController().Admit(omarToken, start).Verdict).To(Equal(tenant.Unauthenticated))
+		Expect(file.AdmissionController().Admit(annaToken, start).Verdict).To(Equal(tenant.RateLimited))
 
 		By("keeping the content of a file that is gone")
 		Expect(os.Remove(path)).To(Succeed())
 		_, err = file.Reload(start)
 		Expect(err).To(MatchError(os.ErrNotExist))
-		Expect(file.Gate().Admit(annaToken, start.Add(time.Second)).Verdict).To(Equal(tenant.Admitted))
+		Expect(file.AdmissionController().Admit(annaToken, start.Add(time.Second)).Verdict).To(Equal(tenant.Admitted))
 	})
 
 	It("reports a file that cannot be read", func() {
-		_, err := tenant.OpenFile(filepath.Join(GinkgoT().TempDir(), "absent.toml"))
+		_, err := tenant.OpenTokenFile(filepath.Join(GinkgoT().TempDir(), "absent.toml"))
 		Expect(err).To(MatchError(os.ErrNotExist))
 	})
 })
--- a/internal/tenant/file.go
+++ b/internal/tenant/tokenfile.go
@@ -10,35 +10,35 @@
 	"github.com/pkg/errors"
 )
 
-// File keeps a Gate in step with a tokens file. It is not safe for concurrent
+// TokenFile keeps a Gate in step with a tokens file. It is not safe for concurrent
 // use; its gate is.
-type File struct {
+type TokenFile struct {
 	path    string
 	content []byte
-	gate    *Gate
+	gate    *AdmissionController
 }
 
-// OpenFile reads and checks a tokens file. It returns an Error if a rule of it
+// OpenTokenFile reads and checks a tokens file. It returns an Error if a rule of it
 // is broken; any other error tells why it cannot be read.
-func OpenFile(path string) (*File, error) {
+func OpenTokenFile(path string) (*TokenFile, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "tokens")
 	}
-	directory, err := ParseDirectory(path, content)
+	directory, err := ParseCredentials(path, content)
 	if err != nil {
 		return nil, err
 	}
-	return &File{path: path, content: content, gate: NewGate(directory)}, nil
+	return &TokenFile{path: path, content: content, gate: NewAdmissionController(directory)}, nil
 }
 
-// Gate returns the gate that the file decides for.
-func (f *File) Gate() *Gate { return f.gate }
+// AdmissionController returns the gate that the file decides for.
+func (f *TokenFile) AdmissionController() *AdmissionController { return f.gate }
 
 // Reload reads the file again and reports whether other content came into
 // force. If the file cannot be read or breaks a rule, what counted before
 // goes on counting.
-func (f *File) Reload(now time.Time) (changed bool, err error) {
+func (f *TokenFile) Reload(now time.Time) (changed bool, err error) {
 	content, err := os.ReadFile(f.path)
 	if err != nil {
 		return false, errors.Wrap(err, "tokens")
@@ -46,7 +46,7 @@
 	if bytes.Equal(content, f.content) {
 		return false, nil
 	}
-	directory, err := ParseDirectory(f.path, content)
+	directory, err := ParseCredentials(f.path, content)
 	if err != nil {
 		return false, err
 	}
--- a/internal/tlsfiles/check.go
+++ b/internal/tlsfiles/check.go
@@ -29,7 +29,7 @@
 		return material{}, Error{files.Key, KeyMismatch, err.Error()}
 	}
 	pair.Leaf = chain[0]
-	authority, err := parseAuthority(files.Authority, read.authority, now)
+	authority, err := parseAuthority(files.CA, read.authority, now)
 	if err != nil {
 		return material{}, err
 	}
@@ -47,7 +47,7 @@
 	pool := x509.NewCertPool()
 	for _, certificate := range certificates {
 		if !certificate.IsCA {
-			return nil, Error{path, NotAuthority, certificate.Subject.String()}
+			return nil, Error{path, NotCA, certificate.Subject.String()}
 		}
 		if err := checkValidity(path, certificate, now); err != nil {
 			return nil, err
@@ -85,11 +85,11 @@
 	return nil
 }
 
-// LoadAuthority reads a file with the certificates of authorities, for a
+// LoadCAPool reads a file with the certificates of authorities, for a
 // caller that has no certificate of its own. It returns an Error for the first
 // problem.
-func LoadAuthority(path string, now time.Time) (*x509.CertPool, error) {
-	read, err := readFiles(Files{Authority: path})
+func LoadCAPool(path string, now time.Time) (*x509.CertPool, error) {
+	read, err := readFiles(Files{CA: path})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -24,10 +24,10 @@
 	Certificate string
 	// Key holds the private key that belongs to the certificate.
 	Key string
-	// Authority holds the certificates that sign those of the other side.
+	// CA holds the certificates that sign those of the other side.
 	// Empty means that no certificate is asked of clients, and that servers
 	// are checked against the authorities of the system.
-	Authority string
+	CA string
 }
 
 // Problem tells what is wrong with a file.
@@ -35,12 +35,12 @@
 
 // The problems of files.
 const (
-	Unreadable   Problem = "cannot be read"
-	NotPEM       Problem = "holds no certificate or key in PEM form"
-	KeyMismatch  Problem = "does not belong to the certificate"
-	Expired      Problem = "has expired"
-	NotYetValid  Problem = "is not valid yet"
-	NotAuthority Problem = "holds a certificate that may not sign others"
+	Unreadable  Problem = "cannot be read"
+	NotPEM      Problem = "holds no certificate or key in PEM form"
+	KeyMismatch Problem = "does not belong to the certificate"
+	Expired     Problem = "has expired"
+	NotYetValid Problem = "is not valid yet"
+	NotCA       Problem = "holds a certificate that may not sign others"
 )
 
 // Error names a file and what is wrong with it.
@@ -79,9 +79,9 @@
 	authority   *x509.CertPool
 }
 
-// Source provides TLS configurations with the content of files. It is safe for
+// Reloader provides TLS configurations with the content of files. It is safe for
 // concurrent use.
-type Source struct {
+type Reloader struct {
 	files Files
 
 	mutex   sync.Mutex
@@ -91,8 +91,8 @@
 
 // Open reads and checks the files; now is compared with the validity of the
 // certificates. It returns an Error for the first problem.
-func Open(files Files, now time.Time) (*Source, error) {
-	source := &Source{files: files}
+func Open(files Files, now time.Time) (*Reloader, error) {
+	source := &Reloader{files: files}
 	if _, err := source.Reload(now); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 
 // Reload reads the files again and reports whether other content came into
 // force. After an Error, what counted before goes on counting.
-func (s *Source) Reload(now time.Time) (changed bool, err error) {
+func (s *Reloader) Reload(now time.Time) (changed bool, err error) {
 	read, err := readFiles(s.files)
 	if err != nil {
 		return false, err
@@ -121,18 +121,18 @@
 }
 
 // Expires returns the end of the validity of the certificate in force.
-func (s *Source) Expires() time.Time { return s.material().certificate.Leaf.NotAfter }
+func (s *Reloader) Expires() time.Time { return s.material().certificate.Leaf.NotAfter }
 
-func (s *Source) material() material {
+func (s *Reloader) material() material {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.current
 }
 
-// Server returns the configuration of a listener. Each connection uses the
+// ServerConfig returns the configuration of a listener. Each connection uses the
 // content of the moment. With an authority, clients must have a certificate of
 // it.
-func (s *Source) Server(protocols ...string) *tls.Config {
+func (s *Reloader) ServerConfig(protocols ...string) *tls.Config {
 	protocols = slices.Clone(protocols)
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -156,11 +156,11 @@
 	return config
 }
 
-// Client returns the configuration of one connection to a server whose
+// ClientConfig returns the configuration of one connection to a server whose
 // certificate must bear the name. It has the content of the moment: ask for it
 // again for each connection. Between processes of a fleet, both sides use a
 // Source with an authority, so that each proves itself to the other.
-func (s *Source) Client(serverName string) *tls.Config {
+func (s *Reloader) ClientConfig(serverName string) *tls.Config {
 	current := s.material()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -178,7 +178,7 @@
 	}{
 		{files.Certificate, &read.certificate},
 		{files.Key, &read.key},
-		{files.Authority, &read.authority},
+		{files.CA, &read.authority},
 	}
 	for _, file := range wanted {
 		if file.path == "" {
--- a/internal/tlsfiles/tlsfiles_test.go
+++ b/internal/tlsfiles/tlsfiles_test.go
@@ -84,7 +84,7 @@
 	return tlsfiles.Files{
 		Certificate: filepath.Join(directory, "certificate.pem"),
 		Key:         filepath.Join(directory, "key.pem"),
-		Authority:   filepath.Join(directory, "authority.pem"),
+		CA:          filepath.Join(directory, "authority.pem"),
 	}
 }
 
@@ -136,29 +136,29 @@
 		authority := newIssuer(begin)
 		files := newFiles()
 		writePair(files, authority.issue(2, begin))
-		write(files.Authority, authority.pem())
+		write(files.CA, authority.pem())
 		source, err := tlsfiles.Open(files, now)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = handshake(source.Server(), source.Client(serverName))
+		_, err = handshake(source.ServerConfig(), source.ClientConfig(serverName))
 		Expect(err).NotTo(HaveOccurred())
 
 		By("refusing a client without a certificate")
-		anonymous := source.Client(serverName)
+		anonymous := source.ClientConfig(serverName)
 		anonymous.Certificates = nil
-		_, err = handshake(source.Server(), anonymous)
+		_, err = handshake(source.ServerConfig(), anonymous)
 		Expect(err).To(HaveOccurred())
 
 		By("refusing a server of another name")
-		_, err = handshake(source.Server(), source.Client("other.test"))
+		_, err = handshake(source.ServerConfig(), source.ClientConfig("other.test"))
 		Expect(err).To(MatchError(ContainSubstring("not other.test")))
 
 		By("refusing a client of another authority")
-		stranger := source.Client(serverName)
+		stranger := source.ClientConfig(serverName)
 		issued := newIssuer(begin).issue(3, begin)
 		certificate, err := tls.X509KeyPair(issued.certificate, issued.key)
 		Expect(err).NotTo(HaveOccurred())
 		stranger.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &certificate, nil }
-		_, err = handshake(source.Server(), stranger)
+		_, err = handshake(source.ServerConfig(), stranger)
 		Expect(err).To(HaveOccurred())
 	})
 
@@ -166,12 +166,12 @@
 		authority := newIssuer(begin)
 		files := newFiles()
 		writePair(files, authority.issue(2, begin))
-		write(files.Authority, authority.pem())
+		write(files.CA, authority.pem())
 		source, err := tlsfiles.Open(files, now)
 		Expect(err).NotTo(HaveOccurred())
-		server := source.Server()
+		server := source.ServerConfig()
 		serial := func() int64 {
-			certificate, err := handshake(server, source.Client(serverName))
+			certificate, err := handshake(server, source.ClientConfig(serverName))
 			Expect(err).NotTo(HaveOccurred())
 			return certificate.SerialNumber.Int64()
 		}
@@ -195,7 +195,7 @@
 			authority := newIssuer(begin)
 			files := newFiles()
 			writePair(files, authority.issue(2, begin))
-			write(files.Authority, authority.pem())
+			write(files.CA, authority.pem())
 			damage(files, authority)
 			_, err := tlsfiles.Open(files, at)
 			var found tlsfiles.Error
@@ -220,13 +220,13 @@
 			now, certificateOf, tlsfiles.Expired),
 		Entry("certificate of tomorrow", func(f tlsfiles.Files, a issuer) { writePair(f, a.issue(4, begin.Add(validity))) },
 			now, certificateOf, tlsfiles.NotYetValid),
-		Entry("expired authority", func(f tlsfiles.Files, _ issuer) { write(f.Authority, newIssuer(begin.Add(-validity)).pem()) },
+		Entry("expired authority", func(f tlsfiles.Files, _ issuer) { write(f.CA, newIssuer(begin.Add(-validity)).pem()) },
 			now, authorityOf, tlsfiles.Expired),
-		Entry("authority that is none", func(f tlsfiles.Files, a issuer) { write(f.Authority, a.issue(4, begin).certificate) },
-			now, authorityOf, tlsfiles.NotAuthority),
+		Entry("authority that is none", func(f tlsfiles.Files, a issuer) { write(f.CA, a.issue(4, begin).certificate) },
+			now, authorityOf, tlsfiles.NotCA),
 	)
 })
 
 func certificateOf(files tlsfiles.Files) string { return files.Certificate }
 func keyOf(files tlsfiles.Files) string         { return files.Key }
-func authorityOf(files tlsfiles.Files) string   { return files.Authority }
+func authorityOf(files tlsfiles.Files) string   { return files.CA }
