--- a/internal/adminapi/api.go
+++ b/internal/adminapi/api.go
@@ -1,11 +1,13 @@
-// Package adminapi implements the administration API: HTTP with JSON bodies
-// under versioned paths, through which operators read and change the
-// configuration table.
+// Package adminapi implements the administration API, through which operators
+// read and change the configuration table of services and back ends. It
+// authenticates each HTTP request by its bearer token, checks the role and team
+// of the caller, and answers in JSON whether a change was accepted, refused or
+// conflicts with another one.
 //
-// A Handler serves the API over a Store, which holds the table and its
-// changes. LogStore is the Store on top of a log of changes, either of one
-// process or replicated. Client is the other side, which vanetillerctl uses.
-// The paths and answers are described in docs/operators/api.md.
+// A Handler serves the API from a Store, which holds the table and its change
+// history. LogStore is a Store backed by a log of changes, which is either local
+// to one process or replicated. Client calls the API; vanetillerctl uses it.
+// docs/operators/api.md describes the paths and responses.
 package adminapi
 
 import (
@@ -15,27 +17,28 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// ChangeOutcome tells what became of a change.
+// ChangeOutcome is the result of a change request.
 type ChangeOutcome string
 
 // The outcomes of a change.
 const (
 	// Accepted: the change is part of the table.
 	Accepted ChangeOutcome = "accepted"
-	// Refused: the change breaks a rule, which is named. It was not applied.
+	// Refused: the change violates a rule, which the response names. It was
+	// not applied.
 	Refused ChangeOutcome = "refused"
-	// Conflict: the table or a row has changed in the meantime. The change
-	// was not applied.
+	// Conflict: the table or a row is not at the version that the change
+	// expects. The change was not applied.
 	Conflict ChangeOutcome = "conflict"
-	// NotAccepted: the change could not be decided on now. It was not
-	// applied.
+	// NotAccepted: the change could not be processed now, for example because
+	// the log has no quorum. It was not applied.
 	NotAccepted ChangeOutcome = "not_accepted"
-	// Unknown: the change may or may not be applied. Repeating it with the
-	// same identifier applies it at most once.
+	// Unknown: the change may or may not be applied. A retry with the same
+	// identifier applies it at most once.
 	Unknown ChangeOutcome = "unknown"
 )
 
-// CellUpdate sets cells of one row; a cell left out stays as it is.
+// CellUpdate sets cells of one row. Omitted cells keep their values.
 type CellUpdate struct {
 	Backend         table.BackendID `json:"backend_id"`
 	Weight          *uint32         `json:"weight,omitempty"`
@@ -44,23 +47,24 @@
 	Zone            *string         `json:"zone,omitempty"`
 }
 
-// ZoneUpdate closes a zone to new flows, or opens it again. It takes the rights of an
-// administrator, since rows of several teams may be in a zone.
+// ZoneUpdate closes a zone to new flows, or reopens it. It requires the administrator
+// role, since a zone may contain rows of several teams.
 type ZoneUpdate struct {
 	Zone   string `json:"zone"`
 	Closed bool   `json:"closed"`
-	// Force closes it even if a service then has no row that gets new flows.
+	// Force closes the zone even if this leaves a service without a row that
+	// accepts new flows.
 	Force bool `json:"force,omitempty"`
 }
 
-// RowVersion is the table version of a row's last change.
+// RowVersion is the table version at which a row last changed.
 type RowVersion struct {
 	Backend table.BackendID `json:"backend_id"`
 	Version table.Version   `json:"version"`
 }
 
-// Operations are what a change does, in the order of the fields. All of them are
-// applied, or none.
+// Operations lists the modifications of a change. They are applied in the order
+// of the fields, either all of them or none.
 type Operations struct {
 	AddServices    []table.Service   `json:"add_services,omitempty"`
 	AddBackends    []table.Backend   `json:"add_backends,omitempty"`
@@ -70,34 +74,34 @@
 	SetZones       []ZoneUpdate      `json:"set_zones,omitempty"`
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether there are no operations.
 func (p Operations) Empty() bool {
 	return len(p.AddServices) == 0 && len(p.AddBackends) == 0 && len(p.SetCells) == 0 &&
 		len(p.RemoveBackends) == 0 && len(p.RemoveServices) == 0 && len(p.SetZones) == 0
 }
 
-// ChangeMetadata is what every request for a change has.
+// ChangeMetadata holds the fields common to all requests that change the table.
 type ChangeMetadata struct {
-	// ID is chosen by the caller, unique among the changes of the team, and
-	// the same when the change is repeated.
+	// ID is chosen by the caller and unique among the changes of the team. A
+	// retry uses the same ID.
 	ID string `json:"id"`
-	// Reason is written into the history.
+	// Reason is recorded in the history.
 	Reason string `json:"reason"`
-	// BaseVersion is the table version known to the caller when the change
-	// was made; required. A repeat keeps it, so that a change is not applied
-	// a second time after its outcome has been forgotten.
+	// BaseVersion is the table version that the caller knew when it made the
+	// change; required. A retry keeps it: after the outcome of the change was
+	// dropped, a base that old is refused, so the change is not applied twice.
 	BaseVersion *table.Version `json:"base_version"`
-	// DryRun asks what would become of the change without making it.
+	// DryRun evaluates the change without applying it.
 	DryRun bool `json:"dry_run,omitempty"`
 }
 
 // ChangeRequest is the body of POST /v1/changes.
 type ChangeRequest struct {
 	ChangeMetadata
-	// ExpectedVersion, unless 0, is the only table version to apply to.
+	// ExpectedVersion, unless 0, is the table version that the change requires.
 	ExpectedVersion table.Version `json:"expected_version,omitempty"`
-	// ExpectedRows are rows that must not have changed since a version;
-	// version 0 means that the row does not exist.
+	// ExpectedRows lists the required versions of rows. Version 0 requires that
+	// the row does not exist.
 	ExpectedRows []RowVersion `json:"expected_rows,omitempty"`
 	Operations
 }
@@ -109,14 +113,14 @@
 	Drain *bool `json:"drain"`
 }
 
-// SnapshotRequest is the body of POST /v1/snapshot. It applies to no other
-// version than its base.
+// SnapshotRequest is the body of POST /v1/snapshot. It applies only if the table
+// is at the base version.
 type SnapshotRequest struct {
 	ChangeMetadata
 	Table *table.Table `json:"table"`
 }
 
-// Refusal names the row, the column and the rule that a change breaks.
+// Refusal names the row, the column and the rule that a change violates.
 type Refusal struct {
 	Row    string `json:"row"`
 	Column string `json:"column"`
@@ -126,7 +130,7 @@
 // Error implements error.
 func (r Refusal) Error() string { return table.CellError(r).Error() }
 
-// CellChange is one cell that a change altered.
+// CellChange is one cell modified by a change.
 type CellChange struct {
 	Row    string `json:"row"`
 	Column string `json:"column"`
@@ -134,67 +138,71 @@
 	After  string `json:"after"`
 }
 
-// ChangeResponse is the answer to a change.
+// ChangeResponse is the response to a change request.
 type ChangeResponse struct {
 	ID      string        `json:"id"`
 	Outcome ChangeOutcome `json:"outcome"`
-	// Version is the table version after an accepted change, and the current
-	// one after a refusal or conflict.
+	// Version is the table version that an accepted change created, or the
+	// current version after a refusal or conflict.
 	Version table.Version `json:"version,omitempty"`
 	// Refusal is set for Refused and Conflict.
 	Refusal *Refusal `json:"refusal,omitempty"`
-	// Message says more for NotAccepted and Unknown.
+	// Message gives the cause of NotAccepted and Unknown.
 	Message string `json:"message,omitempty"`
-	// DryRun repeats that nothing was changed; Cells then lists what would
-	// have been.
+	// DryRun reports that the change was only evaluated. Cells then lists the
+	// cells that it would modify.
 	DryRun bool         `json:"dry_run,omitempty"`
 	Cells  []CellChange `json:"cells,omitempty"`
-	// retryAfter is sent in the header of the answer.
+	// retryAfter is sent in the Retry-After header.
 	retryAfter time.Duration
 }
 
 // ZoneRequest is the body of POST /v1/zones/{zone}.
 type ZoneRequest struct {
 	ChangeMetadata
-	// Closed tells whether the zone shall get no new flows; required.
+	// Closed is true to close the zone to new flows and false to reopen it;
+	// required.
 	Closed *bool `json:"closed"`
 	Force  bool  `json:"force,omitempty"`
 }
 
-// Zone is a zone in which the principal sees rows.
+// Zone describes a zone that contains rows visible to the caller, or that is
+// closed.
 type Zone struct {
 	Zone   string `json:"zone"`
 	Closed bool   `json:"closed"`
-	// Since is the table version that closed it, 0 if it is open, and Reach where that
-	// version is in force.
+	// Since is the table version that closed the zone, 0 if it is open. VersionStatus
+	// tells which members have applied that version.
 	Since         table.Version          `json:"since,omitempty"`
 	VersionStatus *VersionStatusResponse `json:"reach,omitempty"`
-	// Backends is the number of rows.
+	// Backends is the number of rows visible to the caller.
 	Backends int `json:"backends"`
-	// Shares are, for each service with rows in the zone, what is left while it is closed.
+	// Shares holds, for each service with rows in the zone, the capacity that remains
+	// while the zone is closed.
 	Shares []ZoneShare `json:"shares"`
 }
 
-// ZoneShare tells which part of a service is outside of a zone.
+// ZoneShare is the fraction of the weight of a service that lies outside a zone.
 type ZoneShare struct {
 	Service string `json:"service"`
-	// Remaining is the part of the weight of rows that get new flows, or would if no zone
-	// was closed, which is in other zones that are open; from 0 to 1.
+	// Remaining is the fraction, from 0 to 1, of the weight that is in other, open zones.
+	// The total is the weight of all rows that would accept new flows if no zone were
+	// closed.
 	Remaining float64 `json:"remaining"`
 }
 
-// ZonesResponse is the answer to GET /v1/zones, in the order of names.
+// ZonesResponse is the response to GET /v1/zones, sorted by name.
 type ZonesResponse struct {
 	Zones []Zone `json:"zones"`
 }
 
-// TableResponse is the answer to GET /v1/table.
+// TableResponse is the response to GET /v1/table.
 type TableResponse struct {
 	Table       *table.Table `json:"table"`
 	RowVersions []RowVersion `json:"row_versions"`
 }
 
-// HistoryRecord is one accepted change.
+// HistoryRecord describes one accepted change.
 type HistoryRecord struct {
 	Version   table.Version `json:"version"`
 	ID        string        `json:"id"`
@@ -204,38 +212,39 @@
 	Cells     []CellChange  `json:"cells"`
 }
 
-// HistoryResponse is the answer to GET /v1/history, oldest first.
+// HistoryResponse is the response to GET /v1/history, oldest record first.
 type HistoryResponse struct {
 	Records []HistoryRecord `json:"records"`
 }
 
-// Member is one process that forwards by the table.
+// Member is one process that forwards traffic according to the table.
 type Member struct {
 	Name  string `json:"name"`
 	Zone  string `json:"zone"`
 	State string `json:"state"`
-	// Version is the table version in force there, as far as known.
+	// Version is the latest table version that the member is known to have
+	// applied.
 	Version table.Version `json:"version"`
 }
 
-// MembersResponse is the answer to GET /v1/members.
+// MembersResponse is the response to GET /v1/members.
 type MembersResponse struct {
 	Members []Member `json:"members"`
 }
 
-// VersionStatusResponse is the answer to GET /v1/versions/{version}.
+// VersionStatusResponse is the response to GET /v1/versions/{version}.
 type VersionStatusResponse struct {
 	Version table.Version `json:"version"`
 	// Accepted reports whether the version exists.
 	Accepted bool `json:"accepted"`
-	// Reached is the number of members where the version or a later one is
-	// in force.
+	// Reached is the number of members that have applied the version or a
+	// later one.
 	Reached int `json:"reached"`
 	// NotReached names the other members.
 	NotReached []string `json:"not_reached"`
 }
 
-// Complete reports whether the version is in force everywhere.
+// Complete reports whether the version exists and all members have applied it.
 func (r VersionStatusResponse) Complete() bool { return r.Accepted && len(r.NotReached) == 0 }
 
 func cellChanges(cells []changelog.CellChange) []CellChange {
--- a/internal/adminapi/authorize.go
+++ b/internal/adminapi/authorize.go
@@ -1,5 +1,5 @@
-// This file implements what a team may change, and what it gets to read of
-// refusals and of the history.
+// This file restricts teams to their own rows: it authorizes changes, and
+// removes information about other teams from refusals and the history.
 
 package adminapi
 
@@ -16,8 +16,8 @@
 	"github.com/vanetiller/vanetiller/internal/tenant"
 )
 
-// The beginnings of the names of rows in a table.CellError, which go on with
-// the quoted name and the identifier in parentheses.
+// Prefixes of row names in a table.CellError. The quoted name and the
+// identifier in parentheses follow.
 const (
 	servicePrefix = "service "
 	backendPrefix = "back end "
@@ -39,67 +39,68 @@
 	return table.CellError{Row: serviceRow("", id), Column: "id", Rule: "names no service of the table"}
 }
 
-// visibility tells which rows a principal sees.
+// visibility holds the services and rows that a principal may view.
 type visibility struct {
 	principal tenant.Principal
 	services  map[table.ServiceID]bool
 	backends  map[table.BackendID]bool
-	// existing are the rows of the whole table.
-	existing map[table.BackendID]bool
-	whole    *table.Table
-	// added are the services that the change in question adds.
+	// allBackends is the set of all rows of the table, visible or not.
+	allBackends map[table.BackendID]bool
+	fullTable   *table.Table
+	// added lists the services that the current change adds.
 	added []table.Service
 }
 
 func newVisibility(principal tenant.Principal, whole *table.Table) visibility {
-	seen := visibility{
-		principal: principal,
-		services:  make(map[table.ServiceID]bool),
-		backends:  make(map[table.BackendID]bool),
-		existing:  make(map[table.BackendID]bool, len(whole.Backends)),
-		whole:     whole,
+	visible := visibility{
+		principal:   principal,
+		services:    make(map[table.ServiceID]bool),
+		backends:    make(map[table.BackendID]bool),
+		allBackends: make(map[table.BackendID]bool, len(whole.Backends)),
+		fullTable:   whole,
 	}
 	view := principal.VisibleTable(whole)
 	for _, service := range view.Services {
-		seen.services[service.ID] = true
+		visible.services[service.ID] = true
 	}
 	for _, row := range view.Backends {
-		seen.backends[row.ID] = true
+		visible.backends[row.ID] = true
 	}
 	for _, row := range whole.Backends {
-		seen.existing[row.ID] = true
+		visible.allBackends[row.ID] = true
 	}
-	return seen
+	return visible
 }
 
-func (v visibility) unlimited() bool { return v.principal.Role == tenant.RoleAdministrator }
+func (v visibility) isAdministrator() bool { return v.principal.Role == tenant.RoleAdministrator }
 
-// authorize returns a table.CellError if a change concerns a row of another
-// team. Such a row is named as if it did not exist.
+// authorize returns a table.CellError if a change refers to a row of another
+// team. The error is the same as for a row that does not exist, so that it does
+// not reveal rows of other teams.
 func (v visibility) authorize(change *changelog.Change) error {
-	if v.unlimited() {
+	if v.isAdministrator() {
 		return nil
 	}
 	if len(change.Zones) > 0 {
 		return table.CellError{
-			Row: table.ZoneRowName(change.Zones[0].Zone), Column: "closed", Rule: "takes the role " + string(tenant.RoleAdministrator),
+			Row: table.ZoneRowName(change.Zones[0].Zone), Column: "closed", Rule: "requires the role " + string(tenant.RoleAdministrator),
 		}
 	}
 	if err := v.authorizeAdditions(change); err != nil {
 		return err
 	}
 	for _, expected := range change.ExpectedRows {
-		if v.existing[expected.Backend] && !v.backends[expected.Backend] {
+		if v.allBackends[expected.Backend] && !v.backends[expected.Backend] {
 			return missingBackend(expected.Backend)
 		}
 	}
 	for _, update := range change.Cells {
-		if !v.backends[update.Backend] && !adds(change, update.Backend) {
+		if !v.backends[update.Backend] && !addsBackend(change, update.Backend) {
 			return missingBackend(update.Backend)
 		}
 	}
 	for _, id := range change.RemoveBackends {
-		if !v.backends[id] && !adds(change, id) {
+		if !v.backends[id] && !addsBackend(change, id) {
 			return missingBackend(id)
 		}
 	}
@@ -111,9 +112,10 @@
 	return nil
 }
 
-// adds reports whether a change adds a row. It then refers to that row, since
-// adding is refused for an identifier in use.
-func adds(change *changelog.Change, id table.BackendID) bool {
+// addsBackend reports whether a change addsBackend a row. Other operations of the change with
+// the same identifier then refer to that new row, because adding a row whose
+// identifier is in use is refused.
+func addsBackend(change *changelog.Change, id table.BackendID) bool {
 	for _, row := range change.AddBackends {
 		if row.ID == id {
 			return true
@@ -132,7 +134,7 @@
 		added[service.ID] = true
 	}
 	for _, row := range change.AddBackends {
-		_, exists := v.whole.Service(row.Service)
+		_, exists := v.fullTable.Service(row.Service)
 		if exists && !v.services[row.Service] || !exists && !added[row.Service] {
 			return table.CellError{Row: backendRow(row.Name, row.ID), Column: "service", Rule: "names no service of the table"}
 		}
@@ -140,62 +142,65 @@
 	return nil
 }
 
-// usedAddressPrefix begins the rule of the table that names another service.
+// usedAddressPrefix is the prefix of the table rule that names another service
+// with the same address.
 const usedAddressPrefix = "already used by service "
 
-// hiddenServiceRow stands for the name of a service of another team.
+// hiddenServiceRow replaces the row name of a service of another team.
 const hiddenServiceRow = "service of another team"
 
-// refusal converts a broken rule. It leaves out the name of a service of
-// another team, which a rule about two services may name on either side.
-func (v visibility) refusal(broken table.CellError) *Refusal {
-	refusal := Refusal(broken)
-	if v.hides(broken.Row) {
+// refusal converts a table error and redacts the names of services of other
+// teams. A rule about two services may name one in the row or in the rule.
+func (v visibility) refusal(violation table.CellError) *Refusal {
+	refusal := Refusal(violation)
+	if v.isHiddenRow(violation.Row) {
 		refusal.Row = hiddenServiceRow
 	}
-	if other, found := strings.CutPrefix(broken.Rule, usedAddressPrefix); found && !v.seesServiceNamed(other) {
+	if other, found := strings.CutPrefix(violation.Rule, usedAddressPrefix); found && !v.canViewServiceNamed(other) {
 		refusal.Rule = "already used by another service"
 	}
 	return &refusal
 }
 
-// hides reports whether a row name is that of a service of another team.
-func (v visibility) hides(row string) bool {
-	for _, service := range v.whole.Services {
+// isHiddenRow reports whether a row name belongs to a service that the principal may
+// not view.
+func (v visibility) isHiddenRow(row string) bool {
+	for _, service := range v.fullTable.Services {
 		if row == serviceRow(service.Name, service.ID) {
-			return !v.unlimited() && !v.services[service.ID]
+			return !v.isAdministrator() && !v.services[service.ID]
 		}
 	}
 	return false
 }
 
-func (v visibility) seesServiceNamed(name string) bool {
+func (v visibility) canViewServiceNamed(name string) bool {
 	named := func(service table.Service) bool { return service.Name == name }
-	position := slices.IndexFunc(v.whole.Services, named)
+	position := slices.IndexFunc(v.fullTable.Services, named)
 	if position >= 0 {
-		return v.services[v.whole.Services[position].ID]
+		return v.services[v.fullTable.Services[position].ID]
 	}
 	return slices.ContainsFunc(v.added, named)
 }
 
-// cells returns the altered cells that the principal may see.
-func (v visibility) cells(altered []changelog.CellChange) []CellChange {
-	if v.unlimited() {
+// visibleCells returns the modified visibleCells that the principal may view.
+func (v visibility) visibleCells(altered []changelog.CellChange) []CellChange {
+	if v.isAdministrator() {
 		return cellChanges(altered)
 	}
-	var seen []changelog.CellChange
+	var visible []changelog.CellChange
 	for _, cell := range altered {
-		if v.seesRow(cell.Row) {
-			seen = append(seen, cell)
+		if v.canViewRow(cell.Row) {
+			visible = append(visible, cell)
 		}
 	}
-	return cellChanges(seen)
+	return cellChanges(visible)
 }
 
-// seesRow decides by the name of a row in a record. A service that is gone is
-// not seen, since its owner is not known any more.
-func (v visibility) seesRow(name string) bool {
-	id, err := rowIdentifier(name)
+// canViewRow reports whether the principal may view a row, given its name in a
+// history record. A removed service is not visible, since its owner is no longer
+// known.
+func (v visibility) canViewRow(name string) bool {
+	id, err := parseRowID(name)
 	if err != nil {
 		return false
 	}
@@ -205,12 +210,12 @@
 	return strings.HasPrefix(name, servicePrefix) && v.services[table.ServiceID(id)]
 }
 
-// rowIdentifier returns the identifier at the end of the name of a row.
-func rowIdentifier(name string) (uint32, error) {
+// parseRowID parses the identifier in parentheses at the end of a row name.
+func parseRowID(name string) (uint32, error) {
 	begin := strings.LastIndexByte(name, '(')
 	if begin < 0 || !strings.HasSuffix(name, ")") {
-		return 0, errors.Errorf("row %q has no identifier", name)
+		return 0, errors.Errorf("row name %q does not end with an identifier in parentheses", name)
 	}
 	id, err := strconv.ParseUint(name[begin+1:len(name)-1], 10, 32)
-	return uint32(id), errors.Wrapf(err, "row %q", name)
+	return uint32(id), errors.Wrapf(err, "parse the identifier in row name %q", name)
 }
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -1,4 +1,4 @@
-// This file implements the caller's side of the API.
+// This file implements the client of the API.
 
 package adminapi
 
@@ -23,18 +23,19 @@
 	"github.com/vanetiller/vanetiller/internal/tenant"
 )
 
-// MaxResponseSize bounds the body of an answer, in bytes.
+// MaxResponseSize is the maximum size of a response body, in bytes.
 const MaxResponseSize = 64 << 20
 
-// Client asks one server. It is safe for concurrent use.
+// Client sends requests to one API server. It is safe for concurrent use.
 type Client struct {
 	server *url.URL
 	token  tenant.Token
 	http   *http.Client
 }
 
-// NewClient returns a client of the server at a URL such as
-// https://192.0.2.10:8443. It fails for text that is no such URL.
+// NewClient returns a client for the server at a URL such as
+// https://192.0.2.10:8443. It fails unless the URL has a host and the scheme
+// https or http.
 func NewClient(server string, token tenant.Token, transport *http.Client) (*Client, error) {
 	parsed, err := url.Parse(server)
 	if err != nil || parsed.Host == "" || parsed.Scheme != "https" && parsed.Scheme != "http" {
@@ -43,7 +44,7 @@
 	return &Client{server: parsed, token: token, http: transport}, nil
 }
 
-// Table returns the table, or one service of it unless the name is empty.
+// Table returns the table, restricted to one service unless the name is empty.
 func (c *Client) Table(ctx context.Context, service string) (TableResponse, error) {
 	query := url.Values{}
 	if service != "" {
@@ -52,7 +53,8 @@
 	return get[TableResponse](ctx, c, query, "v1", "table")
 }
 
-// History returns the latest records after a version, oldest first.
+// History returns up to limit of the latest records after a version, oldest
+// first.
 func (c *Client) History(ctx context.Context, after table.Version, limit int) (HistoryResponse, error) {
 	query := url.Values{
 		afterParameter: {strconv.FormatUint(uint64(after), 10)},
@@ -61,29 +63,29 @@
 	return get[HistoryResponse](ctx, c, query, "v1", "history")
 }
 
-// VersionStatus tells where a version is in force.
+// VersionStatus returns which members have applied a version.
 func (c *Client) VersionStatus(ctx context.Context, version table.Version) (VersionStatusResponse, error) {
 	return get[VersionStatusResponse](ctx, c, nil, "v1", "versions", strconv.FormatUint(uint64(version), 10))
 }
 
-// Members returns the processes that forward by the table.
+// Members returns the processes that forward traffic according to the table.
 func (c *Client) Members(ctx context.Context) (MembersResponse, error) {
 	return get[MembersResponse](ctx, c, nil, "v1", "members")
 }
 
 // Snapshot returns the whole table.
 func (c *Client) Snapshot(ctx context.Context) (*table.Table, error) {
-	answer, err := get[table.Table](ctx, c, nil, "v1", "snapshot")
-	return &answer, err
+	response, err := get[table.Table](ctx, c, nil, "v1", "snapshot")
+	return &response, err
 }
 
-// Outcome returns what became of a change.
+// Outcome returns the outcome of an earlier change.
 func (c *Client) Outcome(ctx context.Context, id string) (ChangeResponse, error) {
 	return get[ChangeResponse](ctx, c, nil, "v1", "changes", id)
 }
 
-// Change makes a change. If the answer is lost or not one of the API, the
-// outcome is Unknown.
+// Change submits a change. The outcome is Unknown if the response is lost or
+// not a valid response of the API.
 func (c *Client) Change(ctx context.Context, request ChangeRequest) (ChangeResponse, error) {
 	return c.submit(ctx, request.ID, request, "v1", "changes")
 }
@@ -93,82 +95,83 @@
 	return c.submit(ctx, request.ID, request, "v1", "backends", strconv.FormatUint(uint64(backend), 10), "drain")
 }
 
-// Zones returns the zones in which the caller sees rows.
+// Zones returns the closed zones and those with rows visible to the caller.
 func (c *Client) Zones(ctx context.Context) (ZonesResponse, error) {
 	return get[ZonesResponse](ctx, c, nil, "v1", "zones")
 }
 
-// CloseZone closes a zone to new flows, or opens it again.
+// CloseZone closes a zone to new flows, or reopens it.
 func (c *Client) CloseZone(ctx context.Context, zone string, request ZoneRequest) (ChangeResponse, error) {
 	return c.submit(ctx, request.ID, request, "v1", "zones", zone)
 }
 
-// ImportSnapshot makes the change that leads to the table of the request.
+// ImportSnapshot changes the table to that of the request.
 func (c *Client) ImportSnapshot(ctx context.Context, request SnapshotRequest) (ChangeResponse, error) {
 	return c.submit(ctx, request.ID, request, "v1", "snapshot")
 }
 
 func (c *Client) submit(ctx context.Context, id string, body any, path ...string) (ChangeResponse, error) {
-	answer, err := call[ChangeResponse](ctx, c, http.MethodPost, body, nil, path...)
-	var lost lostAnswer
-	var unusable unusableAnswer
+	response, err := doRequest[ChangeResponse](ctx, c, http.MethodPost, body, nil, path...)
+	var lost noResponseError
+	var unusable invalidResponseError
 	switch {
-	case errors.As(err, &lost) && lost.beforeSending():
+	case errors.As(err, &lost) && lost.notSent():
 		return ChangeResponse{ID: id, Outcome: NotAccepted, Message: err.Error()}, nil
 	case errors.As(err, &lost) || errors.As(err, &unusable):
-		// Something in between may have passed the change on.
+		// The server, or a proxy before it, may have processed the change.
 		return ChangeResponse{ID: id, Outcome: Unknown, Message: err.Error()}, nil
 	}
-	return answer, err
+	return response, err
 }
 
-func get[Answer any](ctx context.Context, client *Client, query url.Values, path ...string) (Answer, error) {
-	return call[Answer](ctx, client, http.MethodGet, nil, query, path...)
+func get[Response any](ctx context.Context, client *Client, query url.Values, path ...string) (Response, error) {
+	return doRequest[Response](ctx, client, http.MethodGet, nil, query, path...)
 }
 
-// lostAnswer is the error of a request that the server may have served.
-type lostAnswer struct{ cause error }
+// noResponseError is the error of a request without a response. The server may have
+// processed the request.
+type noResponseError struct{ cause error }
 
 // Error implements error.
-func (l lostAnswer) Error() string { return "no answer: " + l.cause.Error() }
+func (l noResponseError) Error() string { return "no response from the server: " + l.cause.Error() }
 
-// Unwrap returns the cause.
-func (l lostAnswer) Unwrap() error { return l.cause }
+// Unwrap returns the underlying error.
+func (l noResponseError) Unwrap() error { return l.cause }
 
-// dialOperation is the operation of a net.OpError for a connection that was
-// not made.
+// dialOperation is the Op of a net.OpError for a connection that could not be
+// established.
 const dialOperation = "dial"
 
-// beforeSending reports whether there was no connection to send the request
-// over.
-func (l lostAnswer) beforeSending() bool {
+// notSent reports whether the request was not sent, because no connection
+// was established.
+func (l noResponseError) notSent() bool {
 	var network *net.OpError
 	var certificate *tls.CertificateVerificationError
 	return errors.As(l.cause, &network) && network.Op == dialOperation || errors.As(l.cause, &certificate)
 }
 
-// call makes one request. An answer that is a Failure is returned as the
-// error.
-func call[Answer any](ctx context.Context, client *Client, method string, body any, query url.Values, path ...string) (Answer, error) {
-	target := client.server.JoinPath(escaped(path)...)
+// doRequest sends one request and decodes the response. A response with an Error is
+// returned as the error.
+func doRequest[Response any](ctx context.Context, client *Client, method string, body any, query url.Values, path ...string) (Response, error) {
+	target := client.server.JoinPath(escapePath(path)...)
 	target.RawQuery = query.Encode()
 	encode := kithttp.EncodeJSONRequest
 	if body == nil {
 		encode = func(context.Context, *http.Request, any) error { return nil }
 	}
-	endpoint := kithttp.NewClient(method, target, encode, decodeAnswer[Answer],
+	endpoint := kithttp.NewClient(method, target, encode, decodeResponse[Response],
 		kithttp.SetClient(client.http),
 		kithttp.ClientBefore(kithttp.SetRequestHeader("Authorization", bearerPrefix+string(client.token))),
 	).Endpoint()
-	var none Answer
-	answer, err := endpoint(ctx, body)
+	var zero Response
+	response, err := endpoint(ctx, body)
 	if err != nil {
-		return none, answerError(err)
+		return zero, classifyError(err)
 	}
-	return answer.(Answer), nil
+	return response.(Response), nil
 }
 
-func escaped(path []string) []string {
+func escapePath(path []string) []string {
 	parts := make([]string, len(path))
 	for index, part := range path {
 		parts[index] = url.PathEscape(part)
@@ -176,47 +179,48 @@
 	return parts
 }
 
-// answerError marks errors of the connection.
-func answerError(err error) error {
+// classifyError wraps connection errors as noResponseError and returns others as they
+// are.
+func classifyError(err error) error {
 	var failure Error
-	var unusable unusableAnswer
+	var unusable invalidResponseError
 	if errors.As(err, &failure) || errors.As(err, &unusable) {
 		return err
 	}
-	return lostAnswer{err}
+	return noResponseError{err}
 }
 
-// unusableAnswer is the error of an answer that is not one of this API.
-type unusableAnswer struct{ detail string }
+// invalidResponseError is the error of a response that does not come from this API.
+type invalidResponseError struct{ detail string }
 
 // Error implements error.
-func (u unusableAnswer) Error() string {
-	return "the answer is not one of the administration API: " + u.detail
+func (u invalidResponseError) Error() string {
+	return "the response is not one of the administration API: " + u.detail
 }
 
-func decodeAnswer[Answer any](_ context.Context, response *http.Response) (any, error) {
-	data, err := io.ReadAll(io.LimitReader(response.Body, MaxResponseSize+1))
+func decodeResponse[Response any](_ context.Context, httpResponse *http.Response) (any, error) {
+	data, err := io.ReadAll(io.LimitReader(httpResponse.Body, MaxResponseSize+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(data) > MaxResponseSize {
-		return nil, unusableAnswer{fmt.Sprintf("it is larger than %d bytes", MaxResponseSize)}
+		return nil, invalidResponseError{fmt.Sprintf("its body exceeds %d bytes", MaxResponseSize)}
 	}
 	var failure Error
 	if json.Unmarshal(data, &failure) == nil && failure.Code != "" {
-		failure.RetryAfter = retryAfter(response)
+		failure.RetryAfter = retryAfter(httpResponse)
 		return nil, failure
 	}
-	var answer Answer
+	var response Response
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	if err := decoder.Decode(&answer); err != nil {
-		return nil, unusableAnswer{fmt.Sprintf("status %s, %s", response.Status, err)}
+	if err := decoder.Decode(&response); err != nil {
+		return nil, invalidResponseError{fmt.Sprintf("status %s, %s", httpResponse.Status, err)}
 	}
-	return answer, nil
+	return response, nil
 }
 
-func retryAfter(response *http.Response) time.Duration {
-	seconds, err := strconv.Atoi(response.Header.Get("Retry-After"))
+func retryAfter(httpResponse *http.Response) time.Duration {
+	seconds, err := strconv.Atoi(httpResponse.Header.Get("Retry-After"))
 	if err != nil {
 		return 0
 	}
--- a/internal/adminapi/convert.go
+++ b/internal/adminapi/convert.go
@@ -1,4 +1,4 @@
-// This file implements the conversion between requests, changes and answers.
+// This file converts API requests to changes, and outcomes to responses.
 
 package adminapi
 
@@ -13,75 +13,76 @@
 	"github.com/vanetiller/vanetiller/internal/tenant"
 )
 
-// MaxIDLength bounds the identifier of a change, in bytes. The name of the
-// team is put in front of it in the log.
+// MaxIDLength is the maximum length of a change identifier, in bytes. It leaves
+// room for the team name, which prefixes the identifier in the log.
 const MaxIDLength = changelog.MaximumTextLength - table.MaxNameLength - len(idSeparator)
 
 const idSeparator = "/"
 
-// idPattern keeps identifiers fit for a path.
+// idPattern matches identifiers that are usable as one element of a URL path.
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// scopedID returns the identifier of a change in the log. Every team has its
-// own identifiers, so that none can meet or read those of another.
+// scopedID returns the identifier of a change in the log. The team prefix keeps
+// the identifiers of teams apart, so that they cannot collide and a team cannot
+// read outcomes of another one.
 func scopedID(team tenant.Team, id string) changelog.ChangeID {
 	return changelog.ChangeID(string(team) + idSeparator + id)
 }
 
-// shownID returns an identifier of the log as its team has chosen it, and
-// that of another team with the team in front. Those of administrators have
-// none.
-func shownID(team tenant.Team, id changelog.ChangeID) string {
+// displayID returns the identifier to show to a member of a team. It removes the
+// prefix of that team and the empty prefix of administrators, and keeps the
+// prefix of any other team.
+func displayID(team tenant.Team, id changelog.ChangeID) string {
 	own := strings.TrimPrefix(string(id), string(team)+idSeparator)
 	return strings.TrimPrefix(own, idSeparator)
 }
 
-// validate checks what can be checked without the table.
+// validate checks the fields that can be checked without the table.
 func (h ChangeMetadata) validate() error {
 	if len(h.ID) > MaxIDLength || !idPattern.MatchString(h.ID) {
-		return invalid("id must have 1 to %d letters, digits, dots, hyphens or underscores and begin with a letter or digit", MaxIDLength)
+		return invalidRequest("id must have 1 to %d letters, digits, dots, hyphens or underscores and begin with a letter or digit", MaxIDLength)
 	}
 	if h.Reason == "" || len(h.Reason) > changelog.MaximumTextLength {
-		return invalid("reason must have 1 to %d bytes", changelog.MaximumTextLength)
+		return invalidRequest("reason must have 1 to %d bytes", changelog.MaximumTextLength)
 	}
 	if h.BaseVersion == nil {
-		return invalid("base_version is required")
+		return invalidRequest("base_version is required")
 	}
 	return nil
 }
 
 func (p Operations) validate() error {
 	if p.Empty() {
-		return invalid("the change has no parts")
+		return invalidRequest("the change has no operations")
 	}
 	for _, row := range p.AddBackends {
 		if row.Removed {
-			return invalid("add_backends must not have removed rows")
+			return invalidRequest("add_backends must not have removed rows")
 		}
 	}
 	for _, update := range p.SetCells {
 		if update == (CellUpdate{Backend: update.Backend}) {
-			return invalid("set_cells must set a cell of row %d", update.Backend)
+			return invalidRequest("set_cells must set a cell of row %d", update.Backend)
 		}
 	}
 	for _, row := range p.AddBackends {
 		if row.Closed {
-			return invalid("add_backends must not tell whether a zone is closed")
+			return invalidRequest("add_backends must not set closed; it follows from the zone")
 		}
 	}
 	for _, update := range p.SetZones {
 		if update.Zone == "" || len(update.Zone) > table.MaxNameLength {
-			return invalid("set_zones must name a zone by 1 to %d bytes", table.MaxNameLength)
+			return invalidRequest("set_zones must name a zone by 1 to %d bytes", table.MaxNameLength)
 		}
 	}
 	return nil
 }
 
-func invalid(rule string, arguments ...any) error {
+func invalidRequest(rule string, arguments ...any) error {
 	return Error{Code: CodeInvalid, Message: fmt.Sprintf(rule, arguments...)}
 }
 
-// author is who makes a change, and when.
+// author is the principal that makes a change, and the time of the request.
 type author struct {
 	principal tenant.Principal
 	now       time.Time
@@ -115,46 +116,46 @@
 // versionColumn is the column of refusals for an expected version.
 const versionColumn = "version"
 
-// answerTo converts the outcome of a change.
-func answerTo(id string, outcome changelog.Outcome, seen visibility) ChangeResponse {
-	answer := ChangeResponse{ID: id, Outcome: Accepted, Version: outcome.Version}
+// outcomeToResponse converts the outcome of a change.
+func outcomeToResponse(id string, outcome changelog.Outcome, visible visibility) ChangeResponse {
+	response := ChangeResponse{ID: id, Outcome: Accepted, Version: outcome.Version}
 	if outcome.Accepted {
-		return answer
+		return response
 	}
-	answer.Outcome = Refused
+	response.Outcome = Refused
 	if outcome.Refusal == nil {
-		return answer
+		return response
 	}
 	if outcome.Refusal.Column == versionColumn {
-		answer.Outcome = Conflict
+		response.Outcome = Conflict
 	}
-	answer.Refusal = seen.refusal(outcome.Refusal.CellError())
-	return answer
+	response.Refusal = visible.refusal(outcome.Refusal.CellError())
+	return response
 }
 
-// answerSubmission converts what became of a submitted change.
-func answerSubmission(id string, submitted SubmitResult, seen visibility) ChangeResponse {
+// submitResultToResponse converts the result of a submission to a response.
+func submitResultToResponse(id string, submitted SubmitResult, visible visibility) ChangeResponse {
 	if submitted.Decided {
-		return answerTo(id, submitted.Outcome, seen)
+		return outcomeToResponse(id, submitted.Outcome, visible)
 	}
-	answer := ChangeResponse{ID: id, Outcome: NotAccepted, Message: submitted.Reason, retryAfter: submitted.RetryAfter}
+	response := ChangeResponse{ID: id, Outcome: NotAccepted, Message: submitted.Reason, retryAfter: submitted.RetryAfter}
 	if submitted.MayApply {
-		answer.Outcome = Unknown
+		response.Outcome = Unknown
 	}
-	return answer
+	return response
 }
 
-// historyRecords converts the records that concern the principal.
-func historyRecords(records []changelog.Record, seen visibility) []HistoryRecord {
+// historyRecords converts the records with cells that the principal may view.
+func historyRecords(records []changelog.Record, visible visibility) []HistoryRecord {
 	converted := make([]HistoryRecord, 0, len(records))
 	for _, record := range records {
-		cells := seen.cells(record.Cells)
-		if len(cells) == 0 && !seen.unlimited() {
+		cells := visible.visibleCells(record.Cells)
+		if len(cells) == 0 && !visible.isAdministrator() {
 			continue
 		}
 		converted = append(converted, HistoryRecord{
 			Version:   record.Version,
-			ID:        shownID(seen.principal.Team, record.ID),
+			ID:        displayID(visible.principal.Team, record.ID),
 			Author:    record.Author,
 			Timestamp: time.Unix(0, record.Timestamp).UTC(),
 			Reason:    record.Reason,
--- a/internal/adminapi/endpoints.go
+++ b/internal/adminapi/endpoints.go
@@ -1,5 +1,5 @@
-// This file implements the operations as endpoints, with the role that each
-// takes.
+// This file adapts the operations of the service to go-kit endpoints and checks
+// the role of the caller.
 
 package adminapi
 
@@ -17,22 +17,23 @@
 	return context.WithValue(ctx, principalKey{}, principal)
 }
 
-// principalOf returns the principal that authentication has put into the
-// context of every request.
+// principalOf returns the principal stored in the request context by
+// authentication. It panics if there is none.
 func principalOf(ctx context.Context) tenant.Principal {
 	principal, authenticated := ctx.Value(principalKey{}).(tenant.Principal)
 	if !authenticated {
-		panic("adminapi: request without authentication")
+		panic("adminapi: the request context has no principal; the request was not authenticated")
 	}
 	return principal
 }
 
-// require lets only principals with the rights of a role pass.
-func require(role tenant.Role) endpoint.Middleware {
+// requireRole returns middleware that refuses principals without the rights of a
+// role.
+func requireRole(role tenant.Role) endpoint.Middleware {
 	return func(next endpoint.Endpoint) endpoint.Endpoint {
 		return func(ctx context.Context, request any) (any, error) {
 			if !principalOf(ctx).Role.Includes(role) {
-				return nil, Error{Code: CodeForbidden, Message: "this takes the role " + string(role)}
+				return nil, Error{Code: CodeForbidden, Message: "this operation requires the role " + string(role)}
 			}
 			return next(ctx, request)
 		}
@@ -64,20 +65,20 @@
 }
 
 func (s *service) exportSnapshotEndpoint(ctx context.Context, _ any) (any, error) {
-	answer, err := s.table(principalOf(ctx), tableRequest{})
-	return answer.Table, err
+	response, err := s.table(principalOf(ctx), tableRequest{})
+	return response.Table, err
 }
 
 func (s *service) outcomeEndpoint(ctx context.Context, request any) (any, error) {
-	return rememberedOutcome{s.outcome(principalOf(ctx), request.(outcomeRequest).id)}, nil
+	return outcomeResponse{s.outcome(principalOf(ctx), request.(outcomeRequest).id)}, nil
 }
 
 func (s *service) historyEndpoint(ctx context.Context, request any) (any, error) {
 	return s.history(principalOf(ctx), request.(historyRequest)), nil
 }
 
-func (s *service) reachEndpoint(_ context.Context, request any) (any, error) {
-	return s.store.VersionStatus(request.(reachRequest).version), nil
+func (s *service) versionStatusEndpoint(_ context.Context, request any) (any, error) {
+	return s.store.VersionStatus(request.(versionStatusRequest).version), nil
 }
 
 func (s *service) membersEndpoint(context.Context, any) (any, error) {
--- a/internal/adminapi/error.go
+++ b/internal/adminapi/error.go
@@ -1,4 +1,4 @@
-// This file implements the answers to requests that are not served.
+// This file implements the error responses of the API.
 
 package adminapi
 
@@ -13,10 +13,10 @@
 	"github.com/pkg/errors"
 )
 
-// ErrorCode tells why a request was not served.
+// ErrorCode classifies why a request failed.
 type ErrorCode string
 
-// The reasons for not serving a request.
+// The error codes.
 const (
 	CodeUnauthenticated ErrorCode = "unauthenticated"
 	CodeForbidden       ErrorCode = "forbidden"
@@ -27,7 +27,7 @@
 	CodeInternal        ErrorCode = "internal"
 )
 
-// Status returns the status of the HTTP answer.
+// Status returns the HTTP status for the code.
 func (c ErrorCode) Status() int {
 	switch c {
 	case CodeUnauthenticated:
@@ -46,22 +46,22 @@
 	return http.StatusInternalServerError
 }
 
-// Error is the answer to a request that was not served. A change in it was
-// not applied.
+// Error is the response to a request that failed. If the request holds a change,
+// that change was not applied.
 type Error struct {
 	Code    ErrorCode `json:"error"`
 	Message string    `json:"message"`
-	// RetryAfter is sent in the header of the answer, unless it is zero.
+	// RetryAfter is sent in the Retry-After header, unless it is zero.
 	RetryAfter time.Duration `json:"-"`
 }
 
 // Error implements error.
 func (f Error) Error() string { return string(f.Code) + ": " + f.Message }
 
-const jsonContent = "application/json; charset=utf-8"
+const jsonContentType = "application/json; charset=utf-8"
 
-// writeFailure is the error encoder of all paths.
-func writeFailure(_ context.Context, err error, writer http.ResponseWriter) {
+// writeError writes an error response. It is the error encoder of all paths.
+func writeError(_ context.Context, err error, writer http.ResponseWriter) {
 	var failure Error
 	if !errors.As(err, &failure) {
 		failure = Error{Code: CodeInternal, Message: err.Error()}
@@ -75,20 +75,21 @@
 func writeJSON(writer http.ResponseWriter, status int, retryAfter time.Duration, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic("adminapi: cannot encode an answer: " + err.Error())
+		panic("adminapi: encode a response as JSON: " + err.Error())
 	}
 	header := writer.Header()
-	header.Set("Content-Type", jsonContent)
+	header.Set("Content-Type", jsonContentType)
 	header.Set("Cache-Control", "no-store")
 	if retryAfter > 0 {
 		header.Set("Retry-After", retryAfterText(retryAfter))
 	}
 	writer.WriteHeader(status)
-	// A caller that is gone cannot be told.
+	// A write error means that the client has disconnected; there is no one to
+	// report it to.
 	_, _ = writer.Write(append(encoded, '\n'))
 }
 
-// retryAfterText rounds up to whole seconds, as the header takes them.
+// retryAfterText rounds up to whole seconds, the unit of the Retry-After header.
 func retryAfterText(delay time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(delay.Seconds())))
 }
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -1,4 +1,5 @@
-// This file implements the HTTP side: paths, authentication and bounds.
+// This file implements the HTTP handler: routing, authentication, rate limits
+// and body size limits.
 
 package adminapi
 
@@ -17,36 +18,37 @@
 	"github.com/vanetiller/vanetiller/internal/tenant"
 )
 
-// DefaultSubmitTimeout bounds how long a change waits for its outcome before
-// it is answered as unknown.
+// DefaultSubmitTimeout is how long a request waits for the outcome of its change
+// before the response reports it as unknown.
 const DefaultSubmitTimeout = 10 * time.Second
 
 // The labels of HandlerConfig.Requests.
 const (
-	// OperationLabel has the method and the pattern of the path.
+	// OperationLabel is the method and path pattern of the request.
 	OperationLabel = "operation"
-	// StatusLabel has the status of the HTTP answer.
+	// StatusLabel is the HTTP status of the response.
 	StatusLabel = "status"
 )
 
-// unmatchedOperation labels requests for which there is no path.
+// unmatchedOperation labels requests that match no path.
 const unmatchedOperation = "unmatched"
 
 // HandlerConfig holds the settings of a Handler.
 type HandlerConfig struct {
 	Store Store
-	// Admission decides who may ask, and how often.
+	// Admission authenticates requests and limits their rate.
 	Admission *tenant.AdmissionController
-	// Now is the clock; nil means that of the system.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
-	// SubmitTimeout is DefaultSubmitTimeout if it is zero.
+	// SubmitTimeout limits the wait for the outcome of a change; zero means
+	// DefaultSubmitTimeout.
 	SubmitTimeout time.Duration
-	// Requests counts the answers by OperationLabel and StatusLabel. Nil
-	// discards the counts.
+	// Requests counts responses by OperationLabel and StatusLabel; nil disables
+	// counting.
 	Requests metrics.Counter
 }
 
-// Handler serves the API.
+// Handler serves the API over HTTP.
 type Handler struct {
 	config HandlerConfig
 	mux    *http.ServeMux
@@ -64,62 +66,62 @@
 		config.Requests = discard.NewCounter()
 	}
 	handler := &Handler{config: config, mux: http.NewServeMux()}
-	handler.addPaths(&service{store: config.Store, now: config.Now, submitTimeout: config.SubmitTimeout})
+	handler.registerRoutes(&service{store: config.Store, now: config.Now, submitTimeout: config.SubmitTimeout})
 	return handler
 }
 
-func (h *Handler) addPaths(served *service) {
-	viewer := require(tenant.RoleViewer)
-	editor := require(tenant.RoleEditor)
-	administrator := require(tenant.RoleAdministrator)
-	h.add("GET /v1/table", viewer(served.tableEndpoint), decodeTable)
-	h.add("POST /v1/changes", editor(served.changeEndpoint), decodeChange)
-	h.add("GET /v1/changes/{id}", viewer(served.outcomeEndpoint), decodeOutcome)
-	h.add("GET /v1/history", viewer(served.historyEndpoint), decodeHistory)
-	h.add("GET /v1/versions/{version}", viewer(served.reachEndpoint), decodeReach)
-	h.add("GET /v1/members", viewer(served.membersEndpoint), decodeNothing)
-	h.add("POST /v1/backends/{id}/drain", editor(served.drainEndpoint), decodeDrain)
-	h.add("GET /v1/zones", viewer(served.zonesEndpoint), decodeNothing)
-	h.add("POST /v1/zones/{zone}", administrator(served.closeZoneEndpoint), decodeZone)
-	h.add("GET /v1/snapshot", administrator(served.exportSnapshotEndpoint), decodeNothing)
-	h.add("POST /v1/snapshot", administrator(served.importSnapshotEndpoint), decodeSnapshot)
+func (h *Handler) registerRoutes(operations *service) {
+	viewer := requireRole(tenant.RoleViewer)
+	editor := requireRole(tenant.RoleEditor)
+	administrator := requireRole(tenant.RoleAdministrator)
+	h.handle("GET /v1/table", viewer(operations.tableEndpoint), decodeTable)
+	h.handle("POST /v1/changes", editor(operations.changeEndpoint), decodeChange)
+	h.handle("GET /v1/changes/{id}", viewer(operations.outcomeEndpoint), decodeOutcome)
+	h.handle("GET /v1/history", viewer(operations.historyEndpoint), decodeHistory)
+	h.handle("GET /v1/versions/{version}", viewer(operations.versionStatusEndpoint), decodeVersionStatus)
+	h.handle("GET /v1/members", viewer(operations.membersEndpoint), decodeEmpty)
+	h.handle("POST /v1/backends/{id}/drain", editor(operations.drainEndpoint), decodeDrain)
+	h.handle("GET /v1/zones", viewer(operations.zonesEndpoint), decodeEmpty)
+	h.handle("POST /v1/zones/{zone}", administrator(operations.closeZoneEndpoint), decodeZone)
+	h.handle("GET /v1/snapshot", administrator(operations.exportSnapshotEndpoint), decodeEmpty)
+	h.handle("POST /v1/snapshot", administrator(operations.importSnapshotEndpoint), decodeSnapshot)
 	h.mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
-		writeFailure(request.Context(), Error{Code: CodeNotFound, Message: "no such method and path"}, writer)
+		writeError(request.Context(), Error{Code: CodeNotFound, Message: "no such method and path"}, writer)
 	})
 }
 
-func (h *Handler) add(pattern string, served endpoint.Endpoint, decode kithttp.DecodeRequestFunc) {
-	h.mux.Handle(pattern, kithttp.NewServer(served, decode, encodeAnswer,
-		kithttp.ServerErrorEncoder(writeFailure)))
+func (h *Handler) handle(pattern string, target endpoint.Endpoint, decode kithttp.DecodeRequestFunc) {
+	h.mux.Handle(pattern, kithttp.NewServer(target, decode, encodeResponse,
+		kithttp.ServerErrorEncoder(writeError)))
 }
 
-// ServeHTTP implements http.Handler. It asks for authentication before
-// anything else of the request is read.
+// ServeHTTP implements http.Handler. It authenticates the request before it
+// reads the body or matches the path.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	_, operation := h.mux.Handler(request)
 	if operation == "/" {
 		operation = unmatchedOperation
 	}
-	counted := &statusWriter{ResponseWriter: writer, status: http.StatusOK}
-	h.serve(counted, request)
-	h.config.Requests.With(OperationLabel, operation, StatusLabel, strconv.Itoa(counted.status)).Add(1)
+	recorder := &statusRecorder{ResponseWriter: writer, status: http.StatusOK}
+	h.serve(recorder, request)
+	h.config.Requests.With(OperationLabel, operation, StatusLabel, strconv.Itoa(recorder.status)).Add(1)
 }
 
 func (h *Handler) serve(writer http.ResponseWriter, request *http.Request) {
 	admission := h.config.Admission.Admit(bearerToken(request), h.config.Now())
 	switch admission.Verdict {
 	case tenant.Unauthenticated:
-		writeFailure(request.Context(), Error{
+		writeError(request.Context(), Error{
 			Code: CodeUnauthenticated, Message: "a valid token is required in the header Authorization: Bearer TOKEN"}, writer)
 		return
 	case tenant.RateLimited:
-		writeFailure(request.Context(), Error{
-			Code: CodeRateExceeded, Message: "the team asks too often; nothing was done", RetryAfter: admission.RetryAfter}, writer)
+		writeError(request.Context(), Error{
+			Code: CodeRateExceeded, Message: "the team exceeds its request rate; the request was not processed", RetryAfter: admission.RetryAfter}, writer)
 		return
 	}
 	limit := admission.Principal.RequestSize
 	if request.ContentLength > limit {
-		writeFailure(request.Context(), tooLargeFailure(limit), writer)
+		writeError(request.Context(), tooLargeError(limit), writer)
 		return
 	}
 	request.Body = http.MaxBytesReader(writer, request.Body, limit)
@@ -136,26 +138,26 @@
 	return tenant.Token(token)
 }
 
-// statusWriter remembers the status of an answer.
-type statusWriter struct {
+// statusRecorder records the status of a response.
+type statusRecorder struct {
 	http.ResponseWriter
 	status int
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *statusWriter) WriteHeader(status int) {
+func (w *statusRecorder) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap returns the writer for http.ResponseController.
-func (w *statusWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap returns the underlying writer, for http.ResponseController.
+func (w *statusRecorder) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func encodeAnswer(_ context.Context, writer http.ResponseWriter, answer any) error {
-	switch typed := answer.(type) {
+func encodeResponse(_ context.Context, writer http.ResponseWriter, response any) error {
+	switch typed := response.(type) {
 	case ChangeResponse:
 		writeJSON(writer, typed.Outcome.Status(), typed.retryAfter, typed)
-	case rememberedOutcome:
+	case outcomeResponse:
 		writeJSON(writer, typed.status(), 0, typed)
 	default:
 		writeJSON(writer, http.StatusOK, 0, typed)
@@ -163,17 +165,17 @@
 	return nil
 }
 
-// rememberedOutcome is the answer to GET /v1/changes/{id}.
-type rememberedOutcome struct{ ChangeResponse }
+// outcomeResponse is the response to GET /v1/changes/{id}.
+type outcomeResponse struct{ ChangeResponse }
 
-func (o rememberedOutcome) status() int {
+func (o outcomeResponse) status() int {
 	if o.Outcome == Unknown {
 		return http.StatusNotFound
 	}
 	return http.StatusOK
 }
 
-// Status returns the status of the HTTP answer.
+// Status returns the HTTP status for the outcome.
 func (o ChangeOutcome) Status() int {
 	switch o {
 	case Accepted:
--- a/internal/adminapi/logstore.go
+++ b/internal/adminapi/logstore.go
@@ -1,4 +1,4 @@
-// This file implements the Store on top of a log of changes.
+// This file implements a Store backed by a log of changes.
 
 package adminapi
 
@@ -14,25 +14,25 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// ProposalResult is what became of a proposal for the log.
+// ProposalResult is the result of proposing a change to the log.
 type ProposalResult struct {
 	Status ProposalStatus
-	// Reason says why the proposal was not committed.
+	// Reason is why the proposal was not committed.
 	Reason string
-	// RetryAfter is, if not zero, when a repeat makes sense.
+	// RetryAfter, unless zero, is the delay after which a retry may succeed.
 	RetryAfter time.Duration
-	// Outcome is, for a committed proposal, what became of the change, if
-	// that is known before the log reaches this process.
+	// Outcome is the outcome of the change of a committed proposal, if it is
+	// known before this process applies the log entry.
 	Outcome *changelog.Outcome
 }
 
-// ProposalStatus tells whether a proposal is in the log.
+// ProposalStatus tells whether a proposal was committed to the log.
 type ProposalStatus uint8
 
 // The statuses of a proposal.
 const (
-	// ProposalCommitted: the log holds the proposal; LogStore.Apply has been
-	// called with it or will be.
+	// ProposalCommitted: the proposal is in the log. LogStore.Apply was called
+	// with it or will be.
 	ProposalCommitted ProposalStatus = iota
 	// ProposalRefused: the proposal is not in the log and never will be.
 	ProposalRefused
@@ -40,15 +40,15 @@
 	ProposalUndecided
 )
 
-// Proposer adds changes to a log.
+// Proposer appends changes to a log.
 type Proposer interface {
-	// Propose returns when the proposal is decided or ctx ends. Whoever
-	// implements it calls LogStore.Apply with every committed payload, in the
-	// order of the log.
+	// Propose returns when the proposal is committed or refused, or when ctx
+	// ends. The implementation must call LogStore.Apply with every committed
+	// payload, in log order.
 	Propose(ctx context.Context, id changelog.ChangeID, payload []byte) ProposalResult
 }
 
-// MemberLister knows the processes that forward by the table.
+// MemberLister lists the processes that forward traffic according to the table.
 type MemberLister interface {
 	Members() []Member
 }
@@ -58,25 +58,26 @@
 	Limits   changelog.Limits
 	Proposer Proposer
 	Members  MemberLister
-	// OnChange is called, one at a time and in the order of versions, with
-	// each table that comes from a change.
+	// OnChange is called with each new table, one call at a time and in
+	// version order.
 	OnChange func(*table.Table)
 }
 
-// LogStore holds the table that the committed changes of a log lead to.
+// LogStore is a Store that holds the table built from the committed changes of a
+// log. It is safe for concurrent use.
 type LogStore struct {
 	config LogStoreConfig
 
 	mutex   sync.Mutex
 	state   *changelog.State
-	waiting map[changelog.ChangeID][]chan changelog.Outcome
-	// undecided are the latest changes that were answered as undecided,
-	// oldest first. A refusal of a repeat says nothing about the first
-	// proposal.
+	waiters map[changelog.ChangeID][]chan changelog.Outcome
+	// undecided lists the latest changes whose proposal was undecided, oldest
+	// first. If a retry of such a change is refused, the first proposal may
+	// still be committed.
 	undecided []changelog.ChangeID
 }
 
-// maxUndecided bounds the remembered undecided changes.
+// maxUndecided is the maximum length of LogStore.undecided.
 const maxUndecided = 1000
 
 // NewLogStore returns a store with an empty table.
@@ -87,33 +88,33 @@
 	return &LogStore{
 		config:  config,
 		state:   changelog.NewState(config.Limits),
-		waiting: make(map[changelog.ChangeID][]chan changelog.Outcome),
+		waiters: make(map[changelog.ChangeID][]chan changelog.Outcome),
 	}
 }
 
-// Apply applies a committed payload. It fails for a payload that is no change,
-// which leaves the table as it is.
+// Apply applies a committed payload. If the payload is not a valid encoding of a
+// change, it fails and leaves the table unchanged.
 func (s *LogStore) Apply(payload []byte) error {
 	var change changelog.Change
 	if rest, err := change.UnmarshalMsg(payload); err != nil || len(rest) > 0 {
-		return errors.Errorf("committed payload of %d bytes is not a change", len(payload))
+		return errors.Errorf("cannot decode the committed payload of %d bytes as a change", len(payload))
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	before := s.state.Version()
 	outcome := s.state.Apply(&change)
-	for _, waiting := range s.waiting[change.ID] {
+	for _, waiting := range s.waiters[change.ID] {
 		waiting <- outcome
 	}
-	delete(s.waiting, change.ID)
+	delete(s.waiters, change.ID)
 	if s.state.Version() != before {
 		s.config.OnChange(s.state.Table())
 	}
 	return nil
 }
 
-// ReplaceTable replaces the table by a newer one of the configuration service. It fails
-// for one that is not newer or not valid.
+// ReplaceTable replaces the table by a newer one from the configuration service. It
+// fails if the new table has no higher version or is invalid.
 func (s *LogStore) ReplaceTable(record changelog.Record, newer *table.Table) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -124,15 +125,15 @@
 	return nil
 }
 
-// Snapshot returns the encoded state, for another process to install.
+// Snapshot returns the encoded state, for InstallSnapshot in another process.
 func (s *LogStore) Snapshot() ([]byte, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.state.Encode()
 }
 
-// InstallSnapshot replaces the state by one that Snapshot has returned. It fails for
-// other text and for a state older than the one held.
+// InstallSnapshot replaces the state by one that Snapshot returned. It fails if the
+// encoding is invalid or the snapshot is older than the current state.
 func (s *LogStore) InstallSnapshot(encoded []byte) error {
 	installed, err := changelog.Decode(s.config.Limits, encoded)
 	if err != nil {
@@ -141,21 +142,21 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if installed.Version() < s.state.Version() {
-		return errors.Errorf("snapshot of version %d is older than %d", installed.Version(), s.state.Version())
+		return errors.Errorf("snapshot of version %d is older than the current version %d", installed.Version(), s.state.Version())
 	}
 	changed := installed.Version() != s.state.Version()
 	s.state = installed
-	s.answerWaiting()
+	s.notifyWaiters()
 	if changed {
 		s.config.OnChange(s.state.Table())
 	}
 	return nil
 }
 
-// answerWaiting answers for the changes that came with a snapshot. The mutex
-// must be held.
-func (s *LogStore) answerWaiting() {
-	for id, channels := range s.waiting {
+// notifyWaiters sends the outcomes in an installed snapshot to the callers of
+// Submit that wait for them. The caller must hold the mutex.
+func (s *LogStore) notifyWaiters() {
+	for id, channels := range s.waiters {
 		outcome, known := s.state.Outcome(id)
 		if !known {
 			continue
@@ -163,7 +164,7 @@
 		for _, waiting := range channels {
 			waiting <- outcome
 		}
-		delete(s.waiting, id)
+		delete(s.waiters, id)
 	}
 }
 
@@ -174,10 +175,10 @@
 	}
 	payload, err := change.MarshalMsg(nil)
 	if err != nil {
-		return SubmitResult{Reason: "the change cannot be encoded: " + err.Error()}
+		return SubmitResult{Reason: "encode the change: " + err.Error()}
 	}
-	applied := s.wait(change.ID)
-	defer s.stopWaiting(change.ID, applied)
+	applied := s.addWaiter(change.ID)
+	defer s.removeWaiter(change.ID, applied)
 	decision := s.config.Proposer.Propose(ctx, change.ID, payload)
 	if decision.Status == ProposalCommitted && decision.Outcome != nil {
 		return SubmitResult{Decided: true, Outcome: *decision.Outcome}
@@ -186,7 +187,7 @@
 		return s.awaitOutcome(ctx, change.ID, applied)
 	}
 	if decision.Status == ProposalUndecided {
-		s.noteUndecided(change.ID)
+		s.rememberUndecided(change.ID)
 	}
 	return SubmitResult{MayApply: s.isUndecided(change.ID), Reason: decision.Reason, RetryAfter: decision.RetryAfter}
 }
@@ -196,12 +197,12 @@
 	case outcome := <-applied:
 		return SubmitResult{Decided: true, Outcome: outcome}
 	case <-ctx.Done():
-		s.noteUndecided(id)
-		return SubmitResult{MayApply: true, Reason: "the change is committed and not applied here yet"}
+		s.rememberUndecided(id)
+		return SubmitResult{MayApply: true, Reason: "the change is committed but not yet applied by this process"}
 	}
 }
 
-func (s *LogStore) noteUndecided(id changelog.ChangeID) {
+func (s *LogStore) rememberUndecided(id changelog.ChangeID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if slices.Contains(s.undecided, id) {
@@ -219,26 +220,26 @@
 	return slices.Contains(s.undecided, id)
 }
 
-func (s *LogStore) wait(id changelog.ChangeID) chan changelog.Outcome {
+func (s *LogStore) addWaiter(id changelog.ChangeID) chan changelog.Outcome {
 	applied := make(chan changelog.Outcome, 1)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.waiting[id] = append(s.waiting[id], applied)
+	s.waiters[id] = append(s.waiters[id], applied)
 	return applied
 }
 
-func (s *LogStore) stopWaiting(id changelog.ChangeID, applied chan changelog.Outcome) {
+func (s *LogStore) removeWaiter(id changelog.ChangeID, applied chan changelog.Outcome) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	left := slices.DeleteFunc(s.waiting[id], func(other chan changelog.Outcome) bool { return other == applied })
+	left := slices.DeleteFunc(s.waiters[id], func(other chan changelog.Outcome) bool { return other == applied })
 	if len(left) == 0 {
-		delete(s.waiting, id)
+		delete(s.waiters, id)
 		return
 	}
-	s.waiting[id] = left
+	s.waiters[id] = left
 }
 
-// Preview implements Store. It works on a copy of the state.
+// Preview implements Store. It applies the change to a copy of the state.
 func (s *LogStore) Preview(change *changelog.Change) (Preview, error) {
 	encoded, err := s.Snapshot()
 	if err != nil {
@@ -288,16 +289,16 @@
 
 // Reached implements Store.
 func (s *LogStore) VersionStatus(version table.Version) VersionStatusResponse {
-	answer := VersionStatusResponse{Version: version, NotReached: []string{}}
-	answer.Accepted = version != 0 && version <= s.version()
+	response := VersionStatusResponse{Version: version, NotReached: []string{}}
+	response.Accepted = version != 0 && version <= s.version()
 	for _, member := range s.Members() {
 		if member.Version >= version {
-			answer.Reached++
+			response.Reached++
 			continue
 		}
-		answer.NotReached = append(answer.NotReached, member.Name)
+		response.NotReached = append(response.NotReached, member.Name)
 	}
-	return answer
+	return response
 }
 
 func (s *LogStore) version() table.Version {
--- a/internal/adminapi/logstore_test.go
+++ b/internal/adminapi/logstore_test.go
@@ -14,15 +14,15 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// scriptedLog decides on proposals as a spec says, and commits the payloads
-// when the spec says so.
-type scriptedLog struct {
+// fakeProposer records the payloads of proposals and returns the result set by
+// the test. The test itself applies the recorded payloads.
+type fakeProposer struct {
 	decision adminapi.ProposalResult
 	payloads [][]byte
 	proposed func()
 }
 
-func (l *scriptedLog) Propose(_ context.Context, _ changelog.ChangeID, payload []byte) adminapi.ProposalResult {
+func (l *fakeProposer) Propose(_ context.Context, _ changelog.ChangeID, payload []byte) adminapi.ProposalResult {
 	l.payloads = append(l.payloads, payload)
 	if l.proposed != nil {
 		l.proposed()
@@ -30,82 +30,82 @@
 	return l.decision
 }
 
-func newLogStore(log *scriptedLog, versions *[]table.Version) *adminapi.LogStore {
+func newLogStore(log *fakeProposer, versions *[]table.Version) *adminapi.LogStore {
 	return adminapi.NewLogStore(adminapi.LogStoreConfig{
 		Limits: changelog.DefaultLimits(), Proposer: log, Members: adminapi.NewSingleMember("b", "z"),
 		OnChange: func(changed *table.Table) { *versions = append(*versions, changed.Version) },
 	})
 }
 
-func setup() *changelog.Change {
-	parts := example()
-	return &changelog.Change{ID: "setup", AddServices: parts.AddServices, AddBackends: parts.AddBackends}
+func setupChange() *changelog.Change {
+	operations := exampleOperations()
+	return &changelog.Change{ID: "setup", AddServices: operations.AddServices, AddBackends: operations.AddBackends}
 }
 
 var _ = Describe("LogStore", func() {
-	var log *scriptedLog
+	var log *fakeProposer
 	var versions []table.Version
 	var store *adminapi.LogStore
 	ctx := context.Background()
 
 	BeforeEach(func() {
-		log = &scriptedLog{}
+		log = &fakeProposer{}
 		versions = nil
 		store = newLogStore(log, &versions)
 	})
 
-	DescribeTable("passes on why a change is not decided",
+	DescribeTable("passes the status, reason and retry delay of an uncommitted proposal to the client",
 		func(status adminapi.ProposalStatus, mayApply bool, outcome adminapi.ChangeOutcome, code int) {
 			log.decision = adminapi.ProposalResult{Status: status, Reason: "no quorum", RetryAfter: 1500 * time.Millisecond}
-			Expect(store.Submit(ctx, setup())).To(Equal(adminapi.SubmitResult{
+			Expect(store.Submit(ctx, setupChange())).To(Equal(adminapi.SubmitResult{
 				MayApply: mayApply, Reason: "no quorum", RetryAfter: 1500 * time.Millisecond}))
-			answer := request(serve(store), adminToken, "POST", "/v1/changes",
+			response := sendRequest(startServer(store), adminToken, "POST", "/v1/changes",
 				`{"id": "c", "reason": "r", "base_version": 0, "remove_backends": [1]}`)
-			Expect(answer.status).To(Equal(code))
-			Expect(answer.retryAfter).To(Equal("2"))
-			Expect(answer.body).To(ContainSubstring(`"outcome":"` + string(outcome) + `"`))
+			Expect(response.status).To(Equal(code))
+			Expect(response.retryAfter).To(Equal("2"))
+			Expect(response.body).To(ContainSubstring(`"outcome":"` + string(outcome) + `"`))
 			Expect(versions).To(BeEmpty())
 		},
 		Entry("refused by the log", adminapi.ProposalRefused, false, adminapi.NotAccepted, http.StatusServiceUnavailable),
-		Entry("undecided", adminapi.ProposalUndecided, true, adminapi.Unknown, http.StatusGatewayTimeout),
+		Entry("undecided by the log", adminapi.ProposalUndecided, true, adminapi.Unknown, http.StatusGatewayTimeout),
 	)
 
-	It("answers a committed change once it is applied", func() {
+	It("returns the outcome of a committed change once it is applied", func() {
 		log.proposed = func() { go func() { _ = store.Apply(log.payloads[0]) }() }
-		Expect(store.Submit(ctx, setup())).To(Equal(adminapi.SubmitResult{
+		Expect(store.Submit(ctx, setupChange())).To(Equal(adminapi.SubmitResult{
 			Decided: true, Outcome: changelog.Outcome{ID: "setup", Accepted: true, Version: 1}}))
 		Expect(versions).To(Equal([]table.Version{1}))
 	})
 
-	It("does not know the outcome of a committed change that is not applied in time", func() {
+	It("reports a committed change as possibly applied if the context ends before it is applied", func() {
 		ended, cancel := context.WithCancel(ctx)
 		cancel()
-		submitted := store.Submit(ended, setup())
+		submitted := store.Submit(ended, setupChange())
 		Expect(submitted.Decided).To(BeFalse())
 		Expect(submitted.MayApply).To(BeTrue())
 
-		By("giving the outcome to a repeat without a further proposal")
+		By("returning the outcome to a retry without another proposal")
 		Expect(store.Apply(log.payloads[0])).To(Succeed())
-		Expect(store.Submit(ctx, setup()).Outcome.Version).To(Equal(table.Version(1)))
+		Expect(store.Submit(ctx, setupChange()).Outcome.Version).To(Equal(table.Version(1)))
 		Expect(log.payloads).To(HaveLen(1))
 	})
 
-	It("does not take the refusal of a repeat for that of the first proposal", func() {
+	It("still reports a change as possibly applied if its first proposal was undecided and a retry is refused", func() {
 		log.decision.Status = adminapi.ProposalUndecided
-		Expect(store.Submit(ctx, setup()).MayApply).To(BeTrue())
+		Expect(store.Submit(ctx, setupChange()).MayApply).To(BeTrue())
 		log.decision.Status = adminapi.ProposalRefused
-		Expect(store.Submit(ctx, setup()).MayApply).To(BeTrue())
-		other := setup()
+		Expect(store.Submit(ctx, setupChange()).MayApply).To(BeTrue())
+		other := setupChange()
 		other.ID = "other"
 		Expect(store.Submit(ctx, other).MayApply).To(BeFalse())
 		Expect(store.Apply(log.payloads[0])).To(Succeed())
-		Expect(store.Submit(ctx, setup()).Outcome.Accepted).To(BeTrue())
+		Expect(store.Submit(ctx, setupChange()).Outcome.Accepted).To(BeTrue())
 	})
 
-	It("applies a change that was committed twice once", func() {
+	It("applies a change only once if it was committed twice", func() {
 		log.decision.Status = adminapi.ProposalUndecided
-		store.Submit(ctx, setup())
-		store.Submit(ctx, setup())
+		store.Submit(ctx, setupChange())
+		store.Submit(ctx, setupChange())
 		for _, payload := range log.payloads {
 			Expect(store.Apply(payload)).To(Succeed())
 		}
@@ -113,48 +113,48 @@
 		Expect(versions).To(Equal([]table.Version{1}))
 	})
 
-	It("refuses a payload that is no change", func() {
+	It("rejects a payload that is not an encoded change and keeps the table", func() {
 		Expect(store.Apply([]byte("x"))).NotTo(Succeed())
 		Expect(versions).To(BeEmpty())
 	})
 
-	It("takes over a snapshot with its outcomes, and no older one", func() {
+	It("installs a snapshot with its outcomes and rejects an older snapshot", func() {
 		other := newLogStore(log, new([]table.Version))
 		empty, err := other.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		log.decision.Status = adminapi.ProposalUndecided
-		other.Submit(ctx, setup())
+		other.Submit(ctx, setupChange())
 		Expect(other.Apply(log.payloads[0])).To(Succeed())
 		snapshot, err := other.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 
 		log.decision.Status = adminapi.ProposalCommitted
 		log.proposed = func() { go func() { _ = store.InstallSnapshot(snapshot) }() }
-		Expect(store.Submit(ctx, setup()).Outcome.Version).To(Equal(table.Version(1)))
+		Expect(store.Submit(ctx, setupChange()).Outcome.Version).To(Equal(table.Version(1)))
 		Expect(store.Table()).To(Equal(other.Table()))
-		Expect(store.InstallSnapshot(empty)).To(MatchError("snapshot of version 0 is older than 1"))
+		Expect(store.InstallSnapshot(empty)).To(MatchError("snapshot of version 0 is older than the current version 1"))
 		Expect(versions).To(Equal([]table.Version{1}))
 	})
 })
 
 var _ = Describe("Client", func() {
-	It("tells a change that was not sent from one without an answer", func() {
+	It("reports not_accepted for a change that was not sent, and unknown for one without a response", func() {
 		broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 		DeferCleanup(broken.Close)
 		client, err := adminapi.NewClient(broken.URL, adminToken, http.DefaultClient)
 		Expect(err).NotTo(HaveOccurred())
-		change := adminapi.ChangeRequest{ChangeMetadata: header("c", 1), Operations: setWeight(1, 1)}
-		answer, err := client.Change(context.Background(), change)
+		change := adminapi.ChangeRequest{ChangeMetadata: changeMetadata("c", 1), Operations: setWeight(1, 1)}
+		response, err := client.Change(context.Background(), change)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Outcome).To(Equal(adminapi.Unknown))
+		Expect(response.Outcome).To(Equal(adminapi.Unknown))
 
 		broken.Close()
-		answer, err = client.Change(context.Background(), change)
+		response, err = client.Change(context.Background(), change)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Outcome).To(Equal(adminapi.NotAccepted))
+		Expect(response.Outcome).To(Equal(adminapi.NotAccepted))
 	})
 
-	It("fails for an answer of another service", func() {
+	It("fails if the response comes from another service", func() {
 		other := httptest.NewServer(http.NotFoundHandler())
 		DeferCleanup(other.Close)
 		client, err := adminapi.NewClient(other.URL, adminToken, http.DefaultClient)
@@ -163,7 +163,7 @@
 		Expect(err).To(MatchError(ContainSubstring("not one of the administration API: status 404")))
 	})
 
-	It("takes URLs of servers only", func() {
+	It("rejects a server address that is not an http or https URL", func() {
 		_, err := adminapi.NewClient("192.0.2.1:8443", adminToken, http.DefaultClient)
 		Expect(err).To(MatchError(ContainSubstring("must be a URL")))
 	})
--- a/internal/adminapi/plan.go
+++ b/internal/adminapi/plan.go
@@ -1,4 +1,4 @@
-// This file implements the way from one table to another as a change.
+// This file computes the operations that turn one table into another.
 
 package adminapi
 
@@ -11,38 +11,40 @@
 	alteredRowRule     = "cannot be altered; remove the row and add it again under a higher incarnation"
 )
 
-// MissingPolicy tells what becomes of rows and services that a wanted table lacks.
+// MissingPolicy selects what Plan does with rows, services and closed zones that
+// the wanted table lacks.
 type MissingPolicy uint8
 
-// What becomes of missing rows and services.
+// The policies.
 const (
-	// KeepMissing leaves them as they are.
+	// KeepMissing leaves them unchanged.
 	KeepMissing MissingPolicy = iota
-	// RemoveMissing removes them.
+	// RemoveMissing removes the rows and services, and reopens the zones.
 	RemoveMissing
 )
 
-// Plan returns the parts of a change that leads from the current table to the
-// wanted one. A row that is wanted again after its removal gets a new
-// incarnation, and one that has got it since keeps it. Plan fails with a
-// table.CellError for cells that no change can alter.
+// Plan returns the operations that turn the current table into the wanted one. A
+// wanted row that is removed in the current table is added again under a higher
+// incarnation. A row that already has a higher incarnation than the wanted one
+// keeps it. Plan fails with a table.CellError if the tables differ in cells that
+// no change can modify.
 func Plan(current, wanted *table.Table, missing MissingPolicy) (Operations, error) {
-	var parts Operations
-	if err := parts.planServices(current, wanted); err != nil {
+	var operations Operations
+	if err := operations.planServices(current, wanted); err != nil {
 		return Operations{}, err
 	}
-	if err := parts.planBackends(current, wanted); err != nil {
+	if err := operations.planBackends(current, wanted); err != nil {
 		return Operations{}, err
 	}
 	if missing == RemoveMissing {
-		parts.planRemovals(current, wanted)
+		operations.planRemovals(current, wanted)
 	}
-	parts.planZones(current, wanted, missing)
-	return parts, nil
+	operations.planZones(current, wanted, missing)
+	return operations, nil
 }
 
-// planZones closes the zones that are closed in the wanted table. Others that are closed
-// count as missing there.
+// planZones closes the zones that are closed in the wanted table. With RemoveMissing, it
+// reopens all other closed zones.
 func (p *Operations) planZones(current, wanted *table.Table, missing MissingPolicy) {
 	for _, closed := range wanted.ClosedZones {
 		if _, already := current.ClosedSince(closed.Zone); !already {
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// alteredCell names the first cell that differs.
+// alteredCell returns an error that names the first cell that differs.
 func alteredCell(before, after *table.Table, rule string) error {
 	cell := table.Diff(before, after)[0]
 	return table.CellError{Row: cell.Row, Column: cell.Column, Rule: rule}
@@ -129,7 +131,7 @@
 	return nil
 }
 
-// changedCell returns nil for a cell that stays as it is.
+// changedCell returns the wanted value, or nil if the cell does not change.
 func changedCell[T comparable](existing, wanted T) *T {
 	if existing == wanted {
 		return nil
--- a/internal/adminapi/plan_test.go
+++ b/internal/adminapi/plan_test.go
@@ -9,18 +9,18 @@
 )
 
 func exampleTable() *table.Table {
-	parts := example()
-	return &table.Table{Version: 1, Services: parts.AddServices, Backends: parts.AddBackends}
+	operations := exampleOperations()
+	return &table.Table{Version: 1, Services: operations.AddServices, Backends: operations.AddBackends}
 }
 
 var _ = Describe("Plan", func() {
-	It("has no parts between equal tables", func() {
-		parts, err := adminapi.Plan(exampleTable(), exampleTable(), adminapi.RemoveMissing)
+	It("returns no operations for equal tables", func() {
+		operations, err := adminapi.Plan(exampleTable(), exampleTable(), adminapi.RemoveMissing)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(parts.Empty()).To(BeTrue())
+		Expect(operations.Empty()).To(BeTrue())
 	})
 
-	It("closes the zones that are closed in the wanted table, and opens others only if asked to remove what is missing", func() {
+	It("closes the zones that are closed in the wanted table, and reopens others only with RemoveMissing", func() {
 		zoned := func(closed ...table.ClosedZone) *table.Table {
 			created := exampleTable()
 			created.Backends[0].Zone = "north"
@@ -39,7 +39,7 @@
 		}))
 	})
 
-	It("sets the cells that differ and no others", func() {
+	It("sets only the cells that differ", func() {
 		wanted := exampleTable()
 		wanted.Backends[0].Weight = 0
 		wanted.Backends[1].Drain = true
@@ -49,7 +49,7 @@
 		}))
 	})
 
-	It("removes what is missing only if asked to", func() {
+	It("removes missing rows and services only with RemoveMissing", func() {
 		wanted := exampleTable()
 		wanted.Services = wanted.Services[:1]
 		wanted.Backends = wanted.Backends[:2]
@@ -59,17 +59,17 @@
 		}))
 	})
 
-	It("adds a removed row under a higher incarnation", func() {
+	It("adds a removed row again under a higher incarnation", func() {
 		current := exampleTable()
 		current.Backends[0].Removed = true
 		current.Backends[0].Incarnation = 7
-		parts, err := adminapi.Plan(current, exampleTable(), adminapi.KeepMissing)
+		operations, err := adminapi.Plan(current, exampleTable(), adminapi.KeepMissing)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(parts.AddBackends).To(HaveLen(1))
-		Expect(parts.AddBackends[0].Incarnation).To(Equal(table.Incarnation(8)))
+		Expect(operations.AddBackends).To(HaveLen(1))
+		Expect(operations.AddBackends[0].Incarnation).To(Equal(table.Incarnation(8)))
 	})
 
-	It("leaves a row that was added again under its incarnation", func() {
+	It("keeps the higher incarnation of a row that was added again", func() {
 		current := exampleTable()
 		current.Backends[0].Incarnation = 7
 		wanted := exampleTable()
@@ -77,7 +77,7 @@
 		Expect(adminapi.Plan(current, wanted, adminapi.RemoveMissing)).To(Equal(setWeight(10, 9)))
 	})
 
-	DescribeTable("names the cell that no change can alter",
+	DescribeTable("fails with the row and column of a cell that no change can modify",
 		func(alter func(*table.Table), row, column string) {
 			wanted := exampleTable()
 			alter(wanted)
@@ -89,7 +89,7 @@
 		Entry("address", func(t *table.Table) { t.Services[0].Address = "198.51.100.7:80" }, `service "lookup" (1)`, "address"),
 		Entry("agent", func(t *table.Table) { t.Backends[0].Agent = "192.0.2.7:6081" }, `back end "lookup-1" (10)`, "agent"),
 		Entry("name", func(t *table.Table) { t.Backends[0].Name = "other" }, `back end "other" (10)`, "name"),
-		Entry("incarnation beside a weight", func(t *table.Table) {
+		Entry("incarnation together with a weight", func(t *table.Table) {
 			t.Backends[0].Weight = 1
 			t.Backends[0].Incarnation = 9
 		}, `back end "lookup-1" (10)`, "incarnation"),
--- a/internal/adminapi/requests.go
+++ b/internal/adminapi/requests.go
@@ -1,4 +1,4 @@
-// This file implements the reading of HTTP requests.
+// This file decodes HTTP requests.
 
 package adminapi
 
@@ -15,7 +15,7 @@
 )
 
 type tableRequest struct {
-	// service is the name of one service, or empty for all.
+	// service is the name of a service; empty selects all services.
 	service string
 }
 
@@ -26,7 +26,7 @@
 	limit int
 }
 
-type reachRequest struct{ version table.Version }
+type versionStatusRequest struct{ version table.Version }
 
 type drainRequest struct {
 	backend table.BackendID
@@ -38,13 +38,13 @@
 	body ZoneRequest
 }
 
-// The number of records in an answer of the history.
+// Limits of the number of records in a HistoryResponse.
 const (
 	DefaultHistoryLimit = 100
 	MaxHistoryLimit     = 2000
 )
 
-// The names of query parameters and path values.
+// Names of query parameters and path values.
 const (
 	serviceParameter = "service"
 	afterParameter   = "after"
@@ -54,17 +54,17 @@
 	zoneValue        = "zone"
 )
 
-// checkParameters refuses query parameters that a path does not take, so that
-// a misspelt one is not left unheeded.
+// checkParameters refuses unknown and repeated query parameters, so that a
+// misspelt parameter is not silently ignored.
 func checkParameters(query url.Values, allowed ...string) error {
 	for _, name := range allowed {
 		if len(query[name]) > 1 {
-			return invalid("parameter %s is given more than once", name)
+			return invalidRequest("parameter %s is given more than once", name)
 		}
 		query.Del(name)
 	}
 	for name := range query {
-		return invalid("unknown parameter %s", name)
+		return invalidRequest("unknown parameter %s", name)
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 	return tableRequest{name}, checkParameters(request.URL.Query(), serviceParameter)
 }
 
-func decodeNothing(_ context.Context, request *http.Request) (any, error) {
+func decodeEmpty(_ context.Context, request *http.Request) (any, error) {
 	return nil, checkParameters(request.URL.Query())
 }
 
@@ -98,7 +98,7 @@
 	if text := query.Get(limitParameter); text != "" {
 		limit, err := strconv.Atoi(text)
 		if err != nil || limit < 1 || limit > MaxHistoryLimit {
-			return nil, invalid("limit must be from 1 to %d", MaxHistoryLimit)
+			return nil, invalidRequest("limit must be from 1 to %d", MaxHistoryLimit)
 		}
 		decoded.limit = limit
 	}
@@ -108,23 +108,23 @@
 func parseVersion(text string) (table.Version, error) {
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, invalid("version %q is not a whole number", text)
+		return 0, invalidRequest("version %q is not a whole number", text)
 	}
 	return table.Version(version), nil
 }
 
-func decodeReach(_ context.Context, request *http.Request) (any, error) {
+func decodeVersionStatus(_ context.Context, request *http.Request) (any, error) {
 	version, err := parseVersion(request.PathValue(versionValue))
 	if err != nil {
 		return nil, err
 	}
-	return reachRequest{version}, checkParameters(request.URL.Query())
+	return versionStatusRequest{version}, checkParameters(request.URL.Query())
 }
 
 func decodeDrain(_ context.Context, request *http.Request) (any, error) {
 	id, err := strconv.ParseUint(request.PathValue(idValue), 10, 32)
 	if err != nil {
-		return nil, invalid("row %q is not an identifier", request.PathValue(idValue))
+		return nil, invalidRequest("row %q is not an identifier from 0 to 4294967295", request.PathValue(idValue))
 	}
 	decoded := drainRequest{backend: table.BackendID(id)}
 	err = decodeBody(request, &decoded.body)
@@ -149,8 +149,8 @@
 	return decoded, err
 }
 
-// decodeBody reads one JSON value without unknown members. The size of the
-// body is bounded by the caller.
+// decodeBody decodes one JSON value and refuses unknown members. The caller must
+// limit the size of the body.
 func decodeBody(request *http.Request, target any) error {
 	if err := checkParameters(request.URL.Query()); err != nil {
 		return err
@@ -158,22 +158,22 @@
 	decoder := json.NewDecoder(request.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(target); err != nil {
-		return bodyFailure(err)
+		return bodyError(err)
 	}
 	if decoder.More() {
-		return invalid("text after the JSON value")
+		return invalidRequest("text after the JSON value")
 	}
 	return nil
 }
 
-func bodyFailure(err error) error {
+func bodyError(err error) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return tooLargeFailure(tooLarge.Limit)
+		return tooLargeError(tooLarge.Limit)
 	}
-	return invalid("body: %s", err)
+	return invalidRequest("cannot decode the request body as JSON: %s", err)
 }
 
-func tooLargeFailure(limit int64) error {
+func tooLargeError(limit int64) error {
 	return Error{Code: CodeTooLarge, Message: "the body must have at most " + strconv.FormatInt(limit, 10) + " bytes"}
 }
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -1,4 +1,4 @@
-// This file implements the listener of the API.
+// This file implements the TLS server of the API.
 
 package adminapi
 
@@ -15,8 +15,9 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds for callers, which may be slow or broken. An answer may wait for
-// DefaultSubmitTimeout.
+// Connection limits that protect the server from slow or faulty clients.
+// writeTimeout must exceed DefaultSubmitTimeout, since a response may wait that
+// long.
 const (
 	headerTimeout   = 5 * time.Second
 	readTimeout     = 30 * time.Second
@@ -28,13 +29,13 @@
 
 // ServerConfig holds the settings of a Server.
 type ServerConfig struct {
-	// Listen is the TCP address; port 0 takes a free one.
+	// Listen is the TCP address; port 0 selects a free port.
 	Listen  netip.AddrPort
 	TLS     *tls.Config
 	Handler http.Handler
 }
 
-// Server accepts connections for a Handler.
+// Server accepts TLS connections and passes their requests to a handler.
 type Server struct {
 	listener net.Listener
 	tls      *tls.Config
@@ -42,11 +43,11 @@
 }
 
 // NewServer opens the listener. It fails if the address cannot be bound.
-// Requests are answered once Run is called.
+// Requests are served once Run is called.
 func NewServer(config ServerConfig) (*Server, error) {
 	listener, err := net.Listen("tcp4", config.Listen.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "administration API")
+		return nil, errors.Wrap(err, "administration API: cannot listen")
 	}
 	return &Server{
 		listener: listener,
@@ -58,7 +59,7 @@
 			WriteTimeout:      writeTimeout,
 			IdleTimeout:       idleTimeout,
 			MaxHeaderBytes:    maxHeaderBytes,
-			// Failed handshakes are the caller's to report.
+			// Failed TLS handshakes are not logged here; the client reports them.
 			ErrorLog: log.New(io.Discard, "", 0),
 		},
 	}, nil
@@ -69,15 +70,15 @@
 	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Run answers requests until ctx ends, lets those under way finish for a short
-// time, and then returns nil. It fails only if the listener fails while ctx is
-// live. It must be called once.
+// Run serves requests until ctx ends, then waits up to shutdownTimeout for
+// requests in progress and returns nil. It returns an error only if the listener
+// fails before ctx ends. It must be called once.
 func (s *Server) Run(ctx context.Context) error {
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.http.Serve(tls.NewListener(s.listener, s.tls)) }()
 	select {
 	case err := <-stopped:
-		return errors.Wrap(err, "administration API")
+		return errors.Wrap(err, "administration API: cannot serve")
 	case <-ctx.Done():
 	}
 	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
--- a/internal/adminapi/service.go
+++ b/internal/adminapi/service.go
@@ -1,4 +1,4 @@
-// This file implements the operations of the API.
+// This file implements the operations of the API, independent of HTTP.
 
 package adminapi
 
@@ -14,28 +14,29 @@
 	"github.com/vanetiller/vanetiller/internal/tenant"
 )
 
-// service holds the operations. Each is given the principal that asks.
+// service implements the operations. Each takes the principal of the request.
 type service struct {
 	store         Store
 	now           func() time.Time
 	submitTimeout time.Duration
 }
 
-// table returns what the principal sees of the table, or of one service.
+// table returns the part of the table that the principal may view, restricted to
+// one service if the request names one.
 func (s *service) table(principal tenant.Principal, request tableRequest) (TableResponse, error) {
 	state := s.store.Table()
 	view := principal.VisibleTable(state.Table)
 	if request.service != "" {
-		id, found := serviceNamed(view, request.service)
+		id, found := findServiceByName(view, request.service)
 		if !found {
 			return TableResponse{}, Error{Code: CodeNotFound, Message: "no service " + request.service}
 		}
 		view = view.ForServices([]table.ServiceID{id})
 	}
-	return tableAnswer(view, state.RowVersions), nil
+	return tableResponse(view, state.RowVersions), nil
 }
 
-func serviceNamed(searched *table.Table, name string) (table.ServiceID, bool) {
+func findServiceByName(searched *table.Table, name string) (table.ServiceID, bool) {
 	for _, service := range searched.Services {
 		if service.Name == name {
 			return service.ID, true
@@ -44,29 +45,30 @@
 	return 0, false
 }
 
-func tableAnswer(view *table.Table, versions []RowVersion) TableResponse {
-	seen := make(map[table.BackendID]bool, len(view.Backends))
+func tableResponse(view *table.Table, versions []RowVersion) TableResponse {
+	visible := make(map[table.BackendID]bool, len(view.Backends))
 	for _, row := range view.Backends {
-		seen[row.ID] = true
+		visible[row.ID] = true
 	}
 	shown := view.Clone()
-	// Lists without content are [] rather than null in JSON.
+	// Empty slices are encoded as [] in JSON; nil slices would be null.
 	if shown.Services == nil {
 		shown.Services = []table.Service{}
 	}
 	if shown.Backends == nil {
 		shown.Backends = []table.Backend{}
 	}
-	answer := TableResponse{Table: shown, RowVersions: []RowVersion{}}
+	response := TableResponse{Table: shown, RowVersions: []RowVersion{}}
 	for _, row := range versions {
-		if seen[row.Backend] {
-			answer.RowVersions = append(answer.RowVersions, row)
+		if visible[row.Backend] {
+			response.RowVersions = append(response.RowVersions, row)
 		}
 	}
-	return answer
+	return response
 }
 
-// change makes a change or, for a dry run, tells what would become of it.
+// change validates, authorizes and submits a change. A dry run is evaluated but
+// not submitted.
 func (s *service) change(ctx context.Context, principal tenant.Principal, request ChangeRequest) (ChangeResponse, error) {
 	if err := request.ChangeMetadata.validate(); err != nil {
 		return ChangeResponse{}, err
@@ -75,43 +77,43 @@
 		return ChangeResponse{}, err
 	}
 	current := s.store.Table().Table
-	seen := newVisibility(principal, current)
-	seen.added = request.AddServices
+	visible := newVisibility(principal, current)
+	visible.added = request.AddServices
 	change := request.change(author{principal, s.now()})
-	// A repeat gets its first answer, even if its rows are gone by now.
+	// A retry gets the recorded outcome, even if its rows were removed since.
 	if outcome, known := s.store.Outcome(change.ID); known {
-		return answerTo(request.ID, outcome, seen), nil
+		return outcomeToResponse(request.ID, outcome, visible), nil
 	}
-	var broken table.CellError
-	if errors.As(seen.authorize(change), &broken) {
-		refusal := Refusal(broken)
+	var violation table.CellError
+	if errors.As(visible.authorize(change), &violation) {
+		refusal := Refusal(violation)
 		return ChangeResponse{
 			ID: request.ID, Outcome: Refused, Version: current.Version, Refusal: &refusal, DryRun: request.DryRun,
 		}, nil
 	}
 	if request.DryRun {
-		return s.preview(request.ID, change, seen)
+		return s.preview(request.ID, change, visible)
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.submitTimeout)
 	defer cancel()
-	return answerSubmission(request.ID, s.store.Submit(ctx, change), seen), nil
+	return submitResultToResponse(request.ID, s.store.Submit(ctx, change), visible), nil
 }
 
-func (s *service) preview(id string, change *changelog.Change, seen visibility) (ChangeResponse, error) {
+func (s *service) preview(id string, change *changelog.Change, visible visibility) (ChangeResponse, error) {
 	preview, err := s.store.Preview(change)
 	if err != nil {
 		return ChangeResponse{}, err
 	}
-	answer := answerTo(id, preview.Outcome, seen)
-	answer.DryRun = true
-	answer.Cells = cellChanges(preview.Cells)
-	return answer, nil
+	response := outcomeToResponse(id, preview.Outcome, visible)
+	response.DryRun = true
+	response.Cells = cellChanges(preview.Cells)
+	return response, nil
 }
 
 // drain sets the drain flag of one row.
 func (s *service) drain(ctx context.Context, principal tenant.Principal, request drainRequest) (ChangeResponse, error) {
 	if request.body.Drain == nil {
-		return ChangeResponse{}, invalid("drain is required")
+		return ChangeResponse{}, invalidRequest("drain is required")
 	}
 	return s.change(ctx, principal, ChangeRequest{
 		ChangeMetadata: request.body.ChangeMetadata,
@@ -119,10 +121,10 @@
 	})
 }
 
-// closeZone closes a zone to new flows, or opens it again.
+// closeZone closes a zone to new flows, or reopens it.
 func (s *service) closeZone(ctx context.Context, principal tenant.Principal, request zoneRequest) (ChangeResponse, error) {
 	if request.body.Closed == nil {
-		return ChangeResponse{}, invalid("closed is required")
+		return ChangeResponse{}, invalidRequest("closed is required")
 	}
 	return s.change(ctx, principal, ChangeRequest{
 		ChangeMetadata: request.body.ChangeMetadata,
@@ -130,18 +132,19 @@
 	})
 }
 
-// importSnapshot makes the change that leads to the table of a snapshot.
+// importSnapshot submits the change that turns the current table into the one of
+// the request.
 func (s *service) importSnapshot(ctx context.Context, principal tenant.Principal, request SnapshotRequest) (ChangeResponse, error) {
 	if err := request.ChangeMetadata.validate(); err != nil {
 		return ChangeResponse{}, err
 	}
 	if request.Table == nil {
-		return ChangeResponse{}, invalid("table is required")
+		return ChangeResponse{}, invalidRequest("table is required")
 	}
 	current := s.store.Table().Table
-	seen := newVisibility(principal, current)
+	visible := newVisibility(principal, current)
 	if outcome, known := s.store.Outcome(scopedID(principal.Team, request.ID)); known {
-		return answerTo(request.ID, outcome, seen), nil
+		return outcomeToResponse(request.ID, outcome, visible), nil
 	}
 	if *request.BaseVersion != current.Version {
 		rule := fmt.Sprintf("expected %d, is %d", *request.BaseVersion, current.Version)
@@ -150,17 +153,17 @@
 			Refusal: &Refusal{Row: "table", Column: versionColumn, Rule: rule},
 		}, nil
 	}
-	parts, err := planSnapshot(current, request.Table)
-	var broken table.CellError
-	if errors.As(err, &broken) {
+	operations, err := planSnapshot(current, request.Table)
+	var violation table.CellError
+	if errors.As(err, &violation) {
 		return ChangeResponse{
-			ID: request.ID, Outcome: Refused, Version: current.Version, Refusal: seen.refusal(broken), DryRun: request.DryRun,
+			ID: request.ID, Outcome: Refused, Version: current.Version, Refusal: visible.refusal(violation), DryRun: request.DryRun,
 		}, nil
 	}
 	return s.change(ctx, principal, ChangeRequest{
 		ChangeMetadata:  request.ChangeMetadata,
 		ExpectedVersion: current.Version,
-		Operations:      parts,
+		Operations:      operations,
 	})
 }
 
@@ -172,16 +175,16 @@
 	return Plan(current, wanted, RemoveMissing)
 }
 
-// outcome returns what became of a change of the principal's team.
+// outcome returns the recorded outcome of a change of the principal's team.
 func (s *service) outcome(principal tenant.Principal, id string) ChangeResponse {
 	outcome, known := s.store.Outcome(scopedID(principal.Team, id))
 	if !known {
-		return ChangeResponse{ID: id, Outcome: Unknown, Message: "no outcome of this change is remembered here"}
+		return ChangeResponse{ID: id, Outcome: Unknown, Message: "no outcome of this change is recorded here"}
 	}
-	return answerTo(id, outcome, newVisibility(principal, s.store.Table().Table))
+	return outcomeToResponse(id, outcome, newVisibility(principal, s.store.Table().Table))
 }
 
-// history returns the latest records after a version, oldest first.
+// history returns the latest visible records after a version, oldest first.
 func (s *service) history(principal tenant.Principal, request historyRequest) HistoryResponse {
 	var records []changelog.Record
 	for _, record := range s.store.History() {
--- a/internal/adminapi/singlereplica.go
+++ b/internal/adminapi/singlereplica.go
@@ -1,4 +1,4 @@
-// This file implements a log and a fleet of one process.
+// This file implements a log and a member list for a single process.
 
 package adminapi
 
@@ -10,18 +10,18 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// singleReplica is a log of one process: a proposal is committed at once, and
-// lost with the process.
+// singleReplica is an in-memory log of a single process. It commits every
+// proposal at once; the log does not survive the process.
 type singleReplica struct {
 	mutex sync.Mutex
 	apply func(payload []byte) error
 }
 
-// NewSingleReplicaStore returns a store of one process. Its changes end with
-// the process.
-func NewSingleReplicaStore(limits changelog.Limits, fleet MemberLister, changed func(*table.Table)) *LogStore {
+// NewSingleReplicaStore returns an in-memory store for a single process. Its
+// changes are lost when the process ends.
+func NewSingleReplicaStore(limits changelog.Limits, members MemberLister, onChange func(*table.Table)) *LogStore {
 	proposer := &singleReplica{}
-	store := NewLogStore(LogStoreConfig{Limits: limits, Proposer: proposer, Members: fleet, OnChange: changed})
+	store := NewLogStore(LogStoreConfig{Limits: limits, Proposer: proposer, Members: members, OnChange: onChange})
 	proposer.apply = store.Apply
 	return store
 }
@@ -36,33 +36,33 @@
 	return ProposalResult{Status: ProposalCommitted}
 }
 
-// SingleMember is a fleet of one process.
+// SingleMember is a MemberLister that lists only one process.
 type SingleMember struct {
 	name string
 	zone string
 
-	mutex   sync.Mutex
-	inForce table.Version
+	mutex         sync.Mutex
+	activeVersion table.Version
 }
 
-// memberLive is the state of a member that runs.
+// memberLive is the state of a running member.
 const memberLive = "live"
 
-// NewSingleMember returns a fleet of the named process.
+// NewSingleMember returns a SingleMember for the named process.
 func NewSingleMember(name, zone string) *SingleMember {
 	return &SingleMember{name: name, zone: zone}
 }
 
-// SetActiveVersion notes the version that the process forwards by.
+// SetActiveVersion records the table version that the process has applied.
 func (m *SingleMember) SetActiveVersion(version table.Version) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.inForce = version
+	m.activeVersion = version
 }
 
-// Members implements Fleet.
+// Members implements MemberLister.
 func (m *SingleMember) Members() []Member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return []Member{{Name: m.name, Zone: m.zone, State: memberLive, Version: m.inForce}}
+	return []Member{{Name: m.name, Zone: m.zone, State: memberLive, Version: m.activeVersion}}
 }
--- a/internal/adminapi/store.go
+++ b/internal/adminapi/store.go
@@ -1,4 +1,4 @@
-// This file defines what the API needs from the holder of the table.
+// This file defines the storage interface of the API.
 
 package adminapi
 
@@ -10,50 +10,50 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// SubmitResult is what became of a change handed to a Store.
+// SubmitResult is the result of submitting a change to a Store.
 type SubmitResult struct {
-	// Decided reports whether Outcome is known. If it is not, MayApply tells
-	// the two other cases apart.
+	// Decided reports whether Outcome is known. If not, MayApply tells whether
+	// the change can still be applied.
 	Decided bool
 	Outcome changelog.Outcome
-	// MayApply reports, if not Decided, that the change may still be applied;
-	// otherwise it never is.
+	// MayApply is meaningful only if Decided is false. True means that the
+	// change may still be applied; false means that it never will be.
 	MayApply bool
-	// Reason says why a change is not decided.
+	// Reason is why the outcome is not known.
 	Reason string
-	// RetryAfter is, if not zero, when a repeat makes sense.
+	// RetryAfter, unless zero, is the delay after which a retry may succeed.
 	RetryAfter time.Duration
 }
 
-// Preview is what would become of a change.
+// Preview is the expected result of a change that was not applied.
 type Preview struct {
 	Outcome changelog.Outcome
 	Cells   []changelog.CellChange
 }
 
-// VersionedTable is the table with the versions of its rows.
+// VersionedTable is the table with the version of each row.
 type VersionedTable struct {
 	// Table must not be changed.
 	Table       *table.Table
 	RowVersions []RowVersion
 }
 
-// Store holds the table and its changes. It is safe for concurrent use.
+// Store holds the table and its change history. Implementations are safe for
+// concurrent use.
 type Store interface {
-	// Submit makes a change, at most once for each identifier. When ctx ends
-	// early the change may still be applied.
+	// Submit applies a change, at most once for each change identifier. If ctx
+	// ends before the outcome is known, the change may still be applied.
 	Submit(ctx context.Context, change *changelog.Change) SubmitResult
-	// Preview tells what would become of a change now, without making it.
+	// Preview evaluates a change against the current table without applying it.
 	Preview(change *changelog.Change) (Preview, error)
-	// Outcome returns what became of a change, if that is remembered.
+	// Outcome returns the recorded outcome of a change, if there is one.
 	Outcome(id changelog.ChangeID) (changelog.Outcome, bool)
 	// Table returns the current table.
 	Table() VersionedTable
-	// History returns the remembered records of accepted changes, oldest
-	// first.
+	// History returns the retained records of accepted changes, oldest first.
 	History() []changelog.Record
-	// VersionStatus tells where a version is in force.
+	// VersionStatus returns which members have applied a version.
 	VersionStatus(version table.Version) VersionStatusResponse
-	// Members returns the processes that forward by the table.
+	// Members returns the processes that forward traffic according to the table.
 	Members() []Member
 }
--- a/internal/adminapi/store_bench_test.go
+++ b/internal/adminapi/store_bench_test.go
@@ -11,34 +11,34 @@
 	"github.com/vanetiller/vanetiller/internal/tenant"
 )
 
-// The size of the table that the fleet is planned for.
+// The design size of the configuration table.
 const (
 	targetServices = 1500
 	targetRows     = 12000
 )
 
-func targetParts() adminapi.Operations {
-	var parts adminapi.Operations
+func targetOperations() adminapi.Operations {
+	var operations adminapi.Operations
 	for id := 1; id <= targetServices; id++ {
-		parts.AddServices = append(parts.AddServices, table.Service{
+		operations.AddServices = append(operations.AddServices, table.Service{
 			ID: table.ServiceID(id), Name: fmt.Sprintf("service-%d", id), Protocol: table.ProtocolTCP,
 			Address: table.Endpoint(fmt.Sprintf("198.18.%d.%d:80", id/200, id%200)), Owner: fmt.Sprintf("team-%d", id%50),
 		})
 	}
 	for id := 1; id <= targetRows; id++ {
-		parts.AddBackends = append(parts.AddBackends, table.Backend{
+		operations.AddBackends = append(operations.AddBackends, table.Backend{
 			ID: table.BackendID(id), Service: table.ServiceID(id%targetServices + 1), Name: fmt.Sprintf("row-%d", id),
 			Incarnation: 1, Agent: table.Endpoint(fmt.Sprintf("10.0.%d.%d:6081", id/200, id%200)), Weight: 5,
 		})
 	}
-	return parts
+	return operations
 }
 
 func targetStore(b *testing.B) *adminapi.LogStore {
 	store := adminapi.NewSingleReplicaStore(changelog.DefaultLimits(), adminapi.NewSingleMember("b", "z"), nil)
-	parts := targetParts()
+	operations := targetOperations()
 	submitted := store.Submit(context.Background(), &changelog.Change{
-		ID: "setup", AddServices: parts.AddServices, AddBackends: parts.AddBackends,
+		ID: "setup", AddServices: operations.AddServices, AddBackends: operations.AddBackends,
 	})
 	if !submitted.Outcome.Accepted {
 		b.Fatal("setup was not accepted", submitted)
@@ -46,7 +46,7 @@
 	return store
 }
 
-func oneCell(number int) *changelog.Change {
+func weightChange(number int) *changelog.Change {
 	weight := uint32(number % table.MaxWeight)
 	return &changelog.Change{
 		ID: changelog.ChangeID(fmt.Sprint("change-", number)), BaseVersion: 1,
@@ -54,12 +54,12 @@
 	}
 }
 
-// BenchmarkSubmit measures one changed cell in a table of the target size.
+// BenchmarkSubmit measures a change of one cell in a table of the design size.
 func BenchmarkSubmit(b *testing.B) {
 	store := targetStore(b)
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
-		change := oneCell(number)
+		change := weightChange(number)
 		change.BaseVersion = store.Table().Table.Version
 		if submitted := store.Submit(context.Background(), change); !submitted.Decided {
 			b.Fatal(submitted)
@@ -67,18 +67,19 @@
 	}
 }
 
-// BenchmarkPreview measures a dry run in a table of the target size.
+// BenchmarkPreview measures a dry run on a table of the design size.
 func BenchmarkPreview(b *testing.B) {
 	store := targetStore(b)
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
-		if _, err := store.Preview(oneCell(number)); err != nil {
+		if _, err := store.Preview(weightChange(number)); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkView measures one team's part of a table of the target size.
+// BenchmarkView measures the extraction of one team's rows from a table of the
+// design size.
 func BenchmarkView(b *testing.B) {
 	store := targetStore(b)
 	principal := tenant.Principal{Role: tenant.RoleViewer, Team: "team-7"}
--- a/internal/adminapi/suite_test.go
+++ b/internal/adminapi/suite_test.go
@@ -64,10 +64,10 @@
 team = "sawt"
 `)
 
-var noon = time.Date(2029, 6, 1, 12, 0, 0, 0, time.UTC)
+var testTime = time.Date(2029, 6, 1, 12, 0, 0, 0, time.UTC)
 
-// example is the table of version 1, made by example's change.
-func example() adminapi.Operations {
+// exampleOperations returns the operations that create the table of version 1.
+func exampleOperations() adminapi.Operations {
 	return adminapi.Operations{
 		AddServices: []table.Service{
 			{ID: 1, Name: "lookup", Address: "198.51.100.1:80", Protocol: table.ProtocolTCP, Owner: "gateway"},
@@ -81,56 +81,56 @@
 	}
 }
 
-// fixture is an API over a store of one process.
-type fixture struct {
+// testAPI is an API server backed by a single-process store.
+type testAPI struct {
 	store  adminapi.Store
 	member *adminapi.SingleMember
 	server *httptest.Server
 }
 
-func newGate() *tenant.AdmissionController {
+func newAdmissionController() *tenant.AdmissionController {
 	directory, err := tenant.ParseCredentials("tokens.toml", []byte(tokensFile))
 	Expect(err).NotTo(HaveOccurred())
 	return tenant.NewAdmissionController(directory)
 }
 
-func serve(store adminapi.Store) *httptest.Server {
+func startServer(store adminapi.Store) *httptest.Server {
 	server := httptest.NewServer(adminapi.NewHandler(adminapi.HandlerConfig{
-		Store: store, Admission: newGate(), Now: func() time.Time { return noon },
+		Store: store, Admission: newAdmissionController(), Now: func() time.Time { return testTime },
 	}))
 	DeferCleanup(server.Close)
 	return server
 }
 
-func newFixture() *fixture {
-	created := &fixture{member: adminapi.NewSingleMember("balancer-1", "zone-1")}
+func newTestAPI() *testAPI {
+	created := &testAPI{member: adminapi.NewSingleMember("balancer-1", "zone-1")}
 	created.store = adminapi.NewSingleReplicaStore(changelog.DefaultLimits(), created.member,
 		func(changed *table.Table) { created.member.SetActiveVersion(changed.Version) })
-	created.server = serve(created.store)
-	answer := created.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: header("setup", 0), Operations: example()})
-	Expect(answer.Outcome).To(Equal(adminapi.Accepted))
+	created.server = startServer(created.store)
+	response := created.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("setup", 0), Operations: exampleOperations()})
+	Expect(response.Outcome).To(Equal(adminapi.Accepted))
 	return created
 }
 
-func (f *fixture) client(token tenant.Token) *adminapi.Client {
+func (f *testAPI) client(token tenant.Token) *adminapi.Client {
 	client, err := adminapi.NewClient(f.server.URL, token, f.server.Client())
 	Expect(err).NotTo(HaveOccurred())
 	return client
 }
 
-func (f *fixture) submit(token tenant.Token, request adminapi.ChangeRequest) adminapi.ChangeResponse {
-	answer, err := f.client(token).Change(context.Background(), request)
+func (f *testAPI) submit(token tenant.Token, request adminapi.ChangeRequest) adminapi.ChangeResponse {
+	response, err := f.client(token).Change(context.Background(), request)
 	Expect(err).NotTo(HaveOccurred())
-	return answer
+	return response
 }
 
-func (f *fixture) weightOf(id table.BackendID) uint32 {
+func (f *testAPI) weightOf(id table.BackendID) uint32 {
 	row, exists := f.store.Table().Table.Backend(id)
 	Expect(exists).To(BeTrue())
 	return row.Weight
 }
 
-func header(id string, base table.Version) adminapi.ChangeMetadata {
+func changeMetadata(id string, base table.Version) adminapi.ChangeMetadata {
 	return adminapi.ChangeMetadata{ID: id, Reason: "reason of " + id, BaseVersion: &base}
 }
 
@@ -138,26 +138,26 @@
 	return adminapi.Operations{SetCells: []adminapi.CellUpdate{{Backend: id, Weight: &weight}}}
 }
 
-// raw is an HTTP answer.
-type raw struct {
+// httpResult holds the checked parts of an HTTP response.
+type httpResult struct {
 	status     int
 	retryAfter string
 	body       string
 }
 
-func request(server *httptest.Server, token tenant.Token, method, path, body string) raw {
-	made, err := http.NewRequest(method, server.URL+path, strings.NewReader(body))
+func sendRequest(server *httptest.Server, token tenant.Token, method, path, body string) httpResult {
+	httpRequest, err := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	if token != "" {
-		made.Header.Set("Authorization", "Bearer "+string(token))
+		httpRequest.Header.Set("Authorization", "Bearer "+string(token))
 	}
-	response, err := server.Client().Do(made)
+	response, err := server.Client().Do(httpRequest)
 	Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(json.Valid(bytes.TrimSpace(data))).To(BeTrue(), string(data))
-	return raw{response.StatusCode, response.Header.Get("Retry-After"), string(data)}
+	return httpResult{response.StatusCode, response.Header.Get("Retry-After"), string(data)}
 }
 
 func changeBody(id string, rest string) string {
--- a/internal/adminapi/team_test.go
+++ b/internal/adminapi/team_test.go
@@ -19,34 +19,34 @@
 }
 
 var _ = Describe("Teams", func() {
-	var api *fixture
+	var api *testAPI
 	ctx := context.Background()
 
-	BeforeEach(func() { api = newFixture() })
+	BeforeEach(func() { api = newTestAPI() })
 
-	It("see their own rows only", func() {
+	It("see only their own rows", func() {
 		seen, err := api.client(sawtToken).Table(ctx, "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen).To(Equal(adminapi.TableResponse{
-			Table:       &table.Table{Version: 1, Services: example().AddServices[1:], Backends: example().AddBackends[2:]},
+			Table:       &table.Table{Version: 1, Services: exampleOperations().AddServices[1:], Backends: exampleOperations().AddBackends[2:]},
 			RowVersions: []adminapi.RowVersion{{Backend: 20, Version: 1}},
 		}))
 		one, err := api.client(adminToken).Table(ctx, "lookup")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(one.Table.Backends).To(Equal(example().AddBackends[:2]))
+		Expect(one.Table.Backends).To(Equal(exampleOperations().AddBackends[:2]))
 	})
 
-	DescribeTable("cannot change or probe the rows of another team",
-		func(parts adminapi.Operations, expected []adminapi.RowVersion, refusal adminapi.Refusal) {
+	DescribeTable("are refused changes to rows of another team, without details of those rows",
+		func(operations adminapi.Operations, expected []adminapi.RowVersion, refusal adminapi.Refusal) {
 			before := api.store.Table()
-			answer := api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: header("c", 1), Operations: parts, ExpectedRows: expected})
-			Expect(answer.Outcome).To(Equal(adminapi.Refused))
-			Expect(answer.Refusal).To(Equal(&refusal))
+			response := api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("c", 1), Operations: operations, ExpectedRows: expected})
+			Expect(response.Outcome).To(Equal(adminapi.Refused))
+			Expect(response.Refusal).To(Equal(&refusal))
 			Expect(api.store.Table()).To(Equal(before))
 		},
 		Entry("cells", setWeight(10, 0), nil,
 			adminapi.Refusal{Row: `back end "" (10)`, Column: "id", Rule: "names no row of the table"}),
-		Entry("cells beside own ones", adminapi.Operations{SetCells: append(setWeight(20, 1).SetCells, setWeight(11, 1).SetCells...)}, nil,
+		Entry("cells of own and other rows", adminapi.Operations{SetCells: append(setWeight(20, 1).SetCells, setWeight(11, 1).SetCells...)}, nil,
 			adminapi.Refusal{Row: `back end "" (11)`, Column: "id", Rule: "names no row of the table"}),
 		Entry("removal", adminapi.Operations{RemoveBackends: []table.BackendID{10}}, nil,
 			adminapi.Refusal{Row: `back end "" (10)`, Column: "id", Rule: "names no row of the table"}),
@@ -56,9 +56,9 @@
 			adminapi.Refusal{Row: `back end "" (10)`, Column: "id", Rule: "names no row of the table"}),
 		Entry("row added to a service", adminapi.Operations{AddBackends: []table.Backend{backend(30, 1, "x")}}, nil,
 			adminapi.Refusal{Row: `back end "x" (30)`, Column: "service", Rule: "names no service of the table"}),
-		Entry("row taken over", adminapi.Operations{AddBackends: []table.Backend{backend(10, 2, "x")}}, nil,
+		Entry("row added under the identifier of another team's row", adminapi.Operations{AddBackends: []table.Backend{backend(10, 2, "x")}}, nil,
 			adminapi.Refusal{Row: `back end "x" (10)`, Column: "id", Rule: "must be unique"}),
-		Entry("row added and set under a foreign identifier",
+		Entry("row added and set under the identifier of another team's row",
 			adminapi.Operations{AddBackends: []table.Backend{backend(10, 2, "x")}, SetCells: setWeight(10, 0).SetCells}, nil,
 			adminapi.Refusal{Row: `back end "x" (10)`, Column: "id", Rule: "must be unique"}),
 		Entry("service for another team", adminapi.Operations{AddServices: []table.Service{service(3, "x", "gateway", "198.51.100.3:80")}}, nil,
@@ -71,19 +71,19 @@
 			adminapi.Refusal{Row: `service "x" (1)`, Column: "id", Rule: "must be unique"}),
 	)
 
-	It("do not learn the name of the service that a rule was broken with", func() {
-		Expect(api.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: header("secret", 1), Operations: adminapi.Operations{
+	It("do not learn the name of another team's service from the rule it conflicts with", func() {
+		Expect(api.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("secret", 1), Operations: adminapi.Operations{
 			AddServices: []table.Service{service(9, "secret", "gateway", "198.51.100.9:80")},
 		}}).Outcome).To(Equal(adminapi.Accepted))
-		answer := api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: header("c", 2), Operations: adminapi.Operations{
+		response := api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("c", 2), Operations: adminapi.Operations{
 			AddServices: []table.Service{service(3, "x", "sawt", "198.51.100.9:80")},
 		}})
-		Expect(answer.Refusal).To(Equal(&adminapi.Refusal{
+		Expect(response.Refusal).To(Equal(&adminapi.Refusal{
 			Row: "service of another team", Column: "address", Rule: "already used by service x"}))
 	})
 
-	It("add services and rows of their own in one change", func() {
-		Expect(api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: header("c", 1), Operations: adminapi.Operations{
+	It("can add a service and its rows in one change", func() {
+		Expect(api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("c", 1), Operations: adminapi.Operations{
 			AddServices: []table.Service{service(3, "status", "sawt", "198.51.100.3:80")},
 			AddBackends: []table.Backend{backend(30, 3, "status-1")},
 			SetCells:    setWeight(30, 4).SetCells,
@@ -91,21 +91,21 @@
 		Expect(api.weightOf(30)).To(Equal(uint32(4)))
 	})
 
-	It("have identifiers of their own", func() {
-		Expect(api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("c", 1), Operations: setWeight(10, 9)}).Outcome).
+	It("can use the same change identifier without a collision", func() {
+		Expect(api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("c", 1), Operations: setWeight(10, 9)}).Outcome).
 			To(Equal(adminapi.Accepted))
-		answer, err := api.client(sawtToken).Outcome(ctx, "c")
+		response, err := api.client(sawtToken).Outcome(ctx, "c")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Outcome).To(Equal(adminapi.Unknown))
-		Expect(api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: header("c", 2), Operations: setWeight(20, 9)}).Outcome).
+		Expect(response.Outcome).To(Equal(adminapi.Unknown))
+		Expect(api.submit(sawtToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("c", 2), Operations: setWeight(20, 9)}).Outcome).
 			To(Equal(adminapi.Accepted))
 		Expect(api.weightOf(20)).To(Equal(uint32(9)))
 	})
 
-	It("see their part of the history only", func() {
+	It("see only the history of their own rows", func() {
 		both := adminapi.Operations{SetCells: append(setWeight(10, 9).SetCells, setWeight(20, 9).SetCells...)}
-		Expect(api.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: header("both", 1), Operations: both}).Version).To(Equal(table.Version(2)))
-		Expect(api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("own", 2), Operations: setWeight(10, 8)}).Version).To(Equal(table.Version(3)))
+		Expect(api.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("both", 1), Operations: both}).Version).To(Equal(table.Version(2)))
+		Expect(api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("own", 2), Operations: setWeight(10, 8)}).Version).To(Equal(table.Version(3)))
 		seen, err := api.client(sawtToken).History(ctx, 1, 10)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen.Records).To(HaveLen(1))
--- a/internal/adminapi/zones.go
+++ b/internal/adminapi/zones.go
@@ -1,4 +1,4 @@
-// This file implements what operators see of zones.
+// This file implements the listing of zones.
 
 package adminapi
 
@@ -9,7 +9,8 @@
 	"github.com/vanetiller/vanetiller/internal/tenant"
 )
 
-// zones returns the zones in which the principal sees rows, and those that are closed.
+// zones returns the closed zones and those with rows that the principal may view, sorted
+// by name.
 func (s *service) zones(principal tenant.Principal) ZonesResponse {
 	view := principal.VisibleTable(s.store.Table().Table)
 	var names []string
@@ -22,7 +23,7 @@
 		names = append(names, closed.Zone)
 	}
 	slices.Sort(names)
-	answer := ZonesResponse{Zones: []Zone{}}
+	response := ZonesResponse{Zones: []Zone{}}
 	for _, name := range slices.Compact(names) {
 		shown := Zone{Zone: name, Shares: zoneShares(view, name)}
 		for _, row := range view.Backends {
@@ -34,37 +35,37 @@
 			reach := s.store.VersionStatus(since)
 			shown.Closed, shown.Since, shown.VersionStatus = true, since, &reach
 		}
-		answer.Zones = append(answer.Zones, shown)
+		response.Zones = append(response.Zones, shown)
 	}
-	return answer
+	return response
 }
 
-// zoneShares returns what is left of each service that has rows in a zone once that is
-// closed.
+// zoneShares returns, for each service with rows in a zone, the fraction of its weight
+// that remains if that zone is closed.
 func zoneShares(view *table.Table, zone string) []ZoneShare {
 	shares := []ZoneShare{}
 	for _, service := range view.Services {
-		whole, remaining, concerned := uint64(0), uint64(0), false
+		total, remaining, hasBackends := uint64(0), uint64(0), false
 		for _, row := range view.BackendsOf(service.ID) {
-			concerned = concerned || row.Zone == zone && !row.Removed
+			hasBackends = hasBackends || row.Zone == zone && !row.Removed
 			closed := row.Closed
 			row.Closed = false
 			if !row.AcceptsNewFlows() {
 				continue
 			}
-			whole += uint64(row.Weight)
+			total += uint64(row.Weight)
 			if row.Zone != zone && !closed {
 				remaining += uint64(row.Weight)
 			}
 		}
-		if concerned {
-			shares = append(shares, ZoneShare{Service: service.Name, Remaining: share(remaining, whole)})
+		if hasBackends {
+			shares = append(shares, ZoneShare{Service: service.Name, Remaining: fraction(remaining, total)})
 		}
 	}
 	return shares
 }
 
-func share(part, whole uint64) float64 {
+func fraction(part, whole uint64) float64 {
 	if whole == 0 {
 		return 0
 	}
--- a/internal/adminapi/zones_test.go
+++ b/internal/adminapi/zones_test.go
@@ -12,32 +12,32 @@
 )
 
 var _ = Describe("Zones", func() {
-	var api *fixture
+	var api *testAPI
 	ctx := context.Background()
 
 	zone := func(id table.BackendID, name string) adminapi.CellUpdate {
 		return adminapi.CellUpdate{Backend: id, Zone: &name}
 	}
 	closeZone := func(name string, base table.Version, closed bool) adminapi.ChangeResponse {
-		answer, err := api.client(adminToken).CloseZone(ctx, name, adminapi.ZoneRequest{
-			ChangeMetadata: header("zone-"+name+map[bool]string{true: "-closed", false: "-open"}[closed], base), Closed: &closed,
+		response, err := api.client(adminToken).CloseZone(ctx, name, adminapi.ZoneRequest{
+			ChangeMetadata: changeMetadata("zone-"+name+map[bool]string{true: "-closed", false: "-open"}[closed], base), Closed: &closed,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		return answer
+		return response
 	}
 
 	BeforeEach(func() {
-		api = newFixture()
-		Expect(api.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: header("zones", 1), Operations: adminapi.Operations{
+		api = newTestAPI()
+		Expect(api.submit(adminToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("zones", 1), Operations: adminapi.Operations{
 			SetCells: []adminapi.CellUpdate{zone(10, "north"), zone(11, "south"), zone(20, "south")},
 		}}).Outcome).To(Equal(adminapi.Accepted))
 	})
 
-	It("are shown with what is left without them, since when they are closed and where that is in force", func() {
+	It("are listed with remaining capacity, the version that closed them and its status on the members", func() {
 		Expect(closeZone("north", 2, true).Outcome).To(Equal(adminapi.Accepted))
-		answer, err := api.client(adminToken).Zones(ctx)
+		response, err := api.client(adminToken).Zones(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Zones).To(Equal([]adminapi.Zone{
+		Expect(response.Zones).To(Equal([]adminapi.Zone{
 			{
 				Zone: "north", Closed: true, Since: 3, Backends: 1,
 				VersionStatus: &adminapi.VersionStatusResponse{Version: 3, Accepted: true, Reached: 1, NotReached: []string{}},
@@ -51,39 +51,39 @@
 		Expect(closeZone("north", 3, false).Outcome).To(Equal(adminapi.Accepted))
 	})
 
-	It("show a team its own rows only", func() {
-		answer, err := api.client(sawtToken).Zones(ctx)
+	It("are listed for a team with its own rows only", func() {
+		response, err := api.client(sawtToken).Zones(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Zones).To(ConsistOf(And(HaveField("Zone", "south"), HaveField("Backends", 1))))
+		Expect(response.Zones).To(ConsistOf(And(HaveField("Zone", "south"), HaveField("Backends", 1))))
 	})
 
-	It("are closed by administrators only, by either path", func() {
+	It("can be closed only by administrators, through /v1/zones and /v1/changes", func() {
 		closed := true
-		_, err := api.client(editorToken).CloseZone(ctx, "north", adminapi.ZoneRequest{ChangeMetadata: header("z", 2), Closed: &closed})
+		_, err := api.client(editorToken).CloseZone(ctx, "north", adminapi.ZoneRequest{ChangeMetadata: changeMetadata("z", 2), Closed: &closed})
 		Expect(err).To(MatchError(ContainSubstring("administrator")))
-		refused := api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: header("y", 2), Operations: adminapi.Operations{
+		refused := api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("y", 2), Operations: adminapi.Operations{
 			SetZones: []adminapi.ZoneUpdate{{Zone: "north", Closed: true}},
 		}})
 		Expect(refused.Outcome).To(Equal(adminapi.Refused))
 		Expect(refused.Refusal.Rule).To(ContainSubstring("administrator"))
 	})
 
-	It("are not closed if a service would have no row left, unless that is forced", func() {
+	It("are not closed if a service would have no row that accepts new flows, unless forced", func() {
 		Expect(closeZone("south", 2, true).Refusal.Rule).To(ContainSubstring(`service "audio"`))
 		closed := true
-		answer, err := api.client(adminToken).CloseZone(ctx, "south", adminapi.ZoneRequest{
-			ChangeMetadata: header("forced", 2), Closed: &closed, Force: true,
+		response, err := api.client(adminToken).CloseZone(ctx, "south", adminapi.ZoneRequest{
+			ChangeMetadata: changeMetadata("forced", 2), Closed: &closed, Force: true,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Outcome).To(Equal(adminapi.Accepted))
+		Expect(response.Outcome).To(Equal(adminapi.Accepted))
 	})
 
-	DescribeTable("refuse bodies that do not fit", func(path, body string) {
-		Expect(request(api.server, adminToken, "POST", path, changeBody("x", body)).status).To(Equal(http.StatusBadRequest))
+	DescribeTable("are not changed by an invalid request body", func(path, body string) {
+		Expect(sendRequest(api.server, adminToken, "POST", path, changeBody("x", body)).status).To(Equal(http.StatusBadRequest))
 	},
-		Entry("nothing said of closing", "/v1/zones/north", `"force": true`),
-		Entry("a zone without a name", "/v1/changes", `"set_zones": [{"zone": "", "closed": true}]`),
-		Entry("a row that says it is closed", "/v1/changes",
+		Entry("request without closed", "/v1/zones/north", `"force": true`),
+		Entry("zone without a name", "/v1/changes", `"set_zones": [{"zone": "", "closed": true}]`),
+		Entry("added row with closed set", "/v1/changes",
 			`"add_backends": [{"id": 12, "service": 1, "name": "x", "incarnation": 1, "agent": "192.0.2.9:6081", "weight": 1, "connection_limit": 0, "drain": false, "closed": true}]`),
 	)
 })
