--- a/internal/changelog/change.go
+++ b/internal/changelog/change.go
@@ -8,22 +8,23 @@
 
 //go:generate go tool msgp -tests=false
 
-// A forged length must not make the decoder allocate without bound.
+// The limit prevents a forged array length from making the decoder allocate
+// unbounded memory.
 //
 //msgp:limit arrays:1048576
 
-// MaximumTextLength bounds the identifier, author and reason of a change, in
-// bytes.
+// MaximumTextLength is the maximum length of the identifier, author and reason
+// of a change, in bytes.
 const MaximumTextLength = 256
 
-// ChangeID identifies a change. Whoever makes the change chooses it; a repeat
+// ChangeID identifies a change. The author of the change chooses it, and a retry
 // of the change has the same identifier.
 type ChangeID string
 
-// Revision numbers the states of the platform's configuration service.
+// Revision is a revision number of the platform's configuration service.
 type Revision uint64
 
-// CellUpdate sets cells of one row; a nil cell stays as it is.
+// CellUpdate sets cells of one row. Cells that are nil keep their values.
 type CellUpdate struct {
 	Backend         table.BackendID `msg:"b"`
 	Weight          *uint32         `msg:"w"`
@@ -32,44 +33,45 @@
 	Zone            *string         `msg:"z,omitempty"`
 }
 
-// ZoneUpdate closes a zone to new flows, or opens it again.
+// ZoneUpdate closes a zone to new flows, or reopens it.
 type ZoneUpdate struct {
 	Zone   string `msg:"z"`
 	Closed bool   `msg:"c"`
-	// Force closes it even if a service then has no row that gets new flows.
+	// Force closes the zone even if this leaves a service without a row that
+	// accepts new flows.
 	Force bool `msg:"f"`
 }
 
-// RowPrecondition makes a change depend on a row not having changed since a
-// table version.
+// RowPrecondition requires that a row has not changed since a table version.
 type RowPrecondition struct {
 	Backend table.BackendID `msg:"b"`
-	// Version is the table version of the row's last change; zero means that
-	// the row does not exist.
+	// Version is the table version at which the row must have changed last; zero
+	// requires that the row does not exist.
 	Version table.Version `msg:"v"`
 }
 
-// Import brings in a revision of the platform's configuration.
+// Import is a revision of the platform's configuration, to be merged into the
+// table.
 type Import struct {
 	Revision Revision        `msg:"r"`
 	Services []table.Service `msg:"s"`
 	Backends []table.Backend `msg:"b"`
-	// ClosedZones are those that the platform has closed.
+	// ClosedZones lists the zones that the platform has closed.
 	ClosedZones []table.ClosedZone `msg:"z,omitempty"`
 }
 
-// Change is one change of the table. Its parts are applied in the order of the
-// fields.
+// Change is one change of the table. Its operations are applied in the order of
+// the fields.
 type Change struct {
 	ID ChangeID `msg:"id"`
-	// BaseVersion is the table version known to the author when the change was made.
-	// A repeat keeps it.
+	// BaseVersion is the table version that the author knew when it made the
+	// change. A retry keeps it.
 	BaseVersion table.Version `msg:"base"`
 	Author      string        `msg:"who"`
-	// Timestamp is the author's time, in nanoseconds since 1970.
+	// Timestamp is the author's time, in nanoseconds since the Unix epoch.
 	Timestamp int64  `msg:"when"`
 	Reason    string `msg:"why"`
-	// ExpectedVersion is the table version that the change depends on; zero
+	// ExpectedVersion is the table version that the change requires; zero
 	// means any.
 	ExpectedVersion table.Version     `msg:"ev"`
 	ExpectedRows    []RowPrecondition `msg:"er"`
@@ -85,29 +87,30 @@
 // Time returns the author's time of the change.
 func (c *Change) Time() time.Time { return time.Unix(0, c.Timestamp).UTC() }
 
-// Refusal names the row, the column and the rule that a change breaks.
+// Refusal names the row, the column and the rule that a change violates. It is
+// stored with the outcome.
 type Refusal struct {
 	Row    string `msg:"row"`
 	Column string `msg:"column"`
 	Rule   string `msg:"rule"`
 }
 
-// CellError returns the refusal as the table's error.
+// CellError converts the refusal to a table.CellError.
 func (r Refusal) CellError() table.CellError {
 	return table.CellError{Row: r.Row, Column: r.Column, Rule: r.Rule}
 }
 
-// Outcome is what became of a change.
+// Outcome is the result of a change.
 type Outcome struct {
 	ID       ChangeID `msg:"id"`
 	Accepted bool     `msg:"ok"`
-	// Version is the table version after the change.
+	// Version is the table version after the change, accepted or not.
 	Version table.Version `msg:"v"`
 	// Refusal is set if the change was not accepted.
 	Refusal *Refusal `msg:"no"`
 }
 
-// CellChange is one cell that an accepted change altered, in text form.
+// CellChange is one cell modified by an accepted change, in text form.
 type CellChange struct {
 	Row    string `msg:"row"`
 	Column string `msg:"column"`
@@ -115,7 +118,7 @@
 	New    string `msg:"new"`
 }
 
-// Record is one accepted change in the history.
+// Record is the history entry of one accepted change.
 type Record struct {
 	Version   table.Version `msg:"v"`
 	ID        ChangeID      `msg:"id"`
--- a/internal/changelog/changelog_bench_test.go
+++ b/internal/changelog/changelog_bench_test.go
@@ -8,16 +8,17 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// largeState holds a table of rows, ten to a service.
+// largeState returns a state whose table has the given number of rows, ten per
+// service.
 func largeState(b *testing.B, rows int) *changelog.State {
 	b.Helper()
 	change := &changelog.Change{ID: "rows"}
 	for number := range rows {
 		service := table.ServiceID(number/10 + 1)
 		if number%10 == 0 {
-			change.AddServices = append(change.AddServices, serviceOf(service))
+			change.AddServices = append(change.AddServices, newService(service))
 		}
-		change.AddBackends = append(change.AddBackends, rowOf(table.BackendID(number+1), service))
+		change.AddBackends = append(change.AddBackends, newBackend(table.BackendID(number+1), service))
 	}
 	state := changelog.NewState(changelog.DefaultLimits())
 	if outcome := state.Apply(change); !outcome.Accepted {
@@ -26,7 +27,7 @@
 	return state
 }
 
-// BenchmarkApply measures a change of one cell.
+// BenchmarkApply measures the application of a change of one cell.
 func BenchmarkApply(b *testing.B) {
 	for _, rows := range []int{100, 4000, 12_000} {
 		b.Run(fmt.Sprintf("rows=%d", rows), func(b *testing.B) {
@@ -38,7 +39,7 @@
 				weight := uint32(number % table.MaxWeight)
 				change := changelog.Change{
 					ID: changelog.ChangeID(fmt.Sprintf("change-%d", number)), BaseVersion: state.Version(),
-					Author: "operator", Reason: "benchmark", Cells: weightOf(1, weight),
+					Author: "operator", Reason: "benchmark", Cells: weightUpdate(1, weight),
 				}
 				if outcome := state.Apply(&change); !outcome.Accepted {
 					b.Fatal(outcome.Refusal)
@@ -48,7 +49,7 @@
 	}
 }
 
-// BenchmarkImport measures a revision that alters one cell.
+// BenchmarkImport measures the import of a revision that changes one cell.
 func BenchmarkImport(b *testing.B) {
 	for _, rows := range []int{100, 4000, 12_000} {
 		b.Run(fmt.Sprintf("rows=%d", rows), func(b *testing.B) {
@@ -72,8 +73,8 @@
 	}
 }
 
-// BenchmarkSnapshot measures encoding and decoding of the state after more
-// changes than are remembered.
+// BenchmarkSnapshot measures encoding and decoding of a state whose lists of
+// outcomes and records are full.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, rows := range []int{100, 4000, 12_000} {
 		b.Run(fmt.Sprintf("rows=%d", rows), func(b *testing.B) {
@@ -81,7 +82,7 @@
 			for number := range changelog.DefaultLimits().Outcomes + 1 {
 				change := changelog.Change{
 					ID: changelog.ChangeID(fmt.Sprintf("change-%d", number)), BaseVersion: state.Version(),
-					Author: "operator", Reason: "benchmark", Cells: weightOf(1, uint32(number)),
+					Author: "operator", Reason: "benchmark", Cells: weightUpdate(1, uint32(number)),
 				}
 				state.Apply(&change)
 			}
--- a/internal/changelog/doc.go
+++ b/internal/changelog/doc.go
@@ -1,8 +1,10 @@
-// Package changelog implements the replicated state machine of the
-// configuration table: it applies the committed changes, in order, to the
-// table and remembers the outcome of each.
+// Package changelog implements the state machine that applies changes to the
+// configuration table of services and back ends. Its input is the sequence of
+// changes that a log has committed. For each change it decides whether the change
+// is accepted, and it records the outcome and the history for the administration
+// API.
 //
-// State is deterministic: two processes that apply the same changes from the
-// same snapshot hold equal states with equal encodings. A change is taken as
-// a whole or not at all.
+// State is deterministic: processes that apply the same changes to the same
+// snapshot have equal states with equal encodings. The text of refusals is part
+// of the state. A change is applied completely or not at all.
 package changelog
--- a/internal/changelog/draft.go
+++ b/internal/changelog/draft.go
@@ -7,13 +7,13 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// draft is the state that a change would lead to. It is dropped if any part of
-// the change is refused.
+// draft is the state after a change that is not accepted yet. It is discarded if
+// any operation of the change is refused.
 type draft struct {
 	table    *table.Table
 	retired  []table.ServiceID
 	imported Import
-	// positions holds where each row stands; it is built on first use.
+	// positions maps each row to its index in the table; it is built on first use.
 	positions map[table.BackendID]int
 }
 
@@ -52,7 +52,7 @@
 		}
 	}
 	for _, update := range change.Zones {
-		if err := d.closeZone(update); err != nil {
+		if err := d.updateZone(update); err != nil {
 			return err
 		}
 	}
@@ -80,7 +80,8 @@
 	return &d.table.Backends[position]
 }
 
-// appendBackend adds a row whose identifier is not in the table.
+// appendBackend adds a row. Its identifier must not be in the table, and backend
+// must have been called before, since it builds positions.
 func (d *draft) appendBackend(row table.Backend) {
 	d.positions[row.ID] = len(d.table.Backends)
 	d.table.Backends = append(d.table.Backends, row)
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// addBackend adds a row, or creates a removed row again under a higher
-// incarnation.
+// addBackend adds a row, or replaces a removed row of the same service by one
+// with a higher incarnation.
 func (d *draft) addBackend(row table.Backend) error {
 	existing := d.backend(row.ID)
 	if existing == nil {
@@ -127,7 +128,7 @@
 func (d *draft) setCells(update CellUpdate) error {
 	row := d.backend(update.Backend)
 	if row == nil || row.Removed {
-		return missingRow(update.Backend)
+		return unknownRowError(update.Backend)
 	}
 	if update.Weight != nil {
 		row.Weight = *update.Weight
@@ -144,9 +145,10 @@
 	return nil
 }
 
-// closeZone closes a zone or opens it again. It does not close the last zone of a service
-// unless it is forced to: new flows would have nowhere to go.
-func (d *draft) closeZone(update ZoneUpdate) error {
+// updateZone closes a zone or reopens it. Unless forced, it refuses to close the last zone
+// in which a service has rows that accept new flows, since new flows of that service could
+// then not be placed.
+func (d *draft) updateZone(update ZoneUpdate) error {
 	row := table.ZoneRowName(update.Zone)
 	_, closed := d.table.ClosedSince(update.Zone)
 	if closed == update.Closed {
@@ -173,24 +175,24 @@
 	return nil
 }
 
-// closedColumn is the column of zones in refusals and in the history.
+// closedColumn names the column of a zone in refusals and in the history.
 const closedColumn = "closed"
 
-func missingRow(id table.BackendID) error {
+func unknownRowError(id table.BackendID) error {
 	return table.CellError{Row: rowName("", id), Column: "id", Rule: "names no row of the table"}
 }
 
 func (d *draft) removeBackend(id table.BackendID) error {
 	row := d.backend(id)
 	if row == nil || row.Removed {
-		return missingRow(id)
+		return unknownRowError(id)
 	}
 	row.Removed = true
 	return nil
 }
 
-// removeService removes a service. Validate refuses the draft if a row of the
-// service is left.
+// removeService removes a service and retires its identifier. Validate later
+// refuses the draft if the service still has rows.
 func (d *draft) removeService(id table.ServiceID) error {
 	if d.service(id) == nil {
 		return table.CellError{Row: serviceName("", id), Column: "id", Rule: "names no service of the table"}
--- a/internal/changelog/import.go
+++ b/internal/changelog/import.go
@@ -7,9 +7,9 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// importRevision applies the cells in which a revision of the platform differs
-// from the revision imported before. Cells that the platform left alone keep
-// what operators have set.
+// importRevision applies the cells that differ between a platform revision and
+// the previously imported one. Cells that the platform did not change keep the
+// values set by operators.
 func (d *draft) importRevision(revision Import) error {
 	if revision.Revision <= d.imported.Revision {
 		return tableError("revision", fmt.Sprintf(
@@ -27,7 +27,7 @@
 	d.importServices(platform.Services)
 	d.importBackends(platform.Backends)
 	d.importZones(platform.ClosedZones)
-	d.dropServices(platform.Services)
+	d.removeMissingServices(platform.Services)
 	d.imported = Import{
 		Revision: revision.Revision, Services: platform.Services, Backends: platform.Backends, ClosedZones: platform.ClosedZones,
 	}
@@ -55,9 +55,9 @@
 	importCell(&current.Owner, old.Owner, imported.Owner)
 }
 
-// importBackends imports rows. A row that the platform has removed and created
-// again is taken whole, and so is a new one; a row that an operator has
-// removed stays removed until the platform gives it a higher incarnation.
+// importBackends imports rows. A new row, and a row that the platform has removed
+// and created again, replaces all cells. A row removed by an operator stays removed
+// until the platform assigns it a higher incarnation.
 func (d *draft) importBackends(rows []table.Backend) {
 	base := indexBackends(d.imported.Backends)
 	for _, row := range rows {
@@ -92,8 +92,9 @@
 	importCell(&current.Removed, old.Removed, imported.Removed)
 }
 
-// importZones closes the zones that the platform has closed since, and opens those that it
-// has opened, whatever operators did with them. All others stay as operators have set them.
+// importZones closes the zones that the platform has closed since the previous revision,
+// and reopens those that it has reopened, even if an operator has set them otherwise. All
+// other zones keep the state set by operators.
 func (d *draft) importZones(zones []table.ClosedZone) {
 	before := table.Table{ClosedZones: d.imported.ClosedZones}
 	after := table.Table{ClosedZones: zones}
@@ -110,22 +111,23 @@
 	}
 }
 
-// importCell sets a cell if the platform altered it.
+// importCell sets a cell if the platform changed it since the previous revision.
 func importCell[T comparable](cell *T, old, imported T) {
 	if imported != old {
 		*cell = imported
 	}
 }
 
-// dropServices removes the services that the platform no longer has. Validate
-// refuses the draft if a row of such a service is left.
-func (d *draft) dropServices(services []table.Service) {
+// removeMissingServices removes the services that the platform no longer has. Validate
+// later refuses the draft if such a service still has rows.
+func (d *draft) removeMissingServices(services []table.Service) {
 	kept := indexServices(services)
 	for _, service := range d.imported.Services {
 		if _, exists := kept[service.ID]; exists || d.service(service.ID) == nil {
 			continue
 		}
-		// The service exists, so that removal cannot fail.
+		// removeService fails only if the service does not exist, which was
+		// checked above.
 		_ = d.removeService(service.ID)
 	}
 }
--- a/internal/changelog/import_test.go
+++ b/internal/changelog/import_test.go
@@ -8,7 +8,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-var _ = Describe("Import", func() {
+var _ = Describe("Import of a platform revision", func() {
 	var state *changelog.State
 
 	apply := func(change changelog.Change) changelog.Outcome {
@@ -16,12 +16,12 @@
 		return state.Apply(&change)
 	}
 
-	// revision imports rows of service 1 as a revision of the platform.
-	revision := func(number changelog.Revision, rows ...table.Backend) changelog.Outcome {
+	// importRevision imports a platform importRevision with the given rows of service 1.
+	importRevision := func(number changelog.Revision, rows ...table.Backend) changelog.Outcome {
 		return apply(changelog.Change{
 			ID: changelog.ChangeID("revision-" + string(rune('a'+number))),
 			Import: &changelog.Import{
-				Revision: number, Services: []table.Service{serviceOf(1)}, Backends: rows,
+				Revision: number, Services: []table.Service{newService(1)}, Backends: rows,
 			},
 		})
 	}
@@ -33,50 +33,50 @@
 
 	BeforeEach(func() {
 		state = changelog.NewState(changelog.DefaultLimits())
-		Expect(revision(5, rowOf(1, 1), rowOf(2, 1)).Accepted).To(BeTrue())
-		Expect(apply(changelog.Change{ID: "operator", Cells: weightOf(1, 99)}).Accepted).To(BeTrue())
+		Expect(importRevision(5, newBackend(1, 1), newBackend(2, 1)).Accepted).To(BeTrue())
+		Expect(apply(changelog.Change{ID: "operator", Cells: weightUpdate(1, 99)}).Accepted).To(BeTrue())
 	})
 
-	It("keeps an operator's cell that the platform left alone", func() {
-		changed := rowOf(1, 1)
+	It("keeps a cell set by an operator if the platform did not change it", func() {
+		changed := newBackend(1, 1)
 		changed.ConnectionLimit = 7
-		Expect(revision(6, changed, rowOf(2, 1)).Accepted).To(BeTrue())
+		Expect(importRevision(6, changed, newBackend(2, 1)).Accepted).To(BeTrue())
 		Expect(row(1)).To(And(HaveField("Weight", uint32(99)), HaveField("ConnectionLimit", uint32(7))))
 	})
 
-	It("closes the zones that the platform closes, and leaves those that operators have closed", func() {
-		placed := []table.Backend{rowOf(1, 1), rowOf(2, 1), rowOf(3, 1)}
+	It("closes and reopens the zones that the platform closes and reopens, and keeps zones closed by operators", func() {
+		placed := []table.Backend{newBackend(1, 1), newBackend(2, 1), newBackend(3, 1)}
 		for index, zone := range []string{"north", "south", "west"} {
 			placed[index].Zone = zone
 		}
-		Expect(revision(6, placed...).Accepted).To(BeTrue())
+		Expect(importRevision(6, placed...).Accepted).To(BeTrue())
 		operator := []changelog.ZoneUpdate{{Zone: "south", Closed: true}}
 		Expect(apply(changelog.Change{ID: "zone", Zones: operator}).Accepted).To(BeTrue())
-		closing := func(number changelog.Revision, zones ...table.ClosedZone) changelog.Outcome {
+		importZones := func(number changelog.Revision, zones ...table.ClosedZone) changelog.Outcome {
 			marked := table.Table{Backends: append([]table.Backend{}, placed...), ClosedZones: zones}
 			marked.ApplyClosedZones()
 			return apply(changelog.Change{ID: changelog.ChangeID("zones-" + string(rune('a'+number))), Import: &changelog.Import{
-				Revision: number, Services: []table.Service{serviceOf(1)}, Backends: marked.Backends, ClosedZones: zones,
+				Revision: number, Services: []table.Service{newService(1)}, Backends: marked.Backends, ClosedZones: zones,
 			}})
 		}
-		Expect(closing(7, table.ClosedZone{Zone: "north", Since: 1}).Accepted).To(BeTrue())
+		Expect(importZones(7, table.ClosedZone{Zone: "north", Since: 1}).Accepted).To(BeTrue())
 		Expect([]bool{row(1).Closed, row(2).Closed, row(3).Closed}).To(Equal([]bool{true, true, false}))
-		Expect(closing(8).Accepted).To(BeTrue())
+		Expect(importZones(8).Accepted).To(BeTrue())
 		Expect([]bool{row(1).Closed, row(2).Closed, row(3).Closed}).To(Equal([]bool{false, true, false}))
 	})
 
-	It("takes a cell that the platform altered", func() {
-		changed := rowOf(1, 1)
+	It("overwrites a cell set by an operator if the platform changed it", func() {
+		changed := newBackend(1, 1)
 		changed.Weight = 50
-		Expect(revision(6, changed, rowOf(2, 1)).Accepted).To(BeTrue())
+		Expect(importRevision(6, changed, newBackend(2, 1)).Accepted).To(BeTrue())
 		Expect(row(1).Weight).To(Equal(uint32(50)))
 	})
 
-	DescribeTable("never imports an older or equal revision",
+	DescribeTable("does not import an older or equal revision",
 		func(number int) {
-			changed := rowOf(1, 1)
+			changed := newBackend(1, 1)
 			changed.Weight = 50
-			outcome := revision(changelog.Revision(number), changed)
+			outcome := importRevision(changelog.Revision(number), changed)
 			if number == 5 {
 				Expect(state.ImportedRevision()).To(Equal(changelog.Revision(5)))
 			} else {
@@ -92,37 +92,37 @@
 		Expect(outcome.Refusal).To(HaveField("Column", "revision"))
 	})
 
-	It("removes a row that the platform no longer has, and takes it again", func() {
-		Expect(revision(6, rowOf(1, 1)).Accepted).To(BeTrue())
+	It("removes a row that the platform no longer has, and adds it again under a higher incarnation", func() {
+		Expect(importRevision(6, newBackend(1, 1)).Accepted).To(BeTrue())
 		Expect(row(2).Removed).To(BeTrue())
-		again := rowOf(2, 1)
+		again := newBackend(2, 1)
 		again.Incarnation = 2
-		Expect(revision(7, rowOf(1, 1), again).Accepted).To(BeTrue())
+		Expect(importRevision(7, newBackend(1, 1), again).Accepted).To(BeTrue())
 		Expect(row(2)).To(Equal(again))
 	})
 
-	It("leaves a row removed that an operator has removed", func() {
+	It("keeps a row removed by an operator if its incarnation in the platform is unchanged", func() {
 		Expect(apply(changelog.Change{ID: "remove", RemoveBackends: []table.BackendID{2}}).Accepted).To(BeTrue())
-		changed := rowOf(2, 1)
+		changed := newBackend(2, 1)
 		changed.Weight = 50
-		Expect(revision(6, rowOf(1, 1), changed).Accepted).To(BeTrue())
+		Expect(importRevision(6, newBackend(1, 1), changed).Accepted).To(BeTrue())
 		Expect(row(2).Removed).To(BeTrue())
 	})
 
-	It("adds and removes services with their rows", func() {
+	It("adds and removes services together with their rows", func() {
 		outcome := apply(changelog.Change{ID: "services", Import: &changelog.Import{
-			Revision: 6, Services: []table.Service{serviceOf(2)}, Backends: []table.Backend{rowOf(3, 2)},
+			Revision: 6, Services: []table.Service{newService(2)}, Backends: []table.Backend{newBackend(3, 2)},
 		}})
 		Expect(outcome.Accepted).To(BeTrue())
-		Expect(state.Table().Services).To(Equal([]table.Service{serviceOf(2)}))
+		Expect(state.Table().Services).To(Equal([]table.Service{newService(2)}))
 		Expect(row(1).Removed).To(BeTrue())
-		Expect(row(3)).To(Equal(rowOf(3, 2)))
+		Expect(row(3)).To(Equal(newBackend(3, 2)))
 	})
 
-	It("takes nothing of a revision that breaks a rule", func() {
-		broken := rowOf(3, 1)
-		broken.Weight = table.MaxWeight + 1
-		outcome := revision(6, rowOf(1, 1), rowOf(2, 1), broken)
+	It("applies no part of a revision that violates a rule", func() {
+		invalid := newBackend(3, 1)
+		invalid.Weight = table.MaxWeight + 1
+		outcome := importRevision(6, newBackend(1, 1), newBackend(2, 1), invalid)
 		Expect(outcome.Refusal).To(HaveField("Column", "weight"))
 		Expect(state.ImportedRevision()).To(Equal(changelog.Revision(5)))
 	})
--- a/internal/changelog/replace_table.go
+++ b/internal/changelog/replace_table.go
@@ -7,10 +7,10 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// ReplaceTable replaces the table by a newer one of the configuration service, which
-// numbers the versions itself. The record tells who, when and why; its version
-// and cells are filled in. It returns a table.CellError if the table is not newer
-// or not valid, and then changes nothing.
+// ReplaceTable replaces the table by a newer one from the configuration service,
+// which assigns the versions. The caller sets author, time and reason of the
+// record; ReplaceTable sets its version and cells. If the table is not newer or is
+// invalid, ReplaceTable returns a table.CellError and changes nothing.
 func (s *State) ReplaceTable(record Record, newer *table.Table) error {
 	if newer.Version <= s.Version() {
 		return tableError("version", fmt.Sprintf("version %d is not newer than %d", newer.Version, s.Version()))
@@ -22,16 +22,16 @@
 	}
 	before := s.snapshot.Table
 	s.snapshot.Table = after
-	s.dropRowVersions(&after)
-	s.touchRows(&before, &after)
+	s.pruneRowVersions(&after)
+	s.updateRowVersions(&before, &after)
 	record.Version = after.Version
-	record.Cells = difference(&before, &after)
-	s.record(record)
+	record.Cells = diffTables(&before, &after)
+	s.appendRecord(record)
 	return nil
 }
 
-// dropRowVersions forgets the rows that a table does not have.
-func (s *State) dropRowVersions(after *table.Table) {
+// pruneRowVersions removes the versions of rows that are not in the table.
+func (s *State) pruneRowVersions(after *table.Table) {
 	kept := indexBackends(after.Backends)
 	s.snapshot.RowVersions = slices.DeleteFunc(s.snapshot.RowVersions, func(row RowVersion) bool {
 		_, exists := kept[row.Backend]
--- a/internal/changelog/replace_table_test.go
+++ b/internal/changelog/replace_table_test.go
@@ -8,24 +8,24 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-var _ = Describe("Follow", func() {
+var _ = Describe("State.ReplaceTable", func() {
 	var state *changelog.State
 
-	follow := func(version table.Version, rows ...table.Backend) error {
+	replaceTable := func(version table.Version, rows ...table.Backend) error {
 		return state.ReplaceTable(changelog.Record{Author: "platform"}, &table.Table{
-			Version: version, Services: []table.Service{serviceOf(1)}, Backends: rows,
+			Version: version, Services: []table.Service{newService(1)}, Backends: rows,
 		})
 	}
 
 	BeforeEach(func() {
 		state = changelog.NewState(changelog.DefaultLimits())
-		Expect(follow(7, rowOf(2, 1), rowOf(1, 1))).To(Succeed())
+		Expect(replaceTable(7, newBackend(2, 1), newBackend(1, 1))).To(Succeed())
 	})
 
-	It("takes the version of the service, also over a gap, and records the cells that differ", func() {
-		changed := rowOf(1, 1)
+	It("adopts the version of the new table, even if versions were skipped, and records the cells that differ", func() {
+		changed := newBackend(1, 1)
 		changed.Weight = 50
-		Expect(follow(12, changed, rowOf(2, 1))).To(Succeed())
+		Expect(replaceTable(12, changed, newBackend(2, 1))).To(Succeed())
 		Expect(state.Version()).To(Equal(table.Version(12)))
 		Expect(state.RowVersion(1)).To(Equal(table.Version(12)))
 		Expect(state.RowVersion(2)).To(Equal(table.Version(7)))
@@ -36,22 +36,22 @@
 		Expect(history[1].Cells[0]).To(And(HaveField("Column", "weight"), HaveField("New", "50")))
 	})
 
-	It("forgets rows that are gone", func() {
-		Expect(follow(8, rowOf(2, 1))).To(Succeed())
+	It("drops the versions of rows that are not in the new table", func() {
+		Expect(replaceTable(8, newBackend(2, 1))).To(Succeed())
 		Expect(state.RowVersion(1)).To(BeZero())
-		Expect(state.Table().Backends).To(Equal([]table.Backend{rowOf(2, 1)}))
+		Expect(state.Table().Backends).To(Equal([]table.Backend{newBackend(2, 1)}))
 	})
 
-	DescribeTable("keeps its table",
+	DescribeTable("rejects a table and keeps the current one",
 		func(version table.Version, spoil func(*table.Backend), column string) {
-			spoiled := rowOf(1, 1)
+			spoiled := newBackend(1, 1)
 			spoil(&spoiled)
-			Expect(follow(version, spoiled)).To(MatchError(ContainSubstring(column)))
+			Expect(replaceTable(version, spoiled)).To(MatchError(ContainSubstring(column)))
 			Expect(state.Version()).To(Equal(table.Version(7)))
-			Expect(state.Table().Backends).To(Equal([]table.Backend{rowOf(1, 1), rowOf(2, 1)}))
+			Expect(state.Table().Backends).To(Equal([]table.Backend{newBackend(1, 1), newBackend(2, 1)}))
 		},
-		Entry("for an older one", table.Version(6), func(*table.Backend) {}, "not newer"),
-		Entry("for one of the same version", table.Version(7), func(*table.Backend) {}, "not newer"),
-		Entry("for one that is not valid", table.Version(8), func(row *table.Backend) { row.Service = 9 }, "service"),
+		Entry("with an older version", table.Version(6), func(*table.Backend) {}, "not newer"),
+		Entry("with the same version", table.Version(7), func(*table.Backend) {}, "not newer"),
+		Entry("with a row of an unknown service", table.Version(8), func(row *table.Backend) { row.Service = 9 }, "service"),
 	)
 })
--- a/internal/changelog/snapshot_test.go
+++ b/internal/changelog/snapshot_test.go
@@ -11,7 +11,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// drawChange draws a change of a small table, valid or not.
+// drawChange generates a random valid or invalid change of a small table.
 func drawChange(t *rapid.T, number int, version table.Version) *changelog.Change {
 	row := table.BackendID(rapid.IntRange(1, 5).Draw(t, "row"))
 	service := table.ServiceID(rapid.IntRange(1, 3).Draw(t, "service"))
@@ -21,9 +21,9 @@
 	}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
-		change.AddServices = []table.Service{serviceOf(service)}
+		change.AddServices = []table.Service{newService(service)}
 	case 1:
-		added := rowOf(row, service)
+		added := newBackend(row, service)
 		added.Incarnation = table.Incarnation(number)
 		change.AddBackends = []table.Backend{added}
 	case 2:
@@ -33,17 +33,17 @@
 	case 4:
 		change.Import = &changelog.Import{
 			Revision: changelog.Revision(rapid.IntRange(1, 10).Draw(t, "revision")),
-			Services: []table.Service{serviceOf(service)}, Backends: []table.Backend{rowOf(row, service)},
+			Services: []table.Service{newService(service)}, Backends: []table.Backend{newBackend(row, service)},
 		}
 	default:
-		change.Cells = weightOf(row, uint32(rapid.IntRange(0, table.MaxWeight+1).Draw(t, "weight")))
+		change.Cells = weightUpdate(row, uint32(rapid.IntRange(0, table.MaxWeight+1).Draw(t, "weight")))
 	}
 	return change
 }
 
-// TestReplicasAgree applies the same random changes to a state and to one that
-// is decoded from a snapshot on the way. Their encodings must be equal, every
-// accepted change must make one version, and the table must stay valid.
+// TestReplicasAgree applies the same random changes to two states, one of which is
+// encoded and decoded at random points. It fails if the final encodings differ, if a
+// change is applied twice, or if the table becomes invalid.
 func TestReplicasAgree(t *testing.T) {
 	limits := changelog.Limits{Outcomes: 8, History: 4}
 	rapid.Check(t, func(t *rapid.T) {
@@ -68,7 +68,7 @@
 			}
 		}
 		if !bytes.Equal(encode(t, state), encode(t, other)) {
-			t.Fatal("the states differ")
+			t.Fatal("the encodings of the two states differ")
 		}
 	})
 }
@@ -91,7 +91,7 @@
 
 func TestDecodeRefusesDamage(t *testing.T) {
 	state := changelog.NewState(changelog.DefaultLimits())
-	state.Apply(&changelog.Change{ID: "first", AddServices: []table.Service{serviceOf(1)}})
+	state.Apply(&changelog.Change{ID: "first", AddServices: []table.Service{newService(1)}})
 	encoded := encode(t, state)
 	for name, damaged := range map[string][]byte{
 		"cut":      encoded[:len(encoded)-1],
@@ -99,7 +99,7 @@
 		"invalid":  bytes.Replace(encoded, []byte("198.51.100.1:1001"), []byte("198.51.100.1:oooo"), 1),
 	} {
 		if _, err := changelog.Decode(changelog.DefaultLimits(), damaged); err == nil {
-			t.Errorf("%s snapshot was decoded", name)
+			t.Errorf("Decode accepted the snapshot %q", name)
 		}
 	}
 }
--- a/internal/changelog/state.go
+++ b/internal/changelog/state.go
@@ -10,57 +10,59 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// identifierRule is the rule for the identifier of a change.
+// identifierRule is the refusal for a change with an invalid identifier.
 var identifierRule = fmt.Sprintf("identifier must have 1 to %d bytes", MaximumTextLength)
 
-// Limits bounds what the state remembers. All processes use the same limits.
+// Limits bounds the outcomes and records in the state. All processes must use the
+// same limits, since the state is deterministic.
 type Limits struct {
-	// Outcomes is the number of changes whose outcome is remembered.
+	// Outcomes is the maximum number of recorded outcomes.
 	Outcomes int
-	// History is the number of accepted changes whose record is kept.
+	// History is the maximum number of records of accepted changes.
 	History int
 }
 
-// DefaultLimits covers about a day of changes in each list.
+// DefaultLimits returns limits that hold about a day of changes in each list.
 func DefaultLimits() Limits { return Limits{Outcomes: 2000, History: 2000} }
 
-// State is the table with the outcomes and history of its changes. It is not
-// safe for concurrent use; a table it has returned is never changed.
+// State holds the table with the outcomes and history of its changes. It is not
+// safe for concurrent use. It never modifies a table that it has returned.
 type State struct {
 	limits   Limits
 	snapshot Snapshot
 	outcomes map[ChangeID]Outcome
 }
 
-// NewState returns the state before the first change.
+// NewState returns a state with an empty table and no history.
 func NewState(limits Limits) *State {
 	return &State{limits: limits, outcomes: make(map[ChangeID]Outcome)}
 }
 
-// Table returns the current table. The caller must not change it.
+// Table returns the current table. The caller must not modify it.
 func (s *State) Table() *table.Table {
 	current := s.snapshot.Table
 	return &current
 }
 
-// Version returns the number of accepted changes.
+// Version returns the table version. Each accepted change increases it by one;
+// ReplaceTable sets it to that of the new table.
 func (s *State) Version() table.Version { return s.snapshot.Table.Version }
 
-// ImportedRevision returns the platform's revision imported last, zero if
-// none.
+// ImportedRevision returns the last imported revision of the platform, zero if
+// there is none.
 func (s *State) ImportedRevision() Revision { return s.snapshot.Imported.Revision }
 
 // History returns the records of the latest accepted changes, oldest first.
 func (s *State) History() []Record { return slices.Clone(s.snapshot.History) }
 
-// Outcome returns what became of a change, if that is remembered.
+// Outcome returns the recorded outcome of a change, if there is one.
 func (s *State) Outcome(id ChangeID) (Outcome, bool) {
 	outcome, known := s.outcomes[id]
 	return outcome, known
 }
 
-// RowVersion returns the table version of a row's last change, zero if the row
-// never existed.
+// RowVersion returns the table version at which a row last changed, zero if the
+// row has no recorded version.
 func (s *State) RowVersion(id table.BackendID) table.Version {
 	position, exists := s.rowPosition(id)
 	if !exists {
@@ -69,14 +71,14 @@
 	return s.snapshot.RowVersions[position].Version
 }
 
-// Apply applies a committed change and returns its outcome. A change whose
-// outcome is remembered is not applied again.
+// Apply applies a committed change and returns its outcome. For a change with a
+// recorded outcome, it returns that outcome and does not apply the change again.
 func (s *State) Apply(change *Change) Outcome {
 	if outcome, known := s.outcomes[change.ID]; known {
 		return outcome
 	}
 	if change.ID == "" || len(change.ID) > MaximumTextLength {
-		return refused(change.ID, s.Version(), tableError("change", identifierRule))
+		return refusedOutcome(change.ID, s.Version(), tableError("change", identifierRule))
 	}
 	if err := s.checkChange(change); err != nil {
 		return s.refuse(change, err)
@@ -88,7 +90,7 @@
 	return s.accept(change, draft)
 }
 
-// checkChange checks what does not depend on the rows that are changed.
+// checkChange checks the author, reason and version preconditions of a change.
 func (s *State) checkChange(change *Change) error {
 	if len(change.Author) > MaximumTextLength || len(change.Reason) > MaximumTextLength {
 		return tableError("change", fmt.Sprintf("author and reason must have at most %d bytes", MaximumTextLength))
@@ -103,16 +105,16 @@
 	if change.ExpectedVersion != 0 && change.ExpectedVersion != s.Version() {
 		return tableError("version", fmt.Sprintf("expected %d, is %d", change.ExpectedVersion, s.Version()))
 	}
-	return s.checkRows(change.ExpectedRows)
+	return s.checkRowPreconditions(change.ExpectedRows)
 }
 
-func (s *State) checkRows(expectations []RowPrecondition) error {
+func (s *State) checkRowPreconditions(expectations []RowPrecondition) error {
 	for _, expected := range expectations {
-		if is := s.RowVersion(expected.Backend); is != expected.Version {
+		if actual := s.RowVersion(expected.Backend); actual != expected.Version {
 			return table.CellError{
 				Row:    s.rowName(expected.Backend),
 				Column: "version",
-				Rule:   fmt.Sprintf("expected the row of version %d, is %d", expected.Version, is),
+				Rule:   fmt.Sprintf("expected the row of version %d, is %d", expected.Version, actual),
 			}
 		}
 	}
@@ -137,17 +139,17 @@
 }
 
 func (s *State) refuse(change *Change, err error) Outcome {
-	var broken table.CellError
-	if !errors.As(err, &broken) {
-		broken = tableError("change", err.Error())
+	var violation table.CellError
+	if !errors.As(err, &violation) {
+		violation = tableError("change", err.Error())
 	}
-	outcome := refused(change.ID, s.Version(), broken)
-	s.remember(outcome)
+	outcome := refusedOutcome(change.ID, s.Version(), violation)
+	s.rememberOutcome(outcome)
 	return outcome
 }
 
-func refused(id ChangeID, version table.Version, broken table.CellError) Outcome {
-	refusal := Refusal{Row: broken.Row, Column: broken.Column, Rule: broken.Rule}
+func refusedOutcome(id ChangeID, version table.Version, violation table.CellError) Outcome {
+	refusal := Refusal{Row: violation.Row, Column: violation.Column, Rule: violation.Rule}
 	return Outcome{ID: id, Version: version, Refusal: &refusal}
 }
 
@@ -155,31 +157,31 @@
 	before := s.snapshot.Table
 	after := draft.table
 	after.Version = before.Version + 1
-	cells := difference(&before, after)
+	cells := diffTables(&before, after)
 	s.snapshot.Table = *after
 	s.snapshot.RetiredServices = draft.retired
 	s.snapshot.Imported = draft.imported
-	s.touchRows(&before, after)
-	s.record(Record{
+	s.updateRowVersions(&before, after)
+	s.appendRecord(Record{
 		Version: after.Version, ID: change.ID,
 		Author: change.Author, Timestamp: change.Timestamp, Reason: change.Reason, Cells: cells,
 	})
 	outcome := Outcome{ID: change.ID, Accepted: true, Version: after.Version}
-	s.remember(outcome)
+	s.rememberOutcome(outcome)
 	return outcome
 }
 
-func (s *State) record(record Record) {
+func (s *State) appendRecord(record Record) {
 	s.snapshot.History = append(s.snapshot.History, record)
 	if excess := len(s.snapshot.History) - s.limits.History; excess > 0 {
 		s.snapshot.History = slices.Delete(s.snapshot.History, 0, excess)
 	}
 }
 
-// remember keeps the outcome. When an older one is dropped, changes made
-// before it was decided are refused from then on, so that a late repeat cannot
-// be applied a second time.
-func (s *State) remember(outcome Outcome) {
+// rememberOutcome records an outcome and drops the oldest ones above the limit. Changes
+// with a base version older than a dropped outcome are refused from then on, so
+// that a late retry cannot be applied a second time.
+func (s *State) rememberOutcome(outcome Outcome) {
 	s.snapshot.Outcomes = append(s.snapshot.Outcomes, outcome)
 	s.outcomes[outcome.ID] = outcome
 	for len(s.snapshot.Outcomes) > s.limits.Outcomes {
@@ -197,8 +199,9 @@
 	}
 }
 
-// touchRows gives every row that differs the new version.
-func (s *State) touchRows(before, after *table.Table) {
+// updateRowVersions sets the version of every new or modified row to the new table
+// version.
+func (s *State) updateRowVersions(before, after *table.Table) {
 	old := indexBackends(before.Backends)
 	for _, row := range after.Backends {
 		if previous, existed := old[row.ID]; existed && previous == row {
--- a/internal/changelog/state_test.go
+++ b/internal/changelog/state_test.go
@@ -10,14 +10,14 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-func serviceOf(id table.ServiceID) table.Service {
+func newService(id table.ServiceID) table.Service {
 	return table.Service{
 		ID: id, Name: fmt.Sprintf("service-%d", id), Protocol: table.ProtocolTCP,
 		Address: table.Endpoint(fmt.Sprintf("198.51.100.1:%d", 1000+id)),
 	}
 }
 
-func rowOf(id table.BackendID, service table.ServiceID) table.Backend {
+func newBackend(id table.BackendID, service table.ServiceID) table.Backend {
 	return table.Backend{
 		ID: id, Service: service, Name: fmt.Sprintf("row-%d", id), Incarnation: 1,
 		Agent: "192.0.2.1:6081", Weight: 10, ConnectionLimit: 100,
@@ -26,7 +26,7 @@
 
 func pointer[T any](value T) *T { return &value }
 
-func weightOf(id table.BackendID, weight uint32) []changelog.CellUpdate {
+func weightUpdate(id table.BackendID, weight uint32) []changelog.CellUpdate {
 	return []changelog.CellUpdate{{Backend: id, Weight: &weight}}
 }
 
@@ -36,8 +36,8 @@
 		count int
 	)
 
-	// apply gives the change an identifier, if it has none, and the current
-	// version.
+	// apply sets the current base version, and an identifier if there is none, and
+	// applies the change.
 	apply := func(change changelog.Change) changelog.Outcome {
 		count++
 		if change.ID == "" {
@@ -56,88 +56,88 @@
 	BeforeEach(func() {
 		state = changelog.NewState(changelog.DefaultLimits())
 		Expect(apply(changelog.Change{
-			AddServices: []table.Service{serviceOf(1)},
-			AddBackends: []table.Backend{rowOf(1, 1), rowOf(2, 1)},
+			AddServices: []table.Service{newService(1)},
+			AddBackends: []table.Backend{newBackend(1, 1), newBackend(2, 1)},
 		}).Accepted).To(BeTrue())
 	})
 
-	It("counts accepted changes as the table's version", func() {
+	It("increments the table version only for accepted changes", func() {
 		Expect(state.Version()).To(Equal(table.Version(1)))
-		Expect(apply(changelog.Change{Cells: weightOf(1, 20)}).Version).To(Equal(table.Version(2)))
-		Expect(apply(changelog.Change{Cells: weightOf(9, 20)}).Accepted).To(BeFalse())
+		Expect(apply(changelog.Change{Cells: weightUpdate(1, 20)}).Version).To(Equal(table.Version(2)))
+		Expect(apply(changelog.Change{Cells: weightUpdate(9, 20)}).Accepted).To(BeFalse())
 		Expect(state.Version()).To(Equal(table.Version(2)))
 	})
 
-	It("sets the given cells only", func() {
+	It("sets only the given cells", func() {
 		apply(changelog.Change{Cells: []changelog.CellUpdate{{Backend: 1, ConnectionLimit: pointer(uint32(7)), Drain: pointer(true)}}})
 		Expect(row(1)).To(And(HaveField("Weight", uint32(10)), HaveField("ConnectionLimit", uint32(7)), HaveField("Drain", true)))
-		Expect(row(2)).To(Equal(rowOf(2, 1)))
+		Expect(row(2)).To(Equal(newBackend(2, 1)))
 	})
 
-	DescribeTable("refuses a change that breaks a rule, naming row and column, and takes nothing of it",
+	DescribeTable("refuses a change that violates a rule, names row and column, and applies no part of it",
 		func(change changelog.Change, row, column string) {
 			apply(changelog.Change{RemoveBackends: []table.BackendID{2}})
 			before, err := state.Table().Encode()
 			Expect(err).NotTo(HaveOccurred())
-			change.Cells = append(weightOf(1, 77), change.Cells...)
+			change.Cells = append(weightUpdate(1, 77), change.Cells...)
 			outcome := apply(change)
 			Expect(outcome.Accepted).To(BeFalse())
 			Expect(outcome.Refusal.CellError()).To(And(
 				HaveField("Row", ContainSubstring(row)), HaveField("Column", column), HaveField("Rule", Not(BeEmpty()))))
 			Expect(state.Table().Encode()).To(Equal(before))
 		},
-		Entry("weight too large", changelog.Change{Cells: weightOf(1, table.MaxWeight+1)}, "row-1", "weight"),
-		Entry("unknown row", changelog.Change{Cells: weightOf(9, 1)}, "(9)", "id"),
-		Entry("removed row", changelog.Change{Cells: weightOf(2, 1)}, "(2)", "id"),
-		Entry("row of no service", changelog.Change{AddBackends: []table.Backend{rowOf(3, 8)}}, "row-3", "service"),
-		Entry("row twice", changelog.Change{AddBackends: []table.Backend{rowOf(1, 1)}}, "row-1", "id"),
-		Entry("removed row under its old incarnation", changelog.Change{AddBackends: []table.Backend{rowOf(2, 1)}}, "row-2", "incarnation"),
-		Entry("row of another service", changelog.Change{AddBackends: []table.Backend{rowOf(2, 5)}}, "row-2", "service"),
+		Entry("weight too large", changelog.Change{Cells: weightUpdate(1, table.MaxWeight+1)}, "row-1", "weight"),
+		Entry("unknown row", changelog.Change{Cells: weightUpdate(9, 1)}, "(9)", "id"),
+		Entry("removed row", changelog.Change{Cells: weightUpdate(2, 1)}, "(2)", "id"),
+		Entry("row of an unknown service", changelog.Change{AddBackends: []table.Backend{newBackend(3, 8)}}, "row-3", "service"),
+		Entry("row with an identifier in use", changelog.Change{AddBackends: []table.Backend{newBackend(1, 1)}}, "row-1", "id"),
+		Entry("removed row under its old incarnation", changelog.Change{AddBackends: []table.Backend{newBackend(2, 1)}}, "row-2", "incarnation"),
+		Entry("removed row under another service", changelog.Change{AddBackends: []table.Backend{newBackend(2, 5)}}, "row-2", "service"),
 		Entry("service with rows", changelog.Change{RemoveServices: []table.ServiceID{1}}, "row-1", "service"),
 		Entry("unknown service", changelog.Change{RemoveServices: []table.ServiceID{5}}, "(5)", "id"),
-		Entry("table version", changelog.Change{ExpectedVersion: 1}, "table", "version"),
-		Entry("row version", changelog.Change{ExpectedRows: []changelog.RowPrecondition{{Backend: 2, Version: 1}}}, "row-2", "version"),
+		Entry("unexpected table version", changelog.Change{ExpectedVersion: 1}, "table", "version"),
+		Entry("unexpected row version", changelog.Change{ExpectedRows: []changelog.RowPrecondition{{Backend: 2, Version: 1}}}, "row-2", "version"),
 	)
 
-	It("does not use a removed service's identifier again", func() {
+	It("refuses to reuse the identifier of a removed service", func() {
 		Expect(apply(changelog.Change{
 			RemoveBackends: []table.BackendID{1, 2}, RemoveServices: []table.ServiceID{1},
 		}).Accepted).To(BeTrue())
-		outcome := apply(changelog.Change{AddServices: []table.Service{serviceOf(1)}})
+		outcome := apply(changelog.Change{AddServices: []table.Service{newService(1)}})
 		Expect(outcome.Refusal).To(HaveField("Column", "id"))
 	})
 
-	It("creates a removed row again under a higher incarnation", func() {
+	It("adds a removed row again under a higher incarnation", func() {
 		apply(changelog.Change{RemoveBackends: []table.BackendID{2}})
-		again := rowOf(2, 1)
+		again := newBackend(2, 1)
 		again.Incarnation = 2
 		Expect(apply(changelog.Change{AddBackends: []table.Backend{again}}).Accepted).To(BeTrue())
 		Expect(row(2)).To(Equal(again))
 	})
 
-	It("compares a row's version and not that of other rows", func() {
+	It("checks a row precondition against the version of that row only", func() {
 		seen := state.RowVersion(1)
-		apply(changelog.Change{Cells: weightOf(2, 20)})
+		apply(changelog.Change{Cells: weightUpdate(2, 20)})
 		expected := []changelog.RowPrecondition{{Backend: 1, Version: seen}}
-		Expect(apply(changelog.Change{ExpectedRows: expected, Cells: weightOf(1, 30)}).Accepted).To(BeTrue())
-		Expect(apply(changelog.Change{ExpectedRows: expected, Cells: weightOf(1, 40)}).Accepted).To(BeFalse())
+		Expect(apply(changelog.Change{ExpectedRows: expected, Cells: weightUpdate(1, 30)}).Accepted).To(BeTrue())
+		Expect(apply(changelog.Change{ExpectedRows: expected, Cells: weightUpdate(1, 40)}).Accepted).To(BeFalse())
 		Expect(row(1).Weight).To(Equal(uint32(30)))
 	})
 
-	It("applies a repeated change once and answers as before", func() {
-		first := apply(changelog.Change{ID: "repeated", Cells: weightOf(1, 20)})
-		apply(changelog.Change{Cells: weightOf(1, 30)})
-		Expect(apply(changelog.Change{ID: "repeated", Cells: weightOf(1, 20)})).To(Equal(first))
+	It("applies a retried change once and returns the same outcome", func() {
+		first := apply(changelog.Change{ID: "repeated", Cells: weightUpdate(1, 20)})
+		apply(changelog.Change{Cells: weightUpdate(1, 30)})
+		Expect(apply(changelog.Change{ID: "repeated", Cells: weightUpdate(1, 20)})).To(Equal(first))
 		Expect(row(1).Weight).To(Equal(uint32(30)))
 	})
 
-	It("refuses a repeat whose outcome is forgotten", func() {
+	It("refuses a retry whose outcome was dropped", func() {
 		state = changelog.NewState(changelog.Limits{Outcomes: 3, History: 3})
-		apply(changelog.Change{AddServices: []table.Service{serviceOf(1)}, AddBackends: []table.Backend{rowOf(1, 1)}})
-		repeated := changelog.Change{ID: "repeated", BaseVersion: state.Version(), Cells: weightOf(1, 20)}
+		apply(changelog.Change{AddServices: []table.Service{newService(1)}, AddBackends: []table.Backend{newBackend(1, 1)}})
+		repeated := changelog.Change{ID: "repeated", BaseVersion: state.Version(), Cells: weightUpdate(1, 20)}
 		Expect(state.Apply(&repeated).Accepted).To(BeTrue())
 		for weight := range uint32(5) {
-			apply(changelog.Change{Cells: weightOf(1, 30+weight)})
+			apply(changelog.Change{Cells: weightUpdate(1, 30+weight)})
 		}
 		_, known := state.Outcome("repeated")
 		Expect(known).To(BeFalse())
@@ -146,8 +146,8 @@
 		Expect(state.History()).To(HaveLen(3))
 	})
 
-	It("records who changed which cell, when and why", func() {
-		apply(changelog.Change{ID: "noted", Timestamp: 5, Cells: weightOf(1, 20)})
+	It("records author, time, reason and cells of an accepted change", func() {
+		apply(changelog.Change{ID: "noted", Timestamp: 5, Cells: weightUpdate(1, 20)})
 		history := state.History()
 		Expect(history[len(history)-1]).To(Equal(changelog.Record{
 			Version: 2, ID: "noted", Author: "operator", Timestamp: 5, Reason: "test",
@@ -155,10 +155,10 @@
 		}))
 	})
 
-	It("does not alter a table that it has returned", func() {
+	It("does not modify a table that it has returned", func() {
 		published := state.Table()
 		before := published.Clone()
-		apply(changelog.Change{Cells: weightOf(1, 20), RemoveBackends: []table.BackendID{2}})
+		apply(changelog.Change{Cells: weightUpdate(1, 20), RemoveBackends: []table.BackendID{2}})
 		Expect(published).To(Equal(before))
 	})
 })
--- a/internal/changelog/zone_test.go
+++ b/internal/changelog/zone_test.go
@@ -8,7 +8,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-var _ = Describe("State, with zones", func() {
+var _ = Describe("State with zones", func() {
 	var state *changelog.State
 	number := 0
 
@@ -21,11 +21,11 @@
 		return state.Apply(&change)
 	}
 	inZone := func(id table.BackendID, zone string) table.Backend {
-		row := rowOf(id, 1)
+		row := newBackend(id, 1)
 		row.Zone = zone
 		return row
 	}
-	closing := func(zone string, closed, force bool) changelog.Change {
+	zoneUpdate := func(zone string, closed, force bool) changelog.Change {
 		return changelog.Change{Zones: []changelog.ZoneUpdate{{Zone: zone, Closed: closed, Force: force}}}
 	}
 	accepts := func(id table.BackendID) bool {
@@ -38,13 +38,13 @@
 		number = 0
 		state = changelog.NewState(changelog.DefaultLimits())
 		Expect(apply(changelog.Change{
-			AddServices: []table.Service{serviceOf(1)},
+			AddServices: []table.Service{newService(1)},
 			AddBackends: []table.Backend{inZone(1, "north"), inZone(2, "south")},
 		}).Accepted).To(BeTrue())
 	})
 
-	It("closes a zone, tells so once in the history, and opens it again", func() {
-		Expect(apply(closing("north", true, false)).Accepted).To(BeTrue())
+	It("closes a zone with a single history entry, and reopens it", func() {
+		Expect(apply(zoneUpdate("north", true, false)).Accepted).To(BeTrue())
 		Expect(accepts(1)).To(BeFalse())
 		Expect(accepts(2)).To(BeTrue())
 		Expect(state.Table().ClosedZones).To(Equal([]table.ClosedZone{{Zone: "north", Since: 2}}))
@@ -52,12 +52,12 @@
 		Expect(history[len(history)-1].Cells).To(Equal([]changelog.CellChange{
 			{Row: `zone "north"`, Column: "closed", Old: "false", New: "true"},
 		}))
-		Expect(apply(closing("north", false, false)).Accepted).To(BeTrue())
+		Expect(apply(zoneUpdate("north", false, false)).Accepted).To(BeTrue())
 		Expect(accepts(1)).To(BeTrue())
 	})
 
-	It("closes rows that are added to a closed zone, or moved there", func() {
-		apply(closing("north", true, false))
+	It("closes a row added to a closed zone, and reopens it when it moves to an open zone", func() {
+		apply(zoneUpdate("north", true, false))
 		Expect(apply(changelog.Change{AddBackends: []table.Backend{inZone(3, "north")}}).Accepted).To(BeTrue())
 		Expect(accepts(3)).To(BeFalse())
 		south := "south"
@@ -65,8 +65,8 @@
 		Expect(accepts(3)).To(BeTrue())
 	})
 
-	It("survives a snapshot", func() {
-		apply(closing("north", true, false))
+	It("restores closed zones from a snapshot", func() {
+		apply(zoneUpdate("north", true, false))
 		encoded, err := state.Encode()
 		Expect(err).NotTo(HaveOccurred())
 		read, err := changelog.Decode(changelog.DefaultLimits(), encoded)
@@ -74,7 +74,7 @@
 		Expect(read.Table()).To(Equal(state.Table()))
 	})
 
-	DescribeTable("refuses", func(before []changelog.Change, change changelog.Change, rule string) {
+	DescribeTable("refuses a zone update", func(before []changelog.Change, change changelog.Change, rule string) {
 		for _, each := range before {
 			Expect(apply(each).Accepted).To(BeTrue())
 		}
@@ -83,20 +83,20 @@
 		Expect(outcome.Refusal.Rule).To(ContainSubstring(rule))
 		Expect(outcome.Refusal.Row).To(ContainSubstring("zone"))
 	},
-		Entry("the last zone of a service", []changelog.Change{closing("north", true, false)}, closing("south", true, false),
+		Entry("that closes the last zone of a service", []changelog.Change{zoneUpdate("north", true, false)}, zoneUpdate("south", true, false),
 			"without a row that gets new flows"),
-		Entry("the last zone, beside a service that has no such row anyway", []changelog.Change{{
-			AddServices: []table.Service{serviceOf(9)},
+		Entry("that closes the last zone of a service, although another service already accepts no new flows", []changelog.Change{{
+			AddServices: []table.Service{newService(9)},
 			AddBackends: []table.Backend{{ID: 9, Service: 9, Name: "idle", Incarnation: 1, Agent: "192.0.2.9:6081"}},
-		}, closing("north", true, false)}, closing("south", true, false), "without a row that gets new flows"),
-		Entry("a zone that is closed", []changelog.Change{closing("north", true, false)}, closing("north", true, false), "is closed already"),
-		Entry("to open one that is open", nil, closing("north", false, false), "is open already"),
-		Entry("a zone without rows", nil, closing("west", true, false), "names the zone of no row"),
+		}, zoneUpdate("north", true, false)}, zoneUpdate("south", true, false), "without a row that gets new flows"),
+		Entry("that closes a closed zone", []changelog.Change{zoneUpdate("north", true, false)}, zoneUpdate("north", true, false), "is closed already"),
+		Entry("that opens an open zone", nil, zoneUpdate("north", false, false), "is open already"),
+		Entry("that closes a zone without rows", nil, zoneUpdate("west", true, false), "names the zone of no row"),
 	)
 
-	It("closes the last zone of a service if it is forced to", func() {
-		apply(closing("north", true, false))
-		Expect(apply(closing("south", true, true)).Accepted).To(BeTrue())
+	It("closes the last zone of a service if forced", func() {
+		apply(zoneUpdate("north", true, false))
+		Expect(apply(zoneUpdate("south", true, true)).Accepted).To(BeTrue())
 		Expect(accepts(2)).To(BeFalse())
 	})
 })
