--- a/internal/tenant/admission.go
+++ b/internal/tenant/admission.go
@@ -1,5 +1,4 @@
-// This file implements the decision on each request: who asks, and whether the
-// team is within its rate.
+// This file authenticates requests and applies the rate limit of the team.
 
 package tenant
 
@@ -10,55 +9,57 @@
 	"golang.org/x/time/rate"
 )
 
-// Verdict is the decision on one request.
+// Verdict is the admission decision for one request.
 type Verdict uint8
 
-// The decisions.
+// The verdicts.
 const (
 	// Admitted: the request may be served.
 	Admitted Verdict = iota
 	// Unauthenticated: the token is missing, unknown or expired.
 	Unauthenticated
-	// RateLimited: the team has asked too often.
+	// RateLimited: the team exceeds its request rate.
 	RateLimited
 )
 
-// Admission is a Verdict with what belongs to it.
+// Admission is a Verdict with its details.
 type Admission struct {
 	Verdict Verdict
 	// Principal is set if the request was admitted.
 	Principal Principal
-	// RetryAfter is, if the rate was exceeded, the time until a request can
-	// be admitted.
+	// RetryAfter is set if the rate limit was exceeded. It is the time until the
+	// next request of the team can be admitted.
 	RetryAfter time.Duration
 }
 
-// AdmissionController decides on requests. It is safe for concurrent use.
+// AdmissionController authenticates requests and limits the rate of each team.
+// It is safe for concurrent use.
 type AdmissionController struct {
-	mutex     sync.Mutex
-	directory *Credentials
-	limiters  map[Team]*rate.Limiter
+	mutex       sync.Mutex
+	credentials *Credentials
+	limiters    map[Team]*rate.Limiter
 }
 
-// NewAdmissionController returns a gate that admits the holders in a directory.
-func NewAdmissionController(directory *Credentials) *AdmissionController {
-	gate := &AdmissionController{limiters: make(map[Team]*rate.Limiter)}
-	gate.Replace(directory, time.Time{})
-	return gate
+// NewAdmissionController returns a controller that admits the holders of the
+// given credentials.
+func NewAdmissionController(credentials *Credentials) *AdmissionController {
+	controller := &AdmissionController{limiters: make(map[Team]*rate.Limiter)}
+	controller.Replace(credentials, time.Time{})
+	return controller
 }
 
-// Replace makes another directory count from now on. A team that keeps its
-// limits keeps what it has used of them.
-func (g *AdmissionController) Replace(directory *Credentials, now time.Time) {
+// Replace switches to other credentials. Teams that exist in both keep the state
+// of their rate limiter, so that a reload does not grant a new burst.
+func (g *AdmissionController) Replace(credentials *Credentials, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.directory = directory
+	g.credentials = credentials
 	for team := range g.limiters {
-		if _, exists := directory.limits[team]; !exists {
+		if _, exists := credentials.limits[team]; !exists {
 			delete(g.limiters, team)
 		}
 	}
-	for team, limits := range directory.limits {
+	for team, limits := range credentials.limits {
 		limiter, exists := g.limiters[team]
 		if !exists {
 			g.limiters[team] = rate.NewLimiter(rate.Limit(limits.RequestsPerSecond), limits.Burst)
@@ -69,11 +70,12 @@
 	}
 }
 
-// Admit decides on one request at a time.
+// Admit decides whether a request with the token is admitted now, and counts it
+// against the rate limit of the team if so.
 func (g *AdmissionController) Admit(token Token, now time.Time) Admission {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	principal, known := g.directory.Authenticate(token, now)
+	principal, known := g.credentials.Authenticate(token, now)
 	if !known {
 		return Admission{Verdict: Unauthenticated}
 	}
--- a/internal/tenant/credentials.go
+++ b/internal/tenant/credentials.go
@@ -1,5 +1,5 @@
-// This file implements the tokens file: strict TOML that is checked as a
-// whole.
+// This file parses and validates the tokens file, which is TOML without unknown
+// keys.
 
 package tenant
 
@@ -15,53 +15,53 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Limits bounds what one team may ask of one process.
+// Limits bounds the requests of one team to one process.
 type Limits struct {
-	// RequestsPerSecond is the sustained rate of requests.
+	// RequestsPerSecond is the sustained request rate.
 	RequestsPerSecond float64
-	// Burst is the number of requests that may come at once.
+	// Burst is the maximum number of requests admitted at once.
 	Burst int
-	// RequestSize is the largest body of a request, in bytes.
+	// RequestSize is the maximum size of a request body, in bytes.
 	RequestSize int64
 }
 
-// DefaultLimits are the limits of administrators and of a team whose entry
-// leaves them out.
+// DefaultLimits returns the limits of administrators, and the defaults for limits
+// that the entry of a team omits.
 func DefaultLimits() Limits {
 	return Limits{RequestsPerSecond: 10, Burst: 50, RequestSize: 4 << 20}
 }
 
-// The bounds of limits.
+// Upper bounds of the configurable limits.
 const (
 	MaxRequestsPerSecond = 10_000
 	MaxBurst             = 100_000
 	MaxRequestSize       = 64 << 20
 )
 
-// holder is what the file says of one token.
+// holder is the validated entry of one token.
 type holder struct {
 	principal Principal
-	// expires is the end of the token's validity; zero means none.
+	// expires is when the token expires; zero means never.
 	expires time.Time
 }
 
-// Credentials is the checked content of a tokens file. It is never changed.
+// Credentials is the validated content of a tokens file. It is immutable.
 type Credentials struct {
 	holders map[Hash]holder
 	limits  map[Team]Limits
 }
 
-// Error is the first broken rule of a tokens file.
+// Error describes the first violated rule of a tokens file.
 type Error struct {
 	File string
-	// Entry is the entry that breaks the rule, such as token "anna". It is
-	// empty for text that is not TOML.
+	// Entry is the invalid entry, such as token "anna", or the line of a syntax
+	// error. It is empty for an unknown key and for a rule about the whole file.
 	Entry string
 	Key   string
 	Rule  string
 }
 
-// Error implements error in the form file: entry: key: rule.
+// Error formats the error as "file: entry: key: rule" without empty parts.
 func (e Error) Error() string {
 	parts := []string{e.File}
 	for _, part := range []string{e.Entry, e.Key, e.Rule} {
@@ -84,70 +84,70 @@
 	RequestSize       *int64   `toml:"request_size"`
 }
 
-// TokenEntry is one [[token]] of a tokens file.
+// TokenEntry is one [[token]] entry of a tokens file.
 type TokenEntry struct {
-	// Name is written into the history of changes.
+	// Name is recorded in the history as the author of changes.
 	Name string `toml:"name"`
-	// Hash is that of the token in text form.
+	// Hash is the hash of the token in the format of Hash.String.
 	Hash string `toml:"hash"`
 	Role Role   `toml:"role"`
-	// Team is empty for administrators only.
+	// Team is empty for administrators and required for other roles.
 	Team Team `toml:"team,omitempty"`
-	// Expires is the end of the token's validity; zero means none.
+	// Expires is when the token expires; zero means never.
 	Expires time.Time `toml:"expires,omitzero"`
 }
 
-// Encode returns the entry as it stands in a tokens file. It fails with an
-// Error if the entry breaks a rule; that the team exists is not checked.
+// Encode returns the entry in the format of the tokens file. It fails with an
+// Error if the entry is invalid. It does not check that the team exists.
 func (e TokenEntry) Encode() (string, error) {
-	trial := &Credentials{
+	scratch := &Credentials{
 		holders: make(map[Hash]holder),
 		limits:  map[Team]Limits{"": DefaultLimits(), e.Team: DefaultLimits()},
 	}
-	if err := trial.addToken(e, make(map[string]bool)); err != nil {
+	if err := scratch.addToken(e, make(map[string]bool)); err != nil {
 		return "", err
 	}
 	encoded, err := toml.Marshal(struct {
 		Tokens []TokenEntry `toml:"token"`
 	}{[]TokenEntry{e}})
-	return string(encoded), errors.Wrap(err, "tokens")
+	return string(encoded), errors.Wrap(err, "encode the token entry as TOML")
 }
 
-// ParseCredentials checks the content of a tokens file; file is the name used in
-// errors. It returns an Error for the first broken rule.
+// ParseCredentials parses and validates the content of a tokens file. The name file
+// is used in errors. It returns an Error for the first violated rule.
 func ParseCredentials(file string, data []byte) (*Credentials, error) {
-	var raw document
+	var parsed document
 	decoder := toml.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&raw); err != nil {
+	if err := decoder.Decode(&parsed); err != nil {
 		return nil, syntaxError(file, err)
 	}
-	directory := &Credentials{
-		holders: make(map[Hash]holder, len(raw.Tokens)),
+	credentials := &Credentials{
+		holders: make(map[Hash]holder, len(parsed.Tokens)),
 		limits:  map[Team]Limits{"": DefaultLimits()},
 	}
-	for _, entry := range raw.Teams {
-		if err := directory.addTeam(entry); err != nil {
-			return nil, inFile(file, err)
+	for _, entry := range parsed.Teams {
+		if err := credentials.addTeam(entry); err != nil {
+			return nil, withFile(file, err)
 		}
 	}
-	names := make(map[string]bool, len(raw.Tokens))
-	for _, entry := range raw.Tokens {
-		if err := directory.addToken(entry, names); err != nil {
-			return nil, inFile(file, err)
+	names := make(map[string]bool, len(parsed.Tokens))
+	for _, entry := range parsed.Tokens {
+		if err := credentials.addToken(entry, names); err != nil {
+			return nil, withFile(file, err)
 		}
 	}
-	if len(raw.Tokens) == 0 {
+	if len(parsed.Tokens) == 0 {
 		return nil, Error{File: file, Rule: "must have at least one [[token]]"}
 	}
-	return directory, nil
+	return credentials, nil
 }
 
-func inFile(file string, err error) error {
-	var broken Error
-	if errors.As(err, &broken) {
-		broken.File = file
-		return broken
+func withFile(file string, err error) error {
+	var invalid Error
+	if errors.As(err, &invalid) {
+		invalid.File = file
+		return invalid
 	}
 	return err
 }
@@ -166,17 +166,17 @@
 }
 
 func (d *Credentials) addTeam(entry teamEntry) error {
-	broken := func(key, rule string, arguments ...any) error {
+	violation := func(key, rule string, arguments ...any) error {
 		return Error{Entry: fmt.Sprintf("team %q", entry.Name), Key: key, Rule: fmt.Sprintf(rule, arguments...)}
 	}
 	if entry.Name == "" || len(entry.Name) > table.MaxNameLength {
-		return broken("name", "must have 1 to %d bytes", table.MaxNameLength)
+		return violation("name", "must have 1 to %d bytes", table.MaxNameLength)
 	}
 	if strings.Contains(entry.Name, "/") {
-		return broken("name", "must not contain a slash")
+		return violation("name", "must not contain a slash")
 	}
 	if _, exists := d.limits[Team(entry.Name)]; exists {
-		return broken("name", "must be unique")
+		return violation("name", "must be unique")
 	}
 	limits := DefaultLimits()
 	if entry.RequestsPerSecond != nil {
@@ -188,53 +188,53 @@
 	if entry.RequestSize != nil {
 		limits.RequestSize = *entry.RequestSize
 	}
-	// The negated form refuses what is not a number, too.
+	// The condition is negated so that it also rejects NaN.
 	if !(limits.RequestsPerSecond > 0 && limits.RequestsPerSecond <= MaxRequestsPerSecond) {
-		return broken("requests_per_second", "must be above 0 and at most %d", MaxRequestsPerSecond)
+		return violation("requests_per_second", "must be above 0 and at most %d", MaxRequestsPerSecond)
 	}
 	if limits.Burst < 1 || limits.Burst > MaxBurst {
-		return broken("burst", "must be from 1 to %d", MaxBurst)
+		return violation("burst", "must be from 1 to %d", MaxBurst)
 	}
 	if limits.RequestSize < 1 || limits.RequestSize > MaxRequestSize {
-		return broken("request_size", "must be from 1 to %d bytes", MaxRequestSize)
+		return violation("request_size", "must be from 1 to %d bytes", MaxRequestSize)
 	}
 	d.limits[Team(entry.Name)] = limits
 	return nil
 }
 
 func (d *Credentials) addToken(entry TokenEntry, names map[string]bool) error {
-	broken := func(key, rule string, arguments ...any) error {
+	violation := func(key, rule string, arguments ...any) error {
 		return Error{Entry: fmt.Sprintf("token %q", entry.Name), Key: key, Rule: fmt.Sprintf(rule, arguments...)}
 	}
 	if entry.Name == "" || len(entry.Name) > table.MaxNameLength {
-		return broken("name", "must have 1 to %d bytes", table.MaxNameLength)
+		return violation("name", "must have 1 to %d bytes", table.MaxNameLength)
 	}
 	if names[entry.Name] {
-		return broken("name", "must be unique")
+		return violation("name", "must be unique")
 	}
 	names[entry.Name] = true
 	hash, err := ParseHash(entry.Hash)
 	if err != nil {
-		return broken("hash", "%s", err)
+		return violation("hash", "%s", err)
 	}
 	if _, exists := d.holders[hash]; exists {
-		return broken("hash", "must be unique")
+		return violation("hash", "must be unique")
 	}
 	switch entry.Role {
 	case RoleViewer, RoleEditor:
 		if entry.Team == "" {
-			return broken("team", "is required for a viewer or editor")
+			return violation("team", "is required for a viewer or editor")
 		}
 	case RoleAdministrator:
 		if entry.Team != "" {
-			return broken("team", "must not be given for an administrator")
+			return violation("team", "must not be given for an administrator")
 		}
 	default:
-		return broken("role", "must be viewer, editor or administrator")
+		return violation("role", "must be viewer, editor or administrator")
 	}
 	limits, exists := d.limits[entry.Team]
 	if !exists {
-		return broken("team", "names no [[team]] of the file")
+		return violation("team", "names no [[team]] of the file")
 	}
 	d.holders[hash] = holder{
 		principal: Principal{Name: entry.Name, Role: entry.Role, Team: entry.Team, RequestSize: limits.RequestSize},
@@ -243,8 +243,8 @@
 	return nil
 }
 
-// Authenticate returns the holder of a token, if the token is known and has
-// not expired.
+// Authenticate returns the principal of a token. It returns false if the token is
+// unknown or has expired.
 func (d *Credentials) Authenticate(token Token, now time.Time) (Principal, bool) {
 	found, known := d.holders[token.Hash()]
 	if !known || !found.expires.IsZero() && !now.Before(found.expires) {
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,9 +1,11 @@
-// Package tenant implements who may use the administration API: tokens, roles
-// and teams that own services, and the limits of each team.
+// Package tenant authenticates callers of the administration API and limits their
+// request rate. It decides for each bearer token which principal it belongs to,
+// with which role and team, and whether the team is within its rate limit. Its
+// input is a tokens file with the teams and the hashes of the tokens.
 //
-// A Directory is the checked content of one tokens file. A Gate decides on
-// requests with the Directory of the moment and the time passed in. Only the
-// hash of a token is ever stored.
+// Credentials hold the validated content of a tokens file. An AdmissionController
+// decides on requests by the current Credentials and the time passed by the
+// caller. Only the hash of a token is stored, never the token.
 package tenant
 
 import (
@@ -12,20 +14,20 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Role tells what the holder of a token may do.
+// Role determines the rights of the holder of a token.
 type Role string
 
-// The roles, from the least to the most rights.
+// The roles, in order of increasing rights.
 const (
-	// RoleViewer may read what belongs to the team.
+	// RoleViewer may read the services and rows of the team.
 	RoleViewer Role = "viewer"
-	// RoleEditor may also change it.
+	// RoleEditor may also change them.
 	RoleEditor Role = "editor"
 	// RoleAdministrator may read and change the whole table.
 	RoleAdministrator Role = "administrator"
 )
 
-// Roles lists every role, from the least to the most rights.
+// Roles returns all roles, in order of increasing rights.
 func Roles() []Role { return []Role{RoleViewer, RoleEditor, RoleAdministrator} }
 
 // Includes reports whether the role has all the rights of another.
@@ -33,43 +35,43 @@
 	return slices.Index(Roles(), r) >= slices.Index(Roles(), other)
 }
 
-// Team names a team. It owns the services whose owner column has its name. The
-// empty team is that of administrators, who see every service.
+// Team is the name of a team. A team owns the services that have its name in the
+// owner column. Administrators have the empty team and may view every service.
 type Team string
 
 // Principal is the holder of a valid token.
 type Principal struct {
-	// Name is written into the history of the changes it makes.
+	// Name is recorded in the history as the author of changes.
 	Name string
 	Role Role
 	Team Team
-	// RequestSize is the largest body of a request, in bytes.
+	// RequestSize is the maximum size of a request body, in bytes.
 	RequestSize int64
 }
 
-// CanView reports whether the principal may see a service.
+// CanView reports whether the principal may view a service.
 func (p Principal) CanView(service table.Service) bool {
 	return p.Role == RoleAdministrator || p.Team != "" && service.Owner == string(p.Team)
 }
 
-// VisibleTable returns the part of a table that the principal may see, at the same
-// version.
-func (p Principal) VisibleTable(whole *table.Table) *table.Table {
+// VisibleTable returns the services and rows of a table that the principal may
+// view, at the same version.
+func (p Principal) VisibleTable(full *table.Table) *table.Table {
 	if p.Role == RoleAdministrator {
-		return whole
+		return full
 	}
 	owned := make(map[table.ServiceID]bool)
-	part := &table.Table{Version: whole.Version}
-	for _, service := range whole.Services {
+	visible := &table.Table{Version: full.Version}
+	for _, service := range full.Services {
 		if p.CanView(service) {
 			owned[service.ID] = true
-			part.Services = append(part.Services, service)
+			visible.Services = append(visible.Services, service)
 		}
 	}
-	for _, row := range whole.Backends {
+	for _, row := range full.Backends {
 		if owned[row.Service] {
-			part.Backends = append(part.Backends, row)
+			visible.Backends = append(visible.Backends, row)
 		}
 	}
-	return part
+	return visible
 }
--- a/internal/tenant/token.go
+++ b/internal/tenant/token.go
@@ -1,4 +1,4 @@
-// This file implements tokens and their hashes.
+// This file generates tokens and computes their hashes.
 
 package tenant
 
@@ -18,28 +18,28 @@
 	hashPrefix  = "sha256:"
 )
 
-// Token is the secret text that a caller presents. It has 256 random bits, so
-// that a plain hash of it cannot be searched for the token.
+// Token is the bearer token of a caller. It has 256 random bits, so that an
+// unsalted hash is sufficient: a brute-force search for the token is infeasible.
 type Token string
 
-// Hash is the SHA-256 of a token.
+// Hash is the SHA-256 hash of a token.
 type Hash [sha256.Size]byte
 
-// NewToken returns a random token.
+// NewToken generates a random token.
 func NewToken() Token {
 	var secret [tokenBytes]byte
-	// The reader of crypto/rand never fails.
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(secret[:])
 	return Token(tokenPrefix + base64.RawURLEncoding.EncodeToString(secret[:]))
 }
 
-// Hash returns the hash that the tokens file holds.
+// Hash returns the hash to store in the tokens file.
 func (t Token) Hash() Hash { return sha256.Sum256([]byte(t)) }
 
-// String returns the form of the tokens file, such as "sha256:0f3a...".
+// String returns the format of the tokens file, such as "sha256:0f3a...".
 func (h Hash) String() string { return hashPrefix + hex.EncodeToString(h[:]) }
 
-// ParseHash reads the form of String.
+// ParseHash parses the format returned by String.
 func ParseHash(text string) (Hash, error) {
 	var parsed Hash
 	digits, found := strings.CutPrefix(text, hashPrefix)
