--- a/internal/tlsfiles/check.go
+++ b/internal/tlsfiles/check.go
@@ -1,4 +1,4 @@
-// This file implements the checks of the files' content.
+// This file parses and validates the content of the files.
 
 package tlsfiles
 
@@ -9,34 +9,34 @@
 	"time"
 )
 
-const certificateBlock = "CERTIFICATE"
+const certificateBlockType = "CERTIFICATE"
 
-func check(files Files, read content, now time.Time) (material, error) {
+func validate(files Files, read content, now time.Time) (tlsMaterial, error) {
 	chain, err := parseCertificates(files.Certificate, read.certificate)
 	if err != nil {
-		return material{}, err
+		return tlsMaterial{}, err
 	}
 	for _, certificate := range chain {
 		if err := checkValidity(files.Certificate, certificate, now); err != nil {
-			return material{}, err
+			return tlsMaterial{}, err
 		}
 	}
 	if block, _ := pem.Decode(read.key); block == nil {
-		return material{}, Error{files.Key, NotPEM, ""}
+		return tlsMaterial{}, Error{files.Key, NotPEM, ""}
 	}
 	pair, err := tls.X509KeyPair(read.certificate, read.key)
 	if err != nil {
-		return material{}, Error{files.Key, KeyMismatch, err.Error()}
+		return tlsMaterial{}, Error{files.Key, KeyMismatch, err.Error()}
 	}
 	pair.Leaf = chain[0]
-	authority, err := parseAuthority(files.CA, read.authority, now)
+	ca, err := parseCAPool(files.CA, read.ca, now)
 	if err != nil {
-		return material{}, err
+		return tlsMaterial{}, err
 	}
-	return material{certificate: pair, authority: authority}, nil
+	return tlsMaterial{certificate: pair, caPool: ca}, nil
 }
 
-func parseAuthority(path string, data []byte, now time.Time) (*x509.CertPool, error) {
+func parseCAPool(path string, data []byte, now time.Time) (*x509.CertPool, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -60,7 +60,7 @@
 func parseCertificates(path string, data []byte) ([]*x509.Certificate, error) {
 	var parsed []*x509.Certificate
 	for block, rest := pem.Decode(data); block != nil; block, rest = pem.Decode(rest) {
-		if block.Type != certificateBlock {
+		if block.Type != certificateBlockType {
 			continue
 		}
 		certificate, err := x509.ParseCertificate(block.Bytes)
@@ -85,13 +85,13 @@
 	return nil
 }
 
-// LoadCAPool reads a file with the certificates of authorities, for a
-// caller that has no certificate of its own. It returns an Error for the first
-// problem.
+// LoadCAPool reads a file with CA certificates, for clients without a certificate
+// of their own. It checks their validity periods against now and returns an Error
+// for the first problem.
 func LoadCAPool(path string, now time.Time) (*x509.CertPool, error) {
 	read, err := readFiles(Files{CA: path})
 	if err != nil {
 		return nil, err
 	}
-	return parseAuthority(path, read.authority, now)
+	return parseCAPool(path, read.ca, now)
 }
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -1,8 +1,10 @@
-// Package tlsfiles implements TLS configurations from certificates and keys in
-// files, which may be replaced while the process runs.
+// Package tlsfiles builds the TLS configurations of servers and clients from PEM
+// files with a certificate, its key and CA certificates. The files may be replaced
+// while the process runs. The package decides whether new content is valid and may
+// be used.
 //
-// A Source holds the content that was read last and proved sound. Reload reads
-// the files again; broken content leaves the Source as it is.
+// A Reloader holds the last valid content. Its Reload method reads the files again
+// and keeps the previous content if the new one is invalid.
 package tlsfiles
 
 import (
@@ -17,23 +19,23 @@
 	"github.com/pkg/errors"
 )
 
-// Files names files in PEM form.
+// Files holds the paths of the PEM files.
 type Files struct {
-	// Certificate holds the certificate of this process, followed by any
-	// intermediate ones.
+	// Certificate is the file with the certificate of this process, followed by
+	// any intermediate certificates.
 	Certificate string
-	// Key holds the private key that belongs to the certificate.
+	// Key is the file with the private key of the certificate.
 	Key string
-	// CA holds the certificates that sign those of the other side.
-	// Empty means that no certificate is asked of clients, and that servers
-	// are checked against the authorities of the system.
+	// CA is the file with the CA certificates that verify the peer. If it is
+	// empty, servers request no client certificate, and clients verify servers
+	// against the CA certificates of the system.
 	CA string
 }
 
-// Problem tells what is wrong with a file.
+// Problem is the reason why a file cannot be used.
 type Problem string
 
-// The problems of files.
+// The problems that Error reports.
 const (
 	Unreadable  Problem = "cannot be read"
 	NotPEM      Problem = "holds no certificate or key in PEM form"
@@ -43,11 +45,11 @@
 	NotCA       Problem = "holds a certificate that may not sign others"
 )
 
-// Error names a file and what is wrong with it.
+// Error reports a file that cannot be used, and why.
 type Error struct {
 	File    string
 	Problem Problem
-	// Detail is empty or says more, such as the end of the validity.
+	// Detail gives the cause or the violated validity bound. It may be empty.
 	Detail string
 }
 
@@ -60,47 +62,47 @@
 	return text
 }
 
-// content is what the files held when they were read.
+// content holds the raw content of the files.
 type content struct {
 	certificate []byte
 	key         []byte
-	authority   []byte
+	ca          []byte
 }
 
 func (c content) equal(other content) bool {
 	return bytes.Equal(c.certificate, other.certificate) &&
 		bytes.Equal(c.key, other.key) &&
-		bytes.Equal(c.authority, other.authority)
+		bytes.Equal(c.ca, other.ca)
 }
 
-// material is sound content in the form that package tls takes.
-type material struct {
+// tlsMaterial is validated content in the types of package tls.
+type tlsMaterial struct {
 	certificate tls.Certificate
-	authority   *x509.CertPool
+	caPool      *x509.CertPool
 }
 
-// Reloader provides TLS configurations with the content of files. It is safe for
-// concurrent use.
+// Reloader provides TLS configurations from the last valid content of the files.
+// It is safe for concurrent use.
 type Reloader struct {
 	files Files
 
 	mutex   sync.Mutex
 	content content
-	current material
+	current tlsMaterial
 }
 
-// Open reads and checks the files; now is compared with the validity of the
-// certificates. It returns an Error for the first problem.
+// Open reads and validates the files. It checks the validity periods of the
+// certificates against now and returns an Error for the first problem.
 func Open(files Files, now time.Time) (*Reloader, error) {
-	source := &Reloader{files: files}
-	if _, err := source.Reload(now); err != nil {
+	reloader := &Reloader{files: files}
+	if _, err := reloader.Reload(now); err != nil {
 		return nil, err
 	}
-	return source, nil
+	return reloader, nil
 }
 
-// Reload reads the files again and reports whether other content came into
-// force. After an Error, what counted before goes on counting.
+// Reload reads the files again and reports whether their content has changed and
+// was applied. If it returns an Error, the previous content stays in use.
 func (s *Reloader) Reload(now time.Time) (changed bool, err error) {
 	read, err := readFiles(s.files)
 	if err != nil {
@@ -111,76 +113,76 @@
 	if read.equal(s.content) {
 		return false, nil
 	}
-	checked, err := check(s.files, read, now)
+	validated, err := validate(s.files, read, now)
 	if err != nil {
 		return false, err
 	}
 	s.content = read
-	s.current = checked
+	s.current = validated
 	return true, nil
 }
 
-// Expires returns the end of the validity of the certificate in force.
+// Expires returns the expiry time of the certificate in use.
 func (s *Reloader) Expires() time.Time { return s.material().certificate.Leaf.NotAfter }
 
-func (s *Reloader) material() material {
+func (s *Reloader) material() tlsMaterial {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.current
 }
 
-// ServerConfig returns the configuration of a listener. Each connection uses the
-// content of the moment. With an authority, clients must have a certificate of
-// it.
+// ServerConfig returns the configuration of a listener. Each new connection uses
+// the content loaded at that time. If Files.CA is set, clients must present a
+// certificate signed by one of its CAs.
 func (s *Reloader) ServerConfig(protocols ...string) *tls.Config {
 	protocols = slices.Clone(protocols)
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return s.material().server(protocols), nil
+			return s.material().serverConfig(protocols), nil
 		},
 	}
 }
 
-func (m material) server(protocols []string) *tls.Config {
+func (m tlsMaterial) serverConfig(protocols []string) *tls.Config {
 	config := &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   protocols,
 		Certificates: []tls.Certificate{m.certificate},
 	}
-	if m.authority != nil {
+	if m.caPool != nil {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
-		config.ClientCAs = m.authority
+		config.ClientCAs = m.caPool
 	}
 	return config
 }
 
-// ClientConfig returns the configuration of one connection to a server whose
-// certificate must bear the name. It has the content of the moment: ask for it
-// again for each connection. Between processes of a fleet, both sides use a
-// Source with an authority, so that each proves itself to the other.
+// ClientConfig returns the configuration of one connection to a server, whose
+// certificate must be valid for serverName. The configuration does not follow
+// later reloads, so call ClientConfig for each connection. For mutual TLS between
+// the processes of a fleet, both sides use a Reloader with Files.CA set.
 func (s *Reloader) ClientConfig(serverName string) *tls.Config {
 	current := s.material()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		ServerName:   serverName,
 		Certificates: []tls.Certificate{current.certificate},
-		RootCAs:      current.authority,
+		RootCAs:      current.caPool,
 	}
 }
 
 func readFiles(files Files) (content, error) {
 	var read content
-	wanted := []struct {
+	paths := []struct {
 		path   string
 		target *[]byte
 	}{
 		{files.Certificate, &read.certificate},
 		{files.Key, &read.key},
-		{files.CA, &read.authority},
+		{files.CA, &read.ca},
 	}
-	for _, file := range wanted {
+	for _, file := range paths {
 		if file.path == "" {
 			continue
 		}
--- a/internal/tlsfiles/tlsfiles_test.go
+++ b/internal/tlsfiles/tlsfiles_test.go
@@ -31,13 +31,13 @@
 	validity   = 24 * time.Hour
 )
 
-// issuer signs certificates for the specs.
-type issuer struct {
+// testCA is a CA that signs test certificates.
+type testCA struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-type pair struct{ certificate, key []byte }
+type certificatePair struct{ certificate, key []byte }
 
 func newKey() *ecdsa.PrivateKey {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -45,7 +45,7 @@
 	return key
 }
 
-func newIssuer(start time.Time) issuer {
+func newTestCA(start time.Time) testCA {
 	key := newKey()
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"},
@@ -56,12 +56,12 @@
 	Expect(err).NotTo(HaveOccurred())
 	certificate, err := x509.ParseCertificate(der)
 	Expect(err).NotTo(HaveOccurred())
-	return issuer{certificate, key}
+	return testCA{certificate, key}
 }
 
-func (i issuer) pem() []byte { return block("CERTIFICATE", i.certificate.Raw) }
+func (i testCA) pem() []byte { return encodePEM("CERTIFICATE", i.certificate.Raw) }
 
-func (i issuer) issue(serial int64, start time.Time) pair {
+func (i testCA) issue(serial int64, start time.Time) certificatePair {
 	key := newKey()
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: serverName}, DNSNames: []string{serverName},
@@ -72,10 +72,10 @@
 	Expect(err).NotTo(HaveOccurred())
 	encoded, err := x509.MarshalPKCS8PrivateKey(key)
 	Expect(err).NotTo(HaveOccurred())
-	return pair{block("CERTIFICATE", der), block("PRIVATE KEY", encoded)}
+	return certificatePair{encodePEM("CERTIFICATE", der), encodePEM("PRIVATE KEY", encoded)}
 }
 
-func block(kind string, der []byte) []byte {
+func encodePEM(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
@@ -90,13 +90,13 @@
 
 func write(path string, data []byte) { Expect(os.WriteFile(path, data, 0o600)).To(Succeed()) }
 
-func writePair(files tlsfiles.Files, written pair) {
+func writePair(files tlsfiles.Files, written certificatePair) {
 	write(files.Certificate, written.certificate)
 	write(files.Key, written.key)
 }
 
-// handshake connects a client to a server over loopback and returns the
-// certificate of the server and the error of either side.
+// handshake performs a TLS handshake over loopback. It returns the certificate of
+// the server, or the handshake error of either side.
 func handshake(server, client *tls.Config) (*x509.Certificate, error) {
 	listener, err := tls.Listen("tcp4", "127.0.0.1:0", server)
 	Expect(err).NotTo(HaveOccurred())
@@ -126,77 +126,77 @@
 	return connection.ConnectionState().PeerCertificates[0], nil
 }
 
-var _ = Describe("Source", func() {
-	// Handshakes compare with the clock of the system, so that the validity
-	// surrounds it.
+var _ = Describe("Reloader", func() {
+	// Handshakes check validity against the system clock, so the current time lies
+	// in the middle of the validity period.
 	now := time.Now()
 	begin := now.Add(-validity / 2)
 
-	It("connects two processes that prove themselves to each other", func() {
-		authority := newIssuer(begin)
+	It("establishes mutual TLS between processes with certificates of the same CA", func() {
+		ca := newTestCA(begin)
 		files := newFiles()
-		writePair(files, authority.issue(2, begin))
-		write(files.CA, authority.pem())
-		source, err := tlsfiles.Open(files, now)
+		writePair(files, ca.issue(2, begin))
+		write(files.CA, ca.pem())
+		reloader, err := tlsfiles.Open(files, now)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = handshake(source.ServerConfig(), source.ClientConfig(serverName))
+		_, err = handshake(reloader.ServerConfig(), reloader.ClientConfig(serverName))
 		Expect(err).NotTo(HaveOccurred())
 
-		By("refusing a client without a certificate")
-		anonymous := source.ClientConfig(serverName)
+		By("rejecting a client without a certificate")
+		anonymous := reloader.ClientConfig(serverName)
 		anonymous.Certificates = nil
-		_, err = handshake(source.ServerConfig(), anonymous)
+		_, err = handshake(reloader.ServerConfig(), anonymous)
 		Expect(err).To(HaveOccurred())
 
-		By("refusing a server of another name")
-		_, err = handshake(source.ServerConfig(), source.ClientConfig("other.test"))
+		By("rejecting a server with another name")
+		_, err = handshake(reloader.ServerConfig(), reloader.ClientConfig("other.test"))
 		Expect(err).To(MatchError(ContainSubstring("not other.test")))
 
-		By("refusing a client of another authority")
-		stranger := source.ClientConfig(serverName)
-		issued := newIssuer(begin).issue(3, begin)
+		By("rejecting a client with a certificate of another CA")
+		untrusted := reloader.ClientConfig(serverName)
+		issued := newTestCA(begin).issue(3, begin)
 		certificate, err := tls.X509KeyPair(issued.certificate, issued.key)
 		Expect(err).NotTo(HaveOccurred())
-		stranger.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &certificate, nil }
-		_, err = handshake(source.ServerConfig(), stranger)
+		untrusted.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &certificate, nil }
+		_, err = handshake(reloader.ServerConfig(), untrusted)
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("serves replaced files on the listener that is open, and keeps the old ones if the new are broken", func() {
-		authority := newIssuer(begin)
+	It("uses replaced files on an open listener, and keeps the old content if the new files do not match", func() {
+		ca := newTestCA(begin)
 		files := newFiles()
-		writePair(files, authority.issue(2, begin))
-		write(files.CA, authority.pem())
-		source, err := tlsfiles.Open(files, now)
+		writePair(files, ca.issue(2, begin))
+		write(files.CA, ca.pem())
+		reloader, err := tlsfiles.Open(files, now)
 		Expect(err).NotTo(HaveOccurred())
-		server := source.ServerConfig()
+		server := reloader.ServerConfig()
 		serial := func() int64 {
-			certificate, err := handshake(server, source.ClientConfig(serverName))
+			certificate, err := handshake(server, reloader.ClientConfig(serverName))
 			Expect(err).NotTo(HaveOccurred())
 			return certificate.SerialNumber.Int64()
 		}
 		Expect(serial()).To(Equal(int64(2)))
-		Expect(source.Reload(now)).To(BeFalse())
+		Expect(reloader.Reload(now)).To(BeFalse())
 
-		next := authority.issue(3, begin)
+		next := ca.issue(3, begin)
 		write(files.Certificate, next.certificate)
-		_, err = source.Reload(now)
+		_, err = reloader.Reload(now)
 		Expect(err).To(HaveOccurred())
 		Expect(serial()).To(Equal(int64(2)))
 
 		write(files.Key, next.key)
-		Expect(source.Reload(now)).To(BeTrue())
+		Expect(reloader.Reload(now)).To(BeTrue())
 		Expect(serial()).To(Equal(int64(3)))
-		Expect(source.Expires()).To(BeTemporally("~", begin.Add(validity), time.Second))
+		Expect(reloader.Expires()).To(BeTemporally("~", begin.Add(validity), time.Second))
 	})
 
-	DescribeTable("names the file and its problem",
-		func(damage func(tlsfiles.Files, issuer), at time.Time, file func(tlsfiles.Files) string, problem tlsfiles.Problem) {
-			authority := newIssuer(begin)
+	DescribeTable("returns an Error with the file and its problem",
+		func(damage func(tlsfiles.Files, testCA), at time.Time, file func(tlsfiles.Files) string, problem tlsfiles.Problem) {
+			ca := newTestCA(begin)
 			files := newFiles()
-			writePair(files, authority.issue(2, begin))
-			write(files.CA, authority.pem())
-			damage(files, authority)
+			writePair(files, ca.issue(2, begin))
+			write(files.CA, ca.pem())
+			damage(files, ca)
 			_, err := tlsfiles.Open(files, at)
 			var found tlsfiles.Error
 			Expect(err).To(BeAssignableToTypeOf(found))
@@ -204,29 +204,29 @@
 			Expect(found.File).To(Equal(file(files)))
 			Expect(found.Problem).To(Equal(problem))
 		},
-		Entry("no certificate", func(f tlsfiles.Files, _ issuer) { Expect(os.Remove(f.Certificate)).To(Succeed()) },
+		Entry("missing certificate file", func(f tlsfiles.Files, _ testCA) { Expect(os.Remove(f.Certificate)).To(Succeed()) },
 			now, certificateOf, tlsfiles.Unreadable),
-		Entry("no key", func(f tlsfiles.Files, _ issuer) { Expect(os.Remove(f.Key)).To(Succeed()) },
+		Entry("missing key file", func(f tlsfiles.Files, _ testCA) { Expect(os.Remove(f.Key)).To(Succeed()) },
 			now, keyOf, tlsfiles.Unreadable),
-		Entry("certificate without content", func(f tlsfiles.Files, _ issuer) { write(f.Certificate, nil) },
+		Entry("empty certificate file", func(f tlsfiles.Files, _ testCA) { write(f.Certificate, nil) },
 			now, certificateOf, tlsfiles.NotPEM),
-		Entry("damaged certificate", func(f tlsfiles.Files, _ issuer) { write(f.Certificate, block("CERTIFICATE", []byte("x"))) },
+		Entry("malformed certificate", func(f tlsfiles.Files, _ testCA) { write(f.Certificate, encodePEM("CERTIFICATE", []byte("x"))) },
 			now, certificateOf, tlsfiles.NotPEM),
-		Entry("key without content", func(f tlsfiles.Files, _ issuer) { write(f.Key, []byte("key")) },
+		Entry("key file that is not PEM", func(f tlsfiles.Files, _ testCA) { write(f.Key, []byte("key")) },
 			now, keyOf, tlsfiles.NotPEM),
-		Entry("key of another certificate", func(f tlsfiles.Files, a issuer) { write(f.Key, a.issue(4, begin).key) },
+		Entry("key of another certificate", func(f tlsfiles.Files, a testCA) { write(f.Key, a.issue(4, begin).key) },
 			now, keyOf, tlsfiles.KeyMismatch),
-		Entry("expired certificate", func(f tlsfiles.Files, a issuer) { writePair(f, a.issue(4, begin.Add(-validity))) },
+		Entry("expired certificate", func(f tlsfiles.Files, a testCA) { writePair(f, a.issue(4, begin.Add(-validity))) },
 			now, certificateOf, tlsfiles.Expired),
-		Entry("certificate of tomorrow", func(f tlsfiles.Files, a issuer) { writePair(f, a.issue(4, begin.Add(validity))) },
+		Entry("certificate that is not valid yet", func(f tlsfiles.Files, a testCA) { writePair(f, a.issue(4, begin.Add(validity))) },
 			now, certificateOf, tlsfiles.NotYetValid),
-		Entry("expired authority", func(f tlsfiles.Files, _ issuer) { write(f.CA, newIssuer(begin.Add(-validity)).pem()) },
-			now, authorityOf, tlsfiles.Expired),
-		Entry("authority that is none", func(f tlsfiles.Files, a issuer) { write(f.CA, a.issue(4, begin).certificate) },
-			now, authorityOf, tlsfiles.NotCA),
+		Entry("expired CA certificate", func(f tlsfiles.Files, _ testCA) { write(f.CA, newTestCA(begin.Add(-validity)).pem()) },
+			now, caOf, tlsfiles.Expired),
+		Entry("CA file with a certificate that is not a CA", func(f tlsfiles.Files, a testCA) { write(f.CA, a.issue(4, begin).certificate) },
+			now, caOf, tlsfiles.NotCA),
 	)
 })
 
 func certificateOf(files tlsfiles.Files) string { return files.Certificate }
 func keyOf(files tlsfiles.Files) string         { return files.Key }
-func authorityOf(files tlsfiles.Files) string   { return files.CA }
+func caOf(files tlsfiles.Files) string          { return files.CA }
