--- a/cmd/vanetillerctl/change.go
+++ b/cmd/vanetillerctl/change.go
@@ -1,4 +1,4 @@
-// This file implements the commands that change the table.
+// This file implements the commands that change rows of the table.
 
 package main
 
@@ -13,53 +13,53 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// idPrefix begins the identifiers that are chosen at random.
+// idPrefix is the prefix of randomly generated change identifiers.
 const idPrefix = "ctl-"
 
-// header returns what every change has, made at a version unless -base gives
-// another.
-func (o options) header(current table.Version) (adminapi.ChangeMetadata, error) {
+// changeMetadata returns the metadata of a change. Its base version is current, unless
+// -base gives another.
+func (o options) changeMetadata(current table.Version) (adminapi.ChangeMetadata, error) {
 	if o.reason == "" {
-		return adminapi.ChangeMetadata{}, wrongUsage("-reason is required for a change")
+		return adminapi.ChangeMetadata{}, newUsageError("-reason is required for a change")
 	}
-	made := adminapi.ChangeMetadata{ID: o.id, Reason: o.reason, BaseVersion: &current, DryRun: o.dryRun}
-	if made.ID == "" {
-		made.ID = idPrefix + strings.ToLower(rand.Text())
+	metadata := adminapi.ChangeMetadata{ID: o.id, Reason: o.reason, BaseVersion: &current, DryRun: o.dryRun}
+	if metadata.ID == "" {
+		metadata.ID = idPrefix + strings.ToLower(rand.Text())
 	}
-	if o.base != baseOfServer {
+	if o.base != currentBase {
 		current = table.Version(o.base)
 	}
-	return made, nil
+	return metadata, nil
 }
 
-func drain(ctx context.Context, called invocation) error   { return called.setDrain(ctx, true) }
-func undrain(ctx context.Context, called invocation) error { return called.setDrain(ctx, false) }
+func drain(ctx context.Context, inv invocation) error   { return inv.setDrain(ctx, true) }
+func undrain(ctx context.Context, inv invocation) error { return inv.setDrain(ctx, false) }
 
 func (i invocation) setDrain(ctx context.Context, drain bool) error {
-	if err := i.takes(1, 1, "one ROW"); err != nil {
+	if err := i.checkArguments(1, 1, "one ROW"); err != nil {
 		return err
 	}
 	return i.changeRow(ctx, adminapi.CellUpdate{Drain: &drain})
 }
 
-func set(ctx context.Context, called invocation) error {
-	if len(called.arguments) < 2 {
-		return wrongUsage("the command takes a ROW and at least one COLUMN=VALUE")
+func setCells(ctx context.Context, inv invocation) error {
+	if len(inv.arguments) < 2 {
+		return newUsageError("the command takes a ROW and at least one COLUMN=VALUE")
 	}
 	var update adminapi.CellUpdate
-	for _, assignment := range called.arguments[1:] {
+	for _, assignment := range inv.arguments[1:] {
 		if err := assign(&update, assignment); err != nil {
 			return err
 		}
 	}
-	return called.changeRow(ctx, update)
+	return inv.changeRow(ctx, update)
 }
 
-// assign sets a cell by text such as weight=5.
+// assign sets a cell of update from an assignment such as weight=5.
 func assign(update *adminapi.CellUpdate, assignment string) error {
 	column, value, found := strings.Cut(assignment, "=")
 	if !found {
-		return wrongUsage("%q is not COLUMN=VALUE", assignment)
+		return newUsageError("%q is not COLUMN=VALUE", assignment)
 	}
 	switch column {
 	case "weight":
@@ -69,7 +69,7 @@
 	case "drain":
 		drain, err := strconv.ParseBool(value)
 		if err != nil {
-			return wrongUsage("drain=%s: must be true or false", value)
+			return newUsageError("drain=%s: must be true or false", value)
 		}
 		update.Drain = &drain
 		return nil
@@ -77,46 +77,46 @@
 		update.Zone = &value
 		return nil
 	}
-	return wrongUsage("column %q: must be weight, connection_limit, drain or zone", column)
+	return newUsageError("column %q: must be weight, connection_limit, drain or zone", column)
 }
 
 func assignNumber(cell **uint32, column, value string) error {
 	number, err := strconv.ParseUint(value, 10, 32)
 	if err != nil {
-		return wrongUsage("%s=%s: must be a whole number", column, value)
+		return newUsageError("%s=%s: must be a whole number", column, value)
 	}
 	assigned := uint32(number)
 	*cell = &assigned
 	return nil
 }
 
-// changeRow sets cells of the row that the first argument names, unless the
-// row changes in the meantime.
+// changeRow sets cells of the row named by the first argument. The change conflicts
+// if the row is modified in the meantime.
 func (i invocation) changeRow(ctx context.Context, update adminapi.CellUpdate) error {
 	client, err := i.options.connect()
 	if err != nil {
 		return err
 	}
-	answer, err := client.Table(ctx, "")
+	response, err := client.Table(ctx, "")
 	if err != nil {
 		return err
 	}
-	update.Backend, err = findRow(answer.Table, i.arguments[0])
+	update.Backend, err = findRow(response.Table, i.arguments[0])
 	if err != nil {
 		return err
 	}
-	made, err := i.options.header(answer.Table.Version)
+	metadata, err := i.options.changeMetadata(response.Table.Version)
 	if err != nil {
 		return err
 	}
 	return i.submit(ctx, client, adminapi.ChangeRequest{
-		ChangeMetadata: made,
-		ExpectedRows:   []adminapi.RowVersion{{Backend: update.Backend, Version: rowVersion(answer.RowVersions, update.Backend)}},
+		ChangeMetadata: metadata,
+		ExpectedRows:   []adminapi.RowVersion{{Backend: update.Backend, Version: rowVersion(response.RowVersions, update.Backend)}},
 		Operations:     adminapi.Operations{SetCells: []adminapi.CellUpdate{update}},
 	})
 }
 
-// findRow finds a row by SERVICE/NAME or identifier.
+// findRow returns the identifier of the row given as SERVICE/NAME or identifier.
 func findRow(searched *table.Table, text string) (table.BackendID, error) {
 	for _, row := range searched.Backends {
 		service, _ := searched.Service(row.Service)
@@ -126,7 +126,7 @@
 	}
 	id, err := strconv.ParseUint(text, 10, 32)
 	if err != nil {
-		return 0, wrongUsage("no row %q; rows are SERVICE/NAME or an identifier", text)
+		return 0, newUsageError("no row %q; a row is SERVICE/NAME or an identifier", text)
 	}
 	return table.BackendID(id), nil
 }
@@ -140,72 +140,73 @@
 	return 0
 }
 
-// importFile applies to the table that was read, and to no later one.
-func importFile(ctx context.Context, called invocation) error {
-	if err := called.takes(1, 1, "one FILE"); err != nil {
+// importFile submits the change from the current table to that of a file. The
+// change conflicts if the table is modified in the meantime.
+func importFile(ctx context.Context, inv invocation) error {
+	if err := inv.checkArguments(1, 1, "one FILE"); err != nil {
 		return err
 	}
-	client, err := called.options.connect()
+	client, err := inv.options.connect()
 	if err != nil {
 		return err
 	}
-	answer, err := client.Table(ctx, "")
+	response, err := client.Table(ctx, "")
 	if err != nil {
 		return err
 	}
-	wanted, err := readTable(called.arguments[0], answer.Table)
+	wanted, err := readTable(inv.arguments[0], response.Table)
 	if err != nil {
 		return err
 	}
 	missing := adminapi.KeepMissing
-	if called.options.removeMissing {
+	if inv.options.removeMissing {
 		missing = adminapi.RemoveMissing
 	}
-	parts, err := adminapi.Plan(answer.Table, wanted, missing)
+	operations, err := adminapi.Plan(response.Table, wanted, missing)
 	if err != nil {
 		return outcomeError{adminapi.Refused, err.Error()}
 	}
-	if parts.Empty() {
-		fmt.Fprintf(called.output, "nothing to change at version %d\n", answer.Table.Version)
+	if operations.Empty() {
+		fmt.Fprintf(inv.output, "nothing to change at version %d\n", response.Table.Version)
 		return nil
 	}
-	made, err := called.options.header(answer.Table.Version)
+	metadata, err := inv.options.changeMetadata(response.Table.Version)
 	if err != nil {
 		return err
 	}
-	return called.submit(ctx, client, adminapi.ChangeRequest{
-		ChangeMetadata: made, ExpectedVersion: answer.Table.Version, Operations: parts,
+	return inv.submit(ctx, client, adminapi.ChangeRequest{
+		ChangeMetadata: metadata, ExpectedVersion: response.Table.Version, Operations: operations,
 	})
 }
 
 func (i invocation) submit(ctx context.Context, client *adminapi.Client, change adminapi.ChangeRequest) error {
-	answer, err := client.Change(ctx, change)
+	response, err := client.Change(ctx, change)
 	if err != nil {
 		return err
 	}
-	if err := i.printAnswer(answer); err != nil {
+	if err := i.printChangeResponse(response); err != nil {
 		return err
 	}
-	return outcomeOf(answer, *change.BaseVersion)
+	return outcomeToError(response, *change.BaseVersion)
 }
 
-func (i invocation) printAnswer(answer adminapi.ChangeResponse) error {
+func (i invocation) printChangeResponse(response adminapi.ChangeResponse) error {
 	if i.options.format(formatTable) == formatJSON {
-		return printJSON(i.output, answer)
+		return printJSON(i.output, response)
 	}
-	if answer.DryRun && len(answer.Cells) > 0 {
-		if err := i.print(answer.Cells, cellGrid(answer.Cells)); err != nil {
+	if response.DryRun && len(response.Cells) > 0 {
+		if err := i.print(response.Cells, cellGrid(response.Cells)); err != nil {
 			return err
 		}
 	}
-	if answer.Outcome != adminapi.Accepted || i.options.format(formatTable) == formatCSV {
+	if response.Outcome != adminapi.Accepted || i.options.format(formatTable) == formatCSV {
 		return nil
 	}
-	if answer.DryRun {
+	if response.DryRun {
 		fmt.Fprintln(i.output, "dry run: would be accepted")
 		return nil
 	}
-	fmt.Fprintf(i.output, "accepted: version %d, change %s\n", answer.Version, answer.ID)
+	fmt.Fprintf(i.output, "accepted: version %d, change %s\n", response.Version, response.ID)
 	return nil
 }
 
@@ -217,20 +218,20 @@
 	return columns
 }
 
-// outcomeOf returns the error of a change that was not accepted.
-func outcomeOf(answer adminapi.ChangeResponse, base table.Version) error {
-	switch answer.Outcome {
+// outcomeToError returns an outcomeError unless the change was accepted.
+func outcomeToError(response adminapi.ChangeResponse, base table.Version) error {
+	switch response.Outcome {
 	case adminapi.Accepted:
 		return nil
 	case adminapi.Refused, adminapi.Conflict:
-		reason := "no rule is named"
-		if answer.Refusal != nil {
-			reason = answer.Refusal.Error()
+		reason := "the server named no rule"
+		if response.Refusal != nil {
+			reason = response.Refusal.Error()
 		}
-		return outcomeError{answer.Outcome, fmt.Sprintf("%s: %s", answer.Outcome, reason)}
+		return outcomeError{response.Outcome, fmt.Sprintf("%s: %s", response.Outcome, reason)}
 	case adminapi.NotAccepted:
-		return outcomeError{answer.Outcome, "not accepted, not applied: " + answer.Message}
+		return outcomeError{response.Outcome, "not accepted, not applied: " + response.Message}
 	}
 	return outcomeError{adminapi.Unknown, fmt.Sprintf(
-		"outcome not known: %s; repeat the command with -id %s -base %d", answer.Message, answer.ID, base)}
+		"outcome unknown: %s; repeat the command with -id %s -base %d", response.Message, response.ID, base)}
 }
--- a/cmd/vanetillerctl/connect.go
+++ b/cmd/vanetillerctl/client.go
@@ -1,4 +1,4 @@
-// This file implements the connection to the administration API.
+// This file creates the client of the administration API.
 
 package main
 
@@ -16,45 +16,45 @@
 	"github.com/vanetiller/vanetiller/internal/tlsfiles"
 )
 
-// connect returns a client of the server of the flags.
+// connect returns a client for the server, token and certificates of the flags.
 func (o options) connect() (*adminapi.Client, error) {
 	if o.server == "" {
-		return nil, wrongUsage("-server is required")
+		return nil, newUsageError("-server is required")
 	}
 	if o.tokenFile == "" {
-		return nil, wrongUsage("-token-file is required")
+		return nil, newUsageError("-token-file is required")
 	}
 	token, err := os.ReadFile(o.tokenFile)
 	if err != nil {
-		return nil, errors.Wrap(err, "token")
+		return nil, errors.Wrap(err, "read the token file")
 	}
-	config, err := o.tls()
+	config, err := o.tlsConfig()
 	if err != nil {
 		return nil, err
 	}
 	transport := &http.Client{Transport: &http.Transport{TLSClientConfig: config}}
 	client, err := adminapi.NewClient(o.server, tenant.Token(strings.TrimSpace(string(token))), transport)
 	if err != nil {
-		return nil, wrongUsage("%s", err)
+		return nil, newUsageError("%s", err)
 	}
 	return client, nil
 }
 
-func (o options) tls() (*tls.Config, error) {
+func (o options) tlsConfig() (*tls.Config, error) {
 	now := time.Now()
 	if o.certificate != "" {
-		source, err := tlsfiles.Open(tlsfiles.Files{Certificate: o.certificate, Key: o.key, CA: o.authority}, now)
+		reloader, err := tlsfiles.Open(tlsfiles.Files{Certificate: o.certificate, Key: o.key, CA: o.authority}, now)
 		if err != nil {
 			return nil, err
 		}
-		// The name of the server is that of its URL.
-		return source.ClientConfig(""), nil
+		// The HTTP client sets the server name from the URL.
+		return reloader.ClientConfig(""), nil
 	}
 	config := &tls.Config{MinVersion: tls.VersionTLS13}
 	if o.authority == "" {
 		return config, nil
 	}
-	authority, err := tlsfiles.LoadCAPool(o.authority, now)
-	config.RootCAs = authority
+	caPool, err := tlsfiles.LoadCAPool(o.authority, now)
+	config.RootCAs = caPool
 	return config, err
 }
--- a/cmd/vanetillerctl/command.go
+++ b/cmd/vanetillerctl/command.go
@@ -1,5 +1,5 @@
-// This file implements the choice of a command from the arguments, and the
-// exit statuses.
+// This file selects the command from the arguments and maps its result to an exit
+// status.
 
 package main
 
@@ -15,7 +15,7 @@
 	"github.com/vanetiller/vanetiller/internal/program/version"
 )
 
-// Exit statuses.
+// Exit statuses, as listed in usageFooter.
 const (
 	exitDone        = 0
 	exitFailed      = 1
@@ -26,20 +26,20 @@
 	exitUnknown     = 6
 )
 
-// invocation is one run of a command.
+// invocation holds the flags, arguments and output of one run of a command.
 type invocation struct {
 	options   options
 	arguments []string
 	output    io.Writer
 }
 
-// usageError is the error of a command that was given wrong arguments.
+// usageError is the error of a command with invalid flags or arguments.
 type usageError struct{ message string }
 
 // Error implements error.
 func (u usageError) Error() string { return u.message }
 
-func wrongUsage(message string, arguments ...any) error {
+func newUsageError(message string, arguments ...any) error {
 	return usageError{fmt.Sprintf(message, arguments...)}
 }
 
@@ -52,15 +52,16 @@
 // Error implements error.
 func (o outcomeError) Error() string { return o.message }
 
-// command writes its result and returns why it could not.
-type command func(ctx context.Context, called invocation) error
+// command executes one command and writes its result to the output of the
+// invocation.
+type command func(ctx context.Context, inv invocation) error
 
-// run executes the arguments after the program name and returns the exit
-// status.
+// run executes the command given by the arguments after the program name, and
+// returns the exit status.
 func run(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
 	var values options
 	flags := newFlagSet(&values, stderr)
-	words, err := parse(flags, arguments)
+	words, err := parseArguments(flags, arguments)
 	switch {
 	case errors.Is(err, flag.ErrHelp):
 		fmt.Fprint(stdout, usage())
@@ -71,7 +72,7 @@
 		fmt.Fprintln(stdout, "vanetillerctl", version.String())
 		return exitDone
 	}
-	err = perform(ctx, words, values, stdout)
+	err = runCommand(ctx, words, values, stdout)
 	if err == nil {
 		return exitDone
 	}
@@ -84,11 +85,11 @@
 	return status
 }
 
-func perform(ctx context.Context, words []string, values options, output io.Writer) error {
+func runCommand(ctx context.Context, words []string, values options, output io.Writer) error {
 	if err := values.check(); err != nil {
-		return wrongUsage("%s", err)
+		return newUsageError("%s", err)
 	}
-	chosen, rest, err := choose(words)
+	chosen, rest, err := findCommand(words)
 	if err != nil {
 		return err
 	}
@@ -121,65 +122,65 @@
 	return exitUnknown
 }
 
-func choose(words []string) (command, []string, error) {
+func findCommand(words []string) (command, []string, error) {
 	if len(words) == 0 {
-		return nil, nil, wrongUsage("no command given")
+		return nil, nil, newUsageError("no command given")
 	}
 	rest := words[1:]
 	switch words[0] {
 	case "table":
-		return chooseOfTable(rest)
+		return findTableCommand(rest)
 	case "drain":
 		return drain, rest, nil
 	case "undrain":
 		return undrain, rest, nil
 	case "zones":
-		return zones, rest, nil
+		return showZones, rest, nil
 	case "zone":
-		return chooseOfZone(rest)
+		return findZoneCommand(rest)
 	case "change":
 		return showChange, rest, nil
 	case "members":
-		return members, rest, nil
+		return showMembers, rest, nil
 	case "token":
 		return createToken, rest, nil
 	case "explain":
 		return explain, rest, nil
 	case "load":
-		return load, rest, nil
+		return showLoad, rest, nil
 	}
-	return nil, nil, wrongUsage("unknown command %q", words[0])
+	return nil, nil, newUsageError("unknown command %q", words[0])
 }
 
-func chooseOfTable(words []string) (command, []string, error) {
+func findTableCommand(words []string) (command, []string, error) {
 	if len(words) == 0 {
-		return nil, nil, wrongUsage("table takes a command")
+		return nil, nil, newUsageError("table requires a command, such as show")
 	}
 	rest := words[1:]
 	switch words[0] {
 	case "validate":
-		return validate, rest, nil
+		return validateFile, rest, nil
 	case "show":
-		return show, rest, nil
+		return showTable, rest, nil
 	case "diff":
-		return diff, rest, nil
+		return diffTables, rest, nil
 	case "set":
-		return set, rest, nil
+		return setCells, rest, nil
 	case "import":
 		return importFile, rest, nil
 	case "export":
-		return export, rest, nil
+		return exportTable, rest, nil
 	case "history":
-		return history, rest, nil
+		return showHistory, rest, nil
 	case "wait":
-		return wait, rest, nil
+		return waitForVersion, rest, nil
 	}
-	return nil, nil, wrongUsage("unknown command %q of table", words[0])
+	return nil, nil, newUsageError("unknown command %q of table", words[0])
 }
 
-func chooseOfZone(words []string) (command, []string, error) {
+func findZoneCommand(words []string) (command, []string, error) {
 	if len(words) == 0 {
-		return nil, nil, wrongUsage("zone takes a command")
+		return nil, nil, newUsageError("zone requires a command: close or open")
 	}
 	switch words[0] {
 	case "close":
@@ -187,13 +188,14 @@
 	case "open":
 		return openZone, words[1:], nil
 	}
-	return nil, nil, wrongUsage("unknown command %q of zone", words[0])
+	return nil, nil, newUsageError("unknown command %q of zone", words[0])
 }
 
-// takes checks the number of arguments.
-func (i invocation) takes(least, most int, what string) error {
-	if len(i.arguments) < least || len(i.arguments) > most {
-		return wrongUsage("the command takes %s", what)
+// checkArguments returns a usageError unless the number of arguments is from least to
+// most.
+func (i invocation) checkArguments(minimum, maximum int, what string) error {
+	if len(i.arguments) < minimum || len(i.arguments) > maximum {
+		return newUsageError("the command takes %s", what)
 	}
 	return nil
 }
--- a/cmd/vanetillerctl/explain.go
+++ b/cmd/vanetillerctl/explain.go
@@ -1,4 +1,5 @@
-// This file implements the explanation of a request from the logs of processes.
+// This file implements the explain command, which shows from log files what happened to
+// one request.
 
 package main
 
@@ -20,16 +21,16 @@
 )
 
 const (
-	// explainMargin is how long before and after a request lines about the processes
-	// themselves are shown.
-	explainMargin = 2 * time.Second
-	// longestLogLine bounds a line of a log, in bytes.
-	longestLogLine = 1 << 20
-	// decisionMessage is the message of lines about one flow.
+	// explainWindow is the time before and after the lines of a request in which lines
+	// about the processes themselves are shown.
+	explainWindow = 2 * time.Second
+	// maxLogLineLength is the maximum length of a log line, in bytes.
+	maxLogLineLength = 1 << 20
+	// decisionMessage is the message of log lines about single flows.
 	decisionMessage = "decision"
 )
 
-// logLine is one line of a process's log.
+// logLine is one line of the JSON log of a process.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Name    string    `json:"name"`
@@ -39,41 +40,41 @@
 	Service string    `json:"service"`
 	Request string    `json:"request"`
 	Entry   string    `json:"entry"`
-	// text is the whole line.
+	// text is the complete JSON text of the line.
 	text []byte
 }
 
-// flow returns the client's address and the one it called.
+// flow returns the addresses of the client and the service.
 func (l logLine) flow() [2]string { return [2]string{l.Client, l.Service} }
 
-// about reports whether the line is about an entry of the store, given its key or the last
-// part of that.
-func (l logLine) about(entry string) bool {
+// refersTo reports whether the line refers to an entry of the store, given its key or the last
+// path element of the key.
+func (l logLine) refersTo(entry string) bool {
 	return l.Entry != "" && (l.Entry == entry || strings.HasSuffix(l.Entry, "/"+entry))
 }
 
-// explain prints in the order of time what several processes did with the flows of a
-// request, given its identifier or the address of its client, and what happened to
-// these processes meanwhile.
-func explain(_ context.Context, called invocation) error {
-	if len(called.arguments) < 2 {
-		return wrongUsage("explain takes the identifier of a request, a client's address and port, or an entry of the store, and FILES of logs")
+// explain prints, in order of time, the log lines of several processes about the flows of a
+// request and about these processes around that time. The first argument is the identifier
+// of the request, the address of its client, or an entry of the store.
+func explain(_ context.Context, inv invocation) error {
+	if len(inv.arguments) < 2 {
+		return newUsageError("explain takes a REQUEST (its identifier, its client's address and port, or an entry of the store) and one or more log FILEs")
 	}
-	lines, err := readLogs(called.arguments[1:])
+	lines, err := readLogs(inv.arguments[1:])
 	if err != nil {
 		return err
 	}
-	found := explaining(lines, called.arguments[0])
+	found := selectLines(lines, inv.arguments[0])
 	if len(found) == 0 {
-		return errors.Errorf("no log has a line of %s", called.arguments[0])
+		return errors.Errorf("no log has a line of %s", inv.arguments[0])
 	}
-	if called.options.format(formatTable) == formatJSON {
+	if inv.options.format(formatTable) == formatJSON {
 		for _, line := range found {
-			fmt.Fprintf(called.output, "%s\n", line.text)
+			fmt.Fprintf(inv.output, "%s\n", line.text)
 		}
 		return nil
 	}
-	return called.print(nil, explanation(found))
+	return inv.print(nil, lineGrid(found))
 }
 
 func readLogs(paths []string) ([]logLine, error) {
@@ -81,7 +82,7 @@
 	for _, path := range paths {
 		file, err := os.Open(path)
 		if err != nil {
-			return nil, errors.Wrap(err, "log")
+			return nil, errors.Wrap(err, "read log")
 		}
 		read, err := readLog(file)
 		_ = file.Close()
@@ -94,11 +95,11 @@
 	return lines, nil
 }
 
-// readLog reads the lines that are JSON objects, whatever stands before these, as a
-// collector may add the machine.
+// readLog returns the lines that contain a JSON object. It ignores text before the object,
+// since a log collector may prefix lines, for example with the machine name.
 func readLog(input io.Reader) ([]logLine, error) {
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(nil, longestLogLine)
+	scanner.Buffer(nil, maxLogLineLength)
 	var lines []logLine
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
@@ -113,10 +114,12 @@
 	return lines, scanner.Err()
 }
 
-// explaining returns the lines about an entry of the store or, of a request, those of all
-// its flows and those about the processes that had them from shortly before to shortly after.
-func explaining(lines []logLine, wanted string) []logLine {
-	ofEntry := slices.DeleteFunc(slices.Clone(lines), func(line logLine) bool { return !line.about(wanted) })
+// selectLines returns the lines about the wanted entry of the store, if there are any.
+// Otherwise it returns the lines about all flows of the wanted request or client, and the
+// lines about the processes that handled them from explainWindow before to explainWindow
+// after.
+func selectLines(lines []logLine, wanted string) []logLine {
+	ofEntry := slices.DeleteFunc(slices.Clone(lines), func(line logLine) bool { return !line.refersTo(wanted) })
 	if len(ofEntry) > 0 {
 		return ofEntry
 	}
@@ -143,29 +146,29 @@
 			return false
 		}
 		ofProcess := line.Message != decisionMessage || line.Client == ""
-		near := line.Time.After(first.Add(-explainMargin)) && line.Time.Before(last.Add(explainMargin))
+		near := line.Time.After(first.Add(-explainWindow)) && line.Time.Before(last.Add(explainWindow))
 		return !ofProcess || !names[line.Name] || !near
 	})
 }
 
-// shownApart are the fields that have columns of their own, or are not shown.
-var shownApart = []string{"time", "level", "msg", "name", "zone", "event"}
+// omittedFields lists the fields that have their own column or are not shown.
+var omittedFields = []string{"time", "level", "msg", "name", "zone", "event"}
 
-func explanation(lines []logLine) grid {
+func lineGrid(lines []logLine) grid {
 	columns := grid{header: []string{"time", "process", "what", "details"}}
 	for _, line := range lines {
 		what := cmp.Or(line.Event, line.Message)
-		columns.rows = append(columns.rows, []string{line.Time.Format("15:04:05.000000"), line.Name, what, details(line)})
+		columns.rows = append(columns.rows, []string{line.Time.Format("15:04:05.000000"), line.Name, what, formatFields(line)})
 	}
 	return columns
 }
 
-func details(line logLine) string {
+func formatFields(line logLine) string {
 	var fields map[string]any
 	if json.Unmarshal(line.text, &fields) != nil {
 		return ""
 	}
-	for _, name := range shownApart {
+	for _, name := range omittedFields {
 		delete(fields, name)
 	}
 	var shown []string
--- a/cmd/vanetillerctl/explain_test.go
+++ b/cmd/vanetillerctl/explain_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// balancerLog and agentLog are lines of a day of the users' bench and of another agent,
-// as a collector writes them: the second file names the machine before each line.
+// balancerLog and agentLog hold log lines of a balancer and of agents. As written by a log
+// collector, the lines of agentLog start with the machine name.
 const balancerLog = `{"time":"2026-06-20T07:42:30.000000Z","level":"info","msg":"directory changed","name":"edge-1","version":2}
 {"time":"2026-06-20T07:42:34.500000Z","level":"warn","msg":"store lost","name":"edge-1","error":"store: unavailable"}
 {"time":"2026-06-20T07:42:34.999781Z","level":"info","msg":"decision","name":"edge-1","event":"placed","client":"100.64.0.15:1068","service":"198.18.0.1:8080","peer":"10.2.0.10:8452","version":3,"elapsed_ms":1.565}
@@ -46,7 +46,7 @@
 		return ran.Stdout
 	}
 
-	It("shows a flow that its endpoint lost, with what its processes met at the time", func() {
+	It("prints the lines of a flow that its endpoint lost, and the lines about its processes around that time", func() {
 		Expect(explained("3294b2d0")).To(Equal(
 			`TIME             PROCESS  WHAT                DETAILS
 07:42:34.500000  edge-1   store lost          error=store: unavailable
@@ -56,12 +56,12 @@
 `))
 	})
 
-	It("shows why an entry of the store is not used", func() {
+	It("prints why an entry of the store was refused", func() {
 		Expect(explained("e-9", "-output", "csv")).To(Equal(
 			"time,process,what,details\n07:42:37.500000,edge-1,entry refused,entry=endpoints/e-9 reason=wrong_type revision=71\n"))
 	})
 
-	It("shows where a late request waited, for how long, and that its endpoint was ejected", func() {
+	It("prints where and how long a delayed request waited, and that its endpoint was ejected", func() {
 		Expect(explained("fecfac1a", "-output", "csv")).To(Equal(
 			`time,process,what,details
 07:42:40.234767,edge-1,placed,client=100.65.0.25:1125 elapsed_ms=1.456 peer=10.3.0.18:8452 service=198.18.0.1:8443 version=3
@@ -71,12 +71,12 @@
 `))
 	})
 
-	It("finds a request that never reached an agent by its client's address", func() {
+	It("finds a request that never reached an agent by the address of its client", func() {
 		Expect(explained("100.64.0.16:1070", "-output", "json")).To(ContainSubstring(`"event":"no_route"`))
 		Expect(explained("100.64.0.16:1070")).To(ContainSubstring("reason=reset"))
 	})
 
-	It("says so if no log has the request, or a file is missing", func() {
+	It("fails if no log has the request, a file is missing or no file is given", func() {
 		ran := execute(append([]string{"explain", "nobody"}, logs...)...)
 		Expect(ran.Status).To(Equal(exitFailed))
 		Expect(ran.Stderr).To(ContainSubstring("no log has a line of nobody"))
--- a/cmd/vanetillerctl/load.go
+++ b/cmd/vanetillerctl/load.go
@@ -1,4 +1,4 @@
-// This file implements the summary of load from the logs of processes.
+// This file implements the load command, which sums up the load of services from log files.
 
 package main
 
@@ -17,11 +17,12 @@
 	"github.com/pkg/errors"
 )
 
-// loadMessage is the message of lines that sum up the load of a service and priority.
+// loadMessage is the message of log lines with the load of a service and priority over an
+// interval.
 const loadMessage = "load"
 
-// loadLine is one line of load.
-type loadLine struct {
+// loadRecord is one log line with the message loadMessage.
+type loadRecord struct {
 	Service   string         `json:"service"`
 	Priority  string         `json:"priority"`
 	Asked     int            `json:"asked"`
@@ -31,14 +32,14 @@
 	Ownerless int            `json:"ownerless"`
 	Returned  map[string]int `json:"returned"`
 	Refused   map[string]int `json:"refused"`
-	// Waits are counts by their upper bound in milliseconds; those beyond all bounds have
-	// none.
+	// Waits maps the upper bound of a histogram bucket, in milliseconds, to the number of
+	// waits in it. The key of the last bucket, which has no upper bound, is not a number.
 	Waits     map[string]int `json:"waits"`
 	LongestMS float64        `json:"longest_ms"`
 }
 
-// classLoad is the load of a service and priority over a span of time.
-type classLoad struct {
+// loadSummary is the total load of a service and priority over a time range.
+type loadSummary struct {
 	Service   string         `json:"service"`
 	Priority  string         `json:"priority"`
 	Placed    int            `json:"placed"`
@@ -54,68 +55,69 @@
 	waits     map[string]int
 }
 
-// load prints what processes did with the load of each service and priority, given their
-// logs.
-func load(_ context.Context, called invocation) error {
-	if len(called.arguments) == 0 {
-		return wrongUsage("load takes FILES of logs")
+// showLoad prints the total showLoad of each service and priority from the log files given as
+// arguments.
+func showLoad(_ context.Context, inv invocation) error {
+	if len(inv.arguments) == 0 {
+		return newUsageError("load takes one or more log FILEs")
 	}
-	span, err := called.options.span()
+	span, err := inv.options.timeRange()
 	if err != nil {
-		return wrongUsage("%s", err)
+		return newUsageError("%s", err)
 	}
-	lines, err := readLogs(called.arguments)
+	lines, err := readLogs(inv.arguments)
 	if err != nil {
 		return err
 	}
-	summed := sumLoad(lines, span)
-	summed = slices.DeleteFunc(summed, func(each classLoad) bool {
-		ofService := called.options.service == "" || each.Service == called.options.service
-		return !ofService || called.options.priority != "" && each.Priority != called.options.priority
+	summed := summarizeLoad(lines, span)
+	summed = slices.DeleteFunc(summed, func(each loadSummary) bool {
+		ofService := inv.options.service == "" || each.Service == inv.options.service
+		return !ofService || inv.options.priority != "" && each.Priority != inv.options.priority
 	})
 	if len(summed) == 0 {
-		return errors.New("no log has a line of such load in that time")
+		return errors.New("no log has a load line that matches -service, -priority, -from and -to")
 	}
-	return called.print(summed, loadGrid(summed))
+	return inv.print(summed, loadGrid(summed))
 }
 
-// timeSpan is a span of time, open where an end is zero.
-type timeSpan struct{ from, to time.Time }
+// timeRange is a time range including both ends. A zero end means unbounded.
+type timeRange struct{ from, to time.Time }
 
-// contains reports whether a time is in the span.
-func (s timeSpan) contains(at time.Time) bool {
+// contains reports whether a time is in the range.
+func (s timeRange) contains(at time.Time) bool {
 	return !at.Before(s.from) && (s.to.IsZero() || !at.After(s.to))
 }
 
-// sumLoad sums up the lines of load in a span, by service and priority.
-func sumLoad(lines []logLine, span timeSpan) []classLoad {
-	sums := make(map[[2]string]*classLoad)
+// summarizeLoad adds up the load lines in a time range by service and priority. The result is
+// sorted by service and priority.
+func summarizeLoad(lines []logLine, span timeRange) []loadSummary {
+	sums := make(map[[2]string]*loadSummary)
 	for _, line := range lines {
-		var read loadLine
+		var read loadRecord
 		if line.Message != loadMessage || !span.contains(line.Time) || json.Unmarshal(line.text, &read) != nil {
 			continue
 		}
 		key := [2]string{read.Service, read.Priority}
 		if sums[key] == nil {
-			sums[key] = &classLoad{
+			sums[key] = &loadSummary{
 				Service: read.Service, Priority: read.Priority,
 				Returned: make(map[string]int), Refused: make(map[string]int), waits: make(map[string]int),
 			}
 		}
 		sums[key].add(read)
 	}
-	var all []classLoad
+	var all []loadSummary
 	for _, sum := range sums {
 		sum.MedianMS = sum.median()
 		all = append(all, *sum)
 	}
-	slices.SortFunc(all, func(a, b classLoad) int {
+	slices.SortFunc(all, func(a, b loadSummary) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Priority, b.Priority))
 	})
 	return all
 }
 
-func (c *classLoad) add(read loadLine) {
+func (c *loadSummary) add(read loadRecord) {
 	c.Placed += read.Placed
 	c.Asked += read.Asked
 	c.Answered += read.Answered
@@ -136,29 +138,30 @@
 	}
 }
 
-// median returns the bound that the median wait does not exceed, in milliseconds, empty if
-// nothing waited.
-func (c *classLoad) median() string {
-	bounds := slices.SortedFunc(maps.Keys(c.waits), func(a, b string) int { return cmp.Compare(boundOf(a), boundOf(b)) })
+// median returns the upper bound in milliseconds of the bucket with the median wait, empty
+// if there were no waits.
+func (c *loadSummary) median() string {
+	bounds := slices.SortedFunc(maps.Keys(c.waits), func(a, b string) int { return cmp.Compare(parseBound(a), parseBound(b)) })
 	counted := 0
 	for _, bound := range bounds {
 		counted += c.waits[bound]
 		if 2*counted >= c.Waited {
-			return shownBound(bound)
+			return formatBound(bound)
 		}
 	}
 	return ""
 }
 
-func shownBound(bucket string) string {
-	if math.IsInf(boundOf(bucket), 1) {
+func formatBound(bucket string) string {
+	if math.IsInf(parseBound(bucket), 1) {
 		return bucket
 	}
 	return "<=" + bucket
 }
 
-// boundOf returns a bound in milliseconds, infinity for waits beyond all bounds.
-func boundOf(bucket string) float64 {
+// parseBound returns the upper bound of a bucket in milliseconds, or infinity for the bucket
+// without an upper bound.
+func parseBound(bucket string) float64 {
 	bound, err := strconv.ParseFloat(bucket, 64)
 	if err != nil {
 		return math.Inf(1)
@@ -166,7 +169,7 @@
 	return bound
 }
 
-func loadGrid(summed []classLoad) grid {
+func loadGrid(summed []loadSummary) grid {
 	columns := grid{header: []string{
 		"service", "priority", "placed", "asked", "answered", "waited", "median ms", "longest ms", "expired", "returned",
 		"refused", "ownerless",
@@ -175,14 +178,14 @@
 		columns.rows = append(columns.rows, []string{
 			each.Service, each.Priority, strconv.Itoa(each.Placed), strconv.Itoa(each.Asked), strconv.Itoa(each.Answered),
 			strconv.Itoa(each.Waited), each.MedianMS, strconv.FormatFloat(each.LongestMS, 'f', -1, 64),
-			strconv.Itoa(each.Expired), reasons(each.Returned), reasons(each.Refused), strconv.Itoa(each.Ownerless),
+			strconv.Itoa(each.Expired), formatReasons(each.Returned), formatReasons(each.Refused), strconv.Itoa(each.Ownerless),
 		})
 	}
 	return columns
 }
 
-// reasons lists counts by reason, the most frequent first.
-func reasons(counts map[string]int) string {
+// formatReasons formats counts by reason, the most frequent first.
+func formatReasons(counts map[string]int) string {
 	names := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
 	})
--- a/cmd/vanetillerctl/load_test.go
+++ b/cmd/vanetillerctl/load_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// loadLogs are lines of two agents and a balancer, with one of another kind.
+// loadLogs holds load lines of two agents and a balancer, and one line of another kind.
 const loadLogs = `{"time":"2026-06-20T07:42:30Z","level":"info","msg":"load","name":"side-1","service":"lookup","priority":"2","interval_ms":1000,"asked":90,"answered":60,"placed":0,"expired":3,"ownerless":0,"returned":{"busy":40,"overload":2},"refused":{},"waits":{"20":1,"50":5,"100":10,"200":4},"longest_ms":180.5}
 side-2 {"time":"2026-06-20T07:42:31Z","level":"info","msg":"load","name":"side-2","service":"lookup","priority":"2","interval_ms":1000,"asked":30,"answered":31,"placed":0,"expired":0,"ownerless":0,"returned":{"busy":8,"cold":9},"refused":{},"waits":{"longer":1},"longest_ms":6100}
 {"time":"2026-06-20T07:42:31Z","level":"info","msg":"load","name":"side-2","service":"lookup","priority":"0","interval_ms":1000,"asked":12,"answered":12,"placed":0,"expired":0,"ownerless":0,"returned":{},"refused":{},"waits":{},"longest_ms":0}
@@ -25,7 +25,7 @@
 		Expect(os.WriteFile(path, []byte(loadLogs), 0o600)).To(Succeed())
 	})
 
-	DescribeTable("sums up lines by service and priority",
+	DescribeTable("adds up load lines by service and priority",
 		func(flags []string, shown string) {
 			ran := execute(append([]string{"load", path, "-output", "csv"}, flags...)...)
 			Expect(ran.Status).To(Equal(exitDone), ran.Stderr)
@@ -39,30 +39,30 @@
 `),
 		Entry("of a service", []string{"-service", "export"}, "export,unknown,1,0,0,7,<=1,0.5,0,,,0\n"),
 		Entry("of a priority", []string{"-priority", "0"}, "lookup,0,0,12,12,0,,0,0,,,0\n"),
-		Entry("of a span", []string{"-from", "2026-06-20T07:42:31Z", "-to", "2026-06-20T07:42:31.5Z", "-priority", "2"},
+		Entry("of a time range", []string{"-from", "2026-06-20T07:42:31Z", "-to", "2026-06-20T07:42:31.5Z", "-priority", "2"},
 			"lookup,2,0,30,31,1,longer,6100,0,cold=9 busy=8,,0\n"),
 	)
 
-	It("prints columns and JSON", func() {
+	It("prints the load in columns and as JSON", func() {
 		ran := execute("load", path, "-priority", "0")
 		Expect(ran.Stdout).To(HavePrefix("SERVICE  PRIORITY  PLACED  ASKED"))
 		Expect(execute("load", path, "-priority", "0", "-output", "json").Stdout).To(ContainSubstring(`"asked": 12`))
 	})
 
-	DescribeTable("tells what is wrong",
+	DescribeTable("fails with the reason",
 		func(arguments []string, status int, message string) {
 			ran := execute(arguments...)
 			Expect(ran.Status).To(Equal(status))
 			Expect(ran.Stderr).To(ContainSubstring(message))
 		},
-		Entry("no file", []string{"load"}, exitUsage, "load takes FILES of logs"),
-		Entry("a time that is none", []string{"load", "x", "-from", "07:42"}, exitUsage, `-from "07:42": must be a time such as`),
-		Entry("a span that ends before it begins", []string{"load", "x", "-from", "2026-06-20T07:42:31Z", "-to", "2026-06-20T07:42:30Z"},
+		Entry("no file", []string{"load"}, exitUsage, "load takes one or more log FILEs"),
+		Entry("a time in the wrong format", []string{"load", "x", "-from", "07:42"}, exitUsage, `-from "07:42": must be a time such as`),
+		Entry("a time range that ends before it begins", []string{"load", "x", "-from", "2026-06-20T07:42:31Z", "-to", "2026-06-20T07:42:30Z"},
 			exitUsage, "-to must not be before -from"),
-		Entry("a file that is missing", []string{"load", "/absent"}, exitFailed, "log: open /absent"),
+		Entry("a missing file", []string{"load", "/absent"}, exitFailed, "read log: open /absent"),
 	)
 
-	It("is shown beside a request that one of the processes had at the time", func() {
+	It("is printed by explain if it is from a process of the request at that time", func() {
 		const decision = `{"time":"2026-06-20T07:42:32Z","level":"info","msg":"decision","name":"side-2","event":"held","client":"100.64.0.15:1068","service":"198.18.0.1:8080","request":"3294b2d0"}`
 		Expect(os.WriteFile(path, []byte(loadLogs+decision+"\n"), 0o600)).To(Succeed())
 		ran := execute("explain", "3294b2d0", path, "-output", "csv")
@@ -71,9 +71,9 @@
 		Expect(ran.Stdout).NotTo(ContainSubstring("side-1,load"))
 	})
 
-	It("says so if there was no such load", func() {
+	It("fails if no load line matches the flags", func() {
 		ran := execute("load", path, "-service", "other")
 		Expect(ran.Status).To(Equal(exitFailed))
-		Expect(ran.Stderr).To(ContainSubstring("no log has a line of such load in that time"))
+		Expect(ran.Stderr).To(ContainSubstring("no log has a load line that matches -service, -priority, -from and -to"))
 	})
 })
--- a/cmd/vanetillerctl/main.go
+++ b/cmd/vanetillerctl/main.go
@@ -1,5 +1,7 @@
-// Command vanetillerctl shows and changes the configuration table through the
-// administration API, checks tables in files, and explains requests from logs.
+// Command vanetillerctl is the command-line tool for operators. It shows and
+// changes the configuration table through the administration API, validates table
+// files, creates API tokens, and analyzes the logs of daemons: what happened to one
+// request, and the load per service and priority.
 package main
 
 import (
--- a/cmd/vanetillerctl/output.go
+++ b/cmd/vanetillerctl/output.go
@@ -1,4 +1,4 @@
-// This file implements the printing of results.
+// This file prints results.
 
 package main
 
@@ -15,14 +15,14 @@
 
 const columnGap = 2
 
-// grid is a result in columns.
+// grid is a result in rows and columns.
 type grid struct {
 	header []string
 	rows   [][]string
 }
 
-// print writes a result: value as JSON, or the grid in columns or as
-// comma-separated values.
+// print writes a result in the format of -output: value as JSON, or columns as
+// aligned text or CSV.
 func (i invocation) print(value any, columns grid) error {
 	switch i.options.format(formatTable) {
 	case formatJSON:
@@ -36,15 +36,15 @@
 func printJSON(output io.Writer, value any) error {
 	encoder := json.NewEncoder(output)
 	encoder.SetIndent("", "  ")
-	return errors.Wrap(encoder.Encode(value), "output")
+	return errors.Wrap(encoder.Encode(value), "write the result")
 }
 
 func (g grid) printCSV(output io.Writer) error {
 	writer := csv.NewWriter(output)
 	if err := writer.Write(g.header); err != nil {
-		return errors.Wrap(err, "output")
+		return errors.Wrap(err, "write the result")
 	}
-	return errors.Wrap(writer.WriteAll(g.rows), "output")
+	return errors.Wrap(writer.WriteAll(g.rows), "write the result")
 }
 
 func (g grid) printAligned(output io.Writer) error {
@@ -53,5 +53,5 @@
 	for _, row := range g.rows {
 		fmt.Fprintln(columns, strings.Join(row, "\t"))
 	}
-	return errors.Wrap(columns.Flush(), "output")
+	return errors.Wrap(columns.Flush(), "write the result")
 }
--- a/cmd/vanetillerctl/table.go
+++ b/cmd/vanetillerctl/table.go
@@ -1,4 +1,4 @@
-// This file implements the commands that print and compare tables.
+// This file implements the commands that print, validate and compare tables.
 
 package main
 
@@ -19,90 +19,91 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-func validate(_ context.Context, called invocation) error {
-	if err := called.takes(1, 1, "one FILE"); err != nil {
+func validateFile(_ context.Context, inv invocation) error {
+	if err := inv.checkArguments(1, 1, "one FILE"); err != nil {
 		return err
 	}
-	path := called.arguments[0]
-	parsed, err := readFile(path)
+	path := inv.arguments[0]
+	parsed, err := readJSONTable(path)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(called.output, "%s: valid: version %d, %d services, %d rows\n",
+	fmt.Fprintf(inv.output, "%s: valid: version %d, %d services, %d rows\n",
 		path, parsed.Version, len(parsed.Services), len(parsed.Backends))
 	return nil
 }
 
-func show(ctx context.Context, called invocation) error {
+func showTable(ctx context.Context, inv invocation) error {
 	what := "one FILE or URL, or none with -server"
-	if err := called.takes(0, 1, what); err != nil {
+	if err := inv.checkArguments(0, 1, what); err != nil {
 		return err
 	}
-	if len(called.arguments) == 0 {
-		if called.options.server == "" {
-			return wrongUsage("the command takes %s", what)
+	if len(inv.arguments) == 0 {
+		if inv.options.server == "" {
+			return newUsageError("the command takes %s", what)
 		}
-		current, err := called.currentTable(ctx)
+		current, err := inv.currentTable(ctx)
 		if err != nil {
 			return err
 		}
-		return called.printTable(current)
+		return inv.printTable(current)
 	}
-	source := called.arguments[0]
+	source := inv.arguments[0]
 	if !isURL(source) {
-		parsed, err := readFile(source)
+		parsed, err := readJSONTable(source)
 		if err != nil {
 			return err
 		}
-		return called.printTable(parsed)
+		return inv.printTable(parsed)
 	}
-	configuration, err := request(ctx, source)
+	configuration, err := fetchConfiguration(ctx, source)
 	if err != nil {
 		return err
 	}
-	if called.options.format(formatTable) == formatTable {
-		fmt.Fprintf(called.output, "revision %d\n", configuration.Revision)
+	if inv.options.format(formatTable) == formatTable {
+		fmt.Fprintf(inv.output, "revision %d\n", configuration.Revision)
 	}
-	return called.printTable(configuration.Table)
+	return inv.printTable(configuration.Table)
 }
 
-// currentTable returns the server's table, or the service of the flags.
+// currentTable returns the table of the server, restricted to the service of
+// -service if the flag is given.
 func (i invocation) currentTable(ctx context.Context) (*table.Table, error) {
 	client, err := i.options.connect()
 	if err != nil {
 		return nil, err
 	}
-	answer, err := client.Table(ctx, i.options.service)
-	return answer.Table, err
+	response, err := client.Table(ctx, i.options.service)
+	return response.Table, err
 }
 
-func export(ctx context.Context, called invocation) error {
-	if err := called.takes(0, 0, "no argument"); err != nil {
+func exportTable(ctx context.Context, inv invocation) error {
+	if err := inv.checkArguments(0, 0, "no argument"); err != nil {
 		return err
 	}
-	current, err := called.currentTable(ctx)
+	current, err := inv.currentTable(ctx)
 	if err != nil {
 		return err
 	}
-	called.options.output = string(called.options.format(formatCSV))
-	return called.printTable(current)
+	inv.options.output = string(inv.options.format(formatCSV))
+	return inv.printTable(current)
 }
 
-func diff(ctx context.Context, called invocation) error {
-	if err := called.takes(1, 2, "one or two FILEs"); err != nil {
+func diffTables(ctx context.Context, inv invocation) error {
+	if err := inv.checkArguments(1, 2, "one or two FILEs"); err != nil {
 		return err
 	}
 	var before *table.Table
 	var err error
-	if len(called.arguments) == 1 {
-		before, err = called.currentTable(ctx)
+	if len(inv.arguments) == 1 {
+		before, err = inv.currentTable(ctx)
 	} else {
-		before, err = readTable(called.arguments[0], nil)
+		before, err = readTable(inv.arguments[0], nil)
 	}
 	if err != nil {
 		return err
 	}
-	after, err := readTable(called.arguments[len(called.arguments)-1], before)
+	after, err := readTable(inv.arguments[len(inv.arguments)-1], before)
 	if err != nil {
 		return err
 	}
@@ -111,14 +112,14 @@
 	for _, cell := range cells {
 		columns.rows = append(columns.rows, []string{string(cell.Kind), cell.Row, cell.Column, cell.Before, cell.After})
 	}
-	return called.print(cells, columns)
+	return inv.print(cells, columns)
 }
 
 func isURL(source string) bool {
 	return strings.HasPrefix(source, "http://") || strings.HasPrefix(source, "https://")
 }
 
-func readFile(path string) (*table.Table, error) {
+func readJSONTable(path string) (*table.Table, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -133,17 +134,17 @@
 	return parsed, nil
 }
 
-// isCSV decides by the name of a file.
+// isCSV reports whether the name of a file ends in .csv.
 func isCSV(path string) bool { return strings.EqualFold(filepath.Ext(path), ".csv") }
 
-// readTable reads a file in either form. A CSV file has no services; those of
-// the table that it goes with are taken.
+// readTable reads a CSV or JSON file. A CSV file holds only rows; its services are
+// taken from the table in the parameter services.
 func readTable(path string, services *table.Table) (*table.Table, error) {
 	if !isCSV(path) {
-		return readFile(path)
+		return readJSONTable(path)
 	}
 	if services == nil {
-		return nil, wrongUsage("the first of two files must be JSON, since %s has no services", path)
+		return nil, newUsageError("the first of two files must be JSON: the CSV file %s has no services", path)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -153,13 +154,13 @@
 	if err != nil {
 		return nil, errors.Wrap(err, path)
 	}
-	// A spreadsheet does not tell which zones are closed; they stay as they are.
+	// A CSV file does not contain closed zones, so they are left unchanged.
 	read := &table.Table{Version: services.Version, Services: services.Services, Backends: rows, ClosedZones: services.ClosedZones}
 	read.ApplyClosedZones()
 	return read, errors.Wrap(read.Validate(), path)
 }
 
-func request(ctx context.Context, source string) (platform.Configuration, error) {
+func fetchConfiguration(ctx context.Context, source string) (platform.Configuration, error) {
 	client, err := platform.NewClient(platform.ClientConfig{ConfigurationURL: source})
 	if err != nil {
 		return platform.Configuration{}, err
@@ -177,13 +178,13 @@
 			return err
 		}
 		_, err = i.output.Write(append(encoded, '\n'))
-		return errors.Wrap(err, "output")
+		return errors.Wrap(err, "write the result")
 	}
-	return render(i.output, shown)
+	return printRows(i.output, shown)
 }
 
-// render prints one line for each row, under the columns that operators edit.
-func render(output io.Writer, shown *table.Table) error {
+// printRows prints one line per row, with the columns that operators edit.
+func printRows(output io.Writer, shown *table.Table) error {
 	fmt.Fprintf(output, "version %d\n", shown.Version)
 	columns := grid{header: []string{"service", "address", "owner", "back end", "agent", "weight", "limit", "drain"}}
 	zoned := slices.ContainsFunc(shown.Backends, func(row table.Backend) bool { return row.Zone != "" })
@@ -207,7 +208,7 @@
 		}
 		cells := []string{
 			row.Name, string(row.Agent), strconv.FormatUint(uint64(row.Weight), 10),
-			limitText(row.ConnectionLimit), drainText(row.Drain), zoneText(row),
+			formatLimit(row.ConnectionLimit), formatDrain(row.Drain), formatZone(row),
 		}
 		lines = append(lines, append(prefix[:len(prefix):len(prefix)], cells...))
 	}
@@ -217,14 +218,14 @@
 	return lines
 }
 
-func limitText(limit uint32) string {
+func formatLimit(limit uint32) string {
 	if limit == 0 {
 		return "none"
 	}
 	return strconv.FormatUint(uint64(limit), 10)
 }
 
-func zoneText(row table.Backend) string {
+func formatZone(row table.Backend) string {
 	switch {
 	case row.Zone == "":
 		return "-"
@@ -234,7 +235,7 @@
 	return row.Zone
 }
 
-func drainText(drain bool) string {
+func formatDrain(drain bool) string {
 	if drain {
 		return "yes"
 	}
--- a/cmd/vanetillerctl/zone.go
+++ b/cmd/vanetillerctl/zone.go
@@ -1,4 +1,4 @@
-// This file implements the commands about zones.
+// This file implements the commands that list, close and open zones.
 
 package main
 
@@ -11,19 +11,19 @@
 	"github.com/vanetiller/vanetiller/internal/adminapi"
 )
 
-func zones(ctx context.Context, called invocation) error {
-	if err := called.takes(0, 0, "no argument"); err != nil {
+func showZones(ctx context.Context, inv invocation) error {
+	if err := inv.checkArguments(0, 0, "no argument"); err != nil {
 		return err
 	}
-	client, err := called.options.connect()
+	client, err := inv.options.connect()
 	if err != nil {
 		return err
 	}
-	answer, err := client.Zones(ctx)
+	response, err := client.Zones(ctx)
 	if err != nil {
 		return err
 	}
-	return called.print(answer, zoneGrid(answer.Zones))
+	return inv.print(response, zoneGrid(response.Zones))
 }
 
 func zoneGrid(shown []adminapi.Zone) grid {
@@ -31,26 +31,26 @@
 	for _, zone := range shown {
 		state, since, reached := "open", "-", "-"
 		if zone.Closed {
-			state, since, reached = "closed", versionText(zone.Since), reachText(zone.VersionStatus)
+			state, since, reached = "closed", formatVersion(zone.Since), formatVersionStatus(zone.VersionStatus)
 		}
 		columns.rows = append(columns.rows, []string{
-			zone.Zone, state, since, reached, strconv.Itoa(zone.Backends), sharesText(zone.Shares),
+			zone.Zone, state, since, reached, strconv.Itoa(zone.Backends), formatShares(zone.Shares),
 		})
 	}
 	return columns
 }
 
-func reachText(reach *adminapi.VersionStatusResponse) string {
-	if reach == nil {
+func formatVersionStatus(status *adminapi.VersionStatusResponse) string {
+	if status == nil {
 		return "-"
 	}
-	if len(reach.NotReached) == 0 {
+	if len(status.NotReached) == 0 {
 		return "all"
 	}
-	return fmt.Sprintf("%d, not on %s", reach.Reached, strings.Join(reach.NotReached, " "))
+	return fmt.Sprintf("%d, not on %s", status.Reached, strings.Join(status.NotReached, " "))
 }
 
-func sharesText(shares []adminapi.ZoneShare) string {
+func formatShares(shares []adminapi.ZoneShare) string {
 	texts := make([]string, len(shares))
 	for index, share := range shares {
 		texts[index] = fmt.Sprintf("%s %.0f%%", share.Service, 100*share.Remaining)
@@ -58,13 +58,13 @@
 	return strings.Join(texts, ", ")
 }
 
-func closeZone(ctx context.Context, called invocation) error { return called.setZone(ctx, true) }
-func openZone(ctx context.Context, called invocation) error  { return called.setZone(ctx, false) }
+func closeZone(ctx context.Context, inv invocation) error { return inv.setZone(ctx, true) }
+func openZone(ctx context.Context, inv invocation) error  { return inv.setZone(ctx, false) }
 
-// setZone closes or opens the zone that the argument names. A dry run also tells what is
-// left of each service while it is closed.
+// setZone closes or opens the zone given by the argument. A dry run of closing a zone also
+// prints the fraction of each service that would remain.
 func (i invocation) setZone(ctx context.Context, closed bool) error {
-	if err := i.takes(1, 1, "one ZONE"); err != nil {
+	if err := i.checkArguments(1, 1, "one ZONE"); err != nil {
 		return err
 	}
 	client, err := i.options.connect()
@@ -75,29 +75,29 @@
 	if err != nil {
 		return err
 	}
-	made, err := i.options.header(current.Table.Version)
+	metadata, err := i.options.changeMetadata(current.Table.Version)
 	if err != nil {
 		return err
 	}
-	if made.DryRun && closed && i.options.format(formatTable) == formatTable {
+	if metadata.DryRun && closed && i.options.format(formatTable) == formatTable {
 		if err := i.printRemaining(ctx, client); err != nil {
 			return err
 		}
 	}
 	update := adminapi.ZoneUpdate{Zone: i.arguments[0], Closed: closed, Force: closed && i.options.force}
 	return i.submit(ctx, client, adminapi.ChangeRequest{
-		ChangeMetadata: made, Operations: adminapi.Operations{SetZones: []adminapi.ZoneUpdate{update}},
+		ChangeMetadata: metadata, Operations: adminapi.Operations{SetZones: []adminapi.ZoneUpdate{update}},
 	})
 }
 
 func (i invocation) printRemaining(ctx context.Context, client *adminapi.Client) error {
-	answer, err := client.Zones(ctx)
+	response, err := client.Zones(ctx)
 	if err != nil {
 		return err
 	}
-	for _, zone := range answer.Zones {
+	for _, zone := range response.Zones {
 		if zone.Zone == i.arguments[0] {
-			fmt.Fprintf(i.output, "left without %s: %s\n", zone.Zone, sharesText(zone.Shares))
+			fmt.Fprintf(i.output, "left without %s: %s\n", zone.Zone, formatShares(zone.Shares))
 		}
 	}
 	return nil
