--- a/internal/adminapi/api.go
+++ b/internal/adminapi/api.go
@@ -75,9 +75,9 @@
 }
 
 // Empty reports whether there are no operations.
-func (p Operations) Empty() bool {
-	return len(p.AddServices) == 0 && len(p.AddBackends) == 0 && len(p.SetCells) == 0 &&
-		len(p.RemoveBackends) == 0 && len(p.RemoveServices) == 0 && len(p.SetZones) == 0
+func (o Operations) Empty() bool {
+	return len(o.AddServices) == 0 && len(o.AddBackends) == 0 && len(o.SetCells) == 0 &&
+		len(o.RemoveBackends) == 0 && len(o.RemoveServices) == 0 && len(o.SetZones) == 0
 }
 
 // ChangeMetadata holds the fields common to all requests that change the table.
--- a/internal/adminapi/convert.go
+++ b/internal/adminapi/convert.go
@@ -38,39 +38,39 @@
 }
 
 // validate checks the fields that can be checked without the table.
-func (h ChangeMetadata) validate() error {
-	if len(h.ID) > MaxIDLength || !idPattern.MatchString(h.ID) {
+func (m ChangeMetadata) validate() error {
+	if len(m.ID) > MaxIDLength || !idPattern.MatchString(m.ID) {
 		return invalidRequest("id must have 1 to %d letters, digits, dots, hyphens or underscores and begin with a letter or digit", MaxIDLength)
 	}
-	if h.Reason == "" || len(h.Reason) > changelog.MaximumTextLength {
+	if m.Reason == "" || len(m.Reason) > changelog.MaximumTextLength {
 		return invalidRequest("reason must have 1 to %d bytes", changelog.MaximumTextLength)
 	}
-	if h.BaseVersion == nil {
+	if m.BaseVersion == nil {
 		return invalidRequest("base_version is required")
 	}
 	return nil
 }
 
-func (p Operations) validate() error {
-	if p.Empty() {
+func (o Operations) validate() error {
+	if o.Empty() {
 		return invalidRequest("the change has no operations")
 	}
-	for _, row := range p.AddBackends {
+	for _, row := range o.AddBackends {
 		if row.Removed {
 			return invalidRequest("add_backends must not have removed rows")
 		}
 	}
-	for _, update := range p.SetCells {
+	for _, update := range o.SetCells {
 		if update == (CellUpdate{Backend: update.Backend}) {
 			return invalidRequest("set_cells must set a cell of row %d", update.Backend)
 		}
 	}
-	for _, row := range p.AddBackends {
+	for _, row := range o.AddBackends {
 		if row.Closed {
 			return invalidRequest("add_backends must not set closed; it follows from the zone")
 		}
 	}
-	for _, update := range p.SetZones {
+	for _, update := range o.SetZones {
 		if update.Zone == "" || len(update.Zone) > table.MaxNameLength {
 			return invalidRequest("set_zones must name a zone by 1 to %d bytes", table.MaxNameLength)
 		}
--- a/internal/adminapi/error.go
+++ b/internal/adminapi/error.go
@@ -81,7 +81,7 @@
 	header.Set("Content-Type", jsonContentType)
 	header.Set("Cache-Control", "no-store")
 	if retryAfter > 0 {
-		header.Set("Retry-After", retryAfterText(retryAfter))
+		header.Set("Retry-After", formatRetryAfter(retryAfter))
 	}
 	writer.WriteHeader(status)
 	// A write error means that the client has disconnected; there is no one to
@@ -89,7 +89,7 @@
 	_, _ = writer.Write(append(encoded, '\n'))
 }
 
-// retryAfterText rounds up to whole seconds, the unit of the Retry-After header.
-func retryAfterText(delay time.Duration) string {
+// formatRetryAfter rounds up to whole seconds, the unit of the Retry-After header.
+func formatRetryAfter(delay time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(delay.Seconds())))
 }
--- a/internal/adminapi/logstore.go
+++ b/internal/adminapi/logstore.go
@@ -287,7 +287,7 @@
 // Members implements Store.
 func (s *LogStore) Members() []Member { return s.config.Members.Members() }
 
-// Reached implements Store.
+// VersionStatus implements Store.
 func (s *LogStore) VersionStatus(version table.Version) VersionStatusResponse {
 	response := VersionStatusResponse{Version: version, NotReached: []string{}}
 	response.Accepted = version != 0 && version <= s.version()
--- a/internal/adminapi/plan.go
+++ b/internal/adminapi/plan.go
@@ -45,10 +45,10 @@
 
 // planZones closes the zones that are closed in the wanted table. With RemoveMissing, it
 // reopens all other closed zones.
-func (p *Operations) planZones(current, wanted *table.Table, missing MissingPolicy) {
+func (o *Operations) planZones(current, wanted *table.Table, missing MissingPolicy) {
 	for _, closed := range wanted.ClosedZones {
 		if _, already := current.ClosedSince(closed.Zone); !already {
-			p.SetZones = append(p.SetZones, ZoneUpdate{Zone: closed.Zone, Closed: true, Force: true})
+			o.SetZones = append(o.SetZones, ZoneUpdate{Zone: closed.Zone, Closed: true, Force: true})
 		}
 	}
 	if missing != RemoveMissing {
@@ -56,16 +56,16 @@
 	}
 	for _, closed := range current.ClosedZones {
 		if _, still := wanted.ClosedSince(closed.Zone); !still {
-			p.SetZones = append(p.SetZones, ZoneUpdate{Zone: closed.Zone})
+			o.SetZones = append(o.SetZones, ZoneUpdate{Zone: closed.Zone})
 		}
 	}
 }
 
-func (p *Operations) planServices(current, wanted *table.Table) error {
+func (o *Operations) planServices(current, wanted *table.Table) error {
 	for _, service := range wanted.Services {
 		existing, exists := current.Service(service.ID)
 		if !exists {
-			p.AddServices = append(p.AddServices, service)
+			o.AddServices = append(o.AddServices, service)
 			continue
 		}
 		if existing != service {
@@ -83,7 +83,7 @@
 	return table.CellError{Row: cell.Row, Column: cell.Column, Rule: rule}
 }
 
-func (p *Operations) planBackends(current, wanted *table.Table) error {
+func (o *Operations) planBackends(current, wanted *table.Table) error {
 	index := make(map[table.BackendID]table.Backend, len(current.Backends))
 	for _, row := range current.Backends {
 		index[row.ID] = row
@@ -96,17 +96,17 @@
 		if !exists || existing.Removed {
 			row.Incarnation = max(row.Incarnation, existing.Incarnation+1)
 			row.Closed = false
-			p.AddBackends = append(p.AddBackends, row)
+			o.AddBackends = append(o.AddBackends, row)
 			continue
 		}
-		if err := p.planCells(existing, row); err != nil {
+		if err := o.planCells(existing, row); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *Operations) planCells(existing, row table.Backend) error {
+func (o *Operations) planCells(existing, row table.Backend) error {
 	update := CellUpdate{
 		Backend:         row.ID,
 		Weight:          changedCell(existing.Weight, row.Weight),
@@ -126,7 +126,7 @@
 			&table.Table{Backends: []table.Backend{row}}, alteredRowRule)
 	}
 	if update != (CellUpdate{Backend: row.ID}) {
-		p.SetCells = append(p.SetCells, update)
+		o.SetCells = append(o.SetCells, update)
 	}
 	return nil
 }
@@ -139,19 +139,19 @@
 	return &wanted
 }
 
-func (p *Operations) planRemovals(current, wanted *table.Table) {
+func (o *Operations) planRemovals(current, wanted *table.Table) {
 	kept := make(map[table.BackendID]bool, len(wanted.Backends))
 	for _, row := range wanted.Backends {
 		kept[row.ID] = !row.Removed
 	}
 	for _, row := range current.Backends {
 		if !row.Removed && !kept[row.ID] {
-			p.RemoveBackends = append(p.RemoveBackends, row.ID)
+			o.RemoveBackends = append(o.RemoveBackends, row.ID)
 		}
 	}
 	for _, service := range current.Services {
 		if _, kept := wanted.Service(service.ID); !kept {
-			p.RemoveServices = append(p.RemoveServices, service.ID)
+			o.RemoveServices = append(o.RemoveServices, service.ID)
 		}
 	}
 }
--- a/internal/tenant/admission.go
+++ b/internal/tenant/admission.go
@@ -50,19 +50,19 @@
 
 // Replace switches to other credentials. Teams that exist in both keep the state
 // of their rate limiter, so that a reload does not grant a new burst.
-func (g *AdmissionController) Replace(credentials *Credentials, now time.Time) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.credentials = credentials
-	for team := range g.limiters {
+func (c *AdmissionController) Replace(credentials *Credentials, now time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.credentials = credentials
+	for team := range c.limiters {
 		if _, exists := credentials.limits[team]; !exists {
-			delete(g.limiters, team)
+			delete(c.limiters, team)
 		}
 	}
 	for team, limits := range credentials.limits {
-		limiter, exists := g.limiters[team]
+		limiter, exists := c.limiters[team]
 		if !exists {
-			g.limiters[team] = rate.NewLimiter(rate.Limit(limits.RequestsPerSecond), limits.Burst)
+			c.limiters[team] = rate.NewLimiter(rate.Limit(limits.RequestsPerSecond), limits.Burst)
 			continue
 		}
 		limiter.SetLimitAt(now, rate.Limit(limits.RequestsPerSecond))
@@ -72,14 +72,14 @@
 
 // Admit decides whether a request with the token is admitted now, and counts it
 // against the rate limit of the team if so.
-func (g *AdmissionController) Admit(token Token, now time.Time) Admission {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	principal, known := g.credentials.Authenticate(token, now)
+func (c *AdmissionController) Admit(token Token, now time.Time) Admission {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	principal, known := c.credentials.Authenticate(token, now)
 	if !known {
 		return Admission{Verdict: Unauthenticated}
 	}
-	reservation := g.limiters[principal.Team].ReserveN(now, 1)
+	reservation := c.limiters[principal.Team].ReserveN(now, 1)
 	if delay := reservation.DelayFrom(now); delay > 0 {
 		reservation.CancelAt(now)
 		return Admission{Verdict: RateLimited, RetryAfter: delay}
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -103,44 +103,44 @@
 
 // Reload reads the files again and reports whether their content has changed and
 // was applied. If it returns an Error, the previous content stays in use.
-func (s *Reloader) Reload(now time.Time) (changed bool, err error) {
-	read, err := readFiles(s.files)
+func (r *Reloader) Reload(now time.Time) (changed bool, err error) {
+	read, err := readFiles(r.files)
 	if err != nil {
 		return false, err
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if read.equal(s.content) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if read.equal(r.content) {
 		return false, nil
 	}
-	validated, err := validate(s.files, read, now)
+	validated, err := validate(r.files, read, now)
 	if err != nil {
 		return false, err
 	}
-	s.content = read
-	s.current = validated
+	r.content = read
+	r.current = validated
 	return true, nil
 }
 
 // Expires returns the expiry time of the certificate in use.
-func (s *Reloader) Expires() time.Time { return s.material().certificate.Leaf.NotAfter }
+func (r *Reloader) Expires() time.Time { return r.material().certificate.Leaf.NotAfter }
 
-func (s *Reloader) material() tlsMaterial {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.current
+func (r *Reloader) material() tlsMaterial {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.current
 }
 
 // ServerConfig returns the configuration of a listener. Each new connection uses
 // the content loaded at that time. If Files.CA is set, clients must present a
 // certificate signed by one of its CAs.
-func (s *Reloader) ServerConfig(protocols ...string) *tls.Config {
+func (r *Reloader) ServerConfig(protocols ...string) *tls.Config {
 	protocols = slices.Clone(protocols)
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return s.material().serverConfig(protocols), nil
+			return r.material().serverConfig(protocols), nil
 		},
 	}
 }
@@ -162,8 +162,8 @@
 // certificate must be valid for serverName. The configuration does not follow
 // later reloads, so call ClientConfig for each connection. For mutual TLS between
 // the processes of a fleet, both sides use a Reloader with Files.CA set.
-func (s *Reloader) ClientConfig(serverName string) *tls.Config {
-	current := s.material()
+func (r *Reloader) ClientConfig(serverName string) *tls.Config {
+	current := r.material()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		ServerName:   serverName,
