--- a/cmd/vanetillerctl/explain.go
+++ b/cmd/vanetillerctl/explain.go
@@ -66,7 +66,7 @@
 	}
 	found := selectLines(lines, inv.arguments[0])
 	if len(found) == 0 {
-		return errors.Errorf("no log has a line of %s", inv.arguments[0])
+		return errors.Errorf("no log has a line about %s", inv.arguments[0])
 	}
 	if inv.options.format(formatTable) == formatJSON {
 		for _, line := range found {
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -96,7 +96,8 @@
 }
 
 // ServeHTTP implements http.Handler. It authenticates the request before it
-// reads the body or matches the path.
+// reads the body or dispatches the request. The path is matched earlier, but only
+// for the metric label.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	_, operation := h.mux.Handler(request)
 	if operation == "/" {
