--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -61,7 +61,7 @@
 // which this process has heard nothing lately.
 func (s *Store) Members() []adminapi.Member { return s.node.surveyedMembers() }
 
-// Reached implements adminapi.Store by a survey of the daemons that run. Of a
+// VersionStatus implements adminapi.Store by a survey of the daemons that run. Of a
 // zone with many members behind, only some are named.
 func (s *Store) VersionStatus(version table.Version) adminapi.VersionStatusResponse {
 	answer := adminapi.VersionStatusResponse{Version: version, NotReached: []string{}}
