--- a/cmd/vanetillerctl/command.go
+++ b/cmd/vanetillerctl/command.go
@@ -17,7 +17,7 @@
 
 // Exit statuses, as listed in usageFooter.
 const (
-	exitDone        = 0
+	exitSuccess     = 0
 	exitFailed      = 1
 	exitUsage       = 2
 	exitRefused     = 3
@@ -65,16 +65,16 @@
 	switch {
 	case errors.Is(err, flag.ErrHelp):
 		fmt.Fprint(stdout, usage())
-		return exitDone
+		return exitSuccess
 	case err != nil:
 		return exitUsage
 	case values.version:
 		fmt.Fprintln(stdout, "vanetillerctl", version.String())
-		return exitDone
+		return exitSuccess
 	}
 	err = runCommand(ctx, words, values, stdout)
 	if err == nil {
-		return exitDone
+		return exitSuccess
 	}
 	status := exitStatus(err)
 	if status == exitUsage {
@@ -89,13 +89,13 @@
 	if err := values.check(); err != nil {
 		return newUsageError("%s", err)
 	}
-	chosen, rest, err := findCommand(words)
+	selected, rest, err := findCommand(words)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, values.timeout)
 	defer cancel()
-	return chosen(ctx, invocation{values, rest, output})
+	return selected(ctx, invocation{values, rest, output})
 }
 
 func exitStatus(err error) int {
@@ -103,8 +103,8 @@
 	if errors.As(err, &usage) {
 		return exitUsage
 	}
-	var failure adminapi.Error
-	if errors.As(err, &failure) && failure.Code == adminapi.CodeRateExceeded {
+	var apiError adminapi.Error
+	if errors.As(err, &apiError) && apiError.Code == adminapi.CodeRateExceeded {
 		return exitNotAccepted
 	}
 	var outcome outcomeError
@@ -191,8 +191,8 @@
 	return nil, nil, newUsageError("unknown command %q of zone", words[0])
 }
 
-// checkArguments returns a usageError unless the number of arguments is from least to
-// most.
+// checkArguments returns a usageError unless the number of arguments is from minimum
+// to maximum. The text what describes the expected arguments.
 func (i invocation) checkArguments(minimum, maximum int, what string) error {
 	if len(i.arguments) < minimum || len(i.arguments) > maximum {
 		return newUsageError("the command takes %s", what)
--- a/cmd/vanetillerctl/command_test.go
+++ b/cmd/vanetillerctl/command_test.go
@@ -69,20 +69,20 @@
 	It("prints the table of a file in columns", func() {
 		printed := execute("table", "show", writeTable(exampleTable))
 		Expect(printed.Stderr).To(BeEmpty())
-		Expect(printed.Status).To(Equal(exitDone))
+		Expect(printed.Status).To(Equal(exitSuccess))
 		Expect(printed.Stdout).To(Equal(exampleOutput))
 	})
 
 	It("prints the table of the configuration service with its revision", func() {
 		printed := execute("table", "show", startServer(`{"revision": 44, "table": `+exampleTable+`}`))
 		Expect(printed.Stderr).To(BeEmpty())
-		Expect(printed.Status).To(Equal(exitDone))
+		Expect(printed.Status).To(Equal(exitSuccess))
 		Expect(printed.Stdout).To(Equal("revision 44\n" + exampleOutput))
 	})
 
 	It("reports a valid table file with version and counts", func() {
 		path := writeTable(exampleTable)
-		Expect(execute("table", "validate", path)).To(Equal(result{exitDone, path + ": valid: version 12, 3 services, 4 rows\n", ""}))
+		Expect(execute("table", "validate", path)).To(Equal(result{exitSuccess, path + ": valid: version 12, 3 services, 4 rows\n", ""}))
 	})
 
 	DescribeTable("fails with status 1 and the reason for an invalid table file",
@@ -123,7 +123,7 @@
 	)
 
 	It("prints help and version", func() {
-		Expect(execute("-help")).To(Equal(result{exitDone, usage(), ""}))
+		Expect(execute("-help")).To(Equal(result{exitSuccess, usage(), ""}))
 		Expect(execute("-version").Stdout).To(HavePrefix("vanetillerctl "))
 	})
 
--- a/cmd/vanetillerctl/explain.go
+++ b/cmd/vanetillerctl/explain.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// explainWindow is the time before and after the lines of a request in which lines
-	// about the processes themselves are shown.
+	// explainWindow is how long before the first and after the last line of a request
+	// lines about the processes themselves are shown.
 	explainWindow = 2 * time.Second
 	// maxLogLineLength is the maximum length of a log line, in bytes.
 	maxLogLineLength = 1 << 20
@@ -116,12 +116,12 @@
 
 // selectLines returns the lines about the wanted entry of the store, if there are any.
 // Otherwise it returns the lines about all flows of the wanted request or client, and the
-// lines about the processes that handled them from explainWindow before to explainWindow
-// after.
+// lines about the processes that handled these flows, from explainWindow before the first
+// to explainWindow after the last line of the flows.
 func selectLines(lines []logLine, wanted string) []logLine {
-	ofEntry := slices.DeleteFunc(slices.Clone(lines), func(line logLine) bool { return !line.refersTo(wanted) })
-	if len(ofEntry) > 0 {
-		return ofEntry
+	entryLines := slices.DeleteFunc(slices.Clone(lines), func(line logLine) bool { return !line.refersTo(wanted) })
+	if len(entryLines) > 0 {
+		return entryLines
 	}
 	flows := make(map[[2]string]bool)
 	for _, line := range lines {
@@ -145,9 +145,9 @@
 		if flows[line.flow()] {
 			return false
 		}
-		ofProcess := line.Message != decisionMessage || line.Client == ""
-		near := line.Time.After(first.Add(-explainWindow)) && line.Time.Before(last.Add(explainWindow))
-		return !ofProcess || !names[line.Name] || !near
+		aboutProcess := line.Message != decisionMessage || line.Client == ""
+		inWindow := line.Time.After(first.Add(-explainWindow)) && line.Time.Before(last.Add(explainWindow))
+		return !aboutProcess || !names[line.Name] || !inWindow
 	})
 }
 
--- a/cmd/vanetillerctl/explain_test.go
+++ b/cmd/vanetillerctl/explain_test.go
@@ -42,7 +42,7 @@
 
 	explained := func(wanted string, flags ...string) string {
 		ran := execute(append(append([]string{"explain", wanted}, logs...), flags...)...)
-		Expect(ran.Status).To(Equal(exitDone), ran.Stderr)
+		Expect(ran.Status).To(Equal(exitSuccess), ran.Stderr)
 		return ran.Stdout
 	}
 
--- a/cmd/vanetillerctl/load.go
+++ b/cmd/vanetillerctl/load.go
@@ -55,7 +55,7 @@
 	waits     map[string]int
 }
 
-// showLoad prints the total showLoad of each service and priority from the log files given as
+// showLoad prints the total load of each service and priority from the log files given as
 // arguments.
 func showLoad(_ context.Context, inv invocation) error {
 	if len(inv.arguments) == 0 {
@@ -71,8 +71,8 @@
 	}
 	summed := summarizeLoad(lines, span)
 	summed = slices.DeleteFunc(summed, func(each loadSummary) bool {
-		ofService := inv.options.service == "" || each.Service == inv.options.service
-		return !ofService || inv.options.priority != "" && each.Priority != inv.options.priority
+		matchesService := inv.options.service == "" || each.Service == inv.options.service
+		return !matchesService || inv.options.priority != "" && each.Priority != inv.options.priority
 	})
 	if len(summed) == 0 {
 		return errors.New("no log has a load line that matches -service, -priority, -from and -to")
@@ -84,8 +84,8 @@
 type timeRange struct{ from, to time.Time }
 
 // contains reports whether a time is in the range.
-func (s timeRange) contains(at time.Time) bool {
-	return !at.Before(s.from) && (s.to.IsZero() || !at.After(s.to))
+func (r timeRange) contains(at time.Time) bool {
+	return !at.Before(r.from) && (r.to.IsZero() || !at.After(r.to))
 }
 
 // summarizeLoad adds up the load lines in a time range by service and priority. The result is
@@ -117,18 +117,18 @@
 	return all
 }
 
-func (c *loadSummary) add(read loadRecord) {
-	c.Placed += read.Placed
-	c.Asked += read.Asked
-	c.Answered += read.Answered
-	c.Expired += read.Expired
-	c.Ownerless += read.Ownerless
-	c.LongestMS = max(c.LongestMS, read.LongestMS)
-	addCounts(c.Returned, read.Returned)
-	addCounts(c.Refused, read.Refused)
-	addCounts(c.waits, read.Waits)
+func (s *loadSummary) add(read loadRecord) {
+	s.Placed += read.Placed
+	s.Asked += read.Asked
+	s.Answered += read.Answered
+	s.Expired += read.Expired
+	s.Ownerless += read.Ownerless
+	s.LongestMS = max(s.LongestMS, read.LongestMS)
+	addCounts(s.Returned, read.Returned)
+	addCounts(s.Refused, read.Refused)
+	addCounts(s.waits, read.Waits)
 	for _, count := range read.Waits {
-		c.Waited += count
+		s.Waited += count
 	}
 }
 
@@ -140,12 +140,12 @@
 
 // median returns the upper bound in milliseconds of the bucket with the median wait, empty
 // if there were no waits.
-func (c *loadSummary) median() string {
-	bounds := slices.SortedFunc(maps.Keys(c.waits), func(a, b string) int { return cmp.Compare(parseBound(a), parseBound(b)) })
+func (s *loadSummary) median() string {
+	bounds := slices.SortedFunc(maps.Keys(s.waits), func(a, b string) int { return cmp.Compare(parseBound(a), parseBound(b)) })
 	counted := 0
 	for _, bound := range bounds {
-		counted += c.waits[bound]
-		if 2*counted >= c.Waited {
+		counted += s.waits[bound]
+		if 2*counted >= s.Waited {
 			return formatBound(bound)
 		}
 	}
--- a/cmd/vanetillerctl/load_test.go
+++ b/cmd/vanetillerctl/load_test.go
@@ -28,7 +28,7 @@
 	DescribeTable("adds up load lines by service and priority",
 		func(flags []string, shown string) {
 			ran := execute(append([]string{"load", path, "-output", "csv"}, flags...)...)
-			Expect(ran.Status).To(Equal(exitDone), ran.Stderr)
+			Expect(ran.Status).To(Equal(exitSuccess), ran.Stderr)
 			Expect(ran.Stdout).To(Equal(
 				"service,priority,placed,asked,answered,waited,median ms,longest ms,expired,returned,refused,ownerless\n" + shown))
 		},
@@ -66,7 +66,7 @@
 		const decision = `{"time":"2026-06-20T07:42:32Z","level":"info","msg":"decision","name":"side-2","event":"held","client":"100.64.0.15:1068","service":"198.18.0.1:8080","request":"3294b2d0"}`
 		Expect(os.WriteFile(path, []byte(loadLogs+decision+"\n"), 0o600)).To(Succeed())
 		ran := execute("explain", "3294b2d0", path, "-output", "csv")
-		Expect(ran.Status).To(Equal(exitDone), ran.Stderr)
+		Expect(ran.Status).To(Equal(exitSuccess), ran.Stderr)
 		Expect(ran.Stdout).To(ContainSubstring("07:42:31.000000,side-2,load,"))
 		Expect(ran.Stdout).NotTo(ContainSubstring("side-1,load"))
 	})
--- a/cmd/vanetillerctl/options.go
+++ b/cmd/vanetillerctl/options.go
@@ -119,7 +119,7 @@
 	flags.StringVar(&values.id, "id", "", "`ID` of the change, to retry one whose outcome is unknown (default: a random one)")
 	flags.Int64Var(&values.base, "base", currentBase, "base table `VERSION` of the change, to retry one; -1 means the current version of the server")
 	flags.BoolVar(&values.dryRun, "dry-run", false, "print the effect of a change without applying it (default: apply it)")
-	flags.BoolVar(&values.force, "force", false, "let zone close close the last zone of a service (default: refuse)")
+	flags.BoolVar(&values.force, "force", false, "allow zone close to close the last zone of a service (default: refuse)")
 	flags.BoolVar(&values.removeMissing, "remove-missing", false, "let table import remove rows that the file lacks (default: keep them)")
 	flags.Uint64Var(&values.after, "after", 0, "table `VERSION` after which table history begins (default: the oldest retained version)")
 	flags.IntVar(&values.limit, "limit", adminapi.DefaultHistoryLimit, fmt.Sprintf("maximum `NUMBER` of records of table history, at most %d", adminapi.MaxHistoryLimit))
--- a/cmd/vanetillerctl/server_test.go
+++ b/cmd/vanetillerctl/server_test.go
@@ -69,13 +69,13 @@
 	return path
 }
 
-func (f *testServer) execute(arguments ...string) result {
-	return execute(append(append([]string{}, f.flags...), arguments...)...)
+func (s *testServer) execute(arguments ...string) result {
+	return execute(append(append([]string{}, s.flags...), arguments...)...)
 }
 
 // executeInterrupted executes a command and cancels it when it sends its second request,
 // so that the command has read one response.
-func (f *testServer) executeInterrupted(arguments ...string) result {
+func (s *testServer) executeInterrupted(arguments ...string) result {
 	ctx, interrupt := context.WithCancel(context.Background())
 	defer interrupt()
 	var asked atomic.Int32
@@ -84,18 +84,18 @@
 			interrupt()
 		}
 	}
-	f.observe.Store(&observe)
-	defer f.observe.Store(nil)
+	s.observe.Store(&observe)
+	defer s.observe.Store(nil)
 	var stdout, stderr bytes.Buffer
-	status := run(ctx, append(append([]string{}, f.flags...), arguments...), &stdout, &stderr)
+	status := run(ctx, append(append([]string{}, s.flags...), arguments...), &stdout, &stderr)
 	return result{status, stdout.String(), stderr.String()}
 }
 
 // mustExecute executes a command that must succeed, and returns its output.
-func (f *testServer) mustExecute(arguments ...string) string {
-	result := f.execute(arguments...)
+func (s *testServer) mustExecute(arguments ...string) string {
+	result := s.execute(arguments...)
 	Expect(result.Stderr).To(BeEmpty())
-	Expect(result.Status).To(Equal(exitDone))
+	Expect(result.Status).To(Equal(exitSuccess))
 	return result.Stdout
 }
 
@@ -257,7 +257,7 @@
 var _ = Describe("vanetillerctl token", func() {
 	It("prints a token and a valid entry for a tokens file", func() {
 		printed := execute("token", "anna", "administrator")
-		Expect(printed.Status).To(Equal(exitDone))
+		Expect(printed.Status).To(Equal(exitSuccess))
 		token, entry, found := strings.Cut(printed.Stdout, "\n\n")
 		Expect(found).To(BeTrue())
 		credentials, err := tenant.ParseCredentials("tokens.toml", []byte(entry))
--- a/internal/adminapi/api.go
+++ b/internal/adminapi/api.go
@@ -1,8 +1,9 @@
 // Package adminapi implements the administration API, through which operators
-// read and change the configuration table of services and back ends. It
-// authenticates each HTTP request by its bearer token, checks the role and team
-// of the caller, and answers in JSON whether a change was accepted, refused or
-// conflicts with another one.
+// read and change the configuration table of services and back ends. Requests and
+// responses are HTTP with JSON bodies under versioned paths such as /v1/table. The
+// package authenticates each request by its bearer token, checks the role and team
+// of the caller, and reports whether a change was accepted, was refused or conflicts
+// with another one.
 //
 // A Handler serves the API from a Store, which holds the table and its change
 // history. LogStore is a Store backed by a log of changes, which is either local
@@ -88,8 +89,9 @@
 	// Reason is recorded in the history.
 	Reason string `json:"reason"`
 	// BaseVersion is the table version that the caller knew when it made the
-	// change; required. A retry keeps it: after the outcome of the change was
-	// dropped, a base that old is refused, so the change is not applied twice.
+	// change; required. A retry must send the same value. Once the outcome of an
+	// accepted change is dropped, changes with its base version are refused, so that
+	// a late retry is not applied a second time.
 	BaseVersion *table.Version `json:"base_version"`
 	// DryRun evaluates the change without applying it.
 	DryRun bool `json:"dry_run,omitempty"`
--- a/internal/adminapi/api_test.go
+++ b/internal/adminapi/api_test.go
@@ -59,7 +59,7 @@
 		Expect(row.Drain).To(BeFalse())
 	})
 
-	DescribeTable("reports a conflict if the expected version differs",
+	DescribeTable("reports a conflict and keeps the table if a version precondition fails",
 		func(adapt func(*adminapi.ChangeRequest), rule string) {
 			Expect(api.submit(editorToken, adminapi.ChangeRequest{ChangeMetadata: changeMetadata("first", 1), Operations: setWeight(10, 9)}).Version).
 				To(Equal(table.Version(2)))
@@ -71,11 +71,11 @@
 			Expect(response.Refusal.Rule).To(Equal(rule))
 			Expect(api.weightOf(10)).To(Equal(uint32(9)))
 		},
-		Entry("of the table", func(c *adminapi.ChangeRequest) { c.ExpectedVersion = 1 }, "expected 1, is 2"),
-		Entry("of a row", func(c *adminapi.ChangeRequest) {
+		Entry("expected table version", func(c *adminapi.ChangeRequest) { c.ExpectedVersion = 1 }, "expected 1, is 2"),
+		Entry("expected row version", func(c *adminapi.ChangeRequest) {
 			c.ExpectedRows = []adminapi.RowVersion{{Backend: 10, Version: 1}}
 		}, "expected the row of version 1, is 2"),
-		Entry("with a base version that does not exist yet", func(c *adminapi.ChangeRequest) { *c.BaseVersion = 5 }, "change was made at 5, is 2"),
+		Entry("base version that does not exist yet", func(c *adminapi.ChangeRequest) { *c.BaseVersion = 5 }, "change was made at 5, is 2"),
 	)
 
 	It("accepts a change whose expected row is unchanged, although another row has changed", func() {
--- a/internal/adminapi/authorize.go
+++ b/internal/adminapi/authorize.go
@@ -51,22 +51,22 @@
 	added []table.Service
 }
 
-func newVisibility(principal tenant.Principal, whole *table.Table) visibility {
+func newVisibility(principal tenant.Principal, full *table.Table) visibility {
 	visible := visibility{
 		principal:   principal,
 		services:    make(map[table.ServiceID]bool),
 		backends:    make(map[table.BackendID]bool),
-		allBackends: make(map[table.BackendID]bool, len(whole.Backends)),
-		fullTable:   whole,
+		allBackends: make(map[table.BackendID]bool, len(full.Backends)),
+		fullTable:   full,
 	}
-	view := principal.VisibleTable(whole)
+	view := principal.VisibleTable(full)
 	for _, service := range view.Services {
 		visible.services[service.ID] = true
 	}
 	for _, row := range view.Backends {
 		visible.backends[row.ID] = true
 	}
-	for _, row := range whole.Backends {
+	for _, row := range full.Backends {
 		visible.allBackends[row.ID] = true
 	}
 	return visible
@@ -74,9 +74,10 @@
 
 func (v visibility) isAdministrator() bool { return v.principal.Role == tenant.RoleAdministrator }
 
-// authorize returns a table.CellError if a change refers to a row of another
-// team. The error is the same as for a row that does not exist, so that it does
-// not reveal rows of other teams.
+// authorize returns a table.CellError if a change refers to a row or service of
+// another team, adds a service for another team, or closes or reopens a zone, which
+// requires an administrator. For a row or service of another team the error is the
+// same as for one that does not exist, so that it does not reveal that they exist.
 func (v visibility) authorize(change *changelog.Change) error {
 	if v.isAdministrator() {
 		return nil
@@ -112,9 +113,9 @@
 	return nil
 }
 
-// addsBackend reports whether a change addsBackend a row. Other operations of the change with
-// the same identifier then refer to that new row, because adding a row whose
-// identifier is in use is refused.
+// addsBackend reports whether a change adds a row with the given identifier. Other
+// operations of the change with this identifier then refer to the new row, because
+// adding a row whose identifier is in use is refused.
 func addsBackend(change *changelog.Change, id table.BackendID) bool {
 	for _, row := range change.AddBackends {
 		if row.ID == id {
@@ -182,7 +183,7 @@
 	return slices.ContainsFunc(v.added, named)
 }
 
-// visibleCells returns the modified visibleCells that the principal may view.
+// visibleCells returns the modified cells that the principal may view.
 func (v visibility) visibleCells(altered []changelog.CellChange) []CellChange {
 	if v.isAdministrator() {
 		return cellChanges(altered)
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -112,12 +112,12 @@
 
 func (c *Client) submit(ctx context.Context, id string, body any, path ...string) (ChangeResponse, error) {
 	response, err := doRequest[ChangeResponse](ctx, c, http.MethodPost, body, nil, path...)
-	var lost noResponseError
-	var unusable invalidResponseError
+	var noResponse noResponseError
+	var invalid invalidResponseError
 	switch {
-	case errors.As(err, &lost) && lost.notSent():
+	case errors.As(err, &noResponse) && noResponse.notSent():
 		return ChangeResponse{ID: id, Outcome: NotAccepted, Message: err.Error()}, nil
-	case errors.As(err, &lost) || errors.As(err, &unusable):
+	case errors.As(err, &noResponse) || errors.As(err, &invalid):
 		// The server, or a proxy before it, may have processed the change.
 		return ChangeResponse{ID: id, Outcome: Unknown, Message: err.Error()}, nil
 	}
@@ -128,26 +128,26 @@
 	return doRequest[Response](ctx, client, http.MethodGet, nil, query, path...)
 }
 
-// noResponseError is the error of a request without a response. The server may have
-// processed the request.
+// noResponseError is the error of a request without a response. Unless notSent
+// reports true, the server may have processed the request.
 type noResponseError struct{ cause error }
 
 // Error implements error.
-func (l noResponseError) Error() string { return "no response from the server: " + l.cause.Error() }
+func (e noResponseError) Error() string { return "no response from the server: " + e.cause.Error() }
 
 // Unwrap returns the underlying error.
-func (l noResponseError) Unwrap() error { return l.cause }
+func (e noResponseError) Unwrap() error { return e.cause }
 
 // dialOperation is the Op of a net.OpError for a connection that could not be
 // established.
 const dialOperation = "dial"
 
-// notSent reports whether the request was not sent, because no connection
-// was established.
-func (l noResponseError) notSent() bool {
+// notSent reports whether the request was not sent, because the TCP connection
+// failed or the certificate of the server was rejected.
+func (e noResponseError) notSent() bool {
 	var network *net.OpError
 	var certificate *tls.CertificateVerificationError
-	return errors.As(l.cause, &network) && network.Op == dialOperation || errors.As(l.cause, &certificate)
+	return errors.As(e.cause, &network) && network.Op == dialOperation || errors.As(e.cause, &certificate)
 }
 
 // doRequest sends one request and decodes the response. A response with an Error is
@@ -182,9 +182,9 @@
 // classifyError wraps connection errors as noResponseError and returns others as they
 // are.
 func classifyError(err error) error {
-	var failure Error
-	var unusable invalidResponseError
-	if errors.As(err, &failure) || errors.As(err, &unusable) {
+	var apiError Error
+	var invalid invalidResponseError
+	if errors.As(err, &apiError) || errors.As(err, &invalid) {
 		return err
 	}
 	return noResponseError{err}
@@ -194,8 +194,8 @@
 type invalidResponseError struct{ detail string }
 
 // Error implements error.
-func (u invalidResponseError) Error() string {
-	return "the response is not one of the administration API: " + u.detail
+func (e invalidResponseError) Error() string {
+	return "the response is not one of the administration API: " + e.detail
 }
 
 func decodeResponse[Response any](_ context.Context, httpResponse *http.Response) (any, error) {
@@ -206,10 +206,10 @@
 	if len(data) > MaxResponseSize {
 		return nil, invalidResponseError{fmt.Sprintf("its body exceeds %d bytes", MaxResponseSize)}
 	}
-	var failure Error
-	if json.Unmarshal(data, &failure) == nil && failure.Code != "" {
-		failure.RetryAfter = retryAfter(httpResponse)
-		return nil, failure
+	var apiError Error
+	if json.Unmarshal(data, &apiError) == nil && apiError.Code != "" {
+		apiError.RetryAfter = retryAfter(httpResponse)
+		return nil, apiError
 	}
 	var response Response
 	decoder := json.NewDecoder(bytes.NewReader(data))
--- a/internal/adminapi/convert.go
+++ b/internal/adminapi/convert.go
@@ -134,12 +134,12 @@
 }
 
 // submitResultToResponse converts the result of a submission to a response.
-func submitResultToResponse(id string, submitted SubmitResult, visible visibility) ChangeResponse {
-	if submitted.Decided {
-		return outcomeToResponse(id, submitted.Outcome, visible)
+func submitResultToResponse(id string, result SubmitResult, visible visibility) ChangeResponse {
+	if result.Decided {
+		return outcomeToResponse(id, result.Outcome, visible)
 	}
-	response := ChangeResponse{ID: id, Outcome: NotAccepted, Message: submitted.Reason, retryAfter: submitted.RetryAfter}
-	if submitted.MayApply {
+	response := ChangeResponse{ID: id, Outcome: NotAccepted, Message: result.Reason, retryAfter: result.RetryAfter}
+	if result.MayApply {
 		response.Outcome = Unknown
 	}
 	return response
--- a/internal/adminapi/error.go
+++ b/internal/adminapi/error.go
@@ -56,26 +56,26 @@
 }
 
 // Error implements error.
-func (f Error) Error() string { return string(f.Code) + ": " + f.Message }
+func (e Error) Error() string { return string(e.Code) + ": " + e.Message }
 
 const jsonContentType = "application/json; charset=utf-8"
 
 // writeError writes an error response. It is the error encoder of all paths.
 func writeError(_ context.Context, err error, writer http.ResponseWriter) {
-	var failure Error
-	if !errors.As(err, &failure) {
-		failure = Error{Code: CodeInternal, Message: err.Error()}
+	var apiError Error
+	if !errors.As(err, &apiError) {
+		apiError = Error{Code: CodeInternal, Message: err.Error()}
 	}
-	if failure.Code == CodeUnauthenticated {
+	if apiError.Code == CodeUnauthenticated {
 		writer.Header().Set("WWW-Authenticate", "Bearer")
 	}
-	writeJSON(writer, failure.Code.Status(), failure.RetryAfter, failure)
+	writeJSON(writer, apiError.Code.Status(), apiError.RetryAfter, apiError)
 }
 
 func writeJSON(writer http.ResponseWriter, status int, retryAfter time.Duration, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic("adminapi: encode a response as JSON: " + err.Error())
+		panic("adminapi: cannot encode a response as JSON: " + err.Error())
 	}
 	header := writer.Header()
 	header.Set("Content-Type", jsonContentType)
--- a/internal/adminapi/logstore.go
+++ b/internal/adminapi/logstore.go
@@ -71,13 +71,13 @@
 	mutex   sync.Mutex
 	state   *changelog.State
 	waiters map[changelog.ChangeID][]chan changelog.Outcome
-	// undecided lists the latest changes whose proposal was undecided, oldest
-	// first. If a retry of such a change is refused, the first proposal may
-	// still be committed.
+	// undecided lists, oldest first, the latest changes for which Submit returned
+	// without knowing the outcome. If the log refuses a retry of such a change,
+	// the first proposal may still be committed and applied.
 	undecided []changelog.ChangeID
 }
 
-// maxUndecided is the maximum length of LogStore.undecided.
+// maxUndecided is the maximum number of changes in LogStore.undecided.
 const maxUndecided = 1000
 
 // NewLogStore returns a store with an empty table.
@@ -103,8 +103,8 @@
 	defer s.mutex.Unlock()
 	before := s.state.Version()
 	outcome := s.state.Apply(&change)
-	for _, waiting := range s.waiters[change.ID] {
-		waiting <- outcome
+	for _, waiter := range s.waiters[change.ID] {
+		waiter <- outcome
 	}
 	delete(s.waiters, change.ID)
 	if s.state.Version() != before {
@@ -161,8 +161,8 @@
 		if !known {
 			continue
 		}
-		for _, waiting := range channels {
-			waiting <- outcome
+		for _, waiter := range channels {
+			waiter <- outcome
 		}
 		delete(s.waiters, id)
 	}
@@ -175,21 +175,21 @@
 	}
 	payload, err := change.MarshalMsg(nil)
 	if err != nil {
-		return SubmitResult{Reason: "encode the change: " + err.Error()}
+		return SubmitResult{Reason: "cannot encode the change: " + err.Error()}
 	}
 	applied := s.addWaiter(change.ID)
 	defer s.removeWaiter(change.ID, applied)
-	decision := s.config.Proposer.Propose(ctx, change.ID, payload)
-	if decision.Status == ProposalCommitted && decision.Outcome != nil {
-		return SubmitResult{Decided: true, Outcome: *decision.Outcome}
+	result := s.config.Proposer.Propose(ctx, change.ID, payload)
+	if result.Status == ProposalCommitted && result.Outcome != nil {
+		return SubmitResult{Decided: true, Outcome: *result.Outcome}
 	}
-	if decision.Status == ProposalCommitted {
+	if result.Status == ProposalCommitted {
 		return s.awaitOutcome(ctx, change.ID, applied)
 	}
-	if decision.Status == ProposalUndecided {
+	if result.Status == ProposalUndecided {
 		s.rememberUndecided(change.ID)
 	}
-	return SubmitResult{MayApply: s.isUndecided(change.ID), Reason: decision.Reason, RetryAfter: decision.RetryAfter}
+	return SubmitResult{MayApply: s.isUndecided(change.ID), Reason: result.Reason, RetryAfter: result.RetryAfter}
 }
 
 func (s *LogStore) awaitOutcome(ctx context.Context, id changelog.ChangeID, applied <-chan changelog.Outcome) SubmitResult {
@@ -231,12 +231,12 @@
 func (s *LogStore) removeWaiter(id changelog.ChangeID, applied chan changelog.Outcome) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	left := slices.DeleteFunc(s.waiters[id], func(other chan changelog.Outcome) bool { return other == applied })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(s.waiters[id], func(other chan changelog.Outcome) bool { return other == applied })
+	if len(remaining) == 0 {
 		delete(s.waiters, id)
 		return
 	}
-	s.waiters[id] = left
+	s.waiters[id] = remaining
 }
 
 // Preview implements Store. It applies the change to a copy of the state.
@@ -245,16 +245,16 @@
 	if err != nil {
 		return Preview{}, err
 	}
-	trial, err := changelog.Decode(s.config.Limits, encoded)
+	scratch, err := changelog.Decode(s.config.Limits, encoded)
 	if err != nil {
 		return Preview{}, err
 	}
-	before := trial.Version()
-	preview := Preview{Outcome: trial.Apply(change)}
-	if trial.Version() == before {
+	before := scratch.Version()
+	preview := Preview{Outcome: scratch.Apply(change)}
+	if scratch.Version() == before {
 		return preview, nil
 	}
-	history := trial.History()
+	history := scratch.History()
 	preview.Cells = history[len(history)-1].Cells
 	return preview, nil
 }
--- a/internal/adminapi/logstore_test.go
+++ b/internal/adminapi/logstore_test.go
@@ -17,22 +17,22 @@
 // fakeProposer records the payloads of proposals and returns the result set by
 // the test. The test itself applies the recorded payloads.
 type fakeProposer struct {
-	decision adminapi.ProposalResult
+	result   adminapi.ProposalResult
 	payloads [][]byte
 	proposed func()
 }
 
-func (l *fakeProposer) Propose(_ context.Context, _ changelog.ChangeID, payload []byte) adminapi.ProposalResult {
-	l.payloads = append(l.payloads, payload)
-	if l.proposed != nil {
-		l.proposed()
+func (p *fakeProposer) Propose(_ context.Context, _ changelog.ChangeID, payload []byte) adminapi.ProposalResult {
+	p.payloads = append(p.payloads, payload)
+	if p.proposed != nil {
+		p.proposed()
 	}
-	return l.decision
+	return p.result
 }
 
-func newLogStore(log *fakeProposer, versions *[]table.Version) *adminapi.LogStore {
+func newLogStore(proposer *fakeProposer, versions *[]table.Version) *adminapi.LogStore {
 	return adminapi.NewLogStore(adminapi.LogStoreConfig{
-		Limits: changelog.DefaultLimits(), Proposer: log, Members: adminapi.NewSingleMember("b", "z"),
+		Limits: changelog.DefaultLimits(), Proposer: proposer, Members: adminapi.NewSingleMember("b", "z"),
 		OnChange: func(changed *table.Table) { *versions = append(*versions, changed.Version) },
 	})
 }
@@ -43,20 +43,20 @@
 }
 
 var _ = Describe("LogStore", func() {
-	var log *fakeProposer
+	var proposer *fakeProposer
 	var versions []table.Version
 	var store *adminapi.LogStore
 	ctx := context.Background()
 
 	BeforeEach(func() {
-		log = &fakeProposer{}
+		proposer = &fakeProposer{}
 		versions = nil
-		store = newLogStore(log, &versions)
+		store = newLogStore(proposer, &versions)
 	})
 
 	DescribeTable("passes the status, reason and retry delay of an uncommitted proposal to the client",
 		func(status adminapi.ProposalStatus, mayApply bool, outcome adminapi.ChangeOutcome, code int) {
-			log.decision = adminapi.ProposalResult{Status: status, Reason: "no quorum", RetryAfter: 1500 * time.Millisecond}
+			proposer.result = adminapi.ProposalResult{Status: status, Reason: "no quorum", RetryAfter: 1500 * time.Millisecond}
 			Expect(store.Submit(ctx, setupChange())).To(Equal(adminapi.SubmitResult{
 				MayApply: mayApply, Reason: "no quorum", RetryAfter: 1500 * time.Millisecond}))
 			response := sendRequest(startServer(store), adminToken, "POST", "/v1/changes",
@@ -71,7 +71,7 @@
 	)
 
 	It("returns the outcome of a committed change once it is applied", func() {
-		log.proposed = func() { go func() { _ = store.Apply(log.payloads[0]) }() }
+		proposer.proposed = func() { go func() { _ = store.Apply(proposer.payloads[0]) }() }
 		Expect(store.Submit(ctx, setupChange())).To(Equal(adminapi.SubmitResult{
 			Decided: true, Outcome: changelog.Outcome{ID: "setup", Accepted: true, Version: 1}}))
 		Expect(versions).To(Equal([]table.Version{1}))
@@ -85,31 +85,31 @@
 		Expect(submitted.MayApply).To(BeTrue())
 
 		By("returning the outcome to a retry without another proposal")
-		Expect(store.Apply(log.payloads[0])).To(Succeed())
+		Expect(store.Apply(proposer.payloads[0])).To(Succeed())
 		Expect(store.Submit(ctx, setupChange()).Outcome.Version).To(Equal(table.Version(1)))
-		Expect(log.payloads).To(HaveLen(1))
+		Expect(proposer.payloads).To(HaveLen(1))
 	})
 
 	It("still reports a change as possibly applied if its first proposal was undecided and a retry is refused", func() {
-		log.decision.Status = adminapi.ProposalUndecided
+		proposer.result.Status = adminapi.ProposalUndecided
 		Expect(store.Submit(ctx, setupChange()).MayApply).To(BeTrue())
-		log.decision.Status = adminapi.ProposalRefused
+		proposer.result.Status = adminapi.ProposalRefused
 		Expect(store.Submit(ctx, setupChange()).MayApply).To(BeTrue())
 		other := setupChange()
 		other.ID = "other"
 		Expect(store.Submit(ctx, other).MayApply).To(BeFalse())
-		Expect(store.Apply(log.payloads[0])).To(Succeed())
+		Expect(store.Apply(proposer.payloads[0])).To(Succeed())
 		Expect(store.Submit(ctx, setupChange()).Outcome.Accepted).To(BeTrue())
 	})
 
 	It("applies a change only once if it was committed twice", func() {
-		log.decision.Status = adminapi.ProposalUndecided
+		proposer.result.Status = adminapi.ProposalUndecided
 		store.Submit(ctx, setupChange())
 		store.Submit(ctx, setupChange())
-		for _, payload := range log.payloads {
+		for _, payload := range proposer.payloads {
 			Expect(store.Apply(payload)).To(Succeed())
 		}
-		Expect(log.payloads).To(HaveLen(2))
+		Expect(proposer.payloads).To(HaveLen(2))
 		Expect(versions).To(Equal([]table.Version{1}))
 	})
 
@@ -119,17 +119,17 @@
 	})
 
 	It("installs a snapshot with its outcomes and rejects an older snapshot", func() {
-		other := newLogStore(log, new([]table.Version))
+		other := newLogStore(proposer, new([]table.Version))
 		empty, err := other.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
-		log.decision.Status = adminapi.ProposalUndecided
+		proposer.result.Status = adminapi.ProposalUndecided
 		other.Submit(ctx, setupChange())
-		Expect(other.Apply(log.payloads[0])).To(Succeed())
+		Expect(other.Apply(proposer.payloads[0])).To(Succeed())
 		snapshot, err := other.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 
-		log.decision.Status = adminapi.ProposalCommitted
-		log.proposed = func() { go func() { _ = store.InstallSnapshot(snapshot) }() }
+		proposer.result.Status = adminapi.ProposalCommitted
+		proposer.proposed = func() { go func() { _ = store.InstallSnapshot(snapshot) }() }
 		Expect(store.Submit(ctx, setupChange()).Outcome.Version).To(Equal(table.Version(1)))
 		Expect(store.Table()).To(Equal(other.Table()))
 		Expect(store.InstallSnapshot(empty)).To(MatchError("snapshot of version 0 is older than the current version 1"))
--- a/internal/adminapi/suite_test.go
+++ b/internal/adminapi/suite_test.go
@@ -89,9 +89,9 @@
 }
 
 func newAdmissionController() *tenant.AdmissionController {
-	directory, err := tenant.ParseCredentials("tokens.toml", []byte(tokensFile))
+	credentials, err := tenant.ParseCredentials("tokens.toml", []byte(tokensFile))
 	Expect(err).NotTo(HaveOccurred())
-	return tenant.NewAdmissionController(directory)
+	return tenant.NewAdmissionController(credentials)
 }
 
 func startServer(store adminapi.Store) *httptest.Server {
@@ -112,20 +112,20 @@
 	return created
 }
 
-func (f *testAPI) client(token tenant.Token) *adminapi.Client {
-	client, err := adminapi.NewClient(f.server.URL, token, f.server.Client())
+func (a *testAPI) client(token tenant.Token) *adminapi.Client {
+	client, err := adminapi.NewClient(a.server.URL, token, a.server.Client())
 	Expect(err).NotTo(HaveOccurred())
 	return client
 }
 
-func (f *testAPI) submit(token tenant.Token, request adminapi.ChangeRequest) adminapi.ChangeResponse {
-	response, err := f.client(token).Change(context.Background(), request)
+func (a *testAPI) submit(token tenant.Token, request adminapi.ChangeRequest) adminapi.ChangeResponse {
+	response, err := a.client(token).Change(context.Background(), request)
 	Expect(err).NotTo(HaveOccurred())
 	return response
 }
 
-func (f *testAPI) weightOf(id table.BackendID) uint32 {
-	row, exists := f.store.Table().Table.Backend(id)
+func (a *testAPI) weightOf(id table.BackendID) uint32 {
+	row, exists := a.store.Table().Table.Backend(id)
 	Expect(exists).To(BeTrue())
 	return row.Weight
 }
--- a/internal/adminapi/zones.go
+++ b/internal/adminapi/zones.go
@@ -32,8 +32,8 @@
 			}
 		}
 		if since, closed := view.ClosedSince(name); closed {
-			reach := s.store.VersionStatus(since)
-			shown.Closed, shown.Since, shown.VersionStatus = true, since, &reach
+			status := s.store.VersionStatus(since)
+			shown.Closed, shown.Since, shown.VersionStatus = true, since, &status
 		}
 		response.Zones = append(response.Zones, shown)
 	}
--- a/internal/adminapi/zones_test.go
+++ b/internal/adminapi/zones_test.go
@@ -78,7 +78,7 @@
 		Expect(response.Outcome).To(Equal(adminapi.Accepted))
 	})
 
-	DescribeTable("are not changed by an invalid request body", func(path, body string) {
+	DescribeTable("respond with status 400 to an invalid request body", func(path, body string) {
 		Expect(sendRequest(api.server, adminToken, "POST", path, changeBody("x", body)).status).To(Equal(http.StatusBadRequest))
 	},
 		Entry("request without closed", "/v1/zones/north", `"force": true`),
--- a/internal/changelog/doc.go
+++ b/internal/changelog/doc.go
@@ -1,6 +1,6 @@
-// Package changelog implements the state machine that applies changes to the
-// configuration table of services and back ends. Its input is the sequence of
-// changes that a log has committed. For each change it decides whether the change
+// Package changelog implements the replicated state machine that applies changes
+// to the configuration table of services and back ends. Its input is the sequence
+// of changes that a log has committed. For each change it decides whether the change
 // is accepted, and it records the outcome and the history for the administration
 // API.
 //
--- a/internal/changelog/import.go
+++ b/internal/changelog/import.go
@@ -55,9 +55,10 @@
 	importCell(&current.Owner, old.Owner, imported.Owner)
 }
 
-// importBackends imports rows. A new row, and a row that the platform has removed
-// and created again, replaces all cells. A row removed by an operator stays removed
-// until the platform assigns it a higher incarnation.
+// importBackends imports rows. A row that is new, or that the platform has removed
+// and created again under a higher incarnation, is imported with all its cells. A row
+// removed by an operator stays removed until the platform assigns it a higher
+// incarnation. Rows that the platform no longer has are marked as removed.
 func (d *draft) importBackends(rows []table.Backend) {
 	base := indexBackends(d.imported.Backends)
 	for _, row := range rows {
--- a/internal/changelog/import_test.go
+++ b/internal/changelog/import_test.go
@@ -16,7 +16,7 @@
 		return state.Apply(&change)
 	}
 
-	// importRevision imports a platform importRevision with the given rows of service 1.
+	// importRevision imports a platform revision with the given rows of service 1.
 	importRevision := func(number changelog.Revision, rows ...table.Backend) changelog.Outcome {
 		return apply(changelog.Change{
 			ID: changelog.ChangeID("revision-" + string(rune('a'+number))),
--- a/internal/changelog/snapshot.go
+++ b/internal/changelog/snapshot.go
@@ -32,7 +32,8 @@
 	// Outcomes are in the order in which the changes were applied.
 	Outcomes []Outcome `msg:"outcomes"`
 	// OutcomesDroppedThrough is the table version of the latest outcome that was
-	// dropped. Changes with an older base version are refused.
+	// dropped. Changes with an older base version are refused, since they may be
+	// retries of an accepted change whose outcome was dropped.
 	OutcomesDroppedThrough table.Version `msg:"forgotten"`
 	// History is in the order in which the changes were applied.
 	History []Record `msg:"history"`
--- a/internal/changelog/state.go
+++ b/internal/changelog/state.go
@@ -108,8 +108,8 @@
 	return s.checkRowPreconditions(change.ExpectedRows)
 }
 
-func (s *State) checkRowPreconditions(expectations []RowPrecondition) error {
-	for _, expected := range expectations {
+func (s *State) checkRowPreconditions(preconditions []RowPrecondition) error {
+	for _, expected := range preconditions {
 		if actual := s.RowVersion(expected.Backend); actual != expected.Version {
 			return table.CellError{
 				Row:    s.rowName(expected.Backend),
--- a/internal/tenant/credentials.go
+++ b/internal/tenant/credentials.go
@@ -165,7 +165,7 @@
 	return Error{File: file, Rule: err.Error()}
 }
 
-func (d *Credentials) addTeam(entry teamEntry) error {
+func (c *Credentials) addTeam(entry teamEntry) error {
 	violation := func(key, rule string, arguments ...any) error {
 		return Error{Entry: fmt.Sprintf("team %q", entry.Name), Key: key, Rule: fmt.Sprintf(rule, arguments...)}
 	}
@@ -175,7 +175,7 @@
 	if strings.Contains(entry.Name, "/") {
 		return violation("name", "must not contain a slash")
 	}
-	if _, exists := d.limits[Team(entry.Name)]; exists {
+	if _, exists := c.limits[Team(entry.Name)]; exists {
 		return violation("name", "must be unique")
 	}
 	limits := DefaultLimits()
@@ -198,11 +198,11 @@
 	if limits.RequestSize < 1 || limits.RequestSize > MaxRequestSize {
 		return violation("request_size", "must be from 1 to %d bytes", MaxRequestSize)
 	}
-	d.limits[Team(entry.Name)] = limits
+	c.limits[Team(entry.Name)] = limits
 	return nil
 }
 
-func (d *Credentials) addToken(entry TokenEntry, names map[string]bool) error {
+func (c *Credentials) addToken(entry TokenEntry, names map[string]bool) error {
 	violation := func(key, rule string, arguments ...any) error {
 		return Error{Entry: fmt.Sprintf("token %q", entry.Name), Key: key, Rule: fmt.Sprintf(rule, arguments...)}
 	}
@@ -217,7 +217,7 @@
 	if err != nil {
 		return violation("hash", "%s", err)
 	}
-	if _, exists := d.holders[hash]; exists {
+	if _, exists := c.holders[hash]; exists {
 		return violation("hash", "must be unique")
 	}
 	switch entry.Role {
@@ -232,11 +232,11 @@
 	default:
 		return violation("role", "must be viewer, editor or administrator")
 	}
-	limits, exists := d.limits[entry.Team]
+	limits, exists := c.limits[entry.Team]
 	if !exists {
 		return violation("team", "names no [[team]] of the file")
 	}
-	d.holders[hash] = holder{
+	c.holders[hash] = holder{
 		principal: Principal{Name: entry.Name, Role: entry.Role, Team: entry.Team, RequestSize: limits.RequestSize},
 		expires:   entry.Expires,
 	}
@@ -245,8 +245,8 @@
 
 // Authenticate returns the principal of a token. It returns false if the token is
 // unknown or has expired.
-func (d *Credentials) Authenticate(token Token, now time.Time) (Principal, bool) {
-	found, known := d.holders[token.Hash()]
+func (c *Credentials) Authenticate(token Token, now time.Time) (Principal, bool) {
+	found, known := c.holders[token.Hash()]
 	if !known || !found.expires.IsZero() && !now.Before(found.expires) {
 		return Principal{}, false
 	}
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -3,7 +3,7 @@
 // with which role and team, and whether the team is within its rate limit. Its
 // input is a tokens file with the teams and the hashes of the tokens.
 //
-// Credentials hold the validated content of a tokens file. An AdmissionController
+// Credentials holds the validated content of a tokens file. An AdmissionController
 // decides on requests by the current Credentials and the time passed by the
 // caller. Only the hash of a token is stored, never the token.
 package tenant
--- a/internal/tlsfiles/tlsfiles_test.go
+++ b/internal/tlsfiles/tlsfiles_test.go
@@ -59,16 +59,16 @@
 	return testCA{certificate, key}
 }
 
-func (i testCA) pem() []byte { return encodePEM("CERTIFICATE", i.certificate.Raw) }
+func (c testCA) pem() []byte { return encodePEM("CERTIFICATE", c.certificate.Raw) }
 
-func (i testCA) issue(serial int64, start time.Time) certificatePair {
+func (c testCA) issue(serial int64, start time.Time) certificatePair {
 	key := newKey()
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: serverName}, DNSNames: []string{serverName},
 		NotBefore: start, NotAfter: start.Add(validity),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	der, err := x509.CreateCertificate(rand.Reader, template, i.certificate, &key.PublicKey, i.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, c.certificate, &key.PublicKey, c.key)
 	Expect(err).NotTo(HaveOccurred())
 	encoded, err := x509.MarshalPKCS8PrivateKey(key)
 	Expect(err).NotTo(HaveOccurred())
