--- a/internal/adminapi/logstore.go
+++ b/internal/adminapi/logstore.go
@@ -1,4 +1,4 @@
-// This file implements the Store on top of a log of changes.
+// This file implements a Store backed by a log of changes.
 
 package adminapi
 
@@ -14,25 +14,25 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Decision is what became of a proposal for the log.
-type Decision struct {
+// ProposalResult is the result of proposing a change to the log.
+type ProposalResult struct {
 	Status ProposalStatus
-	// Reason says why the proposal was not committed.
+	// Reason is why the proposal was not committed.
 	Reason string
-	// RetryAfter is, if not zero, when a repeat makes sense.
+	// RetryAfter, unless zero, is the delay after which a retry may succeed.
 	RetryAfter time.Duration
-	// Outcome is, for a committed proposal, what became of the change, if
-	// that is known before the log reaches this process.
+	// Outcome is the outcome of the change of a committed proposal, if it is
+	// known before this process applies the log entry.
 	Outcome *changelog.Outcome
 }
 
-// ProposalStatus tells whether a proposal is in the log.
+// ProposalStatus tells whether a proposal was committed to the log.
 type ProposalStatus uint8
 
 // The statuses of a proposal.
 const (
-	// ProposalCommitted: the log holds the proposal; LogStore.Apply has been
-	// called with it or will be.
+	// ProposalCommitted: the proposal is in the log. LogStore.Apply was called
+	// with it or will be.
 	ProposalCommitted ProposalStatus = iota
 	// ProposalRefused: the proposal is not in the log and never will be.
 	ProposalRefused
@@ -40,16 +40,16 @@
 	ProposalUndecided
 )
 
-// Proposer adds changes to a log.
+// Proposer appends changes to a log.
 type Proposer interface {
-	// Propose returns when the proposal is decided or ctx ends. Whoever
-	// implements it calls LogStore.Apply with every committed payload, in the
-	// order of the log.
-	Propose(ctx context.Context, id changelog.ChangeID, payload []byte) Decision
+	// Propose returns when the proposal is committed or refused, or when ctx
+	// ends. The implementation must call LogStore.Apply with every committed
+	// payload, in log order.
+	Propose(ctx context.Context, id changelog.ChangeID, payload []byte) ProposalResult
 }
 
-// Fleet knows the processes that forward by the table.
-type Fleet interface {
+// MemberLister lists the processes that forward traffic according to the table.
+type MemberLister interface {
 	Members() []Member
 }
 
@@ -57,83 +57,84 @@
 type LogStoreConfig struct {
 	Limits   changelog.Limits
 	Proposer Proposer
-	Fleet    Fleet
-	// Changed is called, one at a time and in the order of versions, with
-	// each table that comes from a change.
-	Changed func(*table.Table)
+	Members  MemberLister
+	// OnChange is called with each new table, one call at a time and in
+	// version order.
+	OnChange func(*table.Table)
 }
 
-// LogStore holds the table that the committed changes of a log lead to.
+// LogStore is a Store that holds the table built from the committed changes of a
+// log. It is safe for concurrent use.
 type LogStore struct {
 	config LogStoreConfig
 
 	mutex   sync.Mutex
 	state   *changelog.State
-	waiting map[changelog.ChangeID][]chan changelog.Outcome
-	// undecided are the latest changes that were answered as undecided,
-	// oldest first. A refusal of a repeat says nothing about the first
-	// proposal.
+	waiters map[changelog.ChangeID][]chan changelog.Outcome
+	// undecided lists, oldest first, the latest changes for which Submit returned
+	// without knowing the outcome. If the log refuses a retry of such a change,
+	// the first proposal may still be committed and applied.
 	undecided []changelog.ChangeID
 }
 
-// maxUndecided bounds the remembered undecided changes.
+// maxUndecided is the maximum number of changes in LogStore.undecided.
 const maxUndecided = 1000
 
 // NewLogStore returns a store with an empty table.
 func NewLogStore(config LogStoreConfig) *LogStore {
-	if config.Changed == nil {
-		config.Changed = func(*table.Table) {}
+	if config.OnChange == nil {
+		config.OnChange = func(*table.Table) {}
 	}
 	return &LogStore{
 		config:  config,
 		state:   changelog.NewState(config.Limits),
-		waiting: make(map[changelog.ChangeID][]chan changelog.Outcome),
+		waiters: make(map[changelog.ChangeID][]chan changelog.Outcome),
 	}
 }
 
-// Apply applies a committed payload. It fails for a payload that is no change,
-// which leaves the table as it is.
+// Apply applies a committed payload. If the payload is not a valid encoding of a
+// change, it fails and leaves the table unchanged.
 func (s *LogStore) Apply(payload []byte) error {
 	var change changelog.Change
 	if rest, err := change.UnmarshalMsg(payload); err != nil || len(rest) > 0 {
-		return errors.Errorf("committed payload of %d bytes is not a change", len(payload))
+		return errors.Errorf("cannot decode the committed payload of %d bytes as a change", len(payload))
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	before := s.state.Version()
 	outcome := s.state.Apply(&change)
-	for _, waiting := range s.waiting[change.ID] {
-		waiting <- outcome
+	for _, waiter := range s.waiters[change.ID] {
+		waiter <- outcome
 	}
-	delete(s.waiting, change.ID)
+	delete(s.waiters, change.ID)
 	if s.state.Version() != before {
-		s.config.Changed(s.state.Table())
+		s.config.OnChange(s.state.Table())
 	}
 	return nil
 }
 
-// Follow replaces the table by a newer one of the configuration service. It fails
-// for one that is not newer or not valid.
-func (s *LogStore) Follow(record changelog.Record, newer *table.Table) error {
+// ReplaceTable replaces the table by a newer one from the configuration service. It
+// fails if the new table has no higher version or is invalid.
+func (s *LogStore) ReplaceTable(record changelog.Record, newer *table.Table) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.state.Follow(record, newer); err != nil {
+	if err := s.state.ReplaceTable(record, newer); err != nil {
 		return err
 	}
-	s.config.Changed(s.state.Table())
+	s.config.OnChange(s.state.Table())
 	return nil
 }
 
-// Snapshot returns the encoded state, for another process to install.
+// Snapshot returns the encoded state, for InstallSnapshot in another process.
 func (s *LogStore) Snapshot() ([]byte, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.state.Encode()
 }
 
-// Install replaces the state by one that Snapshot has returned. It fails for
-// other text and for a state older than the one held.
-func (s *LogStore) Install(encoded []byte) error {
+// InstallSnapshot replaces the state by one that Snapshot returned. It fails if the
+// encoding is invalid or the snapshot is older than the current state.
+func (s *LogStore) InstallSnapshot(encoded []byte) error {
 	installed, err := changelog.Decode(s.config.Limits, encoded)
 	if err != nil {
 		return err
@@ -141,67 +142,67 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if installed.Version() < s.state.Version() {
-		return errors.Errorf("snapshot of version %d is older than %d", installed.Version(), s.state.Version())
+		return errors.Errorf("snapshot of version %d is older than the current version %d", installed.Version(), s.state.Version())
 	}
 	changed := installed.Version() != s.state.Version()
 	s.state = installed
-	s.answerWaiting()
+	s.notifyWaiters()
 	if changed {
-		s.config.Changed(s.state.Table())
+		s.config.OnChange(s.state.Table())
 	}
 	return nil
 }
 
-// answerWaiting answers for the changes that came with a snapshot. The mutex
-// must be held.
-func (s *LogStore) answerWaiting() {
-	for id, channels := range s.waiting {
+// notifyWaiters sends the outcomes in an installed snapshot to the callers of
+// Submit that wait for them. The caller must hold the mutex.
+func (s *LogStore) notifyWaiters() {
+	for id, channels := range s.waiters {
 		outcome, known := s.state.Outcome(id)
 		if !known {
 			continue
 		}
-		for _, waiting := range channels {
-			waiting <- outcome
+		for _, waiter := range channels {
+			waiter <- outcome
 		}
-		delete(s.waiting, id)
+		delete(s.waiters, id)
 	}
 }
 
 // Submit implements Store.
-func (s *LogStore) Submit(ctx context.Context, change *changelog.Change) Submission {
+func (s *LogStore) Submit(ctx context.Context, change *changelog.Change) SubmitResult {
 	if outcome, known := s.Outcome(change.ID); known {
-		return Submission{Decided: true, Outcome: outcome}
+		return SubmitResult{Decided: true, Outcome: outcome}
 	}
 	payload, err := change.MarshalMsg(nil)
 	if err != nil {
-		return Submission{Reason: "the change cannot be encoded: " + err.Error()}
+		return SubmitResult{Reason: "cannot encode the change: " + err.Error()}
 	}
-	applied := s.wait(change.ID)
-	defer s.stopWaiting(change.ID, applied)
-	decision := s.config.Proposer.Propose(ctx, change.ID, payload)
-	if decision.Status == ProposalCommitted && decision.Outcome != nil {
-		return Submission{Decided: true, Outcome: *decision.Outcome}
+	applied := s.addWaiter(change.ID)
+	defer s.removeWaiter(change.ID, applied)
+	result := s.config.Proposer.Propose(ctx, change.ID, payload)
+	if result.Status == ProposalCommitted && result.Outcome != nil {
+		return SubmitResult{Decided: true, Outcome: *result.Outcome}
 	}
-	if decision.Status == ProposalCommitted {
+	if result.Status == ProposalCommitted {
 		return s.awaitOutcome(ctx, change.ID, applied)
 	}
-	if decision.Status == ProposalUndecided {
-		s.noteUndecided(change.ID)
+	if result.Status == ProposalUndecided {
+		s.rememberUndecided(change.ID)
 	}
-	return Submission{MayApply: s.isUndecided(change.ID), Reason: decision.Reason, RetryAfter: decision.RetryAfter}
+	return SubmitResult{MayApply: s.isUndecided(change.ID), Reason: result.Reason, RetryAfter: result.RetryAfter}
 }
 
-func (s *LogStore) awaitOutcome(ctx context.Context, id changelog.ChangeID, applied <-chan changelog.Outcome) Submission {
+func (s *LogStore) awaitOutcome(ctx context.Context, id changelog.ChangeID, applied <-chan changelog.Outcome) SubmitResult {
 	select {
 	case outcome := <-applied:
-		return Submission{Decided: true, Outcome: outcome}
+		return SubmitResult{Decided: true, Outcome: outcome}
 	case <-ctx.Done():
-		s.noteUndecided(id)
-		return Submission{MayApply: true, Reason: "the change is committed and not applied here yet"}
+		s.rememberUndecided(id)
+		return SubmitResult{MayApply: true, Reason: "the change is committed but not yet applied by this process"}
 	}
 }
 
-func (s *LogStore) noteUndecided(id changelog.ChangeID) {
+func (s *LogStore) rememberUndecided(id changelog.ChangeID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if slices.Contains(s.undecided, id) {
@@ -219,41 +220,41 @@
 	return slices.Contains(s.undecided, id)
 }
 
-func (s *LogStore) wait(id changelog.ChangeID) chan changelog.Outcome {
+func (s *LogStore) addWaiter(id changelog.ChangeID) chan changelog.Outcome {
 	applied := make(chan changelog.Outcome, 1)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.waiting[id] = append(s.waiting[id], applied)
+	s.waiters[id] = append(s.waiters[id], applied)
 	return applied
 }
 
-func (s *LogStore) stopWaiting(id changelog.ChangeID, applied chan changelog.Outcome) {
+func (s *LogStore) removeWaiter(id changelog.ChangeID, applied chan changelog.Outcome) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	left := slices.DeleteFunc(s.waiting[id], func(other chan changelog.Outcome) bool { return other == applied })
-	if len(left) == 0 {
-		delete(s.waiting, id)
+	remaining := slices.DeleteFunc(s.waiters[id], func(other chan changelog.Outcome) bool { return other == applied })
+	if len(remaining) == 0 {
+		delete(s.waiters, id)
 		return
 	}
-	s.waiting[id] = left
+	s.waiters[id] = remaining
 }
 
-// Preview implements Store. It works on a copy of the state.
+// Preview implements Store. It applies the change to a copy of the state.
 func (s *LogStore) Preview(change *changelog.Change) (Preview, error) {
 	encoded, err := s.Snapshot()
 	if err != nil {
 		return Preview{}, err
 	}
-	trial, err := changelog.Decode(s.config.Limits, encoded)
+	scratch, err := changelog.Decode(s.config.Limits, encoded)
 	if err != nil {
 		return Preview{}, err
 	}
-	before := trial.Version()
-	preview := Preview{Outcome: trial.Apply(change)}
-	if trial.Version() == before {
+	before := scratch.Version()
+	preview := Preview{Outcome: scratch.Apply(change)}
+	if scratch.Version() == before {
 		return preview, nil
 	}
-	history := trial.History()
+	history := scratch.History()
 	preview.Cells = history[len(history)-1].Cells
 	return preview, nil
 }
@@ -266,10 +267,10 @@
 }
 
 // Table implements Store.
-func (s *LogStore) Table() State {
+func (s *LogStore) Table() VersionedTable {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	current := State{Table: s.state.Table()}
+	current := VersionedTable{Table: s.state.Table()}
 	for _, row := range current.Table.Backends {
 		current.RowVersions = append(current.RowVersions, RowVersion{row.ID, s.state.RowVersion(row.ID)})
 	}
@@ -284,20 +285,20 @@
 }
 
 // Members implements Store.
-func (s *LogStore) Members() []Member { return s.config.Fleet.Members() }
+func (s *LogStore) Members() []Member { return s.config.Members.Members() }
 
-// Reached implements Store.
-func (s *LogStore) Reached(version table.Version) ReachAnswer {
-	answer := ReachAnswer{Version: version, NotReached: []string{}}
-	answer.Accepted = version != 0 && version <= s.version()
+// VersionStatus implements Store.
+func (s *LogStore) VersionStatus(version table.Version) VersionStatusResponse {
+	response := VersionStatusResponse{Version: version, NotReached: []string{}}
+	response.Accepted = version != 0 && version <= s.version()
 	for _, member := range s.Members() {
 		if member.Version >= version {
-			answer.Reached++
+			response.Reached++
 			continue
 		}
-		answer.NotReached = append(answer.NotReached, member.Name)
+		response.NotReached = append(response.NotReached, member.Name)
 	}
-	return answer
+	return response
 }
 
 func (s *LogStore) version() table.Version {
--- a/internal/adminapi/plan.go
+++ b/internal/adminapi/plan.go
@@ -1,4 +1,4 @@
-// This file implements the way from one table to another as a change.
+// This file computes the operations that turn one table into another.
 
 package adminapi
 
@@ -11,42 +11,44 @@
 	alteredRowRule     = "cannot be altered; remove the row and add it again under a higher incarnation"
 )
 
-// Missing tells what becomes of rows and services that a wanted table lacks.
-type Missing uint8
+// MissingPolicy selects what Plan does with rows, services and closed zones that
+// the wanted table lacks.
+type MissingPolicy uint8
 
-// What becomes of missing rows and services.
+// The policies.
 const (
-	// KeepMissing leaves them as they are.
-	KeepMissing Missing = iota
-	// RemoveMissing removes them.
+	// KeepMissing leaves them unchanged.
+	KeepMissing MissingPolicy = iota
+	// RemoveMissing removes the rows and services, and reopens the zones.
 	RemoveMissing
 )
 
-// Plan returns the parts of a change that leads from the current table to the
-// wanted one. A row that is wanted again after its removal gets a new
-// incarnation, and one that has got it since keeps it. Plan fails with a
-// table.CellError for cells that no change can alter.
-func Plan(current, wanted *table.Table, missing Missing) (Parts, error) {
-	var parts Parts
-	if err := parts.planServices(current, wanted); err != nil {
-		return Parts{}, err
-	}
-	if err := parts.planBackends(current, wanted); err != nil {
-		return Parts{}, err
+// Plan returns the operations that turn the current table into the wanted one. A
+// wanted row that is removed in the current table is added again under a higher
+// incarnation. A row that already has a higher incarnation than the wanted one
+// keeps it. Plan fails with a table.CellError if the tables differ in cells that
+// no change can modify.
+func Plan(current, wanted *table.Table, missing MissingPolicy) (Operations, error) {
+	var operations Operations
+	if err := operations.planServices(current, wanted); err != nil {
+		return Operations{}, err
+	}
+	if err := operations.planBackends(current, wanted); err != nil {
+		return Operations{}, err
 	}
 	if missing == RemoveMissing {
-		parts.planRemovals(current, wanted)
+		operations.planRemovals(current, wanted)
 	}
-	parts.planZones(current, wanted, missing)
-	return parts, nil
+	operations.planZones(current, wanted, missing)
+	return operations, nil
 }
 
-// planZones closes the zones that are closed in the wanted table. Others that are closed
-// count as missing there.
-func (p *Parts) planZones(current, wanted *table.Table, missing Missing) {
+// planZones closes the zones that are closed in the wanted table. With RemoveMissing, it
+// reopens all other closed zones.
+func (o *Operations) planZones(current, wanted *table.Table, missing MissingPolicy) {
 	for _, closed := range wanted.ClosedZones {
 		if _, already := current.ClosedSince(closed.Zone); !already {
-			p.SetZones = append(p.SetZones, ZoneUpdate{Zone: closed.Zone, Closed: true, Force: true})
+			o.SetZones = append(o.SetZones, ZoneUpdate{Zone: closed.Zone, Closed: true, Force: true})
 		}
 	}
 	if missing != RemoveMissing {
@@ -54,16 +56,16 @@
 	}
 	for _, closed := range current.ClosedZones {
 		if _, still := wanted.ClosedSince(closed.Zone); !still {
-			p.SetZones = append(p.SetZones, ZoneUpdate{Zone: closed.Zone})
+			o.SetZones = append(o.SetZones, ZoneUpdate{Zone: closed.Zone})
 		}
 	}
 }
 
-func (p *Parts) planServices(current, wanted *table.Table) error {
+func (o *Operations) planServices(current, wanted *table.Table) error {
 	for _, service := range wanted.Services {
 		existing, exists := current.Service(service.ID)
 		if !exists {
-			p.AddServices = append(p.AddServices, service)
+			o.AddServices = append(o.AddServices, service)
 			continue
 		}
 		if existing != service {
@@ -75,13 +77,13 @@
 	return nil
 }
 
-// alteredCell names the first cell that differs.
+// alteredCell returns an error that names the first cell that differs.
 func alteredCell(before, after *table.Table, rule string) error {
 	cell := table.Diff(before, after)[0]
 	return table.CellError{Row: cell.Row, Column: cell.Column, Rule: rule}
 }
 
-func (p *Parts) planBackends(current, wanted *table.Table) error {
+func (o *Operations) planBackends(current, wanted *table.Table) error {
 	index := make(map[table.BackendID]table.Backend, len(current.Backends))
 	for _, row := range current.Backends {
 		index[row.ID] = row
@@ -94,17 +96,17 @@
 		if !exists || existing.Removed {
 			row.Incarnation = max(row.Incarnation, existing.Incarnation+1)
 			row.Closed = false
-			p.AddBackends = append(p.AddBackends, row)
+			o.AddBackends = append(o.AddBackends, row)
 			continue
 		}
-		if err := p.planCells(existing, row); err != nil {
+		if err := o.planCells(existing, row); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *Parts) planCells(existing, row table.Backend) error {
+func (o *Operations) planCells(existing, row table.Backend) error {
 	update := CellUpdate{
 		Backend:         row.ID,
 		Weight:          changedCell(existing.Weight, row.Weight),
@@ -124,12 +126,12 @@
 			&table.Table{Backends: []table.Backend{row}}, alteredRowRule)
 	}
 	if update != (CellUpdate{Backend: row.ID}) {
-		p.SetCells = append(p.SetCells, update)
+		o.SetCells = append(o.SetCells, update)
 	}
 	return nil
 }
 
-// changedCell returns nil for a cell that stays as it is.
+// changedCell returns the wanted value, or nil if the cell does not change.
 func changedCell[T comparable](existing, wanted T) *T {
 	if existing == wanted {
 		return nil
@@ -137,19 +139,19 @@
 	return &wanted
 }
 
-func (p *Parts) planRemovals(current, wanted *table.Table) {
+func (o *Operations) planRemovals(current, wanted *table.Table) {
 	kept := make(map[table.BackendID]bool, len(wanted.Backends))
 	for _, row := range wanted.Backends {
 		kept[row.ID] = !row.Removed
 	}
 	for _, row := range current.Backends {
 		if !row.Removed && !kept[row.ID] {
-			p.RemoveBackends = append(p.RemoveBackends, row.ID)
+			o.RemoveBackends = append(o.RemoveBackends, row.ID)
 		}
 	}
 	for _, service := range current.Services {
 		if _, kept := wanted.Service(service.ID); !kept {
-			p.RemoveServices = append(p.RemoveServices, service.ID)
+			o.RemoveServices = append(o.RemoveServices, service.ID)
 		}
 	}
 }
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -79,7 +79,7 @@
 	if len(response.State) == 0 {
 		return 0, errNotNewer
 	}
-	if err := n.store.Install(response.State); err != nil {
+	if err := n.store.InstallSnapshot(response.State); err != nil {
 		return 0, err
 	}
 	return n.store.version(), nil
--- a/internal/daemon/adminapi.go
+++ b/internal/daemon/adminapi.go
@@ -37,25 +37,25 @@
 // the API for store.
 func newAdminAPI(deps dependencies, store adminapi.Store) (*adminAPI, error) {
 	config := deps.settings.API
-	tokens, err := tenant.OpenFile(config.Tokens)
+	tokens, err := tenant.OpenTokenFile(config.Tokens)
 	if err != nil {
 		return nil, err
 	}
 	certificates, err := tlsfiles.Open(tlsfiles.Files{
 		Certificate: config.Certificate,
 		Key:         config.Key,
-		Authority:   config.ClientAuthority,
+		CA:          config.ClientAuthority,
 	}, time.Now())
 	if err != nil {
 		return nil, err
 	}
 	server, err := adminapi.NewServer(adminapi.ServerConfig{
 		Listen: config.Listen,
-		TLS:    certificates.Server(),
+		TLS:    certificates.ServerConfig(),
 		Handler: adminapi.NewHandler(adminapi.HandlerConfig{
-			Store:    store,
-			Gate:     tokens.Gate(),
-			Requests: newAPIRequests(deps),
+			Store:     store,
+			Admission: tokens.AdmissionController(),
+			Requests:  newAPIRequests(deps),
 		}),
 	})
 	if err != nil {
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -76,8 +76,8 @@
 		By("refusing a change but accepting its dry run")
 		weight, base := uint32(77), table.Version(5)
 		request := adminapi.ChangeRequest{
-			Header: adminapi.Header{ID: "c1", Reason: "more", BaseVersion: &base},
-			Parts:  adminapi.Parts{SetCells: []adminapi.CellUpdate{{Backend: 9, Weight: &weight}}},
+			ChangeMetadata: adminapi.ChangeMetadata{ID: "c1", Reason: "more", BaseVersion: &base},
+			Operations:     adminapi.Operations{SetCells: []adminapi.CellUpdate{{Backend: 9, Weight: &weight}}},
 		}
 		answer, err := balancers[1].client(firstToken).Change(ctx, request)
 		Expect(err).NotTo(HaveOccurred())
@@ -93,9 +93,9 @@
 		By("adopting newer tables and ignoring older ones")
 		reachable.publish(3, tableJSON(6, 20))
 		expectApplied(6, 20)
-		Eventually(func() (adminapi.ReachAnswer, error) {
-			return balancers[1].client(firstToken).Reached(ctx, 6)
-		}, waitTimeout).Should(Equal(adminapi.ReachAnswer{Version: 6, Accepted: true, Reached: 3, NotReached: []string{}}))
+		Eventually(func() (adminapi.VersionStatusResponse, error) {
+			return balancers[1].client(firstToken).VersionStatus(ctx, 6)
+		}, waitTimeout).Should(Equal(adminapi.VersionStatusResponse{Version: 6, Accepted: true, Reached: 3, NotReached: []string{}}))
 		unreachable.publish(1, tableJSON(4, 1))
 		Eventually(balancers[2].metrics, waitTimeout).Should(
 			ContainSubstring(`vanetiller_platform_polls_total{outcome="new",service="configuration"} 1`))
--- a/internal/daemon/tablesource.go
+++ b/internal/daemon/tablesource.go
@@ -52,7 +52,7 @@
 	case deps.settings.API != nil:
 		member := adminapi.NewSingleMember(deps.settings.Name, deps.settings.Zone)
 		created.store = adminapi.NewSingleReplicaStore(changelog.DefaultLimits(), member, server.Publish)
-		created.onApplied = member.SetInForce
+		created.onApplied = member.SetActiveVersion
 		deps.logger.Warn("table changes are kept only in this process and are lost when it stops")
 	}
 	return created, nil
@@ -77,11 +77,11 @@
 func (s *tableSource) importRevision(ctx context.Context, configuration platform.Configuration) {
 	revision := uint64(configuration.Revision)
 	result := s.store.Submit(ctx, &changelog.Change{
-		ID:   changelog.ChangeID(fmt.Sprintf("platform-revision-%d", revision)),
-		Base: s.store.Table().Table.Version,
-		Who:  platformAuthor,
-		When: time.Now().UnixNano(),
-		Why:  fmt.Sprintf("revision %d of the configuration service", revision),
+		ID:          changelog.ChangeID(fmt.Sprintf("platform-revision-%d", revision)),
+		BaseVersion: s.store.Table().Table.Version,
+		Author:      platformAuthor,
+		Timestamp:   time.Now().UnixNano(),
+		Reason:      fmt.Sprintf("revision %d of the configuration service", revision),
 		Import: &changelog.Import{
 			Revision: changelog.Revision(revision),
 			Services: configuration.Table.Services,
