--- a/bench/backend/backend.go
+++ b/bench/backend/backend.go
@@ -28,8 +28,8 @@
 	Slots int
 	// WorkTime is how long a submission takes.
 	WorkTime time.Duration
-	// Ledger records flows and requests.
-	Ledger *Ledger
+	// Recorder records flows and requests.
+	Recorder *Recorder
 }
 
 // Backend is safe for concurrent use.
--- a/bench/backend/datagram.go
+++ b/bench/backend/datagram.go
@@ -74,9 +74,9 @@
 	if err != nil {
 		return
 	}
-	b.settings.Ledger.flowSeen(request.Flow, b.settings.Name)
+	b.settings.Recorder.flowSeen(request.Flow, b.settings.Name)
 	if request.Service != b.settings.Service {
-		b.settings.Ledger.requestMisdelivered()
+		b.settings.Recorder.requestMisdelivered()
 	}
 	answer := exchange.Datagram{
 		Flow: request.Flow, Request: request.Request,
--- a/bench/backend/handler.go
+++ b/bench/backend/handler.go
@@ -37,13 +37,13 @@
 // repeats its identifier in the answer.
 func (b *Backend) recorded(serve http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		b.settings.Ledger.flowSeen(request.Header.Get(exchange.HeaderFlow), b.settings.Name)
+		b.settings.Recorder.flowSeen(request.Header.Get(exchange.HeaderFlow), b.settings.Name)
 		header := writer.Header()
 		header.Set(exchange.HeaderRequest, request.Header.Get(exchange.HeaderRequest))
 		header.Set(exchange.HeaderBackend, b.settings.Name)
 		header.Set(exchange.HeaderService, b.settings.Service)
 		if request.Header.Get(exchange.HeaderService) != b.settings.Service {
-			b.settings.Ledger.requestMisdelivered()
+			b.settings.Recorder.requestMisdelivered()
 			http.Error(writer, "request meant for another service", http.StatusMisdirectedRequest)
 			return
 		}
@@ -103,7 +103,7 @@
 		return
 	}
 	defer b.running.Add(-1)
-	b.settings.Ledger.submissionRan(request.Header.Get(exchange.HeaderRequest))
+	b.settings.Recorder.submissionRan(request.Header.Get(exchange.HeaderRequest))
 	timing.Sleep(request.Context(), b.settings.WorkTime)
 	writer.Header().Set(exchange.HeaderChecksum, checksum)
 	writer.WriteHeader(http.StatusOK)
--- a/bench/caller/client.go
+++ b/bench/caller/client.go
@@ -63,7 +63,7 @@
 // runStream does one flow on a TCP connection.
 func (c *Client) runStream(ctx context.Context, plan Plan, result *Result) *failed {
 	raw, err := c.dial(ctx, plan.Service.Address)
-	result.Opening = time.Since(result.Started)
+	result.HandshakeTime = time.Since(result.Started)
 	if err != nil {
 		return classifyDial(ctx, err)
 	}
@@ -167,7 +167,7 @@
 	started := time.Now()
 	failure := f.exchange(ctx, number, method, path, body, 1)
 	if failure == nil {
-		f.result.Answers = append(f.result.Answers, time.Since(started))
+		f.result.AnswerTimes = append(f.result.AnswerTimes, time.Since(started))
 	}
 	return failure
 }
@@ -238,7 +238,7 @@
 		return &failed{OutcomeBroken, CauseWrongStatus, errors.New(response.Status)}
 	}
 	if answered := response.Header.Get(exchange.HeaderRequest); answered != identifier {
-		return &failed{OutcomeBroken, CauseForeignAnswer, errors.Errorf("answer to %q instead of %q", answered, identifier)}
+		return &failed{OutcomeBroken, CauseMismatchedAnswer, errors.Errorf("answer to %q instead of %q", answered, identifier)}
 	}
 	if service := response.Header.Get(exchange.HeaderService); service != f.plan.Service.Name {
 		return &failed{OutcomeBroken, CauseWrongService, errors.Errorf("answer of service %q", service)}
--- a/bench/caller/client_test.go
+++ b/bench/caller/client_test.go
@@ -69,15 +69,15 @@
 var _ = Describe("Client", func() {
 	DescribeTable("completes every kind of flow on one back end",
 		func(kind caller.Kind, answers int) {
-			ledger := backend.NewLedger()
-			server := startBackend(backend.Settings{Service: "audio", Name: "audio-1", Ledger: ledger})
+			ledger := backend.NewRecorder()
+			server := startBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: ledger})
 			client := newClient(server.Address)
 			result := client.Run(context.Background(), plan(kind))
 			Expect(result.Outcome).To(Equal(caller.OutcomeCompleted), result.Detail)
 			Expect(result.Backend).To(Equal("audio-1"))
-			Expect(result.Answers).To(HaveLen(answers))
+			Expect(result.AnswerTimes).To(HaveLen(answers))
 			Expect(ledger.BackendsOf("flow-1")).To(Equal([]string{"audio-1"}))
-			Expect(ledger.Ran(result.Request)).To(Equal(kind == caller.KindSubmit))
+			Expect(ledger.HasRun(result.Request)).To(Equal(kind == caller.KindSubmit))
 			Expect(ledger.Totals()).To(Equal(backend.Totals{}))
 			Expect(server.Counters().Accepted).To(BeEquivalentTo(1))
 		},
@@ -95,7 +95,7 @@
 	})
 
 	It("reports a submission that the back end refuses before running it", func() {
-		ledger := backend.NewLedger()
+		ledger := backend.NewRecorder()
 		gate := make(chan struct{})
 		server := startServer(func(writer http.ResponseWriter, request *http.Request) {
 			close(gate)
@@ -106,28 +106,28 @@
 		Expect(gate).To(BeClosed())
 		Expect(result.Outcome).To(Equal(caller.OutcomeRefused))
 		Expect(result.Cause).To(Equal(caller.CauseShed))
-		Expect(ledger.Ran(result.Request)).To(BeFalse())
+		Expect(ledger.HasRun(result.Request)).To(BeFalse())
 	})
 
 	It("notices a request that reached another service", func() {
-		ledger := backend.NewLedger()
-		server := startBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Ledger: ledger})
+		ledger := backend.NewRecorder()
+		server := startBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Recorder: ledger})
 		result := newClient(server.Address).Run(context.Background(), plan(caller.KindSubmit))
 		Expect(result.Outcome).To(Equal(caller.OutcomeBroken))
 		Expect(result.Cause).To(Equal(caller.CauseWrongService))
 		Expect(ledger.Totals()).To(Equal(backend.Totals{Misdelivered: 1}))
-		Expect(ledger.Ran(result.Request)).To(BeFalse())
+		Expect(ledger.HasRun(result.Request)).To(BeFalse())
 	})
 
 	It("notices a flow that two back ends have seen and a submission that ran twice", func() {
-		ledger := backend.NewLedger()
-		first := startBackend(backend.Settings{Service: "audio", Name: "audio-1", Ledger: ledger})
-		second := startBackend(backend.Settings{Service: "audio", Name: "audio-2", Ledger: ledger})
+		ledger := backend.NewRecorder()
+		first := startBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: ledger})
+		second := startBackend(backend.Settings{Service: "audio", Name: "audio-2", Recorder: ledger})
 		for _, server := range []*backend.Backend{first, second} {
 			newClient(server.Address).Run(context.Background(), plan(caller.KindSubmit))
 		}
 		Expect(ledger.BackendsOf("flow-1")).To(Equal([]string{"audio-1", "audio-2"}))
-		Expect(ledger.Totals()).To(Equal(backend.Totals{DoubleRuns: 1}))
+		Expect(ledger.Totals()).To(Equal(backend.Totals{DuplicateRuns: 1}))
 	})
 
 	DescribeTable("notices a wrong answer",
@@ -146,7 +146,7 @@
 		},
 		Entry("answer to another request", caller.KindPoll, func(writer http.ResponseWriter) {
 			writer.Header().Set(exchange.HeaderRequest, "flow-2-0")
-		}, caller.CauseForeignAnswer),
+		}, caller.CauseMismatchedAnswer),
 		Entry("checksum of another body", caller.KindUpload, func(http.ResponseWriter) {}, caller.CauseWrongContent),
 		Entry("content of another request", caller.KindDownload, func(writer http.ResponseWriter) {
 			_, _ = writer.Write(exchange.Content("flow-2-0", 12000))
@@ -157,26 +157,26 @@
 		Entry("answer cut short", caller.KindDownload, func(writer http.ResponseWriter) {
 			writer.Header().Set("Content-Length", "12000")
 			_, _ = writer.Write(exchange.Content("flow-1-0", 6000))
-		}, caller.CauseCutShort),
+		}, caller.CauseTruncated),
 	)
 })
 
 var _ = Describe("Backend", func() {
 	It("sheds a submission for which it has no slot and does not run it", func() {
-		ledger := backend.NewLedger()
+		ledger := backend.NewRecorder()
 		server := startBackend(backend.Settings{
-			Service: "audio", Name: "audio-1", Ledger: ledger, Slots: 1, WorkTime: time.Hour,
+			Service: "audio", Name: "audio-1", Recorder: ledger, Slots: 1, WorkTime: time.Hour,
 		})
 		client := newClient(server.Address)
 		holding, release := context.WithCancel(context.Background())
 		held := make(chan caller.Result, 1)
 		go func() { held <- client.Run(holding, plan(caller.KindSubmit)) }()
-		Eventually(func() bool { return ledger.Ran("flow-1-0") }, "30s").Should(BeTrue())
+		Eventually(func() bool { return ledger.HasRun("flow-1-0") }, "30s").Should(BeTrue())
 		second := plan(caller.KindSubmit)
 		second.ID = "flow-2"
 		result := client.Run(context.Background(), second)
 		Expect(result.Outcome).To(Equal(caller.OutcomeRefused))
-		Expect(ledger.Ran(result.Request)).To(BeFalse())
+		Expect(ledger.HasRun(result.Request)).To(BeFalse())
 		Expect(server.Counters().Shed).To(BeEquivalentTo(1))
 		release()
 		Eventually(held, "30s").Should(Receive(HaveField("Cause", caller.CauseCancelled)))
--- a/bench/caller/datagram.go
+++ b/bench/caller/datagram.go
@@ -73,7 +73,7 @@
 		if answer.Service != f.plan.Service.Name {
 			return &failed{OutcomeBroken, CauseWrongService, errors.Errorf("answer of service %q", answer.Service)}
 		}
-		f.result.Answers = append(f.result.Answers, time.Since(started))
+		f.result.AnswerTimes = append(f.result.AnswerTimes, time.Since(started))
 		return f.result.checkBackend(answer.Backend)
 	}
 	return &failed{OutcomeBroken, CauseStalled, errors.Errorf("no answer to %s", request.Request)}
--- a/bench/caller/datagram_test.go
+++ b/bench/caller/datagram_test.go
@@ -75,19 +75,19 @@
 	}
 
 	It("completes on one back end", func() {
-		ledger := backend.NewLedger()
-		server := startDatagramBackend(backend.Settings{Service: "audio", Name: "audio-1", Ledger: ledger})
+		ledger := backend.NewRecorder()
+		server := startDatagramBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: ledger})
 		result := runDatagrams(server.Address(), 30*time.Second)
 		Expect(result.Outcome).To(Equal(caller.OutcomeCompleted), result.Detail)
 		Expect(result.Backend).To(Equal("audio-1"))
-		Expect(result.Answers).To(HaveLen(4))
+		Expect(result.AnswerTimes).To(HaveLen(4))
 		Expect(ledger.BackendsOf("flow-1")).To(Equal([]string{"audio-1"}))
 		Expect(server.Counters().Accepted).To(BeEquivalentTo(1))
 	})
 
 	It("notices a request that reached another service", func() {
-		ledger := backend.NewLedger()
-		server := startDatagramBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Ledger: ledger})
+		ledger := backend.NewRecorder()
+		server := startDatagramBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Recorder: ledger})
 		Expect(runDatagrams(server.Address(), 30*time.Second).Cause).To(Equal(caller.CauseWrongService))
 		Expect(ledger.Totals().Misdelivered).To(Equal(1))
 	})
--- a/bench/caller/failure.go
+++ b/bench/caller/failure.go
@@ -49,7 +49,7 @@
 	case strings.Contains(text, textReset), strings.Contains(text, textAborted):
 		return &failed{OutcomeBroken, CauseReset, err}
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return &failed{OutcomeBroken, CauseCutShort, err}
+		return &failed{OutcomeBroken, CauseTruncated, err}
 	}
 	return &failed{OutcomeBroken, CauseReset, err}
 }
--- a/bench/caller/flow.go
+++ b/bench/caller/flow.go
@@ -78,10 +78,10 @@
 	CauseShed             Cause = "shed"
 	CauseStalled          Cause = "stalled"
 	CauseReset            Cause = "reset"
-	CauseCutShort         Cause = "cut_short"
+	CauseTruncated        Cause = "cut_short"
 	CauseWrongStatus      Cause = "wrong_status"
 	CauseWrongService     Cause = "wrong_service"
-	CauseForeignAnswer    Cause = "foreign_answer"
+	CauseMismatchedAnswer Cause = "foreign_answer"
 	CauseWrongContent     Cause = "wrong_content"
 	CauseBackendChanged   Cause = "backend_changed"
 	CauseCancelled        Cause = "cancelled"
@@ -101,11 +101,11 @@
 	Backend string
 	// Request is the last request that was sent.
 	Request string
-	// Opening is how long the handshake took.
-	Opening time.Duration
-	// Answers are the times from sending a poll or a submission to the end of
+	// HandshakeTime is how long the handshake took.
+	HandshakeTime time.Duration
+	// AnswerTimes are the times from sending a poll or a submission to the end of
 	// its answer.
-	Answers []time.Duration
+	AnswerTimes []time.Duration
 	// Started is when the handshake began and Ended when the flow ended.
 	Started time.Time
 	Ended   time.Time
--- a/bench/experiment/apply.go
+++ b/bench/experiment/apply.go
@@ -24,9 +24,9 @@
 	balancerExitLimit = 5 * time.Second
 )
 
-// Play applies the events at their times. It returns when the last one has
+// ApplyEvents applies the events at their times. It returns when the last one has
 // been applied or ctx ends.
-func (c *Cluster) Play(ctx context.Context, events []Event) {
+func (c *Cluster) ApplyEvents(ctx context.Context, events []Event) {
 	start := time.Now()
 	for _, event := range events {
 		if !timing.Sleep(ctx, time.Until(start.Add(event.At))) {
@@ -75,11 +75,11 @@
 	case EventAgentResume:
 		return c.endpointNamed(event.Target).process.Resume()
 	case EventPlatformDown:
-		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.Skew, Down: true})
+		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.RevisionSkew, Down: true})
 	case EventPlatformStale:
-		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.Skew, Stale: true})
+		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.RevisionSkew, Stale: true})
 	case EventPlatformRecover:
-		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.Skew})
+		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.RevisionSkew})
 	}
 	return nil
 }
--- a/bench/experiment/cluster.go
+++ b/bench/experiment/cluster.go
@@ -44,7 +44,7 @@
 	platform *platform.Platform
 	fabric   *fabric.Fabric
 	fleet    *fleet.Fleet
-	ledger   *backend.Ledger
+	ledger   *backend.Recorder
 	stack    *caller.Stack
 	client   *caller.Client
 	openings *openings
@@ -83,7 +83,7 @@
 func NewCluster(ctx context.Context, options Options) (*Cluster, error) {
 	cluster := &Cluster{
 		options:  options,
-		ledger:   backend.NewLedger(),
+		ledger:   backend.NewRecorder(),
 		expected: make(map[*fleet.Process]expectedExit),
 		started:  time.Now(),
 	}
@@ -179,7 +179,7 @@
 	for i, name := range service.endpointNames() {
 		created, err := newServer(service, backend.Settings{
 			Service: service.Name, Name: name, Listen: fleet.AnyPort(),
-			Slots: service.Slots, WorkTime: submissionTime, Ledger: c.ledger,
+			Slots: service.Slots, WorkTime: submissionTime, Recorder: c.ledger,
 		})
 		if err != nil {
 			return err
@@ -227,7 +227,7 @@
 		}
 	}
 	c.publishMachines()
-	c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.Skew})
+	c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.RevisionSkew})
 	if err := c.waitHealthy(ctx); err != nil {
 		return err
 	}
--- a/bench/experiment/departure.go
+++ b/bench/experiment/departure.go
@@ -44,7 +44,7 @@
 
 // countLate counts the acceptances by back ends that had been leaving for longer
 // than the grace.
-func countLate(connections [][]backend.Sighting, departures []departure, grace time.Duration) int {
+func countLate(connections [][]backend.FirstContact, departures []departure, grace time.Duration) int {
 	late := 0
 	for _, accepted := range connections {
 		for _, sighting := range accepted {
@@ -56,7 +56,7 @@
 	return late
 }
 
-func isLate(sighting backend.Sighting, departures []departure, grace time.Duration) bool {
+func isLate(sighting backend.FirstContact, departures []departure, grace time.Duration) bool {
 	return slices.ContainsFunc(departures, func(left departure) bool {
 		over := !left.until.IsZero() && !sighting.At.Before(left.until)
 		return left.backend == sighting.Backend && sighting.At.After(left.from.Add(grace)) && !over
--- a/bench/experiment/event.go
+++ b/bench/experiment/event.go
@@ -62,15 +62,15 @@
 	Description string
 	// Kinds are the events to draw from.
 	Kinds []EventKind
-	// AtOnce is the number of events that happen at the same moment.
-	AtOnce int
+	// BatchSize is the number of events that happen at the same moment.
+	BatchSize int
 	// Spacing is the mean time between events.
 	Spacing time.Duration
 	// Network disturbs the packets in both directions.
 	Network fabric.Impairment
-	// Skew is the longest time by which a table revision reaches one balancer
+	// RevisionSkew is the longest time by which a table revision reaches one balancer
 	// later than another.
-	Skew time.Duration
+	RevisionSkew time.Duration
 }
 
 const (
@@ -106,21 +106,21 @@
 	}
 	return []Experiment{
 		{Name: "steady", Description: "no events; imbalance and answer times"},
-		{Name: "balancers", Description: "balancers join, leave, die and pause", Kinds: balancerKinds, AtOnce: 1, Spacing: defaultSpacing},
-		{Name: "planned", Description: "planned changes of balancers and back ends", Kinds: plannedKinds, AtOnce: 1, Spacing: defaultSpacing},
-		{Name: "revisions", Description: "table changes that reach balancers seconds apart", Kinds: tableKinds, AtOnce: 1, Spacing: defaultSpacing, Skew: revisionSkew},
-		{Name: "stalls", Description: "paused agents and balancers, the platform down or stale, and table changes", Kinds: stallKinds, AtOnce: 2, Spacing: defaultSpacing, Skew: revisionSkew},
+		{Name: "balancers", Description: "balancers join, leave, die and pause", Kinds: balancerKinds, BatchSize: 1, Spacing: defaultSpacing},
+		{Name: "planned", Description: "planned changes of balancers and back ends", Kinds: plannedKinds, BatchSize: 1, Spacing: defaultSpacing},
+		{Name: "revisions", Description: "table changes that reach balancers seconds apart", Kinds: tableKinds, BatchSize: 1, Spacing: defaultSpacing, RevisionSkew: revisionSkew},
+		{Name: "stalls", Description: "paused agents and balancers, the platform down or stale, and table changes", Kinds: stallKinds, BatchSize: 2, Spacing: defaultSpacing, RevisionSkew: revisionSkew},
 		// Callers of a killed agent's flows may notice only after the progress
 		// timeout, so the short demo kills none.
-		{Name: "demo", Description: "churn without killed agents, two events at once", Kinds: demoKinds, AtOnce: 2, Spacing: defaultSpacing, Skew: revisionSkew},
-		{Name: "churn", Description: "every kind of event, two at once, revisions seconds apart", Kinds: allKinds, AtOnce: 2, Spacing: defaultSpacing, Skew: revisionSkew},
-		{Name: "lossy", Description: "churn with loss, duplication and reordering", Kinds: allKinds, AtOnce: 2, Spacing: defaultSpacing, Skew: revisionSkew, Network: lossy},
+		{Name: "demo", Description: "churn without killed agents, two events at once", Kinds: demoKinds, BatchSize: 2, Spacing: defaultSpacing, RevisionSkew: revisionSkew},
+		{Name: "churn", Description: "every kind of event, two at once, revisions seconds apart", Kinds: allKinds, BatchSize: 2, Spacing: defaultSpacing, RevisionSkew: revisionSkew},
+		{Name: "lossy", Description: "churn with loss, duplication and reordering", Kinds: allKinds, BatchSize: 2, Spacing: defaultSpacing, RevisionSkew: revisionSkew, Network: lossy},
 	}
 }
 
-// ExperimentNamed returns the experiment of that name. It fails for an unknown
+// ExperimentByName returns the experiment of that name. It fails for an unknown
 // name.
-func ExperimentNamed(name string) (Experiment, error) {
+func ExperimentByName(name string) (Experiment, error) {
 	for _, experiment := range Experiments() {
 		if experiment.Name == name {
 			return experiment, nil
--- a/bench/experiment/export_test.go
+++ b/bench/experiment/export_test.go
@@ -27,7 +27,7 @@
 }
 
 // NewReport gives tests newReport.
-func NewReport(ledger *backend.Ledger, acceptances []Acceptance, results []caller.Result, kills []Kill) Report {
+func NewReport(ledger *backend.Recorder, acceptances []Acceptance, results []caller.Result, kills []Kill) Report {
 	backendOf := make(map[netip.AddrPort]string)
 	seen := evidence{ledger: ledger, results: results, openings: newOpenings(backendOf)}
 	for _, exported := range acceptances {
@@ -59,6 +59,6 @@
 	for _, exported := range departures {
 		left = append(left, departure{backend: exported.Backend, from: exported.From, until: exported.Until})
 	}
-	sightings := [][]backend.Sighting{{{Backend: accepted.Backend, At: accepted.At}}}
+	sightings := [][]backend.FirstContact{{{Backend: accepted.Backend, At: accepted.At}}}
 	return countLate(sightings, left, lateAfter)
 }
--- a/bench/experiment/openings.go
+++ b/bench/experiment/openings.go
@@ -26,14 +26,14 @@
 	backendOf map[netip.AddrPort]string
 
 	mutex    sync.Mutex
-	accepted map[connection][]backend.Sighting
+	accepted map[connection][]backend.FirstContact
 	byCaller map[netip.AddrPort][]connection
 }
 
 func newOpenings(backendOf map[netip.AddrPort]string) *openings {
 	return &openings{
 		backendOf: backendOf,
-		accepted:  make(map[connection][]backend.Sighting),
+		accepted:  make(map[connection][]backend.FirstContact),
 		byCaller:  make(map[netip.AddrPort][]connection),
 	}
 }
@@ -47,7 +47,7 @@
 	if !exists {
 		o.byCaller[opening.Caller] = append(o.byCaller[opening.Caller], key)
 	}
-	o.accepted[key] = backend.AddSighting(seen, o.backendOf[opening.Agent], at)
+	o.accepted[key] = backend.AddFirstContact(seen, o.backendOf[opening.Agent], at)
 }
 
 // acceptors names the back ends whose agents accepted a connection of the
@@ -68,10 +68,10 @@
 }
 
 // all returns the acceptances of every connection.
-func (o *openings) all() [][]backend.Sighting {
+func (o *openings) all() [][]backend.FirstContact {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	connections := make([][]backend.Sighting, 0, len(o.accepted))
+	connections := make([][]backend.FirstContact, 0, len(o.accepted))
 	for _, accepted := range o.accepted {
 		connections = append(connections, slices.Clone(accepted))
 	}
@@ -80,7 +80,7 @@
 
 // countDouble counts the flows that two back ends had to do with although the
 // agent of the earlier one had not been killed in between.
-func countDouble(flows [][]backend.Sighting, kills []kill) int {
+func countDouble(flows [][]backend.FirstContact, kills []kill) int {
 	double := 0
 	for _, seen := range flows {
 		if seenTwice(seen, kills) {
@@ -90,7 +90,7 @@
 	return double
 }
 
-func seenTwice(seen []backend.Sighting, kills []kill) bool {
+func seenTwice(seen []backend.FirstContact, kills []kill) bool {
 	for i := 1; i < len(seen); i++ {
 		earlier, later := seen[i-1], seen[i]
 		died := slices.ContainsFunc(kills, func(k kill) bool {
--- a/bench/experiment/report.go
+++ b/bench/experiment/report.go
@@ -41,15 +41,15 @@
 	// whose agent the schedule killed during the flow.
 	BrokenByEndpointKill int `json:"broken_by_endpoint_kill"`
 	// NotOpened is the number of flows whose handshake got no answer.
-	NotOpened    int `json:"not_opened"`
-	Misdelivered int `json:"misdelivered"`
-	DoubleOpened int `json:"double_opened"`
-	DoubleRuns   int `json:"double_runs"`
-	// LateAdmissions is the number of connections accepted by back ends that
+	NotOpened              int `json:"not_opened"`
+	Misdelivered           int `json:"misdelivered"`
+	FlowsOnSeveralBackends int `json:"double_opened"`
+	DuplicateRuns          int `json:"double_runs"`
+	// LateConnections is the number of connections accepted by back ends that
 	// had been leaving for more than three seconds, not counting the skew of
 	// the experiment.
-	LateAdmissions int `json:"late_admissions"`
-	Refused        int `json:"refused"`
+	LateConnections int `json:"late_admissions"`
+	Refused         int `json:"refused"`
 	// FalseRefusals is the number of refused requests that ran.
 	FalseRefusals int `json:"false_refusals"`
 	// Imbalance is the mean of the worst service's imbalance before the
@@ -58,12 +58,12 @@
 	ImbalancePeak  float64 `json:"imbalance_peak"`
 	ImbalanceFlows int64   `json:"imbalance_flows"`
 	Events         int     `json:"events"`
-	// P50 and P99 are times from a poll or submission to its answer.
-	P50 float64 `json:"p50_ms"`
-	P99 float64 `json:"p99_ms"`
-	// OpenP50 and OpenP99 are times of handshakes.
-	OpenP50 float64 `json:"open_p50_ms"`
-	OpenP99 float64 `json:"open_p99_ms"`
+	// AnswerP50 and P99 are times from a poll or submission to its answer.
+	AnswerP50 float64 `json:"p50_ms"`
+	AnswerP99 float64 `json:"p99_ms"`
+	// HandshakeP50 and OpenP99 are times of handshakes.
+	HandshakeP50 float64 `json:"open_p50_ms"`
+	HandshakeP99 float64 `json:"open_p99_ms"`
 	// UnusedConnections is the number of connections that reached a back end
 	// and carried no request.
 	UnusedConnections int64           `json:"unused_connections"`
@@ -73,31 +73,31 @@
 	Seconds           float64         `json:"seconds"`
 }
 
-// Promise is a rule that a run keeps or breaks.
-type Promise struct {
-	Name   string
-	Broken int
+// Guarantee is a rule that a run keeps or breaks.
+type Guarantee struct {
+	Name       string
+	Violations int
 }
 
-// Promises lists the rules and how often each was broken.
-func (r Report) Promises() []Promise {
-	return []Promise{
+// Guarantees lists the rules and how often each was broken.
+func (r Report) Guarantees() []Guarantee {
+	return []Guarantee{
 		{"established flows survive", r.BrokenFlows},
 		{"every flow opens or is refused", r.NotOpened},
 		{"requests reach their own service", r.Misdelivered},
-		{"a flow opens on one back end", r.DoubleOpened},
-		{"a submission runs at most once", r.DoubleRuns},
+		{"a flow opens on one back end", r.FlowsOnSeveralBackends},
+		{"a submission runs at most once", r.DuplicateRuns},
 		{"a refused request has not run", r.FalseRefusals},
-		{"a leaving back end gets no new flows", r.LateAdmissions},
+		{"a leaving back end gets no new flows", r.LateConnections},
 		{"daemons end only as planned", len(r.Faults)},
 	}
 }
 
-// Kept reports whether no promise was broken and enough flows were open to
+// Passed reports whether no promise was broken and enough flows were open to
 // tell.
-func (r Report) Kept() bool {
-	for _, promise := range r.Promises() {
-		if promise.Broken > 0 {
+func (r Report) Passed() bool {
+	for _, promise := range r.Guarantees() {
+		if promise.Violations > 0 {
 			return false
 		}
 	}
@@ -144,7 +144,7 @@
 type evidence struct {
 	options Options
 	results []caller.Result
-	ledger  *backend.Ledger
+	ledger  *backend.Recorder
 	// openings are the acceptances of connections by agents.
 	openings   *openings
 	kills      []kill
@@ -156,17 +156,17 @@
 func newReport(seen evidence) Report {
 	totals := seen.ledger.Totals()
 	report := Report{
-		Experiment:     seen.options.Experiment.Name,
-		Shape:          seen.options.Shape.Name,
-		Baseline:       seen.options.Baseline,
-		Seed:           seen.options.Seed,
-		Flows:          len(seen.results),
-		Misdelivered:   totals.Misdelivered,
-		DoubleOpened:   max(countDouble(seen.ledger.Flows(), seen.kills), countDouble(seen.openings.all(), seen.kills)),
-		DoubleRuns:     totals.DoubleRuns,
-		LateAdmissions: countLate(seen.openings.all(), seen.departures, lateAfter+seen.options.Experiment.Skew),
-		Causes:         countCauses(seen.results),
-		Faults:         seen.faults,
+		Experiment:             seen.options.Experiment.Name,
+		Shape:                  seen.options.Shape.Name,
+		Baseline:               seen.options.Baseline,
+		Seed:                   seen.options.Seed,
+		Flows:                  len(seen.results),
+		Misdelivered:           totals.Misdelivered,
+		FlowsOnSeveralBackends: max(countDouble(seen.ledger.Flows(), seen.kills), countDouble(seen.openings.all(), seen.kills)),
+		DuplicateRuns:          totals.DuplicateRuns,
+		LateConnections:        countLate(seen.openings.all(), seen.departures, lateAfter+seen.options.Experiment.RevisionSkew),
+		Causes:                 countCauses(seen.results),
+		Faults:                 seen.faults,
 	}
 	for _, result := range seen.results {
 		seen.count(&report, result)
@@ -183,7 +183,7 @@
 		report.NotOpened++
 	case caller.OutcomeRefused:
 		report.Refused++
-		if e.ledger.Ran(result.Request) {
+		if e.ledger.HasRun(result.Request) {
 			report.FalseRefusals++
 		}
 	case caller.OutcomeBroken:
@@ -209,14 +209,14 @@
 	answers, openings := newLatencies(), newLatencies()
 	for _, result := range results {
 		if result.Outcome == caller.OutcomeCompleted {
-			openings.add(result.Opening)
+			openings.add(result.HandshakeTime)
 		}
-		for _, answer := range result.Answers {
+		for _, answer := range result.AnswerTimes {
 			answers.add(answer)
 		}
 	}
-	report.P50, report.P99 = answers.milliseconds(medianPercent), answers.milliseconds(tailPercent)
-	report.OpenP50, report.OpenP99 = openings.milliseconds(medianPercent), openings.milliseconds(tailPercent)
+	report.AnswerP50, report.AnswerP99 = answers.milliseconds(medianPercent), answers.milliseconds(tailPercent)
+	report.HandshakeP50, report.HandshakeP99 = openings.milliseconds(medianPercent), openings.milliseconds(tailPercent)
 }
 
 func countCauses(results []caller.Result) []CauseCount {
--- a/bench/experiment/report_test.go
+++ b/bench/experiment/report_test.go
@@ -23,9 +23,9 @@
 )
 
 // submitTo makes a back end see one submission of the flow.
-func submitTo(ledger *backend.Ledger, name, service string) {
+func submitTo(ledger *backend.Recorder, name, service string) {
 	server, err := backend.New(backend.Settings{
-		Service: "audio", Name: name, Ledger: ledger, Listen: netip.MustParseAddrPort("127.0.0.1:0"),
+		Service: "audio", Name: name, Recorder: ledger, Listen: netip.MustParseAddrPort("127.0.0.1:0"),
 	})
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -58,12 +58,12 @@
 
 	DescribeTable("counts each flow once",
 		func(outcome caller.Outcome, kills []experiment.Kill, expected experiment.Report) {
-			ledger := backend.NewLedger()
+			ledger := backend.NewRecorder()
 			submitTo(ledger, testBackend, "audio")
 			report := experiment.NewReport(ledger, nil, []caller.Result{ended(outcome)}, kills)
 			expected.Flows = 1
 			expected.Causes = report.Causes
-			expected.OpenP50, expected.OpenP99 = report.OpenP50, report.OpenP99
+			expected.HandshakeP50, expected.HandshakeP99 = report.HandshakeP50, report.HandshakeP99
 			Expect(report).To(Equal(expected))
 		},
 		Entry("completed", caller.OutcomeCompleted, nil, experiment.Report{Completed: 1}),
@@ -87,7 +87,7 @@
 		func(acceptances []experiment.Acceptance, kills []experiment.Kill, byKill int) {
 			result := ended(caller.OutcomeBroken)
 			result.Caller = callerAddress
-			report := experiment.NewReport(backend.NewLedger(), acceptances, []caller.Result{result}, kills)
+			report := experiment.NewReport(backend.NewRecorder(), acceptances, []caller.Result{result}, kills)
 			Expect(report.BrokenByEndpointKill).To(Equal(byKill))
 			Expect(report.BrokenFlows).To(Equal(1 - byKill))
 		},
@@ -100,8 +100,8 @@
 
 	DescribeTable("counts connections that two agents accepted",
 		func(acceptances []experiment.Acceptance, kills []experiment.Kill, expected int) {
-			report := experiment.NewReport(backend.NewLedger(), acceptances, nil, kills)
-			Expect(report.DoubleOpened).To(Equal(expected))
+			report := experiment.NewReport(backend.NewRecorder(), acceptances, nil, kills)
+			Expect(report.FlowsOnSeveralBackends).To(Equal(expected))
 		},
 		Entry("none", nil, nil, 0),
 		Entry("one agent, repeated",
@@ -119,39 +119,39 @@
 	type faults struct{ DoubleOpened, DoubleRuns, Misdelivered int }
 
 	DescribeTable("counts faults of the ledger",
-		func(prepare func(*backend.Ledger), expected faults) {
-			ledger := backend.NewLedger()
+		func(prepare func(*backend.Recorder), expected faults) {
+			ledger := backend.NewRecorder()
 			prepare(ledger)
 			report := experiment.NewReport(ledger, nil, nil, nil)
 			Expect(faults{
-				DoubleOpened: report.DoubleOpened, DoubleRuns: report.DoubleRuns, Misdelivered: report.Misdelivered,
+				DoubleOpened: report.FlowsOnSeveralBackends, DoubleRuns: report.DuplicateRuns, Misdelivered: report.Misdelivered,
 			}).To(Equal(expected))
 		},
-		Entry("nothing", func(*backend.Ledger) {}, faults{}),
-		Entry("one run", func(ledger *backend.Ledger) { submitTo(ledger, "audio-1", "audio") }, faults{}),
-		Entry("two runs on one back end", func(ledger *backend.Ledger) {
+		Entry("nothing", func(*backend.Recorder) {}, faults{}),
+		Entry("one run", func(ledger *backend.Recorder) { submitTo(ledger, "audio-1", "audio") }, faults{}),
+		Entry("two runs on one back end", func(ledger *backend.Recorder) {
 			submitTo(ledger, "audio-1", "audio")
 			submitTo(ledger, "audio-1", "audio")
 		}, faults{DoubleRuns: 1}),
-		Entry("two back ends", func(ledger *backend.Ledger) {
+		Entry("two back ends", func(ledger *backend.Recorder) {
 			submitTo(ledger, "audio-1", "audio")
 			submitTo(ledger, "audio-2", "audio")
 		}, faults{DoubleOpened: 1, DoubleRuns: 1}),
-		Entry("another service", func(ledger *backend.Ledger) { submitTo(ledger, "audio-1", "transcription") }, faults{Misdelivered: 1}),
+		Entry("another service", func(ledger *backend.Recorder) { submitTo(ledger, "audio-1", "transcription") }, faults{Misdelivered: 1}),
 	)
 
 	DescribeTable("is kept only without a broken promise",
 		func(spoil func(*experiment.Report), kept bool) {
 			report := experiment.Report{Flows: 1000, Completed: 1000, ImbalanceFlows: experiment.MinimumOpenFlows, BrokenByEndpointKill: 5, Refused: 3}
 			spoil(&report)
-			Expect(report.Kept()).To(Equal(kept))
+			Expect(report.Passed()).To(Equal(kept))
 		},
 		Entry("all kept", func(*experiment.Report) {}, true),
 		Entry("broken flow", func(r *experiment.Report) { r.BrokenFlows = 1 }, false),
 		Entry("flow not opened", func(r *experiment.Report) { r.NotOpened = 1 }, false),
 		Entry("misdelivered request", func(r *experiment.Report) { r.Misdelivered = 1 }, false),
-		Entry("double opened flow", func(r *experiment.Report) { r.DoubleOpened = 1 }, false),
-		Entry("double run", func(r *experiment.Report) { r.DoubleRuns = 1 }, false),
+		Entry("double opened flow", func(r *experiment.Report) { r.FlowsOnSeveralBackends = 1 }, false),
+		Entry("double run", func(r *experiment.Report) { r.DuplicateRuns = 1 }, false),
 		Entry("false refusal", func(r *experiment.Report) { r.FalseRefusals = 1 }, false),
 		Entry("daemon fault", func(r *experiment.Report) { r.Faults = []string{"ended"} }, false),
 		Entry("too few flows", func(r *experiment.Report) { r.ImbalanceFlows = experiment.MinimumOpenFlows - 1 }, false),
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -38,7 +38,7 @@
 	load := newLoad(cluster.client, options.Seed)
 	imbalance := cluster.openFlows(ctx, load)
 	events := Schedule(options.Shape, options.Experiment, options.Duration, options.Seed)
-	cluster.Play(ctx, events)
+	cluster.ApplyEvents(ctx, events)
 	timing.Sleep(ctx, settleTime)
 	cluster.progress("letting %d flows finish", load.open.Load())
 	load.end()
--- a/bench/experiment/schedule.go
+++ b/bench/experiment/schedule.go
@@ -63,7 +63,7 @@
 	plan := newPlanner(shape, seed)
 	for at := experiment.Spacing / 2; at < duration; at += plan.gap(experiment.Spacing) {
 		plan.recover(at)
-		for range experiment.AtOnce {
+		for range experiment.BatchSize {
 			plan.draw(at, experiment.Kinds)
 		}
 	}
--- a/bench/experiment/schedule_test.go
+++ b/bench/experiment/schedule_test.go
@@ -11,13 +11,13 @@
 )
 
 func shapeNamed(name string) experiment.Shape {
-	shape, err := experiment.ShapeNamed(name)
+	shape, err := experiment.ShapeByName(name)
 	Expect(err).NotTo(HaveOccurred())
 	return shape
 }
 
 func experimentNamed(name string) experiment.Experiment {
-	found, err := experiment.ExperimentNamed(name)
+	found, err := experiment.ExperimentByName(name)
 	Expect(err).NotTo(HaveOccurred())
 	return found
 }
--- a/bench/experiment/shape.go
+++ b/bench/experiment/shape.go
@@ -87,8 +87,8 @@
 	return []Shape{casablanca(), kolkata(), datagrams()}
 }
 
-// ShapeNamed returns the shape of that name. It fails for an unknown name.
-func ShapeNamed(name string) (Shape, error) {
+// ShapeByName returns the shape of that name. It fails for an unknown name.
+func ShapeByName(name string) (Shape, error) {
 	for _, shape := range Shapes() {
 		if shape.Name == name {
 			return shape, nil
--- a/bench/experiment/trace.go
+++ b/bench/experiment/trace.go
@@ -33,8 +33,8 @@
 	// progress lines.
 	Started float64 `json:"started_s"`
 	Ended   float64 `json:"ended_s"`
-	// Opening is the time of the handshake in seconds.
-	Opening float64 `json:"opening_s"`
+	// HandshakeTime is the time of the handshake in seconds.
+	HandshakeTime float64 `json:"opening_s"`
 }
 
 const (
@@ -54,7 +54,7 @@
 	}
 	encoder := json.NewEncoder(file)
 	for _, result := range results {
-		if result.Outcome == caller.OutcomeCompleted && result.Opening < slowOpening {
+		if result.Outcome == caller.OutcomeCompleted && result.HandshakeTime < slowOpening {
 			continue
 		}
 		if err := encoder.Encode(c.flowRecord(result)); err != nil {
@@ -67,17 +67,17 @@
 
 func (c *Cluster) flowRecord(result caller.Result) FlowRecord {
 	return FlowRecord{
-		ID:       result.Plan.ID,
-		Service:  result.Plan.Service.Name,
-		Kind:     result.Plan.Kind,
-		Outcome:  result.Outcome,
-		Cause:    result.Cause,
-		Detail:   result.Detail,
-		Caller:   result.Caller,
-		Accepted: c.openings.acceptors(result.Caller, result.Started, result.Ended),
-		Backends: c.ledger.BackendsOf(result.Plan.ID),
-		Started:  result.Started.Sub(c.started).Seconds(),
-		Ended:    result.Ended.Sub(c.started).Seconds(),
-		Opening:  result.Opening.Seconds(),
+		ID:            result.Plan.ID,
+		Service:       result.Plan.Service.Name,
+		Kind:          result.Plan.Kind,
+		Outcome:       result.Outcome,
+		Cause:         result.Cause,
+		Detail:        result.Detail,
+		Caller:        result.Caller,
+		Accepted:      c.openings.acceptors(result.Caller, result.Started, result.Ended),
+		Backends:      c.ledger.BackendsOf(result.Plan.ID),
+		Started:       result.Started.Sub(c.started).Seconds(),
+		Ended:         result.Ended.Sub(c.started).Seconds(),
+		HandshakeTime: result.HandshakeTime.Seconds(),
 	}
 }
--- a/bench/fleet/settings.go
+++ b/bench/fleet/settings.go
@@ -110,8 +110,8 @@
 
 var settingsTemplate = template.Must(template.New("settings").Parse(settingsText))
 
-// Text returns the settings file.
-func (s Settings) Text() (string, error) {
+// TOML returns the settings file.
+func (s Settings) TOML() (string, error) {
 	var text bytes.Buffer
 	if err := settingsTemplate.Execute(&text, s); err != nil {
 		return "", errors.Wrap(err, "settings")
@@ -122,7 +122,7 @@
 const settingsFileMode = 0o600
 
 func (s Settings) write(path string) error {
-	text, err := s.Text()
+	text, err := s.TOML()
 	if err != nil {
 		return err
 	}
--- a/bench/fleet/settings_test.go
+++ b/bench/fleet/settings_test.go
@@ -23,7 +23,7 @@
 	}
 
 	parse := func(written fleet.Settings) *settings.Settings {
-		text, err := written.Text()
+		text, err := written.TOML()
 		Expect(err).NotTo(HaveOccurred())
 		parsed, err := settings.Parse("test.toml", []byte(text))
 		Expect(err).NotTo(HaveOccurred(), text)
--- a/bench/soak/ledger.go
+++ b/bench/soak/checker.go
@@ -28,31 +28,31 @@
 	keptCauses = 20
 )
 
-// Broken counts broken promises.
-type Broken struct {
-	// ResetOpen: an open flow was reset though its endpoint holds it.
-	ResetOpen int `json:"reset_open"`
-	// Misrouted: packets of an open flow went to other endpoints.
-	Misrouted int `json:"misrouted"`
-	// DoubleRuns: a request that must not be repeated ran twice.
-	DoubleRuns int `json:"double_runs"`
-	// LateOpenings: an endpoint that leaves got a new flow.
-	LateOpenings int `json:"late_openings"`
-	// ClosedOpenings: an endpoint of a closed zone got a new flow.
-	ClosedOpenings int `json:"closed_openings"`
-	// Forged: a packet arrived not as it was written.
-	Forged int `json:"forged"`
-	// Mixed: a client got the answer to another request.
-	Mixed int `json:"mixed"`
-	// OwnExits: a daemon ended that nobody ended.
-	OwnExits int `json:"own_exits"`
+// Violations counts broken promises.
+type Violations struct {
+	// ResetOpenFlows: an open flow was reset though its endpoint holds it.
+	ResetOpenFlows int `json:"reset_open"`
+	// MisroutedFlows: packets of an open flow went to other endpoints.
+	MisroutedFlows int `json:"misrouted"`
+	// DuplicateRuns: a request that must not be repeated ran twice.
+	DuplicateRuns int `json:"double_runs"`
+	// LateDrainFlows: an endpoint that leaves got a new flow.
+	LateDrainFlows int `json:"late_openings"`
+	// ClosedZoneFlows: an endpoint of a closed zone got a new flow.
+	ClosedZoneFlows int `json:"closed_openings"`
+	// InvalidPackets: a packet arrived not as it was written.
+	InvalidPackets int `json:"forged"`
+	// MismatchedAnswers: a client got the answer to another request.
+	MismatchedAnswers int `json:"mixed"`
+	// UnexpectedExits: a daemon ended that nobody ended.
+	UnexpectedExits int `json:"own_exits"`
 	// Unrecovered: too few requests were served after the last fault.
 	Unrecovered int `json:"unrecovered"`
 }
 
 // Total returns the number of broken promises.
-func (b Broken) Total() int {
-	return b.ResetOpen + b.Misrouted + b.DoubleRuns + b.LateOpenings + b.ClosedOpenings + b.Forged + b.Mixed + b.OwnExits + b.Unrecovered
+func (b Violations) Total() int {
+	return b.ResetOpenFlows + b.MisroutedFlows + b.DuplicateRuns + b.LateDrainFlows + b.ClosedZoneFlows + b.InvalidPackets + b.MismatchedAnswers + b.UnexpectedExits + b.Unrecovered
 }
 
 // flowRecord is what the ledger knows of a flow.
@@ -70,7 +70,7 @@
 	now func() time.Duration
 
 	mutex     sync.Mutex
-	broken    Broken
+	broken    Violations
 	causes    []string
 	flows     map[segment.FlowKey]*flowRecord
 	runs      map[uint64]int
@@ -113,19 +113,19 @@
 func (l *ledger) ownExit(name string, code int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.breaks(&l.broken.OwnExits, "%s ended by itself with code %d", name, code)
+	l.breaks(&l.broken.UnexpectedExits, "%s ended by itself with code %d", name, code)
 }
 
 func (l *ledger) forged(where string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.breaks(&l.broken.Forged, "a packet that its sender did not write reached %s", where)
+	l.breaks(&l.broken.InvalidPackets, "a packet that its sender did not write reached %s", where)
 }
 
 func (l *ledger) mixed(key segment.FlowKey) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.breaks(&l.broken.Mixed, "flow %v got the answer to another request", key)
+	l.breaks(&l.broken.MismatchedAnswers, "flow %v got the answer to another request", key)
 }
 
 // opened tells that an endpoint has the end of a handshake.
@@ -159,7 +159,7 @@
 	spans := len(record.astray) >= misroutedPackets && l.now()-record.astray[0] >= misroutedAfter
 	if spans && !record.misrouted && l.calm() {
 		record.misrouted = true
-		l.breaks(&l.broken.Misrouted, "flow %v of %s: packets at others since %v", key, record.endpoint.id, record.astray[first])
+		l.breaks(&l.broken.MisroutedFlows, "flow %v of %s: packets at others since %v", key, record.endpoint.id, record.astray[first])
 	}
 }
 
@@ -171,7 +171,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if record, open := l.flows[key]; open && record.endpoint.alive() {
-		l.breaks(&l.broken.ResetOpen, "flow %v of %s was reset", key, record.endpoint.id)
+		l.breaks(&l.broken.ResetOpenFlows, "flow %v of %s was reset", key, record.endpoint.id)
 	}
 }
 
@@ -181,7 +181,7 @@
 	defer l.mutex.Unlock()
 	l.runs[request]++
 	if !repeatable && l.runs[request] > 1 {
-		l.breaks(&l.broken.DoubleRuns, "request %d ran %d times", request, l.runs[request])
+		l.breaks(&l.broken.DuplicateRuns, "request %d ran %d times", request, l.runs[request])
 	}
 }
 
@@ -216,12 +216,12 @@
 	defer l.mutex.Unlock()
 	closed := zone == l.closedZone && zone != "" && l.now()-l.closedSince > closeTimeout+drainSlack
 	if closed && l.disturbed < l.closedSince-calmTime {
-		l.breaks(&l.broken.ClosedOpenings, "%s got a new flow %v after %s was closed", id, l.now()-l.closedSince, zone)
+		l.breaks(&l.broken.ClosedZoneFlows, "%s got a new flow %v after %s was closed", id, l.now()-l.closedSince, zone)
 	}
 	since, leaving := l.leaving[id]
 	late := leaving && l.now()-since > drainTimeout+drainSlack
 	if late && l.disturbed < since-calmTime {
-		l.breaks(&l.broken.LateOpenings, "%s got a new flow %v after it had begun to leave", id, l.now()-since)
+		l.breaks(&l.broken.LateDrainFlows, "%s got a new flow %v after it had begun to leave", id, l.now()-since)
 	}
 }
 
@@ -253,12 +253,12 @@
 const recoveredShare = 0.99
 
 // conclude returns the verdict.
-func (l *ledger) conclude(report *Outcome) {
+func (l *ledger) conclude(report *Result) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if float64(l.judgedLost) > (1-recoveredShare)*float64(l.judgedAsked) || l.judgedAsked == 0 {
 		l.breaks(&l.broken.Unrecovered, "%d of %d requests after the last fault were not served", l.judgedLost, l.judgedAsked)
 	}
-	report.Asked, report.Served = l.asked, l.served
-	report.Broken, report.Causes = l.broken, l.causes
+	report.Requests, report.Served = l.asked, l.served
+	report.Violations, report.Descriptions = l.broken, l.causes
 }
--- a/bench/soak/fault.go
+++ b/bench/soak/fault.go
@@ -55,10 +55,10 @@
 	{name: "configuration changes", calm: true, run: func(ctx context.Context, w *world, random *rand.Rand) {
 		w.configure()
 	}},
-	{name: "store link delayed", run: linkFault(LinkDelayed)},
-	{name: "store link deaf", run: linkFault(LinkDeaf)},
-	{name: "store link mute", run: linkFault(LinkMute)},
-	{name: "store link silent", run: linkFault(LinkSilent)},
+	{name: "store link delayed", run: linkFault(ProxyDelayed)},
+	{name: "store link deaf", run: linkFault(ProxyResponsesBlocked)},
+	{name: "store link mute", run: linkFault(ProxyRequestsBlocked)},
+	{name: "store link silent", run: linkFault(ProxyBlocked)},
 	{name: "store links reset", run: func(ctx context.Context, w *world, random *rand.Rand) {
 		for _, link := range w.links {
 			link.Reset()
@@ -66,7 +66,7 @@
 	}},
 	{name: "store connections silent", run: func(ctx context.Context, w *world, random *rand.Rand) {
 		for _, link := range w.links {
-			link.Hush()
+			link.StallOpen()
 		}
 	}},
 	{name: "zone closed", calm: true, run: func(ctx context.Context, w *world, random *rand.Rand) {
@@ -113,7 +113,7 @@
 }
 
 // linkFault lets the links of one or more balancers to the store fail.
-func linkFault(mode LinkMode) func(context.Context, *world, *rand.Rand) {
+func linkFault(mode ProxyMode) func(context.Context, *world, *rand.Rand) {
 	return func(ctx context.Context, w *world, random *rand.Rand) {
 		victims := random.Perm(len(w.links))[:1+random.IntN(len(w.links))]
 		lasts := between(random, time.Second, 6*time.Second)
@@ -122,7 +122,7 @@
 		}
 		pause(ctx, lasts)
 		for _, victim := range victims {
-			w.links[victim].SetMode(LinkUp)
+			w.links[victim].SetMode(ProxyForwarding)
 		}
 	}
 }
--- a/bench/soak/link.go
+++ b/bench/soak/proxy.go
@@ -11,53 +11,53 @@
 	"github.com/pkg/errors"
 )
 
-// LinkMode is how a link treats the bytes of its connections.
-type LinkMode uint8
+// ProxyMode is how a link treats the bytes of its connections.
+type ProxyMode uint8
 
 // The modes of a link.
 const (
-	// LinkUp: bytes pass.
-	LinkUp LinkMode = iota
-	// LinkDelayed: bytes pass late.
-	LinkDelayed
-	// LinkDeaf: bytes from the server do not pass; those to it do.
-	LinkDeaf
-	// LinkMute: bytes to the server do not pass; those from it do.
-	LinkMute
-	// LinkSilent: no bytes pass, and new connections get no answer.
-	LinkSilent
+	// ProxyForwarding: bytes pass.
+	ProxyForwarding ProxyMode = iota
+	// ProxyDelayed: bytes pass late.
+	ProxyDelayed
+	// ProxyResponsesBlocked: bytes from the server do not pass; those to it do.
+	ProxyResponsesBlocked
+	// ProxyRequestsBlocked: bytes to the server do not pass; those from it do.
+	ProxyRequestsBlocked
+	// ProxyBlocked: no bytes pass, and new connections get no answer.
+	ProxyBlocked
 )
 
 // linkDelay is how late the bytes of a delayed link are.
 const linkDelay = 150 * time.Millisecond
 
-// Link is a TCP proxy before one server. It is safe for concurrent use.
-type Link struct {
+// Proxy is a TCP proxy before one server. It is safe for concurrent use.
+type Proxy struct {
 	listener net.Listener
 	server   netip.AddrPort
 
 	mutex       sync.Mutex
-	mode        LinkMode
+	mode        ProxyMode
 	changed     chan struct{}
 	connections map[net.Conn]bool
 	// hushed counts how often the connections that were open went silent for good.
 	hushed int
 }
 
-// NewLink listens at an address. It fails if the address cannot be bound.
-func NewLink(listen, server netip.AddrPort) (*Link, error) {
+// NewProxy listens at an address. It fails if the address cannot be bound.
+func NewProxy(listen, server netip.AddrPort) (*Proxy, error) {
 	listener, err := net.Listen("tcp4", listen.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "link")
 	}
-	created := &Link{
+	created := &Proxy{
 		listener: listener, server: server, changed: make(chan struct{}), connections: make(map[net.Conn]bool),
 	}
 	return created, nil
 }
 
 // Run accepts connections until ctx ends, and closes all then.
-func (l *Link) Run(ctx context.Context) {
+func (l *Proxy) Run(ctx context.Context) {
 	stopped := context.AfterFunc(ctx, func() {
 		_ = l.listener.Close()
 		l.Reset()
@@ -75,7 +75,7 @@
 }
 
 // SetMode changes how all connections are treated from now on.
-func (l *Link) SetMode(mode LinkMode) {
+func (l *Proxy) SetMode(mode ProxyMode) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.mode = mode
@@ -84,7 +84,7 @@
 }
 
 // Reset resets all connections.
-func (l *Link) Reset() {
+func (l *Proxy) Reset() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for connection := range l.connections {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Hush makes all connections that are open carry nothing more, for good and without a
+// StallOpen makes all connections that are open carry nothing more, for good and without a
 // word; new ones work.
-func (l *Link) Hush() {
+func (l *Proxy) StallOpen() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.hushed++
@@ -105,10 +105,10 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *Link) carry(ctx context.Context, client net.Conn) {
+func (l *Proxy) carry(ctx context.Context, client net.Conn) {
 	defer l.drop(client)
 	begun := l.keep(client)
-	if !l.pass(ctx, begun, func(mode LinkMode) bool { return mode != LinkSilent }) {
+	if !l.pass(ctx, begun, func(mode ProxyMode) bool { return mode != ProxyBlocked }) {
 		return
 	}
 	server, err := net.DialTimeout("tcp4", l.server.String(), time.Second)
@@ -119,23 +119,23 @@
 	l.keep(server)
 	var copying sync.WaitGroup
 	copying.Go(func() {
-		l.copy(ctx, begun, server, client, func(mode LinkMode) bool { return mode != LinkMute && mode != LinkSilent })
+		l.copy(ctx, begun, server, client, func(mode ProxyMode) bool { return mode != ProxyRequestsBlocked && mode != ProxyBlocked })
 	})
 	copying.Go(func() {
-		l.copy(ctx, begun, client, server, func(mode LinkMode) bool { return mode != LinkDeaf && mode != LinkSilent })
+		l.copy(ctx, begun, client, server, func(mode ProxyMode) bool { return mode != ProxyResponsesBlocked && mode != ProxyBlocked })
 	})
 	copying.Wait()
 }
 
 // keep notes a connection. It returns how often connections had gone silent before it.
-func (l *Link) keep(connection net.Conn) int {
+func (l *Proxy) keep(connection net.Conn) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.connections[connection] = true
 	return l.hushed
 }
 
-func (l *Link) drop(connection net.Conn) {
+func (l *Proxy) drop(connection net.Conn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.connections, connection)
@@ -143,7 +143,7 @@
 }
 
 // copy carries bytes in one direction until an end closes, and then closes both.
-func (l *Link) copy(ctx context.Context, begun int, to io.WriteCloser, from io.ReadCloser, passes func(LinkMode) bool) {
+func (l *Proxy) copy(ctx context.Context, begun int, to io.WriteCloser, from io.ReadCloser, passes func(ProxyMode) bool) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, 32<<10)
@@ -162,7 +162,7 @@
 
 // pass waits until bytes of a connection may pass, and for the delay of the link. It returns
 // false for one that has gone silent, and when ctx ends.
-func (l *Link) pass(ctx context.Context, begun int, passes func(LinkMode) bool) bool {
+func (l *Proxy) pass(ctx context.Context, begun int, passes func(ProxyMode) bool) bool {
 	for {
 		l.mutex.Lock()
 		mode, changed, silent := l.mode, l.changed, l.hushed > begun
@@ -171,7 +171,7 @@
 			return false
 		}
 		if passes(mode) {
-			return mode != LinkDelayed || pause(ctx, linkDelay)
+			return mode != ProxyDelayed || pause(ctx, linkDelay)
 		}
 		select {
 		case <-changed:
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -44,22 +44,22 @@
 	Progress io.Writer
 }
 
-// Outcome is what came of a run.
-type Outcome struct {
-	Experiment string  `json:"experiment"`
-	Seed       uint64  `json:"seed"`
-	Seconds    float64 `json:"seconds"`
-	Faults     int     `json:"faults"`
-	Asked      int     `json:"asked"`
-	Served     int     `json:"served"`
-	Broken     Broken  `json:"broken"`
-	// Causes describe the first broken promises.
-	Causes []string `json:"causes,omitempty"`
+// Result is what came of a run.
+type Result struct {
+	Experiment string     `json:"experiment"`
+	Seed       uint64     `json:"seed"`
+	Seconds    float64    `json:"seconds"`
+	Faults     int        `json:"faults"`
+	Requests   int        `json:"asked"`
+	Served     int        `json:"served"`
+	Violations Violations `json:"broken"`
+	// Descriptions describe the first broken promises.
+	Descriptions []string `json:"causes,omitempty"`
 }
 
 // Run plays one run. It fails if the program cannot be built or started.
-func Run(ctx context.Context, options Options) (Outcome, error) {
-	report := Outcome{Experiment: "soak", Seed: options.Seed, Faults: options.Faults}
+func Run(ctx context.Context, options Options) (Result, error) {
+	report := Result{Experiment: "soak", Seed: options.Seed, Faults: options.Faults}
 	binary, err := fleet.Build(ctx, options.Directory, programName)
 	if err != nil {
 		return report, err
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -55,13 +55,13 @@
 
 	It("sees a reset of an open flow, unless its endpoint is gone or the flow is closed", func() {
 		judged.reset(key)
-		Expect(judged.broken.ResetOpen).To(Equal(1))
+		Expect(judged.broken.ResetOpenFlows).To(Equal(1))
 		own.living.Store(false)
 		judged.reset(key)
 		own.living.Store(true)
 		judged.closed(key)
 		judged.reset(key)
-		Expect(judged.broken).To(Equal(Broken{ResetOpen: 1}))
+		Expect(judged.broken).To(Equal(Violations{ResetOpenFlows: 1}))
 	})
 
 	It("sees packets that go astray for two seconds, once for each flow", func() {
@@ -69,7 +69,7 @@
 			judged.arrived(key, other)
 			time0.at += 700 * time.Millisecond
 		}
-		Expect(judged.broken).To(Equal(Broken{Misrouted: 1}))
+		Expect(judged.broken).To(Equal(Violations{MisroutedFlows: 1}))
 	})
 
 	It("takes no packets for astray whose flow reaches its endpoint meanwhile, or after a fault", func() {
@@ -83,29 +83,29 @@
 			judged.arrived(key, other)
 			time0.at += 700 * time.Millisecond
 		}
-		Expect(judged.broken).To(Equal(Broken{}))
+		Expect(judged.broken).To(Equal(Violations{}))
 	})
 
 	It("sees a request that runs twice, if it must not", func() {
 		judged.ran(1, true)
 		judged.ran(1, true)
-		Expect(judged.broken).To(Equal(Broken{}))
+		Expect(judged.broken).To(Equal(Violations{}))
 		judged.ran(2, false)
 		judged.ran(2, false)
-		Expect(judged.broken).To(Equal(Broken{DoubleRuns: 1}))
+		Expect(judged.broken).To(Equal(Violations{DuplicateRuns: 1}))
 	})
 
 	It("sees a new flow at an endpoint that leaves, after its time and in calm", func() {
 		judged.left(directory.NameOnlyID("e"))
 		time0.at += drainTimeout
 		judged.openedAt(directory.NameOnlyID("e"), "")
-		Expect(judged.broken).To(Equal(Broken{}))
+		Expect(judged.broken).To(Equal(Violations{}))
 		time0.at += 2 * drainSlack
 		judged.openedAt(directory.NameOnlyID("e"), "")
-		Expect(judged.broken).To(Equal(Broken{LateOpenings: 1}))
+		Expect(judged.broken).To(Equal(Violations{LateDrainFlows: 1}))
 		judged.disturb()
 		judged.openedAt(directory.NameOnlyID("e"), "")
-		Expect(judged.broken).To(Equal(Broken{LateOpenings: 1}))
+		Expect(judged.broken).To(Equal(Violations{LateDrainFlows: 1}))
 	})
 
 	It("sees a new flow in a closed zone, after its time and in calm, until it is open again", func() {
@@ -114,9 +114,9 @@
 		judged.openedAt(directory.NameOnlyID("e"), "z")
 		time0.at += closeTimeout + 2*drainSlack
 		judged.openedAt(directory.NameOnlyID("e"), "y")
-		Expect(judged.broken).To(Equal(Broken{}))
+		Expect(judged.broken).To(Equal(Violations{}))
 		judged.openedAt(directory.NameOnlyID("e"), "z")
-		Expect(judged.broken).To(Equal(Broken{ClosedOpenings: 1}))
+		Expect(judged.broken).To(Equal(Violations{ClosedZoneFlows: 1}))
 		judged.openZone()
 		judged.openedAt(directory.NameOnlyID("e"), "z")
 		Expect(judged.broken.Total()).To(Equal(1))
@@ -129,21 +129,21 @@
 			judged.ended(time0.at, true)
 		}
 		judged.ended(time0.at, false)
-		var report Outcome
+		var report Result
 		judged.conclude(&report)
-		Expect(report.Broken.Total()).To(BeZero())
+		Expect(report.Violations.Total()).To(BeZero())
 		judged.ended(time0.at, false)
 		judged.conclude(&report)
-		Expect(report.Broken).To(Equal(Broken{Unrecovered: 1}))
-		Expect(report.Asked).To(Equal(102))
-		Expect(report.Causes).To(HaveLen(1))
+		Expect(report.Violations).To(Equal(Violations{Unrecovered: 1}))
+		Expect(report.Requests).To(Equal(102))
+		Expect(report.Descriptions).To(HaveLen(1))
 	})
 
 	It("counts what it is told of: foreign packets, mixed answers, own exits", func() {
 		judged.forged("a client")
 		judged.mixed(key)
 		judged.ownExit("balancer-1", 2)
-		Expect(judged.broken).To(Equal(Broken{Forged: 1, Mixed: 1, OwnExits: 1}))
+		Expect(judged.broken).To(Equal(Violations{InvalidPackets: 1, MismatchedAnswers: 1, UnexpectedExits: 1}))
 		Expect(judged.broken.Total()).To(Equal(3))
 	})
 })
@@ -204,7 +204,7 @@
 		removed.remove()
 		removed.run(context.Background())
 		Expect(removed.process).To(BeNil())
-		Expect(judged.broken).To(Equal(Broken{}), "there was nothing to start")
+		Expect(judged.broken).To(Equal(Violations{}), "there was nothing to start")
 	})
 })
 
@@ -251,7 +251,7 @@
 
 var _ = Describe("Link", func() {
 	var (
-		link   *Link
+		link   *Proxy
 		server *httptest.Server
 	)
 
@@ -259,7 +259,7 @@
 		server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }))
 		DeferCleanup(server.Close)
 		var err error
-		link, err = NewLink(netip.MustParseAddrPort("127.0.0.1:0"), netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
+		link, err = NewProxy(netip.MustParseAddrPort("127.0.0.1:0"), netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
@@ -287,14 +287,14 @@
 
 	It("carries bytes both ways, and again after it was cut", func() {
 		Expect(call(time.Minute)).To(Equal("answer"))
-		for _, mode := range []LinkMode{LinkDeaf, LinkMute, LinkSilent} {
+		for _, mode := range []ProxyMode{ProxyResponsesBlocked, ProxyRequestsBlocked, ProxyBlocked} {
 			link.SetMode(mode)
 			_, err := call(50 * time.Millisecond)
 			Expect(err).To(HaveOccurred())
 		}
-		link.SetMode(LinkDelayed)
+		link.SetMode(ProxyDelayed)
 		Expect(call(time.Minute)).To(Equal("answer"))
-		link.SetMode(LinkUp)
+		link.SetMode(ProxyForwarding)
 		Expect(call(time.Minute)).To(Equal("answer"))
 	})
 
@@ -309,7 +309,7 @@
 		Expect(ask()).To(Succeed())
 		_, err = connection.Read(make([]byte, 1024))
 		Expect(err).NotTo(HaveOccurred())
-		link.Hush()
+		link.StallOpen()
 		Expect(ask()).To(Succeed())
 		Expect(connection.SetReadDeadline(time.Now().Add(50 * time.Millisecond))).To(Succeed())
 		_, err = connection.Read(make([]byte, 1024))
@@ -372,6 +372,6 @@
 		Expect(w.codec.Answer(w.codec.Encode(segment.Header{}, data)).Kind).To(Equal(segment.AnswerSuccess))
 		Expect(w.ledger.runs).To(HaveKeyWithValue(uint64(9), 1))
 		at.receive(append(w.codec.Encode(segment.Header{Source: client, Destination: routeAddress(0)}, nil)[:35], 9))
-		Expect(w.ledger.broken.Forged).To(Equal(1))
+		Expect(w.ledger.broken.InvalidPackets).To(Equal(1))
 	})
 })
--- a/bench/soak/world.go
+++ b/bench/soak/world.go
@@ -42,7 +42,7 @@
 	codec   platformtest.Codec
 	ledger  *ledger
 	store   *platformtest.Store
-	links   []*Link
+	links   []*Proxy
 	fabric  *fabric
 	clients []*clientHost
 	// balancers does not change.
@@ -100,7 +100,7 @@
 }
 
 func (w *world) addBalancer(ctx context.Context, number int) error {
-	link, err := NewLink(w.network.addrPort(netLinks, number, storePort), w.network.addrPort(netStore, 0, storePort))
+	link, err := NewProxy(w.network.addrPort(netLinks, number, storePort), w.network.addrPort(netStore, 0, storePort))
 	if err != nil {
 		return err
 	}
--- a/bench/timeline/plot.go
+++ b/bench/timeline/plot.go
@@ -23,7 +23,7 @@
 	drawn.Y.Label.Text = "part of those that came to it"
 	var curves []any
 	for _, step := range Steps() {
-		if times := TimesOf(starts, step); len(times) > 0 {
+		if times := StepTimes(starts, step); len(times) > 0 {
 			curves = append(curves, string(step), curve(times))
 		}
 	}
--- a/bench/timeline/reach.go
+++ b/bench/timeline/propagation.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Reach tells how long after the first process the others knew a change of the directory.
-type Reach struct {
+// Propagation tells how long after the first process the others knew a change of the directory.
+type Propagation struct {
 	// Version is that of a configuration, or zero for a change of endpoints, which then is
 	// Revision.
 	Version  uint64    `json:"version,omitempty"`
@@ -16,15 +16,15 @@
 	// Processes is the number of those that came to know it.
 	Processes int `json:"processes"`
 	// The times are in milliseconds.
-	Median    float64 `json:"median_ms"`
-	NinetyNth float64 `json:"p99_ms"`
-	Longest   float64 `json:"longest_ms"`
+	Median  float64 `json:"median_ms"`
+	P99     float64 `json:"p99_ms"`
+	Longest float64 `json:"longest_ms"`
 }
 
-// ReadReach returns the changes that a log shows, in the order of time: configurations, and
+// ReadPropagation returns the changes that a log shows, in the order of time: configurations, and
 // the revisions at which any process had a new directory. Changes that fewer than a part of
 // all processes came to know are left out, as those before a loss of power.
-func ReadReach(input io.Reader, part float64) ([]Reach, error) {
+func ReadPropagation(input io.Reader, part float64) ([]Propagation, error) {
 	lines, err := readLines(input)
 	if err != nil {
 		return nil, err
@@ -38,21 +38,21 @@
 		versions[each.Version] = true
 		revisions[each.Revision] = true
 	}
-	var changes []Reach
+	var changes []Propagation
 	for version := range versions {
-		changes = append(changes, reachOf(lines, Reach{Version: version}, func(each line) bool { return each.Version >= version }))
+		changes = append(changes, reachOf(lines, Propagation{Version: version}, func(each line) bool { return each.Version >= version }))
 	}
 	for revision := range revisions {
-		changes = append(changes, reachOf(lines, Reach{Revision: revision}, func(each line) bool { return each.Revision >= revision }))
+		changes = append(changes, reachOf(lines, Propagation{Revision: revision}, func(each line) bool { return each.Revision >= revision }))
 	}
 	least := part * float64(len(processes))
-	changes = slices.DeleteFunc(changes, func(each Reach) bool { return float64(each.Processes) < least })
-	slices.SortFunc(changes, func(a, b Reach) int { return a.First.Compare(b.First) })
+	changes = slices.DeleteFunc(changes, func(each Propagation) bool { return float64(each.Processes) < least })
+	slices.SortFunc(changes, func(a, b Propagation) int { return a.First.Compare(b.First) })
 	return changes, nil
 }
 
 // reachOf returns how long it took until each process had a line that shows a change.
-func reachOf(lines []line, change Reach, shows func(line) bool) Reach {
+func reachOf(lines []line, change Propagation, shows func(line) bool) Propagation {
 	known := make(map[string]bool)
 	var times []float64
 	for _, each := range lines {
@@ -67,7 +67,7 @@
 	}
 	change.Processes = len(times)
 	if len(times) > 0 {
-		change.Median, change.NinetyNth, change.Longest = quantile(times, 0.5), quantile(times, 0.99), quantile(times, 1)
+		change.Median, change.P99, change.Longest = quantile(times, 0.5), quantile(times, 0.99), quantile(times, 1)
 	}
 	return change
 }
--- a/bench/timeline/reach_test.go
+++ b/bench/timeline/propagation_test.go
@@ -22,17 +22,17 @@
 	first := time.Date(2026, 1, 1, 0, 0, 1, 0, time.UTC)
 
 	It("tells how long after the first others knew a configuration or a revision, or a later one", func() {
-		changes, err := timeline.ReadReach(strings.NewReader(reachLog), 1)
+		changes, err := timeline.ReadPropagation(strings.NewReader(reachLog), 1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(changes).To(ConsistOf(
-			timeline.Reach{Version: 3, First: first, Processes: 3, Median: 100, NinetyNth: 200, Longest: 200},
-			timeline.Reach{Revision: 7, First: first, Processes: 3, Median: 100, NinetyNth: 200, Longest: 200},
-			timeline.Reach{Revision: 8, First: first.Add(time.Second), Processes: 3, Median: 500, NinetyNth: 1000, Longest: 1000},
+			timeline.Propagation{Version: 3, First: first, Processes: 3, Median: 100, P99: 200, Longest: 200},
+			timeline.Propagation{Revision: 7, First: first, Processes: 3, Median: 100, P99: 200, Longest: 200},
+			timeline.Propagation{Revision: 8, First: first.Add(time.Second), Processes: 3, Median: 500, P99: 1000, Longest: 1000},
 		))
 	})
 
 	It("shows changes that only some came to know if that is wanted", func() {
-		changes, err := timeline.ReadReach(strings.NewReader(reachLog), 0.3)
+		changes, err := timeline.ReadPropagation(strings.NewReader(reachLog), 0.3)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(changes).To(ContainElement(HaveField("Version", uint64(4))))
 	})
--- a/bench/timeline/timeline.go
+++ b/bench/timeline/timeline.go
@@ -31,14 +31,16 @@
 	StepReleased Step = "released"
 	// StepPlaced: an endpoint has answered an opening packet of a balancer's.
 	StepPlaced Step = "placed"
-	// StepGiven: an agent gives its endpoint a request.
-	StepGiven Step = "given"
+	// StepDelivered: an agent gives its endpoint a request.
+	StepDelivered Step = "given"
 	// StepAnswered: an agent's endpoint begins to answer one.
 	StepAnswered Step = "answered"
 )
 
 // Steps lists all steps in the order in which they follow each other.
-func Steps() []Step { return []Step{StepDirectory, StepReleased, StepPlaced, StepGiven, StepAnswered} }
+func Steps() []Step {
+	return []Step{StepDirectory, StepReleased, StepPlaced, StepDelivered, StepAnswered}
+}
 
 // Start is one start of a process.
 type Start struct {
@@ -137,28 +139,28 @@
 	// Starts is the number of starts that came to the step.
 	Starts int `json:"starts"`
 	// The times are in milliseconds.
-	Median   float64 `json:"median_ms"`
-	NineOf10 float64 `json:"p90_ms"`
-	Longest  float64 `json:"longest_ms"`
+	Median  float64 `json:"median_ms"`
+	P90     float64 `json:"p90_ms"`
+	Longest float64 `json:"longest_ms"`
 }
 
 // Summarize returns a summary for each step that any start came to.
 func Summarize(starts []Start) []Summary {
 	var summaries []Summary
 	for _, step := range Steps() {
-		times := TimesOf(starts, step)
+		times := StepTimes(starts, step)
 		if len(times) == 0 {
 			continue
 		}
 		summaries = append(summaries, Summary{
-			Step: step, Starts: len(times), Median: quantile(times, 0.5), NineOf10: quantile(times, 0.9), Longest: quantile(times, 1),
+			Step: step, Starts: len(times), Median: quantile(times, 0.5), P90: quantile(times, 0.9), Longest: quantile(times, 1),
 		})
 	}
 	return summaries
 }
 
-// TimesOf returns how long a step took, in milliseconds and in order.
-func TimesOf(starts []Start, step Step) []float64 {
+// StepTimes returns how long a step took, in milliseconds and in order.
+func StepTimes(starts []Start, step Step) []float64 {
 	var times []float64
 	for _, begun := range starts {
 		if after, taken := begun.After[step]; taken {
--- a/bench/timeline/timeline_test.go
+++ b/bench/timeline/timeline_test.go
@@ -45,17 +45,17 @@
 		Expect(starts[0].After).To(Equal(map[timeline.Step]time.Duration{
 			timeline.StepDirectory: 200 * time.Millisecond, timeline.StepPlaced: 300 * time.Millisecond,
 		}))
-		Expect(starts[1].After).To(Equal(map[timeline.Step]time.Duration{timeline.StepGiven: 400 * time.Millisecond}))
+		Expect(starts[1].After).To(Equal(map[timeline.Step]time.Duration{timeline.StepDelivered: 400 * time.Millisecond}))
 		Expect(starts[2].After).To(HaveLen(1))
 	})
 
 	It("sums up the steps, of all starts or of some", func() {
 		Expect(timeline.Summarize(read())).To(ContainElement(timeline.Summary{
-			Step: timeline.StepDirectory, Starts: 2, Median: 100, NineOf10: 200, Longest: 200,
+			Step: timeline.StepDirectory, Starts: 2, Median: 100, P90: 200, Longest: 200,
 		}))
 		late := timeline.Between(read(), 5*time.Second, time.Minute)
 		Expect(timeline.Summarize(late)).To(Equal([]timeline.Summary{
-			{Step: timeline.StepDirectory, Starts: 1, Median: 100, NineOf10: 100, Longest: 100},
+			{Step: timeline.StepDirectory, Starts: 1, Median: 100, P90: 100, Longest: 100},
 		}))
 		Expect(timeline.Between(nil, 0, time.Minute)).To(BeEmpty())
 	})
--- a/cmd/vanetiller-bench/commands.go
+++ b/cmd/vanetiller-bench/commands.go
@@ -73,7 +73,7 @@
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
 		return exitBroken
 	}
-	if !report.Kept() {
+	if !report.Passed() {
 		fmt.Fprintln(os.Stderr, "logs are in", options.Directory)
 		return exitBroken
 	}
@@ -118,12 +118,12 @@
 	fmt.Fprintf(table, "events\t%d\n", report.Events)
 	fmt.Fprintf(table, "imbalance\t%.2f\tpeak %.2f with at least %d flows open\n",
 		report.Imbalance, report.ImbalancePeak, report.ImbalanceFlows)
-	fmt.Fprintf(table, "answers\t%.2f ms\tmedian; %.2f ms for 99 of 100\n", report.P50, report.P99)
-	fmt.Fprintf(table, "handshakes\t%.2f ms\tmedian; %.2f ms for 99 of 100\n\n", report.OpenP50, report.OpenP99)
-	for _, promise := range report.Promises() {
+	fmt.Fprintf(table, "answers\t%.2f ms\tmedian; %.2f ms for 99 of 100\n", report.AnswerP50, report.AnswerP99)
+	fmt.Fprintf(table, "handshakes\t%.2f ms\tmedian; %.2f ms for 99 of 100\n\n", report.HandshakeP50, report.HandshakeP99)
+	for _, promise := range report.Guarantees() {
 		verdict := "kept"
-		if promise.Broken > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", promise.Broken)
+		if promise.Violations > 0 {
+			verdict = fmt.Sprintf("BROKEN %d times", promise.Violations)
 		}
 		fmt.Fprintf(table, "%s\t%s\n", promise.Name, verdict)
 	}
--- a/cmd/vanetiller-bench/flags.go
+++ b/cmd/vanetiller-bench/flags.go
@@ -68,11 +68,11 @@
 
 // options checks the values and turns them into the options of a run.
 func (p parameters) options(experimentName string) (experiment.Options, error) {
-	shape, err := experiment.ShapeNamed(p.shape)
+	shape, err := experiment.ShapeByName(p.shape)
 	if err != nil {
 		return experiment.Options{}, err
 	}
-	chosen, err := experiment.ExperimentNamed(experimentName)
+	chosen, err := experiment.ExperimentByName(experimentName)
 	if err != nil {
 		return experiment.Options{}, err
 	}
--- a/cmd/vanetiller-bench/reach.go
+++ b/cmd/vanetiller-bench/reach.go
@@ -49,7 +49,7 @@
 		return errors.Wrap(err, "log")
 	}
 	defer file.Close()
-	changes, err := timeline.ReadReach(file, values.part)
+	changes, err := timeline.ReadPropagation(file, values.part)
 	if err != nil {
 		return errors.Wrap(err, path)
 	}
@@ -60,7 +60,7 @@
 	fmt.Fprintln(columns, "FIRST\tVERSION\tREVISION\tBALANCERS\tMEDIAN MS\tP99 MS\tLONGEST MS")
 	for _, each := range changes {
 		fmt.Fprintf(columns, "%s\t%s\t%s\t%d\t%.1f\t%.1f\t%.1f\n", each.First.Format("15:04:05.000"),
-			number(each.Version), number(each.Revision), each.Processes, each.Median, each.NinetyNth, each.Longest)
+			number(each.Version), number(each.Revision), each.Processes, each.Median, each.P99, each.Longest)
 	}
 	return errors.Wrap(columns.Flush(), "output")
 }
--- a/cmd/vanetiller-bench/soak.go
+++ b/cmd/vanetiller-bench/soak.go
@@ -80,7 +80,7 @@
 		return exitBroken
 	}
 	fmt.Println(string(encoded))
-	if report.Broken.Total() > 0 {
+	if report.Violations.Total() > 0 {
 		fmt.Fprintln(os.Stderr, "logs are in", directory)
 		return exitBroken
 	}
--- a/cmd/vanetiller-bench/timeline.go
+++ b/cmd/vanetiller-bench/timeline.go
@@ -68,7 +68,7 @@
 	columns := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(columns, "STEP\tSTARTS\tMEDIAN MS\tP90 MS\tLONGEST MS")
 	for _, each := range summaries {
-		fmt.Fprintf(columns, "%s\t%d\t%.1f\t%.1f\t%.1f\n", each.Step, each.Starts, each.Median, each.NineOf10, each.Longest)
+		fmt.Fprintf(columns, "%s\t%d\t%.1f\t%.1f\t%.1f\n", each.Step, each.Starts, each.Median, each.P90, each.Longest)
 	}
 	return errors.Wrap(columns.Flush(), "output")
 }
