--- a/bench/soak/checker.go
+++ b/bench/soak/checker.go
@@ -10,255 +10,259 @@
 )
 
 const (
-	// misroutedAfter and misroutedPackets tell when an open flow counts as
-	// misrouted: that many of its packets reached other endpoints in that time, and
-	// none its own.
+	// An open flow counts as misrouted when at least misroutedPackets of its packets, over at
+	// least misroutedAfter, reached other endpoints and none reached its own.
 	misroutedAfter   = 2 * time.Second
 	misroutedPackets = 3
-	// drainTimeout is the time after which a leaving endpoint must get no new flow,
-	// and drainSlack allows for the timing of real processes.
+	// drainTimeout is the time after which a draining endpoint must get no new flow.
+	// timingSlack is added to such limits, since the timing of real processes varies.
 	drainTimeout = 3 * time.Second
-	drainSlack   = time.Second
+	timingSlack  = time.Second
 	// closeTimeout is the time after which endpoints of a closed zone must get no new flow.
 	closeTimeout = 3 * time.Second
-	// calmTime is how long nothing may have been disturbed for the rules with a time
-	// bound to hold.
-	calmTime = 4 * time.Second
-	// keptCauses bounds the broken promises that are described.
-	keptCauses = 20
+	// undisturbedTime is how long no fault may have started or ended for the checks with a
+	// time bound to apply.
+	undisturbedTime = 4 * time.Second
+	// maxDescriptions bounds the number of violations that are described.
+	maxDescriptions = 20
 )
 
-// Violations counts broken promises.
+// Violations counts the violations of each guarantee.
 type Violations struct {
-	// ResetOpenFlows: an open flow was reset though its endpoint holds it.
+	// ResetOpenFlows counts open flows that were reset while their endpoint was running.
 	ResetOpenFlows int `json:"reset_open"`
-	// MisroutedFlows: packets of an open flow went to other endpoints.
+	// MisroutedFlows counts open flows whose packets reached other endpoints.
 	MisroutedFlows int `json:"misrouted"`
-	// DuplicateRuns: a request that must not be repeated ran twice.
+	// DuplicateRuns counts repeated executions of requests that are not idempotent.
 	DuplicateRuns int `json:"double_runs"`
-	// LateDrainFlows: an endpoint that leaves got a new flow.
+	// LateDrainFlows counts new flows at endpoints that had been draining for too long.
 	LateDrainFlows int `json:"late_openings"`
-	// ClosedZoneFlows: an endpoint of a closed zone got a new flow.
+	// ClosedZoneFlows counts new flows at endpoints of a closed zone.
 	ClosedZoneFlows int `json:"closed_openings"`
-	// InvalidPackets: a packet arrived not as it was written.
+	// InvalidPackets counts packets that arrived in a form that no simulated peer sends.
 	InvalidPackets int `json:"forged"`
-	// MismatchedAnswers: a client got the answer to another request.
+	// MismatchedAnswers counts answers that reached the client of another request.
 	MismatchedAnswers int `json:"mixed"`
-	// UnexpectedExits: a daemon ended that nobody ended.
+	// UnexpectedExits counts processes that ended although the run did not end them.
 	UnexpectedExits int `json:"own_exits"`
-	// Unrecovered: too few requests were served after the last fault.
+	// Unrecovered is 1 if too few requests were served after the last fault.
 	Unrecovered int `json:"unrecovered"`
 }
 
-// Total returns the number of broken promises.
+// Total returns the number of violations of all guarantees.
 func (b Violations) Total() int {
 	return b.ResetOpenFlows + b.MisroutedFlows + b.DuplicateRuns + b.LateDrainFlows + b.ClosedZoneFlows + b.InvalidPackets + b.MismatchedAnswers + b.UnexpectedExits + b.Unrecovered
 }
 
-// flowRecord is what the ledger knows of a flow.
+// flowRecord is the checker's state of an open flow.
 type flowRecord struct {
 	endpoint *endpoint
-	// astray are the times at which other endpoints got packets since the flow's own
-	// endpoint had one.
-	astray    []time.Duration
-	misrouted bool
+	// misroutedAt are the times at which packets of the flow reached other endpoints since
+	// one last reached its own.
+	misroutedAt []time.Duration
+	misrouted   bool
 }
 
-// ledger judges a run by what clients and endpoints see. It is safe for concurrent
-// use. Times are since the start of the run.
-type ledger struct {
+// checker counts violations from what the clients and endpoints observe. All times are relative
+// to the start of the run. It is safe for concurrent use.
+type checker struct {
 	now func() time.Duration
 
-	mutex     sync.Mutex
-	broken    Violations
-	causes    []string
-	flows     map[segment.FlowKey]*flowRecord
-	runs      map[uint64]int
-	leaving   map[directory.EndpointID]time.Duration
-	disturbed time.Duration
-	// closedZone is the zone that is closed, empty if none is, and closedSince since when.
+	mutex         sync.Mutex
+	violations    Violations
+	descriptions  []string
+	flows         map[segment.FlowKey]*flowRecord
+	runs          map[uint64]int
+	drainingSince map[directory.EndpointID]time.Duration
+	lastFault     time.Duration
+	// closedZone is the closed zone, or empty if none is, and closedSince the time at which
+	// it was closed.
 	closedZone  string
 	closedSince time.Duration
-	asked       int
+	requests    int
 	served      int
-	// judged are the requests that were sent after the last fault.
-	judgedFrom  time.Duration
-	judgedAsked int
-	judgedLost  int
+	// The recovery check counts requests that were sent at or after recoveryStart. It is zero
+	// until the check starts.
+	recoveryStart    time.Duration
+	recoveryRequests int
+	recoveryFailures int
 }
 
-func newLedger(now func() time.Duration) *ledger {
-	return &ledger{
+func newChecker(now func() time.Duration) *checker {
+	return &checker{
 		now: now, flows: make(map[segment.FlowKey]*flowRecord), runs: make(map[uint64]int),
-		leaving: make(map[directory.EndpointID]time.Duration),
+		drainingSince: make(map[directory.EndpointID]time.Duration),
 	}
 }
 
-// breaks notes a broken promise. The mutex must be held.
-func (l *ledger) breaks(count *int, format string, arguments ...any) {
+// recordViolation increments a counter and describes the violation, unless maxDescriptions is
+// reached. The mutex must be held.
+func (c *checker) recordViolation(count *int, format string, arguments ...any) {
 	*count++
-	if len(l.causes) < keptCauses {
-		at := l.now().Seconds()
-		l.causes = append(l.causes, fmt.Sprintf("%.3f s: ", at)+fmt.Sprintf(format, arguments...))
+	if len(c.descriptions) < maxDescriptions {
+		at := c.now().Seconds()
+		c.descriptions = append(c.descriptions, fmt.Sprintf("%.3f s: ", at)+fmt.Sprintf(format, arguments...))
 	}
 }
 
-// disturb tells that a fault begins or ends.
-func (l *ledger) disturb() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.disturbed = l.now()
+// faultChanged records that a fault starts or ends now.
+func (c *checker) faultChanged() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.lastFault = c.now()
 }
 
-func (l *ledger) ownExit(name string, code int) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.breaks(&l.broken.UnexpectedExits, "%s ended by itself with code %d", name, code)
+func (c *checker) unexpectedExit(name string, code int) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.recordViolation(&c.violations.UnexpectedExits, "%s exited unexpectedly with code %d", name, code)
 }
 
-func (l *ledger) forged(where string) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.breaks(&l.broken.InvalidPackets, "a packet that its sender did not write reached %s", where)
+func (c *checker) invalidPacket(where string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.recordViolation(&c.violations.InvalidPackets, "%s received a packet that no simulated peer sends", where)
 }
 
-func (l *ledger) mixed(key segment.FlowKey) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.breaks(&l.broken.MismatchedAnswers, "flow %v got the answer to another request", key)
+func (c *checker) mismatchedAnswer(key segment.FlowKey) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.recordViolation(&c.violations.MismatchedAnswers, "flow %v received the answer to another request", key)
 }
 
-// opened tells that an endpoint has the end of a handshake.
-func (l *ledger) opened(key segment.FlowKey, at *endpoint) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.flows[key] = &flowRecord{endpoint: at}
+// flowOpened records that an endpoint has received the last packet of a handshake.
+func (c *checker) flowOpened(key segment.FlowKey, at *endpoint) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.flows[key] = &flowRecord{endpoint: at}
 }
 
-// closed tells that a flow has ended or is given up.
-func (l *ledger) closed(key segment.FlowKey) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	delete(l.flows, key)
+// flowClosed records that a client has closed or abandoned a flow.
+func (c *checker) flowClosed(key segment.FlowKey) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.flows, key)
 }
 
-// arrived tells that a packet of a flow has reached an endpoint.
-func (l *ledger) arrived(key segment.FlowKey, at *endpoint) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	record, open := l.flows[key]
+// packetArrived records that a packet of a flow has reached an endpoint.
+func (c *checker) packetArrived(key segment.FlowKey, at *endpoint) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	record, open := c.flows[key]
 	if !open || !record.endpoint.alive() {
 		return
 	}
 	if record.endpoint == at {
-		record.astray = nil
+		record.misroutedAt = nil
 		return
 	}
-	record.astray = append(record.astray, l.now())
-	first := max(len(record.astray)-misroutedPackets, 0)
-	spans := len(record.astray) >= misroutedPackets && l.now()-record.astray[0] >= misroutedAfter
-	if spans && !record.misrouted && l.calm() {
+	record.misroutedAt = append(record.misroutedAt, c.now())
+	first := max(len(record.misroutedAt)-misroutedPackets, 0)
+	persistent := len(record.misroutedAt) >= misroutedPackets && c.now()-record.misroutedAt[0] >= misroutedAfter
+	if persistent && !record.misrouted && c.undisturbed() {
 		record.misrouted = true
-		l.breaks(&l.broken.MisroutedFlows, "flow %v of %s: packets at others since %v", key, record.endpoint.id, record.astray[first])
+		c.recordViolation(&c.violations.MisroutedFlows, "flow %v of %s: packets reached other endpoints since %v", key, record.endpoint.id, record.misroutedAt[first])
 	}
 }
 
-// calm reports whether nothing was disturbed lately. The mutex must be held.
-func (l *ledger) calm() bool { return l.now()-l.disturbed > calmTime }
+// undisturbed reports whether no fault started or ended in the last undisturbedTime. The mutex
+// must be held.
+func (c *checker) undisturbed() bool { return c.now()-c.lastFault > undisturbedTime }
 
-// reset tells that a client took a reset of an open flow that no endpoint wrote.
-func (l *ledger) reset(key segment.FlowKey) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if record, open := l.flows[key]; open && record.endpoint.alive() {
-		l.breaks(&l.broken.ResetOpenFlows, "flow %v of %s was reset", key, record.endpoint.id)
+// flowReset records that a client has received a reset of an open flow. Endpoints send none.
+func (c *checker) flowReset(key segment.FlowKey) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if record, open := c.flows[key]; open && record.endpoint.alive() {
+		c.recordViolation(&c.violations.ResetOpenFlows, "flow %v of %s was reset", key, record.endpoint.id)
 	}
 }
 
-// ran tells that an endpoint began to work on a request.
-func (l *ledger) ran(request uint64, repeatable bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.runs[request]++
-	if !repeatable && l.runs[request] > 1 {
-		l.breaks(&l.broken.DuplicateRuns, "request %d ran %d times", request, l.runs[request])
+// requestStarted records that an endpoint has started to process a request.
+func (c *checker) requestStarted(request uint64, idempotent bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.runs[request]++
+	if !idempotent && c.runs[request] > 1 {
+		c.recordViolation(&c.violations.DuplicateRuns, "request %d, which is not idempotent, was executed %d times", request, c.runs[request])
 	}
 }
 
-// left tells that the store has taken that an endpoint leaves.
-func (l *ledger) left(id directory.EndpointID) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.leaving[id] = l.now()
+// drainStarted records that the store has accepted the draining entry of an endpoint.
+func (c *checker) drainStarted(id directory.EndpointID) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.drainingSince[id] = c.now()
 }
 
-// closeZone tells that a zone is closed from now on. It reports false if another is.
-func (l *ledger) closeZone(zone string) bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.closedZone != "" {
+// zoneClosed records that a zone is closed from now on. It returns false and records nothing if
+// a zone is closed already.
+func (c *checker) zoneClosed(zone string) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.closedZone != "" {
 		return false
 	}
-	l.closedZone, l.closedSince = zone, l.now()
+	c.closedZone, c.closedSince = zone, c.now()
 	return true
 }
 
-// openZone tells that the closed zone is open again.
-func (l *ledger) openZone() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.closedZone = ""
+// zoneOpened records that the closed zone is open again.
+func (c *checker) zoneOpened() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.closedZone = ""
 }
 
-// openedAt tells that an endpoint in a zone got an opening packet.
-func (l *ledger) openedAt(id directory.EndpointID, zone string) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	closed := zone == l.closedZone && zone != "" && l.now()-l.closedSince > closeTimeout+drainSlack
-	if closed && l.disturbed < l.closedSince-calmTime {
-		l.breaks(&l.broken.ClosedZoneFlows, "%s got a new flow %v after %s was closed", id, l.now()-l.closedSince, zone)
+// openingReceived records that an endpoint in a zone has received an opening packet.
+func (c *checker) openingReceived(id directory.EndpointID, zone string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	closed := zone == c.closedZone && zone != "" && c.now()-c.closedSince > closeTimeout+timingSlack
+	if closed && c.lastFault < c.closedSince-undisturbedTime {
+		c.recordViolation(&c.violations.ClosedZoneFlows, "%s received a new flow %v after %s was closed", id, c.now()-c.closedSince, zone)
 	}
-	since, leaving := l.leaving[id]
-	late := leaving && l.now()-since > drainTimeout+drainSlack
-	if late && l.disturbed < since-calmTime {
-		l.breaks(&l.broken.LateDrainFlows, "%s got a new flow %v after it had begun to leave", id, l.now()-since)
+	since, draining := c.drainingSince[id]
+	late := draining && c.now()-since > drainTimeout+timingSlack
+	if late && c.lastFault < since-undisturbedTime {
+		c.recordViolation(&c.violations.LateDrainFlows, "%s received a new flow %v after its drain started", id, c.now()-since)
 	}
 }
 
-// judge makes the requests from now on count for the recovery.
-func (l *ledger) judge() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.judgedFrom = l.now()
+// startRecoveryCheck makes requests that are sent from now on count for the recovery check.
+func (c *checker) startRecoveryCheck() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.recoveryStart = c.now()
 }
 
-// ended tells what became of a request that was sent at a time.
-func (l *ledger) ended(sent time.Duration, wasServed bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.asked++
+// requestEnded records the outcome of a request that was sent at the given time.
+func (c *checker) requestEnded(sent time.Duration, wasServed bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.requests++
 	if wasServed {
-		l.served++
+		c.served++
 	}
-	if l.judgedFrom == 0 || sent < l.judgedFrom {
+	if c.recoveryStart == 0 || sent < c.recoveryStart {
 		return
 	}
-	l.judgedAsked++
+	c.recoveryRequests++
 	if !wasServed {
-		l.judgedLost++
+		c.recoveryFailures++
 	}
 }
 
-// recoveredShare is the share of requests that must be served after the last fault.
-const recoveredShare = 0.99
+// minRecoveredShare is the share of requests that must be served after the last fault.
+const minRecoveredShare = 0.99
 
-// conclude returns the verdict.
-func (l *ledger) conclude(report *Result) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if float64(l.judgedLost) > (1-recoveredShare)*float64(l.judgedAsked) || l.judgedAsked == 0 {
-		l.breaks(&l.broken.Unrecovered, "%d of %d requests after the last fault were not served", l.judgedLost, l.judgedAsked)
+// fillResult finishes the recovery check and writes the counts and violations to the result.
+func (c *checker) fillResult(report *Result) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if float64(c.recoveryFailures) > (1-minRecoveredShare)*float64(c.recoveryRequests) || c.recoveryRequests == 0 {
+		c.recordViolation(&c.violations.Unrecovered, "%d of %d requests after the last fault were not served", c.recoveryFailures, c.recoveryRequests)
 	}
-	report.Requests, report.Served = l.asked, l.served
-	report.Violations, report.Descriptions = l.broken, l.causes
+	report.Requests, report.Served = c.requests, c.served
+	report.Violations, report.Descriptions = c.violations, c.descriptions
 }
--- a/bench/soak/client.go
+++ b/bench/soak/client.go
@@ -13,74 +13,75 @@
 )
 
 const (
-	// openTimeout is how long a client waits for the answer to an opening packet,
-	// which it repeats after openRepeats.
+	// openTimeout is how long a client waits for the answer to an opening packet. It sends the
+	// packet at the times of openTransmissions.
 	openTimeout = 1400 * time.Millisecond
-	// requestTimeout is how long a client waits for the answer to a request in all, and
-	// lastingTimeout for that to one whose flow it keeps open before.
+	// requestTimeout is how long a client waits for the answer to a request, over all
+	// attempts. delayedTimeout is the same for requests that have a delay.
 	requestTimeout = 3 * time.Second
-	lastingTimeout = 12 * time.Second
-	// shortestRest and longestRest bound how long such a flow rests, with a packet in
-	// each restInterval.
-	shortestRest = 2 * time.Second
-	longestRest  = 8 * time.Second
-	restInterval = 400 * time.Millisecond
-	// maximumTries is how often a request is sent at most, retryDelay apart.
-	maximumTries = 3
-	retryDelay   = 50 * time.Millisecond
-	// firstFlowPort is the first port of flows.
+	delayedTimeout = 12 * time.Second
+	// minRequestDelay and maxRequestDelay bound the delay between the opening of a flow and
+	// its request. The client sends a packet each keepAliveInterval meanwhile.
+	minRequestDelay   = 2 * time.Second
+	maxRequestDelay   = 8 * time.Second
+	keepAliveInterval = 400 * time.Millisecond
+	// maxAttempts is the highest number of attempts of a request. retryDelay is the wait
+	// between an attempt and the next.
+	maxAttempts = 3
+	retryDelay  = 50 * time.Millisecond
+	// firstFlowPort is the lowest client port of flows.
 	firstFlowPort = 30000
 )
 
-var openRepeats = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
+var openTransmissions = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
-// request is what a client wants, in one or more flows.
+// request is a client request. Each attempt uses a flow of its own.
 type request struct {
-	number     uint64
+	id         uint64
 	service    int
-	repeatable bool
-	// rest is how long the flow is kept open before the request is sent. Whether the
-	// answer comes is not judged then, since endpoints end meanwhile.
-	rest  time.Duration
-	sent  time.Duration
-	tries int
-	// over is set once the ledger was told what became of it.
-	over bool
+	idempotent bool
+	// delay is how long the flow is kept open before the request is sent. The checker does
+	// not count whether a delayed request is served, since endpoints end meanwhile.
+	delay    time.Duration
+	sent     time.Duration
+	attempts int
+	// concluded is set once the outcome is final.
+	concluded bool
 }
 
-// flow is one try of a request.
+// flow is one attempt of a request.
 type flow struct {
-	host     *clientHost
-	request  *request
-	key      segment.FlowKey
-	sequence uint32
-	answer   uint32
-	open     bool
-	done     bool
-	parts    [answerParts]bool
+	host           *clientHost
+	request        *request
+	key            segment.FlowKey
+	clientSequence uint32
+	serverSequence uint32
+	established    bool
+	closed         bool
+	receivedParts  [answerParts]bool
 }
 
-// clientHost is all clients of a zone.
+// clientHost simulates all clients of a zone.
 type clientHost struct {
-	world  *world
-	zone   int
-	ip     [4]byte
-	socket *net.UDPConn
+	harness *harness
+	zone    int
+	ip      [4]byte
+	socket  *net.UDPConn
 
-	mutex  sync.Mutex
-	number uint64
-	port   uint16
-	flows  map[uint16]*flow
+	mutex         sync.Mutex
+	lastRequestID uint64
+	lastPort      uint16
+	flows         map[uint16]*flow
 }
 
-func newClientHost(w *world, zone int) (*clientHost, error) {
-	at := w.network.address(netClients, zone, packetPort)
+func newClientHost(h *harness, zone int) (*clientHost, error) {
+	at := h.network.address(netClients, zone, packetPort)
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at.AddrPort()))
 	if err != nil {
-		return nil, errors.Wrap(err, "clients")
+		return nil, errors.Wrapf(err, "open the client socket of %s at %s", zoneName(zone), at)
 	}
 	return &clientHost{
-		world: w, zone: zone, ip: at.IP, socket: socket, number: uint64(zone) << 48, port: firstFlowPort,
+		harness: h, zone: zone, ip: at.IP, socket: socket, lastRequestID: uint64(zone) << 48, lastPort: firstFlowPort,
 		flows: make(map[uint16]*flow),
 	}, nil
 }
@@ -99,203 +100,206 @@
 	}
 }
 
-// ask numbers and sends a new request.
-func (c *clientHost) ask(wanted *request) {
+// submit assigns an ID to a new request and sends it.
+func (c *clientHost) submit(submitted *request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.number++
-	wanted.number = c.number
-	c.try(wanted)
+	c.lastRequestID++
+	submitted.id = c.lastRequestID
+	c.attempt(submitted)
 	timeout := requestTimeout
-	if wanted.rest > 0 {
-		timeout = lastingTimeout
+	if submitted.delay > 0 {
+		timeout = delayedTimeout
 	}
-	time.AfterFunc(timeout, func() { c.giveUp(wanted) })
+	time.AfterFunc(timeout, func() { c.expire(submitted) })
 }
 
-// try sends a request in a new flow. The mutex must be held.
-func (c *clientHost) try(wanted *request) {
-	wanted.tries++
-	c.port++
-	if c.port < firstFlowPort {
-		c.port = firstFlowPort
+// attempt starts a new flow for a request. The mutex must be held.
+func (c *clientHost) attempt(attempted *request) {
+	attempted.attempts++
+	c.lastPort++
+	if c.lastPort < firstFlowPort {
+		c.lastPort = firstFlowPort
 	}
 	created := &flow{
-		host: c, request: wanted, sequence: rand.Uint32(),
-		key: segment.FlowKey{Client: segment.Address{IP: c.ip, Port: c.port}, Service: routeAddress(wanted.service)},
+		host: c, request: attempted, clientSequence: rand.Uint32(),
+		key: segment.FlowKey{Client: segment.Address{IP: c.ip, Port: c.lastPort}, Service: routeAddress(attempted.service)},
 	}
-	c.flows[c.port] = created
-	for _, after := range openRepeats {
-		c.later(after, created, func() {
-			if !created.open {
-				created.send(segment.Synchronize, created.sequence, nil)
+	c.flows[c.lastPort] = created
+	for _, after := range openTransmissions {
+		c.afterFunc(after, created, func() {
+			if !created.established {
+				created.send(segment.Synchronize, created.clientSequence, nil)
 			}
 		})
 	}
-	c.later(openTimeout, created, func() {
-		if !created.open {
-			c.fail(created, true)
+	c.afterFunc(openTimeout, created, func() {
+		if !created.established {
+			c.failAttempt(created, true)
 		}
 	})
 }
 
-// later calls a function with the mutex held, unless the flow is done by then.
-func (c *clientHost) later(after time.Duration, of *flow, call func()) {
+// afterFunc calls a function after a delay with the mutex held, unless the flow is closed by
+// then.
+func (c *clientHost) afterFunc(after time.Duration, of *flow, call func()) {
 	time.AfterFunc(after, func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		if !of.done {
+		if !of.closed {
 			call()
 		}
 	})
 }
 
 func (f *flow) send(flags segment.Flags, sequence uint32, data []byte) {
-	w := f.host.world
-	to, exists := w.fabric.route(f.host.zone, f.key)
+	h := f.host.harness
+	to, exists := h.fabric.route(f.host.zone, f.key)
 	if !exists {
 		return
 	}
 	header := segment.Header{Source: f.key.Client, Destination: f.key.Service, Flags: flags, Sequence: sequence}
 	if flags.Has(segment.Acknowledge) {
-		header.Acknowledgment = f.answer + 1
+		header.Acknowledgment = f.serverSequence + 1
 	}
-	_, _ = f.host.socket.WriteToUDPAddrPort(w.codec.Encode(header, data), to)
+	_, _ = f.host.socket.WriteToUDPAddrPort(h.codec.Encode(header, data), to)
 }
 
 func (c *clientHost) receive(packet []byte) {
-	codec := c.world.codec
+	codec := c.harness.codec
 	header, outcome := codec.Decode(packet)
 	if outcome != segment.Decoded {
-		c.world.ledger.forged("a client")
+		c.harness.checker.invalidPacket("a client")
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known, exists := c.flows[header.Destination.Port]
-	if !exists || known.done || header.Source != known.key.Service {
+	of, exists := c.flows[header.Destination.Port]
+	if !exists || of.closed || header.Source != of.key.Service {
 		return
 	}
 	if header.Flags.Has(segment.Reset) {
-		c.receiveReset(known)
+		c.receiveReset(of)
 		return
 	}
 	if !codec.ChecksumValid(packet) {
-		c.world.ledger.forged("a client")
+		c.harness.checker.invalidPacket("a client")
 		return
 	}
-	known.receive(header, codec.Data(packet))
+	of.receive(header, codec.Data(packet))
 }
 
-// receiveReset handles a reset of the daemons' own: endpoints write none.
-func (c *clientHost) receiveReset(known *flow) {
-	if known.open {
-		c.world.ledger.reset(known.key)
+// receiveReset handles a reset, which can only come from a daemon: endpoints send none.
+func (c *clientHost) receiveReset(of *flow) {
+	if of.established {
+		c.harness.checker.flowReset(of.key)
 	}
-	c.fail(known, !known.open)
+	c.failAttempt(of, !of.established)
 }
 
 func (f *flow) receive(header segment.Header, data []byte) {
 	if header.Flags.Has(segment.Synchronize) {
-		if !f.open {
-			f.open = true
-			f.answer = header.Sequence
-			f.keepOpen(f.request.rest)
+		if !f.established {
+			f.established = true
+			f.serverSequence = header.Sequence
+			f.keepOpen(f.request.delay)
 		}
 		return
 	}
-	if !f.open || len(data) < answerSize || data[offsetPart] >= answerParts {
+	if !f.established || len(data) < answerSize || data[offsetPart] >= answerParts {
 		return
 	}
-	if binary.BigEndian.Uint64(data[offsetRequest:]) != f.request.number {
-		f.host.world.ledger.mixed(f.key)
+	if binary.BigEndian.Uint64(data[offsetRequest:]) != f.request.id {
+		f.host.harness.checker.mismatchedAnswer(f.key)
 		return
 	}
 	if kind := data[offsetKind]; kind != answerServed {
-		f.send(segment.Acknowledge|segment.Finish, f.sequence+1+requestSize, nil)
-		f.host.fail(f, kind == answerRefused)
+		f.send(segment.Acknowledge|segment.Finish, f.clientSequence+1+requestSize, nil)
+		f.host.failAttempt(f, kind == answerRefused)
 		return
 	}
-	f.parts[data[offsetPart]] = true
-	if f.parts == [answerParts]bool{true, true, true} {
-		f.send(segment.Acknowledge|segment.Finish, f.sequence+1+requestSize, nil)
+	f.receivedParts[data[offsetPart]] = true
+	if f.receivedParts == [answerParts]bool{true, true, true} {
+		f.send(segment.Acknowledge|segment.Finish, f.clientSequence+1+requestSize, nil)
 		f.host.succeed(f)
 	}
 }
 
-// keepOpen keeps the flow open for a time, then sends the request.
-func (f *flow) keepOpen(rest time.Duration) {
-	if rest <= 0 {
-		f.ask(firstRepeat)
+// keepOpen sends a packet each keepAliveInterval until the delay is over, then sends the
+// request.
+func (f *flow) keepOpen(delay time.Duration) {
+	if delay <= 0 {
+		f.sendRequest(firstRetransmit)
 		return
 	}
-	f.send(segment.Acknowledge, f.sequence+1, nil)
-	f.host.later(restInterval, f, func() { f.keepOpen(rest - restInterval) })
+	f.send(segment.Acknowledge, f.clientSequence+1, nil)
+	f.host.afterFunc(keepAliveInterval, f, func() { f.keepOpen(delay - keepAliveInterval) })
 }
 
-// ask sends the request and repeats it until the answer begins.
-func (f *flow) ask(after time.Duration) {
+// sendRequest sends the request and retransmits it until a part of the answer arrives.
+func (f *flow) sendRequest(after time.Duration) {
 	data := make([]byte, requestSize)
-	binary.BigEndian.PutUint64(data, f.request.number)
-	if f.request.repeatable {
+	binary.BigEndian.PutUint64(data, f.request.id)
+	if f.request.idempotent {
 		data[8] = 1
 	}
-	f.send(segment.Acknowledge, f.sequence+1, data)
-	f.host.later(after, f, func() {
-		if f.parts == [answerParts]bool{} {
-			f.ask(min(2*after, longestRepeat))
+	f.send(segment.Acknowledge, f.clientSequence+1, data)
+	f.host.afterFunc(after, f, func() {
+		if f.receivedParts == [answerParts]bool{} {
+			f.sendRequest(min(2*after, maxRetransmit))
 		}
 	})
 }
 
-// end forgets a flow. The mutex must be held.
-func (c *clientHost) end(of *flow) {
-	of.done = true
+// closeFlow removes a flow. The mutex must be held.
+func (c *clientHost) closeFlow(of *flow) {
+	of.closed = true
 	delete(c.flows, of.key.Client.Port)
-	c.world.ledger.closed(of.key)
+	c.harness.checker.flowClosed(of.key)
 }
 
 func (c *clientHost) succeed(of *flow) {
-	c.end(of)
+	c.closeFlow(of)
 	c.conclude(of.request, true)
 }
 
-// conclude tells the ledger, once, what became of a request. The mutex must be held.
-func (c *clientHost) conclude(wanted *request, served bool) {
-	if wanted.over {
+// conclude records the outcome of a request, once. The mutex must be held.
+func (c *clientHost) conclude(ended *request, served bool) {
+	if ended.concluded {
 		return
 	}
-	wanted.over = true
-	if wanted.rest == 0 {
-		c.world.ledger.ended(wanted.sent, served)
+	ended.concluded = true
+	if ended.delay == 0 {
+		c.harness.checker.requestEnded(ended.sent, served)
 	}
 }
 
-// fail ends a try. What cannot have run, or may run again, is tried again.
-func (c *clientHost) fail(of *flow, notRun bool) {
-	c.end(of)
-	wanted := of.request
-	if wanted.tries >= maximumTries || !notRun && !wanted.repeatable {
-		c.conclude(wanted, false)
+// failAttempt ends an attempt. The request is retried if it cannot have been executed, or if
+// it is idempotent.
+func (c *clientHost) failAttempt(of *flow, notExecuted bool) {
+	c.closeFlow(of)
+	failed := of.request
+	if failed.attempts >= maxAttempts || !notExecuted && !failed.idempotent {
+		c.conclude(failed, false)
 		return
 	}
 	time.AfterFunc(retryDelay, func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		if !wanted.over {
-			c.try(wanted)
+		if !failed.concluded {
+			c.attempt(failed)
 		}
 	})
 }
 
-// giveUp ends a request whose time is over.
-func (c *clientHost) giveUp(wanted *request) {
+// expire ends a request whose timeout has passed.
+func (c *clientHost) expire(expired *request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, each := range c.flows {
-		if each.request == wanted {
-			c.end(each)
+		if each.request == expired {
+			c.closeFlow(each)
 		}
 	}
-	c.conclude(wanted, false)
+	c.conclude(expired, false)
 }
--- a/bench/soak/daemon.go
+++ b/bench/soak/daemon.go
@@ -15,123 +15,125 @@
 	"github.com/vanetiller/vanetiller/bench/fleet"
 )
 
-// restartDelay is how long a machine takes to start an ended process again.
+// restartDelay is how long a machine takes to restart a process that has ended.
 const restartDelay = 300 * time.Millisecond
 
-// daemon is a machine's process, which is started again whenever it ends. It is
-// safe for concurrent use.
+// daemon is the process of a machine, which is restarted whenever it ends. It is safe for
+// concurrent use.
 type daemon struct {
-	name   string
-	binary string
-	base   string
-	// later are the settings of all starts but the first.
-	later  string
-	ledger *ledger
+	name     string
+	binary   string
+	basePath string
+	// restartSettings are the settings of all starts except the first.
+	restartSettings string
+	checker         *checker
 
 	mutex   sync.Mutex
 	process *fleet.Process
-	// expected is set while the process is being ended from outside, and killed if
-	// that was not planned.
-	expected bool
-	killed   bool
-	away     time.Duration
-	removed  bool
-	paused   bool
+	// exitExpected is set when the run ends the process, and killed if it does so with
+	// SIGKILL.
+	exitExpected bool
+	killed       bool
+	downtime     time.Duration
+	removed      bool
+	paused       bool
 }
 
-// newDaemon writes the settings of a process's first start. It fails if the file
+// newDaemon creates a daemon and writes the settings of its first start. It fails if the file
 // cannot be written.
-func newDaemon(w *world, name, first, later string) (*daemon, error) {
-	base := filepath.Join(w.options.Directory, name)
-	created := &daemon{name: name, binary: w.binary, base: base, later: later, ledger: w.ledger}
-	return created, created.write(first)
+func newDaemon(h *harness, name, first, restart string) (*daemon, error) {
+	basePath := filepath.Join(h.options.Directory, name)
+	created := &daemon{name: name, binary: h.binary, basePath: basePath, restartSettings: restart, checker: h.checker}
+	return created, created.writeSettings(first)
 }
 
-func (d *daemon) write(settings string) error {
-	return errors.Wrap(os.WriteFile(d.base+".toml", []byte(settings), 0o600), "settings")
+func (d *daemon) writeSettings(settings string) error {
+	return errors.Wrapf(os.WriteFile(d.basePath+".toml", []byte(settings), 0o600), "write the settings of %s", d.name)
 }
 
-// run keeps the process running until ctx ends or the machine is removed.
-func (d *daemon) run(ctx context.Context) {
+// supervise starts the process and restarts it whenever it ends, until ctx ends or the machine
+// is removed.
+func (d *daemon) supervise(ctx context.Context) {
 	for ctx.Err() == nil {
 		process, err := d.start()
 		if err != nil {
-			d.ledger.ownExit(d.name+": "+err.Error(), -1)
+			d.checker.unexpectedExit(d.name+": "+err.Error(), -1)
 			return
 		}
 		if process == nil {
 			return
 		}
 		<-process.Done()
-		away, goesOn := d.ended(process.Exit())
-		if !goesOn || !pause(ctx, away) {
+		downtime, restart := d.handleExit(process.Exit())
+		if !restart || !sleep(ctx, downtime) {
 			return
 		}
-		if err := d.write(d.later); err != nil {
-			d.ledger.ownExit(d.name+": "+err.Error(), -1)
+		if err := d.writeSettings(d.restartSettings); err != nil {
+			d.checker.unexpectedExit(d.name+": "+err.Error(), -1)
 			return
 		}
 	}
 }
 
-// start starts the process. It returns none if the machine has been removed, as it may be
-// while the process is away.
+// start starts the process. It returns nil if the machine was removed while the process was
+// not running.
 func (d *daemon) start() (*fleet.Process, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.removed {
 		return nil, nil
 	}
-	process, err := fleet.Start(d.name, d.binary, d.base+".toml", d.base+".log")
+	process, err := fleet.Start(d.name, d.binary, d.basePath+".toml", d.basePath+".log")
 	d.process = process
-	d.expected = false
+	d.exitExpected = false
 	d.paused = false
 	if d.killed {
-		d.ledger.disturb()
+		d.checker.faultChanged()
 	}
 	d.killed = false
 	return process, err
 }
 
-// ended notes how the process ended, and returns how long it stays away and whether
-// it is started again.
-func (d *daemon) ended(exit fleet.Exit) (time.Duration, bool) {
+// handleExit records an unexpected exit. It returns the wait before the restart and whether
+// to restart at all.
+func (d *daemon) handleExit(exit fleet.Exit) (time.Duration, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if !d.expected {
-		d.ledger.ownExit(d.name, exit.Code)
+	if !d.exitExpected {
+		d.checker.unexpectedExit(d.name, exit.Code)
 	}
-	away := restartDelay + d.away
-	d.away = 0
-	return away, !d.removed
+	downtime := restartDelay + d.downtime
+	d.downtime = 0
+	return downtime, !d.removed
 }
 
-// kill ends the process at once, and keeps it away for a time.
-func (d *daemon) kill(away time.Duration) {
+// kill ends the process with SIGKILL. The restart is delayed by downtime.
+func (d *daemon) kill(downtime time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.away = away
-	d.end(syscall.SIGKILL)
+	d.downtime = downtime
+	d.signal(syscall.SIGKILL)
 }
 
-// stop asks the process to end as planned.
-func (d *daemon) stop() {
+// terminate asks the process to shut down with SIGTERM. It is restarted afterwards.
+func (d *daemon) terminate() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.end(syscall.SIGTERM)
+	d.signal(syscall.SIGTERM)
 }
 
-// remove ends the process as planned, for good.
+// remove asks the process to shut down with SIGTERM. It is not restarted.
 func (d *daemon) remove() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.removed = true
-	d.end(syscall.SIGTERM)
+	d.signal(syscall.SIGTERM)
 }
 
-// end signals the process that it ends. The mutex must be held.
-func (d *daemon) end(signal syscall.Signal) {
-	d.expected = true
+// signal sends SIGKILL or SIGTERM to the process and marks its exit as expected. The mutex must
+// be held.
+func (d *daemon) signal(signal syscall.Signal) {
+	d.exitExpected = true
 	if d.process == nil || !d.process.Running() {
 		return
 	}
@@ -144,7 +146,7 @@
 	_ = d.process.Terminate()
 }
 
-// setPaused freezes the process or lets it go on.
+// setPaused pauses or resumes the process.
 func (d *daemon) setPaused(paused bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -159,7 +161,7 @@
 	_ = d.process.Resume()
 }
 
-// reload tells the process that its settings have changed.
+// reload tells the process to reload its settings, unless it is paused.
 func (d *daemon) reload() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -169,9 +171,9 @@
 }
 
 func balancerSettings(n network, number, seeds int) string {
-	var named []string
+	var seedAddresses []string
 	for seed := range seeds {
-		named = append(named, fmt.Sprintf("%q", n.addrPort(netBalancers, seed, exchangePort)))
+		seedAddresses = append(seedAddresses, fmt.Sprintf("%q", n.addrPort(netBalancers, seed, exchangePort)))
 	}
 	return fmt.Sprintf(`name = "balancer-%d"
 zone = %q
@@ -189,8 +191,8 @@
 zones = ["zone-1", "zone-2", "zone-3"]
 `, number, zoneName(number%zoneCount),
 		n.addrPort(netBalancers, number, healthPort), n.addrPort(netBalancers, number, peerPort),
-		n.addrPort(netBalancers, number, packetPort), n.addrPort(netLinks, number, storePort),
-		n.addrPort(netBalancers, number, exchangePort), strings.Join(named, ", "))
+		n.addrPort(netBalancers, number, packetPort), n.addrPort(netProxies, number, storePort),
+		n.addrPort(netBalancers, number, exchangePort), strings.Join(seedAddresses, ", "))
 }
 
 func agentSettings(n network, number int, service string, first bool) string {
@@ -206,6 +208,6 @@
 endpoint = %q
 emitted = %q
 first_start = %t
-`, number, zoneName(number%zoneCount), n.addrPort(netSides, number, healthPort), n.addrPort(netSides, number, packetPort),
-		service, n.addrPort(netSides, number, appPort), n.addrPort(netSides, number, emittedPort), first)
+`, number, zoneName(number%zoneCount), n.addrPort(netMachines, number, healthPort), n.addrPort(netMachines, number, packetPort),
+		service, n.addrPort(netMachines, number, appPort), n.addrPort(netMachines, number, emittedPort), first)
 }
--- a/bench/soak/doc.go
+++ b/bench/soak/doc.go
@@ -1,13 +1,17 @@
-// Package soak runs real processes of vanetiller-relay on loopback addresses under a
-// seeded schedule of faults that come from outside them: signals that kill, pause and
-// stop them, a proxy that delays, resets, cuts one way or silences their connections
-// to the store, and a store that refuses, throttles, is silent and forgets. Stand-ins
-// of clients, endpoints of unlike speed and routers carry flows meanwhile, at times as
-// many as the endpoints can serve, and a ledger checks what users are promised, from what
-// these see.
+// Package soak tests the guarantees that vanetiller-relay gives to its users while faults are
+// injected. It runs real processes on loopback addresses and takes a seed, a duration and a
+// number of faults. It reports how many requests were served and how often each guarantee was
+// violated.
 //
-// The schedule depends on the seed alone; the times at which packets and processes
-// run do not, so that a fault may need several runs to show again. The processes use
-// no storage, and of the time of day only the numbers of their incarnations, so that
-// neither is disturbed. Datagrams between daemons go straight and are not disturbed.
+// The faults come from outside the processes. Signals kill, pause and stop them. A proxy
+// delays, resets, blocks in one direction or stalls their connections to the store. The store
+// refuses and throttles requests, does not answer, or compacts its history. Simulated clients,
+// routers and endpoints of different speeds carry flows meanwhile, at times as many as the
+// endpoints can serve. A checker detects violations from what the clients and endpoints
+// observe.
+//
+// The schedule of faults depends only on the seed. The timing of packets and processes does
+// not, so a failure may need several runs to reproduce. Storage and the system clock are not
+// disturbed: the processes use no storage, and they use the time of day only to number their
+// incarnations. Datagrams between daemons do not pass a proxy and are not disturbed.
 package soak
--- a/bench/soak/endpoint.go
+++ b/bench/soak/endpoint.go
@@ -18,33 +18,33 @@
 const (
 	// answerParts is the number of packets of an answer.
 	answerParts = 3
-	// partSize is how many bytes each of them has.
+	// partSize is the number of data bytes in each packet of an answer.
 	partSize = 400
-	// shortestWork and longestWork bound how long the fastest endpoints work on a request.
-	shortestWork = 10 * time.Millisecond
-	longestWork  = 40 * time.Millisecond
-	// queueLength is how many requests wait at an endpoint; more are refused.
-	queueLength = 16
-	// firstRepeat is the wait before a packet is sent again; it doubles up to
-	// longestRepeat.
-	firstRepeat   = 200 * time.Millisecond
-	longestRepeat = 1600 * time.Millisecond
+	// minServiceTime and maxServiceTime bound how long the fastest endpoints process a request.
+	minServiceTime = 10 * time.Millisecond
+	maxServiceTime = 40 * time.Millisecond
+	// maxQueued is the highest number of queued requests of an endpoint. It refuses more.
+	maxQueued = 16
+	// firstRetransmit is the wait before the first retransmission of a request or an answer.
+	// The wait doubles each time up to maxRetransmit.
+	firstRetransmit = 200 * time.Millisecond
+	maxRetransmit   = 1600 * time.Millisecond
 )
 
-// slownesses are how many times as long as the fastest endpoints take for a request, by the
-// number of the machine: those of a service differ.
-var slownesses = []time.Duration{1, 2, 1, 4}
+// slowdowns are the factors by which endpoints are slower than the fastest, by machine number.
+// Endpoints of the same service have different factors.
+var slowdowns = []time.Duration{1, 2, 1, 4}
 
-func slownessOf(machine int) time.Duration { return slownesses[machine%len(slownesses)] }
+func slowdownOf(machine int) time.Duration { return slowdowns[machine%len(slowdowns)] }
 
-// The kinds of answers, which are the first byte of their data.
+// The kinds of answers. The kind is the first byte of the data behind the response head.
 const (
 	answerServed byte = iota + 1
 	answerRefused
 	answerFailed
 )
 
-// The offsets in the data of each packet of an answer, behind its head.
+// The offsets of the fields in the data of each packet of an answer, behind the response head.
 const (
 	offsetKind = platformtest.ResponseHeadSize + iota
 	offsetPart
@@ -52,84 +52,83 @@
 	answerSize = offsetRequest + 8
 )
 
-// illness is what is wrong with an endpoint that looks well from outside.
-type illness uint8
+// failureMode is how an endpoint fails while its entry in the store stays unchanged.
+type failureMode uint8
 
-// The illnesses.
+// The failure modes of an endpoint.
 const (
-	illnessNone illness = iota
-	// illnessFails: it answers every request with a failure.
-	illnessFails
-	// illnessHangs: it takes requests and answers none.
-	illnessHangs
-	// illnessReturns: it takes no new flow.
-	illnessReturns
+	failureNone failureMode = iota
+	// failureErrors answers every request with a failure.
+	failureErrors
+	// failureHangs accepts requests and answers none.
+	failureHangs
+	// failureRejectsFlows returns the opening packets of new flows.
+	failureRejectsFlows
 )
 
-// requestSize is the encoded size of a request: its number and whether it may be
-// repeated.
+// requestSize is the encoded size of a request: its ID and whether it is idempotent.
 const requestSize = 9
 
-// heldFlow is a flow at its endpoint.
-type heldFlow struct {
-	key      segment.FlowKey
-	sequence uint32
-	answer   uint32
-	open     bool
-	asked    bool
-	answered bool
-	refused  bool
-	failed   bool
-	ended    bool
-	request  uint64
-	// repeatable is set if the request may run again.
-	repeatable bool
+// serverFlow is the state of a flow at its endpoint.
+type serverFlow struct {
+	key            segment.FlowKey
+	clientSequence uint32
+	serverSequence uint32
+	established    bool
+	requested      bool
+	answered       bool
+	refused        bool
+	failed         bool
+	closed         bool
+	request        uint64
+	// idempotent is set if the request may be executed more than once.
+	idempotent bool
 }
 
-// endpoint stands in for an application beside an agent. It takes packets at its
-// address and writes all of its own to the agent.
+// endpoint simulates an application beside an agent. It receives packets at its address and
+// sends all of its packets to the agent.
 type endpoint struct {
-	world   *world
+	harness *harness
 	id      directory.EndpointID
 	service int
 	zone    string
 	socket  *net.UDPConn
 	agent   *net.UDPAddr
-	living  atomic.Bool
-	// slowness multiplies the time that a request takes.
-	slowness time.Duration
+	running atomic.Bool
+	// slowdown multiplies the processing time of a request.
+	slowdown time.Duration
 
 	mutex   sync.Mutex
-	flows   map[segment.FlowKey]*heldFlow
-	working int
-	waiting []*heldFlow
-	ill     illness
+	flows   map[segment.FlowKey]*serverFlow
+	active  int
+	queue   []*serverFlow
+	failure failureMode
 }
 
-func newEndpoint(w *world, id directory.EndpointID, service int, ip [4]byte) (*endpoint, error) {
+func newEndpoint(h *harness, id directory.EndpointID, service int, ip [4]byte) (*endpoint, error) {
 	at := segment.Address{IP: ip, Port: appPort}
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at.AddrPort()))
 	if err != nil {
-		return nil, errors.Wrapf(err, "endpoint %s", id)
+		return nil, errors.Wrapf(err, "open the socket of endpoint %s at %s", id, at)
 	}
 	created := &endpoint{
-		world: w, id: id, service: service, socket: socket,
-		agent: net.UDPAddrFromAddrPort(at.WithPort(emittedPort).AddrPort()), flows: make(map[segment.FlowKey]*heldFlow),
+		harness: h, id: id, service: service, socket: socket,
+		agent: net.UDPAddrFromAddrPort(at.WithPort(emittedPort).AddrPort()), flows: make(map[segment.FlowKey]*serverFlow),
 	}
-	created.living.Store(true)
+	created.running.Store(true)
 	return created, nil
 }
 
-// alive reports whether the endpoint runs. It may be called with any lock held.
-func (e *endpoint) alive() bool { return e.living.Load() }
+// alive reports whether the endpoint is running. It takes no lock, so callers may hold any.
+func (e *endpoint) alive() bool { return e.running.Load() }
 
-// end closes the endpoint; it forgets its flows.
-func (e *endpoint) end() {
-	e.living.Store(false)
+// stop ends the endpoint and closes its socket.
+func (e *endpoint) stop() {
+	e.running.Store(false)
 	_ = e.socket.Close()
 }
 
-// run handles packets until the endpoint ends.
+// run handles packets until the endpoint stops.
 func (e *endpoint) run() {
 	buffer := make([]byte, 2048)
 	for {
@@ -145,96 +144,97 @@
 }
 
 func (e *endpoint) receive(packet []byte) {
-	codec := e.world.codec
+	codec := e.harness.codec
 	header, outcome := codec.Decode(packet)
-	foreign := header.Flags.Has(segment.Returned) || header.Flags.Has(segment.Synchronize|segment.Acknowledge)
-	if outcome != segment.Decoded || foreign || !codec.ChecksumValid(packet) {
-		e.world.ledger.forged(e.id.String())
+	unexpected := header.Flags.Has(segment.Returned) || header.Flags.Has(segment.Synchronize|segment.Acknowledge)
+	if outcome != segment.Decoded || unexpected || !codec.ChecksumValid(packet) {
+		e.harness.checker.invalidPacket(e.id.String())
 		return
 	}
 	key := segment.FlowKey{Client: header.Source, Service: header.Destination}
 	if header.OpensFlow() {
-		e.world.ledger.openedAt(e.id, e.zone)
+		e.harness.checker.openingReceived(e.id, e.zone)
 		e.receiveOpening(key, header, packet)
 		return
 	}
 	e.receiveSegment(key, header, packet)
 }
 
-// setIllness makes the endpoint ill, or well again.
-func (e *endpoint) setIllness(ill illness) {
+// setFailure makes the endpoint fail in a given mode, or recover.
+func (e *endpoint) setFailure(failure failureMode) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.ill = ill
+	e.failure = failure
 }
 
 func (e *endpoint) receiveOpening(key segment.FlowKey, header segment.Header, packet []byte) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	known, exists := e.flows[key]
-	if !exists && e.ill == illnessReturns {
-		e.bounce(packet)
+	if !exists && e.failure == failureRejectsFlows {
+		e.returnPacket(packet)
 		return
 	}
-	if !exists || known.sequence != header.Sequence {
-		known = &heldFlow{key: key, sequence: header.Sequence, answer: rand.Uint32()}
+	if !exists || known.clientSequence != header.Sequence {
+		known = &serverFlow{key: key, clientSequence: header.Sequence, serverSequence: rand.Uint32()}
 		e.flows[key] = known
 	}
-	e.emit(known, segment.Synchronize|segment.Acknowledge, known.answer, nil)
+	e.sendPacket(known, segment.Synchronize|segment.Acknowledge, known.serverSequence, nil)
 }
 
 func (e *endpoint) receiveSegment(key segment.FlowKey, header segment.Header, packet []byte) {
 	e.mutex.Lock()
 	known, exists := e.flows[key]
-	holds := exists && header.Acknowledgment-known.answer-1 < 1<<20
-	newlyOpen := holds && !known.open
-	if newlyOpen {
-		known.open = true
+	holds := exists && header.Acknowledgment-known.serverSequence-1 < 1<<20
+	newlyEstablished := holds && !known.established
+	if newlyEstablished {
+		known.established = true
 	}
 	e.mutex.Unlock()
-	if newlyOpen {
-		e.world.ledger.opened(key, e)
+	if newlyEstablished {
+		e.harness.checker.flowOpened(key, e)
 	}
-	e.world.ledger.arrived(key, e)
+	e.harness.checker.packetArrived(key, e)
 	if !holds {
-		e.bounce(packet)
+		e.returnPacket(packet)
 		return
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if header.Length >= requestSize {
-		e.receiveRequest(known, e.world.codec.Data(packet))
+		e.receiveRequest(known, e.harness.codec.Data(packet))
 	}
 	if header.Flags.Has(segment.Finish) {
-		known.ended = true
-		e.emit(known, segment.Acknowledge|segment.Finish, known.answer+1, nil)
+		known.closed = true
+		e.sendPacket(known, segment.Acknowledge|segment.Finish, known.serverSequence+1, nil)
 	}
 }
 
-// bounce returns a packet of a flow that this endpoint does not hold.
-func (e *endpoint) bounce(packet []byte) {
+// returnPacket sends a packet of a flow that the endpoint does not hold back to the agent,
+// marked as returned.
+func (e *endpoint) returnPacket(packet []byte) {
 	returned := append([]byte(nil), packet...)
-	e.world.codec.MarkReturned(returned)
+	e.harness.codec.MarkReturned(returned)
 	_, _ = e.socket.WriteToUDP(returned, e.agent)
 }
 
-// receiveRequest handles a request, or a copy of it. The mutex must be held.
-func (e *endpoint) receiveRequest(known *heldFlow, data []byte) {
+// receiveRequest handles a request or its retransmission. The mutex must be held.
+func (e *endpoint) receiveRequest(known *serverFlow, data []byte) {
 	if known.answered {
 		e.respond(known)
 	}
-	if known.asked {
+	if known.requested {
 		return
 	}
-	known.asked = true
+	known.requested = true
 	known.request = binary.BigEndian.Uint64(data)
-	known.repeatable = data[8] != 0
+	known.idempotent = data[8] != 0
 	switch {
-	case e.ill == illnessHangs:
-	case e.working < int(services[e.service].slots):
-		e.work(known)
-	case len(e.waiting) < queueLength:
-		e.waiting = append(e.waiting, known)
+	case e.failure == failureHangs:
+	case e.active < int(services[e.service].slots):
+		e.process(known)
+	case len(e.queue) < maxQueued:
+		e.queue = append(e.queue, known)
 	default:
 		known.refused = true
 		known.answered = true
@@ -242,31 +242,31 @@
 	}
 }
 
-// work begins with a request. The mutex must be held.
-func (e *endpoint) work(known *heldFlow) {
-	e.working++
-	e.world.ledger.ran(known.request, known.repeatable)
-	takes := shortestWork + time.Duration(rand.Int64N(int64(longestWork-shortestWork)))
-	time.AfterFunc(e.slowness*takes, func() { e.finish(known) })
+// process starts to process a request. The mutex must be held.
+func (e *endpoint) process(known *serverFlow) {
+	e.active++
+	e.harness.checker.requestStarted(known.request, known.idempotent)
+	serviceTime := minServiceTime + time.Duration(rand.Int64N(int64(maxServiceTime-minServiceTime)))
+	time.AfterFunc(e.slowdown*serviceTime, func() { e.finish(known) })
 }
 
-func (e *endpoint) finish(known *heldFlow) {
+func (e *endpoint) finish(known *serverFlow) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.working--
+	e.active--
 	known.answered = true
-	known.failed = e.ill == illnessFails
+	known.failed = e.failure == failureErrors
 	e.respond(known)
-	e.repeat(known, firstRepeat)
-	if len(e.waiting) > 0 {
-		next := e.waiting[0]
-		e.waiting = e.waiting[1:]
-		e.work(next)
+	e.scheduleRetransmit(known, firstRetransmit)
+	if len(e.queue) > 0 {
+		next := e.queue[0]
+		e.queue = e.queue[1:]
+		e.process(next)
 	}
 }
 
-// respond sends the answer. The mutex must be held.
-func (e *endpoint) respond(known *heldFlow) {
+// respond sends all packets of the answer. The mutex must be held.
+func (e *endpoint) respond(known *serverFlow) {
 	kind, head := answerServed, platformtest.ResponseHead(segment.AnswerSuccess)
 	switch {
 	case known.refused:
@@ -279,27 +279,28 @@
 		copy(data, head)
 		data[offsetKind], data[offsetPart] = kind, byte(part)
 		binary.BigEndian.PutUint64(data[offsetRequest:], known.request)
-		e.emit(known, segment.Acknowledge, known.answer+1+uint32(part*partSize), data)
+		e.sendPacket(known, segment.Acknowledge, known.serverSequence+1+uint32(part*partSize), data)
 	}
 }
 
-// repeat sends an answer again until the client has closed the flow.
-func (e *endpoint) repeat(known *heldFlow, after time.Duration) {
+// scheduleRetransmit retransmits an answer until the client has closed the flow or the wait
+// exceeds maxRetransmit.
+func (e *endpoint) scheduleRetransmit(known *serverFlow, after time.Duration) {
 	time.AfterFunc(after, func() {
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		if known.ended || !e.alive() || after > longestRepeat {
+		if known.closed || !e.alive() || after > maxRetransmit {
 			return
 		}
 		e.respond(known)
-		e.repeat(known, 2*after)
+		e.scheduleRetransmit(known, 2*after)
 	})
 }
 
-func (e *endpoint) emit(known *heldFlow, flags segment.Flags, sequence uint32, data []byte) {
-	packet := e.world.codec.Encode(segment.Header{
+func (e *endpoint) sendPacket(known *serverFlow, flags segment.Flags, sequence uint32, data []byte) {
+	packet := e.harness.codec.Encode(segment.Header{
 		Source: known.key.Service, Destination: known.key.Client,
-		Flags: flags, Sequence: sequence, Acknowledgment: known.sequence + 1 + requestSize,
+		Flags: flags, Sequence: sequence, Acknowledgment: known.clientSequence + 1 + requestSize,
 	}, data)
 	_, _ = e.socket.WriteToUDP(packet, e.agent)
 }
--- a/bench/soak/fabric.go
+++ b/bench/soak/fabric.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// probeInterval is the time between two probes of a balancer, and probeTimeout
-	// how long one may take.
+	// probeInterval is the time between two health probes of a balancer, and probeTimeout the
+	// longest time one may take.
 	probeInterval = 500 * time.Millisecond
 	probeTimeout  = 400 * time.Millisecond
-	// missedProbes is how many probes a balancer misses before it is left out.
+	// missedProbes is the number of failed probes in a row after which a balancer counts as
+	// not ready.
 	missedProbes = 2
 )
 
-// fabric stands in for the platform's routers: it hashes flows over the balancers of
-// the client's zone that are in (highest random weight, Thaler and Ravishankar 1998).
+// fabric simulates the platform's routers. It spreads flows over the ready balancers of the
+// client's zone by rendezvous hashing (highest random weight, Thaler and Ravishankar 1998).
 type fabric struct {
 	network network
 	client  *http.Client
@@ -29,17 +30,17 @@
 	missed []int
 }
 
-func newFabric(w network, balancers int) *fabric {
-	return &fabric{network: w, client: &http.Client{Timeout: probeTimeout}, missed: make([]int, balancers)}
+func newFabric(n network, balancers int) *fabric {
+	return &fabric{network: n, client: &http.Client{Timeout: probeTimeout}, missed: make([]int, balancers)}
 }
 
-// probe asks all balancers, again and again, until ctx ends.
+// probe requests the health of every balancer each probeInterval until ctx ends.
 func (f *fabric) probe(ctx context.Context) {
 	for {
 		for number := range f.missed {
 			go f.probeOne(ctx, number)
 		}
-		if !pause(ctx, probeInterval) {
+		if !sleep(ctx, probeInterval) {
 			return
 		}
 	}
@@ -65,7 +66,7 @@
 	f.missed[number]++
 }
 
-// ready returns how many balancers are in.
+// ready returns the number of ready balancers.
 func (f *fabric) ready() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -78,8 +79,9 @@
 	return count
 }
 
-// route returns where a packet of a flow from a zone goes. If fewer than half of the
-// zone's balancers are in, all of them are used, and if none is, all that are in.
+// route returns the balancer address for a packet of a flow from a zone. It chooses among the
+// ready balancers of the zone. If fewer than half of these are ready, it chooses among all of
+// the zone. If none is ready, it chooses among the ready balancers of all zones.
 func (f *fabric) route(zone int, key segment.FlowKey) (netip.AddrPort, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -112,7 +114,7 @@
 	return f.network.addrPort(netBalancers, max(chosen, 0), packetPort), chosen >= 0
 }
 
-// mix is the finaliser of MurmurHash3.
+// mix is the 64-bit finalizer of MurmurHash3.
 func mix(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
--- a/bench/soak/fault.go
+++ b/bench/soak/fault.go
@@ -9,161 +9,162 @@
 	"github.com/vanetiller/vanetiller/platform/platformtest"
 )
 
-// fault is something that happens during a run. Its run returns when it is over, or
-// when ctx ends.
+// fault is a failure or an operation that a run injects. Its run function returns when the
+// fault is over or ctx ends.
 type fault struct {
 	name string
-	// calm is set for planned work, under which the rules with a time bound hold.
-	calm bool
-	run  func(ctx context.Context, w *world, random *rand.Rand)
+	// planned marks routine operations and load. Checks with a time bound stay active during
+	// these; other faults suspend them.
+	planned bool
+	run     func(ctx context.Context, h *harness, random *rand.Rand)
 }
 
-// faults are all that a schedule draws from.
+// faults lists the faults that a schedule draws from.
 var faults = []fault{
-	{name: "balancer killed", run: func(_ context.Context, w *world, random *rand.Rand) {
-		w.anyBalancer(random).kill(between(random, 0, 2*time.Second))
+	{name: "balancer killed", run: func(_ context.Context, h *harness, random *rand.Rand) {
+		h.randomBalancer(random).kill(randomDuration(random, 0, 2*time.Second))
 	}},
-	{name: "balancer paused", run: func(ctx context.Context, w *world, random *rand.Rand) {
-		freeze(ctx, w.anyBalancer(random), between(random, 200*time.Millisecond, 4*time.Second))
+	{name: "balancer paused", run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		pauseFor(ctx, h.randomBalancer(random), randomDuration(random, 200*time.Millisecond, 4*time.Second))
 	}},
-	{name: "balancer stopped", calm: true, run: func(_ context.Context, w *world, random *rand.Rand) {
-		w.anyBalancer(random).stop()
+	{name: "balancer stopped", planned: true, run: func(_ context.Context, h *harness, random *rand.Rand) {
+		h.randomBalancer(random).terminate()
 	}},
-	{name: "balancers reload", calm: true, run: func(ctx context.Context, w *world, random *rand.Rand) {
-		for _, balancer := range w.balancers {
+	{name: "balancers reload", planned: true, run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		for _, balancer := range h.balancers {
 			balancer.reload()
 		}
 	}},
-	{name: "agent killed", run: func(_ context.Context, w *world, random *rand.Rand) {
-		w.anySide(random).agent.kill(between(random, 0, 2*time.Second))
+	{name: "agent killed", run: func(_ context.Context, h *harness, random *rand.Rand) {
+		h.randomMachine(random).agent.kill(randomDuration(random, 0, 2*time.Second))
 	}},
-	{name: "agent paused", run: func(ctx context.Context, w *world, random *rand.Rand) {
-		freeze(ctx, w.anySide(random).agent, between(random, 200*time.Millisecond, 3*time.Second))
+	{name: "agent paused", run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		pauseFor(ctx, h.randomMachine(random).agent, randomDuration(random, 200*time.Millisecond, 3*time.Second))
 	}},
-	{name: "endpoint crashes", run: func(ctx context.Context, w *world, random *rand.Rand) {
-		w.crash(ctx, w.takeSide(random), between(random, 300*time.Millisecond, 3*time.Second), random.IntN(2) == 0)
+	{name: "endpoint crashes", run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		h.crash(ctx, h.reserveMachine(random), randomDuration(random, 300*time.Millisecond, 3*time.Second), random.IntN(2) == 0)
 	}},
-	{name: "endpoint fails", run: illnessFault(illnessFails)},
-	{name: "endpoint hangs", run: illnessFault(illnessHangs)},
-	{name: "endpoint returns all", run: illnessFault(illnessReturns)},
-	{name: "endpoint replaced", calm: true, run: func(ctx context.Context, w *world, random *rand.Rand) {
-		w.replace(ctx, w.takeSide(random))
+	{name: "endpoint fails", run: endpointFault(failureErrors)},
+	{name: "endpoint hangs", run: endpointFault(failureHangs)},
+	{name: "endpoint rejects flows", run: endpointFault(failureRejectsFlows)},
+	{name: "endpoint replaced", planned: true, run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		h.replace(ctx, h.reserveMachine(random))
 	}},
-	{name: "another writer", calm: true, run: func(ctx context.Context, w *world, random *rand.Rand) {
-		w.putRubbish(random)
+	{name: "invalid entry written", planned: true, run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		h.publishInvalidEndpoint(random)
 	}},
-	{name: "configuration changes", calm: true, run: func(ctx context.Context, w *world, random *rand.Rand) {
-		w.configure()
+	{name: "configuration changes", planned: true, run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		h.publishConfiguration()
 	}},
-	{name: "store link delayed", run: linkFault(ProxyDelayed)},
-	{name: "store link deaf", run: linkFault(ProxyResponsesBlocked)},
-	{name: "store link mute", run: linkFault(ProxyRequestsBlocked)},
-	{name: "store link silent", run: linkFault(ProxyBlocked)},
-	{name: "store links reset", run: func(ctx context.Context, w *world, random *rand.Rand) {
-		for _, link := range w.links {
-			link.Reset()
+	{name: "store proxy delayed", run: proxyFault(ProxyDelayed)},
+	{name: "store responses blocked", run: proxyFault(ProxyResponsesBlocked)},
+	{name: "store requests blocked", run: proxyFault(ProxyRequestsBlocked)},
+	{name: "store proxy blocked", run: proxyFault(ProxyBlocked)},
+	{name: "store connections reset", run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		for _, proxy := range h.proxies {
+			proxy.Reset()
 		}
 	}},
-	{name: "store connections silent", run: func(ctx context.Context, w *world, random *rand.Rand) {
-		for _, link := range w.links {
-			link.StallOpen()
+	{name: "store connections stalled", run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		for _, proxy := range h.proxies {
+			proxy.StallOpen()
 		}
 	}},
-	{name: "zone closed", calm: true, run: func(ctx context.Context, w *world, random *rand.Rand) {
-		w.closeZone(ctx, random.IntN(zoneCount))
+	{name: "zone closed", planned: true, run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		h.closeZone(ctx, random.IntN(zoneCount))
 	}},
-	{name: "store busy", run: storeFault(platformtest.Unavailable)},
+	{name: "store unavailable", run: storeFault(platformtest.Unavailable)},
 	{name: "store throttles", run: storeFault(platformtest.Throttling)},
-	{name: "store silent", run: storeFault(platformtest.Unresponsive)},
-	{name: "store forgets", run: func(ctx context.Context, w *world, random *rand.Rand) { w.store.Compact() }},
-	{name: "all balancers killed", run: func(ctx context.Context, w *world, random *rand.Rand) {
-		for _, balancer := range w.balancers {
+	{name: "store unresponsive", run: storeFault(platformtest.Unresponsive)},
+	{name: "store compacted", run: func(ctx context.Context, h *harness, random *rand.Rand) { h.store.Compact() }},
+	{name: "all balancers killed", run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		for _, balancer := range h.balancers {
 			balancer.kill(0)
 		}
 	}},
-	{name: "all processes killed", run: func(ctx context.Context, w *world, random *rand.Rand) { w.killAll() }},
-	{name: "all processes killed twice", run: func(ctx context.Context, w *world, random *rand.Rand) {
-		w.killAll()
-		pause(ctx, between(random, time.Second, 8*time.Second))
-		w.killAll()
+	{name: "all processes killed", run: func(ctx context.Context, h *harness, random *rand.Rand) { h.killAll() }},
+	{name: "all processes killed twice", run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		h.killAll()
+		sleep(ctx, randomDuration(random, time.Second, 8*time.Second))
+		h.killAll()
 	}},
-	{name: "burst", calm: true, run: func(ctx context.Context, w *world, random *rand.Rand) {
-		w.burst(ctx, random, between(random, time.Second, 3*time.Second))
+	{name: "burst", planned: true, run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		h.burst(ctx, random, randomDuration(random, time.Second, 3*time.Second))
 	}},
-	{name: "kept flows ask at once", calm: true, run: func(ctx context.Context, w *world, random *rand.Rand) {
-		w.askAtOnce(random)
+	{name: "delayed requests sent simultaneously", planned: true, run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		h.submitSimultaneously(random)
 	}},
-	{name: "all processes killed in a burst", run: func(ctx context.Context, w *world, random *rand.Rand) {
-		w.askAtOnce(random)
-		w.burst(ctx, random, between(random, 300*time.Millisecond, keptRest+300*time.Millisecond))
-		w.killAll()
-		w.burst(ctx, random, 2*time.Second)
+	{name: "all processes killed during a burst", run: func(ctx context.Context, h *harness, random *rand.Rand) {
+		h.submitSimultaneously(random)
+		h.burst(ctx, random, randomDuration(random, 300*time.Millisecond, simultaneousDelay+300*time.Millisecond))
+		h.killAll()
+		h.burst(ctx, random, 2*time.Second)
 	}},
 }
 
-// between draws a duration.
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(random.Int64N(int64(most-least)))
+// randomDuration returns a random duration of at least minimum and less than maximum.
+func randomDuration(random *rand.Rand, minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(random.Int64N(int64(maximum-minimum)))
 }
 
-func freeze(ctx context.Context, victim *daemon, lasts time.Duration) {
-	victim.setPaused(true)
-	pause(ctx, lasts)
-	victim.setPaused(false)
+func pauseFor(ctx context.Context, target *daemon, duration time.Duration) {
+	target.setPaused(true)
+	sleep(ctx, duration)
+	target.setPaused(false)
 }
 
-// linkFault lets the links of one or more balancers to the store fail.
-func linkFault(mode ProxyMode) func(context.Context, *world, *rand.Rand) {
-	return func(ctx context.Context, w *world, random *rand.Rand) {
-		victims := random.Perm(len(w.links))[:1+random.IntN(len(w.links))]
-		lasts := between(random, time.Second, 6*time.Second)
+// proxyFault sets a mode for a while on the store proxies of one or more balancers.
+func proxyFault(mode ProxyMode) func(context.Context, *harness, *rand.Rand) {
+	return func(ctx context.Context, h *harness, random *rand.Rand) {
+		victims := random.Perm(len(h.proxies))[:1+random.IntN(len(h.proxies))]
+		lasts := randomDuration(random, time.Second, 6*time.Second)
 		for _, victim := range victims {
-			w.links[victim].SetMode(mode)
+			h.proxies[victim].SetMode(mode)
 		}
-		pause(ctx, lasts)
+		sleep(ctx, lasts)
 		for _, victim := range victims {
-			w.links[victim].SetMode(ProxyForwarding)
+			h.proxies[victim].SetMode(ProxyForwarding)
 		}
 	}
 }
 
-// illnessFault makes an endpoint ill for a while, which its entry in the store does not
-// show.
-func illnessFault(ill illness) func(context.Context, *world, *rand.Rand) {
-	return func(ctx context.Context, w *world, random *rand.Rand) {
-		victim := w.endpointOf(w.anySide(random))
-		lasts := between(random, time.Second, 6*time.Second)
-		victim.setIllness(ill)
-		pause(ctx, lasts)
-		victim.setIllness(illnessNone)
+// endpointFault makes an endpoint fail for a while without a change of its entry in the store.
+func endpointFault(failure failureMode) func(context.Context, *harness, *rand.Rand) {
+	return func(ctx context.Context, h *harness, random *rand.Rand) {
+		victim := h.currentEndpoint(h.randomMachine(random))
+		lasts := randomDuration(random, time.Second, 6*time.Second)
+		victim.setFailure(failure)
+		sleep(ctx, lasts)
+		victim.setFailure(failureNone)
 	}
 }
 
-func storeFault(mode platformtest.Mode) func(context.Context, *world, *rand.Rand) {
-	return func(ctx context.Context, w *world, random *rand.Rand) {
-		lasts := between(random, time.Second, 6*time.Second)
-		w.store.SetMode(mode)
-		pause(ctx, lasts)
-		w.store.SetMode(platformtest.Serving)
+func storeFault(mode platformtest.Mode) func(context.Context, *harness, *rand.Rand) {
+	return func(ctx context.Context, h *harness, random *rand.Rand) {
+		lasts := randomDuration(random, time.Second, 6*time.Second)
+		h.store.SetMode(mode)
+		sleep(ctx, lasts)
+		h.store.SetMode(platformtest.Serving)
 	}
 }
 
-// planned is a fault with its time.
-type planned struct {
+// scheduledFault is a fault, its start time and the seed of its random choices.
+type scheduledFault struct {
 	at    time.Duration
 	fault fault
 	seed  uint64
 }
 
-// schedule draws the faults of a run. It depends on its arguments alone.
-func schedule(seed uint64, from, to time.Duration, count int) []planned {
+// schedule returns random faults in the order of their start times. The result depends only
+// on the arguments.
+func schedule(seed uint64, from, to time.Duration, count int) []scheduledFault {
 	random := rand.New(rand.NewPCG(seed, 1))
-	drawn := make([]planned, count)
-	for index := range drawn {
-		drawn[index] = planned{
-			at: between(random, from, to), fault: faults[random.IntN(len(faults))], seed: random.Uint64(),
+	scheduled := make([]scheduledFault, count)
+	for index := range scheduled {
+		scheduled[index] = scheduledFault{
+			at: randomDuration(random, from, to), fault: faults[random.IntN(len(faults))], seed: random.Uint64(),
 		}
 	}
-	slices.SortFunc(drawn, func(a, b planned) int { return int(a.at - b.at) })
-	return drawn
+	slices.SortFunc(scheduled, func(a, b scheduledFault) int { return int(a.at - b.at) })
+	return scheduled
 }
--- a/bench/soak/load.go
+++ b/bench/soak/load.go
@@ -7,41 +7,43 @@
 )
 
 const (
-	// burstInterval is the time between two requests of a zone in a burst. All zones
-	// together then ask for nearly as much as the endpoints of the site can do.
+	// burstInterval is the time between two requests of a zone in a burst. The load of all
+	// zones together is then close to the capacity of all endpoints.
 	burstInterval = 4 * time.Millisecond
-	// keptAtOnce is how many kept flows of a zone ask at the same moment, after keptRest:
-	// several for each slot of the site.
-	keptAtOnce = 40
-	keptRest   = 2 * time.Second
+	// simultaneousRequests is the number of flows of a zone that send their request at the
+	// same moment, simultaneousDelay after they opened. That is several per slot of all
+	// endpoints.
+	simultaneousRequests = 40
+	simultaneousDelay    = 2 * time.Second
 )
 
-// burst lets the clients of all zones ask for much more for a while.
-func (w *world) burst(ctx context.Context, random *rand.Rand, lasts time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, lasts)
+// burst makes the clients of all zones send one request each burstInterval for the given
+// duration, in addition to their usual load.
+func (h *harness) burst(ctx context.Context, random *rand.Rand, duration time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
-	for pause(ctx, burstInterval) {
-		for _, host := range w.clients {
-			host.ask(w.drawRequest(random))
+	for sleep(ctx, burstInterval) {
+		for _, host := range h.clients {
+			host.submit(h.randomRequest(random))
 		}
 	}
 }
 
-// askAtOnce lets clients of all zones open flows that rest and then all ask at the same
-// moment.
-func (w *world) askAtOnce(random *rand.Rand) {
-	for range keptAtOnce {
-		for _, host := range w.clients {
-			wanted := w.drawRequest(random)
-			wanted.rest = keptRest
-			host.ask(wanted)
+// submitSimultaneously makes the clients of all zones open flows that send their requests
+// simultaneousDelay later, all at the same moment.
+func (h *harness) submitSimultaneously(random *rand.Rand) {
+	for range simultaneousRequests {
+		for _, host := range h.clients {
+			created := h.randomRequest(random)
+			created.delay = simultaneousDelay
+			host.submit(created)
 		}
 	}
 }
 
-// killAll kills all processes at once.
-func (w *world) killAll() {
-	for _, daemon := range w.daemons() {
+// killAll kills all processes without a graceful stop.
+func (h *harness) killAll() {
+	for _, daemon := range h.daemons() {
 		daemon.kill(0)
 	}
 }
--- a/bench/soak/proxy.go
+++ b/bench/soak/proxy.go
@@ -11,27 +11,28 @@
 	"github.com/pkg/errors"
 )
 
-// ProxyMode is how a link treats the bytes of its connections.
+// ProxyMode is how a proxy treats the bytes of its connections.
 type ProxyMode uint8
 
-// The modes of a link.
+// The modes of a proxy.
 const (
-	// ProxyForwarding: bytes pass.
+	// ProxyForwarding forwards bytes at once.
 	ProxyForwarding ProxyMode = iota
-	// ProxyDelayed: bytes pass late.
+	// ProxyDelayed forwards bytes after proxyDelay.
 	ProxyDelayed
-	// ProxyResponsesBlocked: bytes from the server do not pass; those to it do.
+	// ProxyResponsesBlocked holds bytes from the server and forwards those to it.
 	ProxyResponsesBlocked
-	// ProxyRequestsBlocked: bytes to the server do not pass; those from it do.
+	// ProxyRequestsBlocked holds bytes to the server and forwards those from it.
 	ProxyRequestsBlocked
-	// ProxyBlocked: no bytes pass, and new connections get no answer.
+	// ProxyBlocked holds all bytes and connects new clients only after the mode changes.
 	ProxyBlocked
 )
 
-// linkDelay is how late the bytes of a delayed link are.
-const linkDelay = 150 * time.Millisecond
+// proxyDelay is the delay of ProxyDelayed.
+const proxyDelay = 150 * time.Millisecond
 
-// Proxy is a TCP proxy before one server. It is safe for concurrent use.
+// Proxy is a TCP proxy in front of one server that injects network faults. It is safe for
+// concurrent use.
 type Proxy struct {
 	listener net.Listener
 	server   netip.AddrPort
@@ -40,15 +41,15 @@
 	mode        ProxyMode
 	changed     chan struct{}
 	connections map[net.Conn]bool
-	// hushed counts how often the connections that were open went silent for good.
-	hushed int
+	// stallCount is the number of calls of StallOpen.
+	stallCount int
 }
 
-// NewProxy listens at an address. It fails if the address cannot be bound.
+// NewProxy listens on an address. It fails if the address cannot be bound.
 func NewProxy(listen, server netip.AddrPort) (*Proxy, error) {
 	listener, err := net.Listen("tcp4", listen.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "link")
+		return nil, errors.Wrapf(err, "listen on %s as a proxy of %s", listen, server)
 	}
 	created := &Proxy{
 		listener: listener, server: server, changed: make(chan struct{}), connections: make(map[net.Conn]bool),
@@ -56,38 +57,38 @@
 	return created, nil
 }
 
-// Run accepts connections until ctx ends, and closes all then.
-func (l *Proxy) Run(ctx context.Context) {
+// Run accepts connections until ctx ends, then closes all of them.
+func (p *Proxy) Run(ctx context.Context) {
 	stopped := context.AfterFunc(ctx, func() {
-		_ = l.listener.Close()
-		l.Reset()
+		_ = p.listener.Close()
+		p.Reset()
 	})
 	defer stopped()
-	var carrying sync.WaitGroup
-	defer carrying.Wait()
+	var connections sync.WaitGroup
+	defer connections.Wait()
 	for {
-		connection, err := l.listener.Accept()
+		connection, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		carrying.Go(func() { l.carry(ctx, connection) })
+		connections.Go(func() { p.serve(ctx, connection) })
 	}
 }
 
-// SetMode changes how all connections are treated from now on.
-func (l *Proxy) SetMode(mode ProxyMode) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.mode = mode
-	close(l.changed)
-	l.changed = make(chan struct{})
+// SetMode changes the mode of all existing and future connections.
+func (p *Proxy) SetMode(mode ProxyMode) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.mode = mode
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-// Reset resets all connections.
-func (l *Proxy) Reset() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	for connection := range l.connections {
+// Reset closes all connections with a TCP reset.
+func (p *Proxy) Reset() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	for connection := range p.connections {
 		if tcp, isTCP := connection.(*net.TCPConn); isTCP {
 			_ = tcp.SetLinger(0)
 		}
@@ -95,62 +96,63 @@
 	}
 }
 
-// StallOpen makes all connections that are open carry nothing more, for good and without a
-// word; new ones work.
-func (l *Proxy) StallOpen() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.hushed++
-	close(l.changed)
-	l.changed = make(chan struct{})
+// StallOpen makes all open connections stop forwarding for good, without closing them. New
+// connections are not affected.
+func (p *Proxy) StallOpen() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.stallCount++
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (l *Proxy) carry(ctx context.Context, client net.Conn) {
-	defer l.drop(client)
-	begun := l.keep(client)
-	if !l.pass(ctx, begun, func(mode ProxyMode) bool { return mode != ProxyBlocked }) {
+func (p *Proxy) serve(ctx context.Context, client net.Conn) {
+	defer p.closeAndForget(client)
+	stallsBefore := p.track(client)
+	if !p.awaitForwarding(ctx, stallsBefore, func(mode ProxyMode) bool { return mode != ProxyBlocked }) {
 		return
 	}
-	server, err := net.DialTimeout("tcp4", l.server.String(), time.Second)
+	server, err := net.DialTimeout("tcp4", p.server.String(), time.Second)
 	if err != nil {
 		return
 	}
-	defer l.drop(server)
-	l.keep(server)
+	defer p.closeAndForget(server)
+	p.track(server)
 	var copying sync.WaitGroup
 	copying.Go(func() {
-		l.copy(ctx, begun, server, client, func(mode ProxyMode) bool { return mode != ProxyRequestsBlocked && mode != ProxyBlocked })
+		p.copy(ctx, stallsBefore, server, client, func(mode ProxyMode) bool { return mode != ProxyRequestsBlocked && mode != ProxyBlocked })
 	})
 	copying.Go(func() {
-		l.copy(ctx, begun, client, server, func(mode ProxyMode) bool { return mode != ProxyResponsesBlocked && mode != ProxyBlocked })
+		p.copy(ctx, stallsBefore, client, server, func(mode ProxyMode) bool { return mode != ProxyResponsesBlocked && mode != ProxyBlocked })
 	})
 	copying.Wait()
 }
 
-// keep notes a connection. It returns how often connections had gone silent before it.
-func (l *Proxy) keep(connection net.Conn) int {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.connections[connection] = true
-	return l.hushed
+// track adds a connection to those that Reset closes. It returns the number of calls of
+// StallOpen so far.
+func (p *Proxy) track(connection net.Conn) int {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.connections[connection] = true
+	return p.stallCount
 }
 
-func (l *Proxy) drop(connection net.Conn) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	delete(l.connections, connection)
+func (p *Proxy) closeAndForget(connection net.Conn) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	delete(p.connections, connection)
 	_ = connection.Close()
 }
 
-// copy carries bytes in one direction until an end closes, and then closes both.
-func (l *Proxy) copy(ctx context.Context, begun int, to io.WriteCloser, from io.ReadCloser, passes func(ProxyMode) bool) {
+// copy forwards bytes in one direction until either connection closes, then closes both.
+func (p *Proxy) copy(ctx context.Context, stallsBefore int, to io.WriteCloser, from io.ReadCloser, forwards func(ProxyMode) bool) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, 32<<10)
 	for {
 		count, err := from.Read(buffer)
-		if count > 0 && l.pass(ctx, begun, passes) {
-			if _, failed := to.Write(buffer[:count]); failed != nil {
+		if count > 0 && p.awaitForwarding(ctx, stallsBefore, forwards) {
+			if _, writeErr := to.Write(buffer[:count]); writeErr != nil {
 				return
 			}
 		}
@@ -160,18 +162,19 @@
 	}
 }
 
-// pass waits until bytes of a connection may pass, and for the delay of the link. It returns
-// false for one that has gone silent, and when ctx ends.
-func (l *Proxy) pass(ctx context.Context, begun int, passes func(ProxyMode) bool) bool {
+// awaitForwarding waits until the mode lets bytes of a connection through, and for the delay of
+// ProxyDelayed. It returns false if StallOpen was called since the connection opened, or when
+// ctx ends.
+func (p *Proxy) awaitForwarding(ctx context.Context, stallsBefore int, forwards func(ProxyMode) bool) bool {
 	for {
-		l.mutex.Lock()
-		mode, changed, silent := l.mode, l.changed, l.hushed > begun
-		l.mutex.Unlock()
-		if silent {
+		p.mutex.Lock()
+		mode, changed, stalled := p.mode, p.changed, p.stallCount > stallsBefore
+		p.mutex.Unlock()
+		if stalled {
 			return false
 		}
-		if passes(mode) {
-			return mode != ProxyDelayed || pause(ctx, linkDelay)
+		if forwards(mode) {
+			return mode != ProxyDelayed || sleep(ctx, proxyDelay)
 		}
 		select {
 		case <-changed:
@@ -181,8 +184,8 @@
 	}
 }
 
-// pause waits and reports whether ctx is still live.
-func pause(ctx context.Context, duration time.Duration) bool {
+// sleep waits for the duration. It returns false if ctx ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -16,35 +16,36 @@
 
 const (
 	programName = "vanetiller-relay"
-	// readyTimeout is how long all balancers may take to be ready at the start.
+	// readyTimeout is how long the balancers may take to become ready at the start.
 	readyTimeout = 20 * time.Second
-	// settleTime is how long after the last fault has ended requests count for the
-	// recovery, judgeTime how long they do, and endTime how long the last take.
-	settleTime = 5 * time.Second
-	judgeTime  = 4 * time.Second
-	endTime    = requestTimeout + 500*time.Millisecond
-	// askInterval is the time between two requests of a zone.
-	askInterval = 30 * time.Millisecond
-	// repeatableShare is the share of requests that may be repeated.
-	repeatableShare = 0.7
-	// lastingShare is the share of requests whose flows are kept open for seconds.
-	lastingShare = 0.08
+	// recoveryTime is the wait between the end of the last fault and the recovery check.
+	// Requests that are sent in the following recoveryCheckTime count for the check.
+	// finalWait then lets the last of them finish or time out.
+	recoveryTime      = 5 * time.Second
+	recoveryCheckTime = 4 * time.Second
+	finalWait         = requestTimeout + 500*time.Millisecond
+	// requestInterval is the time between two requests of a zone.
+	requestInterval = 30 * time.Millisecond
+	// idempotentShare is the share of requests that may be executed more than once.
+	idempotentShare = 0.7
+	// delayedShare is the share of requests that are sent seconds after their flow opened.
+	delayedShare = 0.08
 )
 
-// Options are those of a run.
+// Options configures a run.
 type Options struct {
 	Seed uint64
-	// Duration is the time in which faults begin.
+	// Duration is the period in which faults start. The run itself takes longer.
 	Duration time.Duration
-	// Faults is their number.
+	// Faults is the number of faults.
 	Faults int
-	// Directory takes the program, settings and logs of the processes.
+	// Directory receives the program, settings and logs of the processes.
 	Directory string
-	// Progress gets a line for each fault.
+	// Progress receives a line for each fault.
 	Progress io.Writer
 }
 
-// Result is what came of a run.
+// Result is the report of a run.
 type Result struct {
 	Experiment string     `json:"experiment"`
 	Seed       uint64     `json:"seed"`
@@ -53,110 +54,112 @@
 	Requests   int        `json:"asked"`
 	Served     int        `json:"served"`
 	Violations Violations `json:"broken"`
-	// Descriptions describe the first broken promises.
+	// Descriptions describe the first violations, at most maxDescriptions.
 	Descriptions []string `json:"causes,omitempty"`
 }
 
-// Run plays one run. It fails if the program cannot be built or started.
+// Run executes one run. It fails if the program cannot be built, the sockets cannot be opened
+// or the balancers do not become ready. Violations are reported in the result.
 func Run(ctx context.Context, options Options) (Result, error) {
 	report := Result{Experiment: "soak", Seed: options.Seed, Faults: options.Faults}
 	binary, err := fleet.Build(ctx, options.Directory, programName)
 	if err != nil {
 		return report, err
 	}
-	begun := time.Now()
-	w := &world{
+	started := time.Now()
+	h := &harness{
 		options: options, binary: binary, network: newNetwork(), codec: platformtest.Codec{Key: options.Seed + 1},
-		store: platformtest.NewStore(), ledger: newLedger(func() time.Duration { return time.Since(begun) }),
+		store: platformtest.NewStore(), checker: newChecker(func() time.Duration { return time.Since(started) }),
 	}
 	running, cancel := context.WithCancel(ctx)
 	defer func() {
 		cancel()
-		w.stop()
-		w.running.Wait()
+		h.stop()
+		h.running.Wait()
 	}()
-	if err := w.begin(running); err != nil {
+	if err := h.start(running); err != nil {
 		return report, err
 	}
-	if err := w.awaitReady(running); err != nil {
+	if err := h.awaitReady(running); err != nil {
 		return report, err
 	}
-	w.play(running)
-	report.Seconds = time.Since(begun).Seconds()
-	w.ledger.conclude(&report)
+	h.runPhases(running)
+	report.Seconds = time.Since(started).Seconds()
+	h.checker.fillResult(&report)
 	return report, errors.Wrap(ctx.Err(), "soak")
 }
 
-func (w *world) awaitReady(ctx context.Context) error {
+func (h *harness) awaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
-	// The fabric takes balancers for ready until it has asked them.
-	pause(ctx, (missedProbes+1)*probeInterval)
-	for w.fabric.ready() < balancerCount {
-		if time.Now().After(deadline) || !pause(ctx, probeInterval) {
-			return errors.Errorf("%d of %d balancers are ready", w.fabric.ready(), balancerCount)
+	// The fabric counts a balancer as ready until it has missed its first probes.
+	sleep(ctx, (missedProbes+1)*probeInterval)
+	for h.fabric.ready() < balancerCount {
+		if time.Now().After(deadline) || !sleep(ctx, probeInterval) {
+			return errors.Errorf("waited for the balancers to become ready: %d of %d are", h.fabric.ready(), balancerCount)
 		}
 	}
 	return nil
 }
 
-// play lets clients ask while faults come, and some time beyond.
-func (w *world) play(ctx context.Context) {
-	asking, stopAsking := context.WithCancel(ctx)
-	defer stopAsking()
-	for zone, host := range w.clients {
-		w.running.Go(func() { w.ask(asking, host, rand.New(rand.NewPCG(w.options.Seed, uint64(2+zone)))) })
+// runPhases makes the clients send requests while faults are injected and until the recovery
+// check has ended.
+func (h *harness) runPhases(ctx context.Context) {
+	requesting, stopRequests := context.WithCancel(ctx)
+	defer stopRequests()
+	for zone, host := range h.clients {
+		h.running.Go(func() { h.sendRequests(requesting, host, rand.New(rand.NewPCG(h.options.Seed, uint64(2+zone)))) })
 	}
-	w.playFaults(ctx)
-	pause(ctx, settleTime)
-	w.ledger.judge()
-	pause(ctx, judgeTime)
-	stopAsking()
-	pause(ctx, endTime)
+	h.runFaults(ctx)
+	sleep(ctx, recoveryTime)
+	h.checker.startRecoveryCheck()
+	sleep(ctx, recoveryCheckTime)
+	stopRequests()
+	sleep(ctx, finalWait)
 }
 
-// ask sends requests until ctx ends.
-func (w *world) ask(ctx context.Context, host *clientHost, random *rand.Rand) {
-	for pause(ctx, askInterval) {
-		wanted := w.drawRequest(random)
-		if random.Float64() < lastingShare {
-			wanted.rest = shortestRest + time.Duration(random.Int64N(int64(longestRest-shortestRest)))
+// sendRequests sends a request of one zone each requestInterval until ctx ends.
+func (h *harness) sendRequests(ctx context.Context, host *clientHost, random *rand.Rand) {
+	for sleep(ctx, requestInterval) {
+		created := h.randomRequest(random)
+		if random.Float64() < delayedShare {
+			created.delay = minRequestDelay + time.Duration(random.Int64N(int64(maxRequestDelay-minRequestDelay)))
 		}
-		host.ask(wanted)
+		host.submit(created)
 	}
 }
 
-// drawRequest draws a request that has a flow of its own.
-func (w *world) drawRequest(random *rand.Rand) *request {
+// randomRequest returns a request of a random service, to be sent on a flow of its own.
+func (h *harness) randomRequest(random *rand.Rand) *request {
 	return &request{
-		service: random.IntN(len(services)), repeatable: random.Float64() < repeatableShare, sent: w.ledger.now(),
+		service: random.IntN(len(services)), idempotent: random.Float64() < idempotentShare, sent: h.checker.now(),
 	}
 }
 
-// playFaults begins the faults at their times and returns when all have ended.
-func (w *world) playFaults(ctx context.Context) {
+// runFaults starts the scheduled faults at their times and returns when all have ended.
+func (h *harness) runFaults(ctx context.Context) {
 	begun := time.Now()
-	var lasting sync.WaitGroup
-	defer lasting.Wait()
-	for _, next := range schedule(w.options.Seed, 0, w.options.Duration, w.options.Faults) {
-		if !pause(ctx, next.at-time.Since(begun)) {
+	var active sync.WaitGroup
+	defer active.Wait()
+	for _, next := range schedule(h.options.Seed, 0, h.options.Duration, h.options.Faults) {
+		if !sleep(ctx, next.at-time.Since(begun)) {
 			return
 		}
-		fmt.Fprintf(w.options.Progress, "%8.3f s  %s\n", w.ledger.now().Seconds(), next.fault.name)
-		lasting.Go(func() { w.playFault(ctx, next) })
+		fmt.Fprintf(h.options.Progress, "%8.3f s  %s\n", h.checker.now().Seconds(), next.fault.name)
+		active.Go(func() { h.runFault(ctx, next) })
 	}
 }
 
-func (w *world) playFault(ctx context.Context, played planned) {
-	if !played.fault.calm {
-		w.ledger.disturb()
-		defer w.ledger.disturb()
+func (h *harness) runFault(ctx context.Context, scheduled scheduledFault) {
+	if !scheduled.fault.planned {
+		h.checker.faultChanged()
+		defer h.checker.faultChanged()
 	}
-	played.fault.run(ctx, w, rand.New(rand.NewPCG(played.seed, 0)))
+	scheduled.fault.run(ctx, h, rand.New(rand.NewPCG(scheduled.seed, 0)))
 }
 
-// stop ends all processes of the run.
-func (w *world) stop() {
-	for _, each := range w.daemons() {
+// stop kills all processes and prevents their restart.
+func (h *harness) stop() {
+	for _, each := range h.daemons() {
 		each.mutex.Lock()
 		each.removed = true
 		each.mutex.Unlock()
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -26,130 +26,130 @@
 	RunSpecs(t, "Soak")
 }
 
-// clock is a clock that a spec sets.
+// clock is a manual clock.
 type clock struct{ at time.Duration }
 
 func (c *clock) now() time.Duration { return c.at }
 
-func livingEndpoint(id string) *endpoint {
+func runningEndpoint(id string) *endpoint {
 	created := &endpoint{id: directory.NameOnlyID(id)}
-	created.living.Store(true)
+	created.running.Store(true)
 	return created
 }
 
-var _ = Describe("ledger", func() {
+var _ = Describe("checker", func() {
 	var (
-		time0  *clock
-		judged *ledger
-		own    *endpoint
-		other  *endpoint
+		at      *clock
+		checked *checker
+		own     *endpoint
+		other   *endpoint
 	)
 	key := segment.FlowKey{Client: segment.Address{Port: 1}, Service: segment.Address{Port: 2}}
 
 	BeforeEach(func() {
-		time0 = &clock{at: time.Minute}
-		judged = newLedger(time0.now)
-		own, other = livingEndpoint("own"), livingEndpoint("other")
-		judged.opened(key, own)
+		at = &clock{at: time.Minute}
+		checked = newChecker(at.now)
+		own, other = runningEndpoint("own"), runningEndpoint("other")
+		checked.flowOpened(key, own)
 	})
 
-	It("sees a reset of an open flow, unless its endpoint is gone or the flow is closed", func() {
-		judged.reset(key)
-		Expect(judged.broken.ResetOpenFlows).To(Equal(1))
-		own.living.Store(false)
-		judged.reset(key)
-		own.living.Store(true)
-		judged.closed(key)
-		judged.reset(key)
-		Expect(judged.broken).To(Equal(Violations{ResetOpenFlows: 1}))
+	It("counts a reset of an open flow, unless its endpoint has stopped or the flow is closed", func() {
+		checked.flowReset(key)
+		Expect(checked.violations.ResetOpenFlows).To(Equal(1))
+		own.running.Store(false)
+		checked.flowReset(key)
+		own.running.Store(true)
+		checked.flowClosed(key)
+		checked.flowReset(key)
+		Expect(checked.violations).To(Equal(Violations{ResetOpenFlows: 1}))
 	})
 
-	It("sees packets that go astray for two seconds, once for each flow", func() {
+	It("counts a flow once as misrouted when its packets reach another endpoint for two seconds", func() {
 		for range 5 {
-			judged.arrived(key, other)
-			time0.at += 700 * time.Millisecond
+			checked.packetArrived(key, other)
+			at.at += 700 * time.Millisecond
 		}
-		Expect(judged.broken).To(Equal(Violations{MisroutedFlows: 1}))
+		Expect(checked.violations).To(Equal(Violations{MisroutedFlows: 1}))
 	})
 
-	It("takes no packets for astray whose flow reaches its endpoint meanwhile, or after a fault", func() {
+	It("counts no flow as misrouted when packets also reach its own endpoint, or shortly after a fault", func() {
 		for range 5 {
-			judged.arrived(key, other)
-			judged.arrived(key, own)
-			time0.at += 700 * time.Millisecond
+			checked.packetArrived(key, other)
+			checked.packetArrived(key, own)
+			at.at += 700 * time.Millisecond
 		}
-		judged.disturb()
+		checked.faultChanged()
 		for range 5 {
-			judged.arrived(key, other)
-			time0.at += 700 * time.Millisecond
+			checked.packetArrived(key, other)
+			at.at += 700 * time.Millisecond
 		}
-		Expect(judged.broken).To(Equal(Violations{}))
+		Expect(checked.violations).To(Equal(Violations{}))
 	})
 
-	It("sees a request that runs twice, if it must not", func() {
-		judged.ran(1, true)
-		judged.ran(1, true)
-		Expect(judged.broken).To(Equal(Violations{}))
-		judged.ran(2, false)
-		judged.ran(2, false)
-		Expect(judged.broken).To(Equal(Violations{DuplicateRuns: 1}))
+	It("counts a second execution only of a request that is not idempotent", func() {
+		checked.requestStarted(1, true)
+		checked.requestStarted(1, true)
+		Expect(checked.violations).To(Equal(Violations{}))
+		checked.requestStarted(2, false)
+		checked.requestStarted(2, false)
+		Expect(checked.violations).To(Equal(Violations{DuplicateRuns: 1}))
 	})
 
-	It("sees a new flow at an endpoint that leaves, after its time and in calm", func() {
-		judged.left(directory.NameOnlyID("e"))
-		time0.at += drainTimeout
-		judged.openedAt(directory.NameOnlyID("e"), "")
-		Expect(judged.broken).To(Equal(Violations{}))
-		time0.at += 2 * drainSlack
-		judged.openedAt(directory.NameOnlyID("e"), "")
-		Expect(judged.broken).To(Equal(Violations{LateDrainFlows: 1}))
-		judged.disturb()
-		judged.openedAt(directory.NameOnlyID("e"), "")
-		Expect(judged.broken).To(Equal(Violations{LateDrainFlows: 1}))
+	It("counts a new flow at a draining endpoint after the drain timeout, unless a fault was active", func() {
+		checked.drainStarted(directory.NameOnlyID("e"))
+		at.at += drainTimeout
+		checked.openingReceived(directory.NameOnlyID("e"), "")
+		Expect(checked.violations).To(Equal(Violations{}))
+		at.at += 2 * timingSlack
+		checked.openingReceived(directory.NameOnlyID("e"), "")
+		Expect(checked.violations).To(Equal(Violations{LateDrainFlows: 1}))
+		checked.faultChanged()
+		checked.openingReceived(directory.NameOnlyID("e"), "")
+		Expect(checked.violations).To(Equal(Violations{LateDrainFlows: 1}))
 	})
 
-	It("sees a new flow in a closed zone, after its time and in calm, until it is open again", func() {
-		Expect(judged.closeZone("z")).To(BeTrue())
-		Expect(judged.closeZone("y")).To(BeFalse(), "one at a time")
-		judged.openedAt(directory.NameOnlyID("e"), "z")
-		time0.at += closeTimeout + 2*drainSlack
-		judged.openedAt(directory.NameOnlyID("e"), "y")
-		Expect(judged.broken).To(Equal(Violations{}))
-		judged.openedAt(directory.NameOnlyID("e"), "z")
-		Expect(judged.broken).To(Equal(Violations{ClosedZoneFlows: 1}))
-		judged.openZone()
-		judged.openedAt(directory.NameOnlyID("e"), "z")
-		Expect(judged.broken.Total()).To(Equal(1))
+	It("counts a new flow in a closed zone after the close timeout, until the zone opens again", func() {
+		Expect(checked.zoneClosed("z")).To(BeTrue())
+		Expect(checked.zoneClosed("y")).To(BeFalse(), "a zone is closed already")
+		checked.openingReceived(directory.NameOnlyID("e"), "z")
+		at.at += closeTimeout + 2*timingSlack
+		checked.openingReceived(directory.NameOnlyID("e"), "y")
+		Expect(checked.violations).To(Equal(Violations{}))
+		checked.openingReceived(directory.NameOnlyID("e"), "z")
+		Expect(checked.violations).To(Equal(Violations{ClosedZoneFlows: 1}))
+		checked.zoneOpened()
+		checked.openingReceived(directory.NameOnlyID("e"), "z")
+		Expect(checked.violations.Total()).To(Equal(1))
 	})
 
-	It("sees too few served requests after the last fault", func() {
-		judged.ended(0, false)
-		judged.judge()
+	It("counts a violation when less than 99% of the requests after the last fault are served", func() {
+		checked.requestEnded(0, false)
+		checked.startRecoveryCheck()
 		for range 99 {
-			judged.ended(time0.at, true)
+			checked.requestEnded(at.at, true)
 		}
-		judged.ended(time0.at, false)
+		checked.requestEnded(at.at, false)
 		var report Result
-		judged.conclude(&report)
+		checked.fillResult(&report)
 		Expect(report.Violations.Total()).To(BeZero())
-		judged.ended(time0.at, false)
-		judged.conclude(&report)
+		checked.requestEnded(at.at, false)
+		checked.fillResult(&report)
 		Expect(report.Violations).To(Equal(Violations{Unrecovered: 1}))
 		Expect(report.Requests).To(Equal(102))
 		Expect(report.Descriptions).To(HaveLen(1))
 	})
 
-	It("counts what it is told of: foreign packets, mixed answers, own exits", func() {
-		judged.forged("a client")
-		judged.mixed(key)
-		judged.ownExit("balancer-1", 2)
-		Expect(judged.broken).To(Equal(Violations{InvalidPackets: 1, MismatchedAnswers: 1, UnexpectedExits: 1}))
-		Expect(judged.broken.Total()).To(Equal(3))
+	It("counts invalid packets, mismatched answers and unexpected exits", func() {
+		checked.invalidPacket("a client")
+		checked.mismatchedAnswer(key)
+		checked.unexpectedExit("balancer-1", 2)
+		Expect(checked.violations).To(Equal(Violations{InvalidPackets: 1, MismatchedAnswers: 1, UnexpectedExits: 1}))
+		Expect(checked.violations.Total()).To(Equal(3))
 	})
 })
 
 var _ = Describe("schedule", func() {
-	It("depends on the seed alone and draws all faults", func() {
+	It("returns the same faults for the same seed and draws every kind", func() {
 		names := func(seed uint64) []string {
 			var drawn []string
 			for _, next := range schedule(seed, 0, time.Minute, 400) {
@@ -166,45 +166,45 @@
 })
 
 var _ = Describe("load", func() {
-	It("has endpoints of unlike speed in each service", func() {
+	It("has endpoints of different speeds in each service", func() {
 		machine := 0
 		for _, spec := range services {
 			found := make(map[time.Duration]bool)
 			for range spec.endpoints {
-				found[slownessOf(machine)] = true
+				found[slowdownOf(machine)] = true
 				machine++
 			}
 			Expect(len(found)).To(BeNumerically(">", 1), spec.name)
 		}
 	})
 
-	It("opens kept flows that all rest for as long, with requests of their own", func() {
+	It("opens flows with the same request delay and distinct requests when requests are simultaneous", func() {
 		socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(socket.Close)
-		w := &world{ledger: newLedger(func() time.Duration { return 0 }), fabric: newFabric(70, 0)}
-		host := &clientHost{world: w, socket: socket, port: firstFlowPort, flows: make(map[uint16]*flow)}
-		w.clients = []*clientHost{host}
-		w.askAtOnce(rand.New(rand.NewPCG(1, 2)))
+		h := &harness{checker: newChecker(func() time.Duration { return 0 }), fabric: newFabric(70, 0)}
+		host := &clientHost{harness: h, socket: socket, lastPort: firstFlowPort, flows: make(map[uint16]*flow)}
+		h.clients = []*clientHost{host}
+		h.submitSimultaneously(rand.New(rand.NewPCG(1, 2)))
 		host.mutex.Lock()
 		defer host.mutex.Unlock()
 		numbers := make(map[uint64]bool)
 		for _, each := range host.flows {
-			Expect(each.request.rest).To(Equal(keptRest))
-			numbers[each.request.number] = true
+			Expect(each.request.delay).To(Equal(simultaneousDelay))
+			numbers[each.request.id] = true
 		}
-		Expect(numbers).To(HaveLen(keptAtOnce))
+		Expect(numbers).To(HaveLen(simultaneousRequests))
 	})
 })
 
 var _ = Describe("daemon", func() {
-	It("is not started again if its machine is removed while it is away", func() {
-		judged := newLedger(func() time.Duration { return 0 })
-		removed := &daemon{binary: "/absent", base: GinkgoT().TempDir() + "/agent", ledger: judged}
+	It("does not restart when its machine is removed while the process is not running", func() {
+		checked := newChecker(func() time.Duration { return 0 })
+		removed := &daemon{binary: "/absent", basePath: GinkgoT().TempDir() + "/agent", checker: checked}
 		removed.remove()
-		removed.run(context.Background())
+		removed.supervise(context.Background())
 		Expect(removed.process).To(BeNil())
-		Expect(judged.broken).To(Equal(Violations{}), "there was nothing to start")
+		Expect(checked.violations).To(Equal(Violations{}), "the missing binary must not be started")
 	})
 })
 
@@ -212,7 +212,7 @@
 	key := func(number int) segment.FlowKey {
 		return segment.FlowKey{Client: segment.Address{Port: uint16(number)}, Service: routeAddress(0)}
 	}
-	// targets counts where flows of a zone go.
+	// targets counts the flows of a zone that each balancer gets.
 	targets := func(f *fabric, zone int) map[netip.AddrPort]int {
 		counts := make(map[netip.AddrPort]int)
 		for number := range 300 {
@@ -223,7 +223,7 @@
 		return counts
 	}
 
-	It("uses the zone's balancers that are in, and others if there is none", func() {
+	It("uses the ready balancers of the zone, and those of other zones if none is ready", func() {
 		f := newFabric(70, 5)
 		Expect(targets(f, 0)).To(HaveLen(2))
 		f.missed[0] = missedProbes
@@ -232,7 +232,7 @@
 		Expect(targets(f, 0)).To(HaveLen(3))
 	})
 
-	It("moves only the flows of a balancer that drops out", func() {
+	It("moves only the flows of a balancer that stops being ready", func() {
 		f := newFabric(70, 5)
 		moved := 0
 		for number := range 300 {
@@ -249,9 +249,9 @@
 	})
 })
 
-var _ = Describe("Link", func() {
+var _ = Describe("Proxy", func() {
 	var (
-		link   *Proxy
+		proxy  *Proxy
 		server *httptest.Server
 	)
 
@@ -259,13 +259,13 @@
 		server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }))
 		DeferCleanup(server.Close)
 		var err error
-		link, err = NewProxy(netip.MustParseAddrPort("127.0.0.1:0"), netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
+		proxy, err = NewProxy(netip.MustParseAddrPort("127.0.0.1:0"), netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			link.Run(ctx)
+			proxy.Run(ctx)
 		}()
 		DeferCleanup(func() {
 			cancel()
@@ -273,10 +273,10 @@
 		})
 	})
 
-	// call returns what the server answers through the link.
-	call := func(patience time.Duration) (string, error) {
-		client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
-		response, err := client.Get("http://" + link.listener.Addr().String())
+	// call returns the response of the server through the proxy.
+	call := func(timeout time.Duration) (string, error) {
+		client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
+		response, err := client.Get("http://" + proxy.listener.Addr().String())
 		if err != nil {
 			return "", err
 		}
@@ -285,47 +285,47 @@
 		return string(body), err
 	}
 
-	It("carries bytes both ways, and again after it was cut", func() {
+	It("forwards bytes in both directions, and does so again after it was blocked", func() {
 		Expect(call(time.Minute)).To(Equal("answer"))
 		for _, mode := range []ProxyMode{ProxyResponsesBlocked, ProxyRequestsBlocked, ProxyBlocked} {
-			link.SetMode(mode)
+			proxy.SetMode(mode)
 			_, err := call(50 * time.Millisecond)
 			Expect(err).To(HaveOccurred())
 		}
-		link.SetMode(ProxyDelayed)
+		proxy.SetMode(ProxyDelayed)
 		Expect(call(time.Minute)).To(Equal("answer"))
-		link.SetMode(ProxyForwarding)
+		proxy.SetMode(ProxyForwarding)
 		Expect(call(time.Minute)).To(Equal("answer"))
 	})
 
-	It("lets open connections go silent without an end, while new ones work", func() {
-		connection, err := net.Dial("tcp4", link.listener.Addr().String())
+	It("stalls open connections without closing them while new ones work", func() {
+		connection, err := net.Dial("tcp4", proxy.listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer connection.Close()
-		ask := func() error {
+		sendRequest := func() error {
 			_, err := connection.Write([]byte("GET / HTTP/1.1\r\nHost: server\r\n\r\n"))
 			return err
 		}
-		Expect(ask()).To(Succeed())
+		Expect(sendRequest()).To(Succeed())
 		_, err = connection.Read(make([]byte, 1024))
 		Expect(err).NotTo(HaveOccurred())
-		link.StallOpen()
-		Expect(ask()).To(Succeed())
+		proxy.StallOpen()
+		Expect(sendRequest()).To(Succeed())
 		Expect(connection.SetReadDeadline(time.Now().Add(50 * time.Millisecond))).To(Succeed())
 		_, err = connection.Read(make([]byte, 1024))
 		Expect(err).To(MatchError(os.ErrDeadlineExceeded))
 		Expect(call(time.Minute)).To(Equal("answer"))
 	})
 
-	It("resets connections", func() {
-		connection, err := net.Dial("tcp4", link.listener.Addr().String())
+	It("resets open connections", func() {
+		connection, err := net.Dial("tcp4", proxy.listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer connection.Close()
 		_, err = connection.Write([]byte("GET / HTTP/1.1\r\nHost: server\r\n\r\n"))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = connection.Read(make([]byte, 1))
 		Expect(err).NotTo(HaveOccurred())
-		link.Reset()
+		proxy.Reset()
 		Eventually(func() error {
 			_, err := connection.Write([]byte("x"))
 			return err
@@ -333,29 +333,29 @@
 	})
 })
 
-var _ = Describe("stand-in endpoint", func() {
-	It("returns packets of flows that it does not hold and answers those that it does", func() {
-		w := &world{codec: platformtest.Codec{Key: 3}, ledger: newLedger(func() time.Duration { return 0 })}
+var _ = Describe("endpoint", func() {
+	It("returns packets of flows that it does not hold and answers requests of those that it does", func() {
+		h := &harness{codec: platformtest.Codec{Key: 3}, checker: newChecker(func() time.Duration { return 0 })}
 		agent, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(agent.Close)
 		socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		Expect(err).NotTo(HaveOccurred())
 		at := &endpoint{
-			world: w, id: directory.NameOnlyID("e-1"), socket: socket, agent: agent.LocalAddr().(*net.UDPAddr), flows: make(map[segment.FlowKey]*heldFlow),
+			harness: h, id: directory.NameOnlyID("e-1"), socket: socket, agent: agent.LocalAddr().(*net.UDPAddr), flows: make(map[segment.FlowKey]*serverFlow),
 		}
-		at.living.Store(true)
-		DeferCleanup(at.end)
+		at.running.Store(true)
+		DeferCleanup(at.stop)
 		client := segment.Address{IP: [4]byte{127, 0, 0, 2}, Port: 30001}
 		receive := func() (segment.Header, []byte) {
 			buffer := make([]byte, 2048)
 			count, err := agent.Read(buffer)
 			Expect(err).NotTo(HaveOccurred())
-			header, _ := w.codec.Decode(buffer[:count])
-			return header, w.codec.Data(buffer[:count])
+			header, _ := h.codec.Decode(buffer[:count])
+			return header, h.codec.Data(buffer[:count])
 		}
 		write := func(flags segment.Flags, acknowledgment uint32, data []byte) {
-			at.receive(w.codec.Encode(segment.Header{
+			at.receive(h.codec.Encode(segment.Header{
 				Source: client, Destination: routeAddress(0), Flags: flags, Sequence: 7, Acknowledgment: acknowledgment,
 			}, data))
 		}
@@ -369,9 +369,9 @@
 		_, data := receive()
 		Expect(data[offsetKind]).To(Equal(answerServed))
 		Expect(data[offsetRequest+7]).To(Equal(byte(9)))
-		Expect(w.codec.Answer(w.codec.Encode(segment.Header{}, data)).Kind).To(Equal(segment.AnswerSuccess))
-		Expect(w.ledger.runs).To(HaveKeyWithValue(uint64(9), 1))
-		at.receive(append(w.codec.Encode(segment.Header{Source: client, Destination: routeAddress(0)}, nil)[:35], 9))
-		Expect(w.ledger.broken.InvalidPackets).To(Equal(1))
+		Expect(h.codec.Answer(h.codec.Encode(segment.Header{}, data)).Kind).To(Equal(segment.AnswerSuccess))
+		Expect(h.checker.runs).To(HaveKeyWithValue(uint64(9), 1))
+		at.receive(append(h.codec.Encode(segment.Header{Source: client, Destination: routeAddress(0)}, nil)[:35], 9))
+		Expect(h.checker.violations.InvalidPackets).To(Equal(1))
 	})
 })
--- a/bench/soak/topology.go
+++ b/bench/soak/topology.go
@@ -8,7 +8,7 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// The ports of all machines of a site. Each machine has its own loopback address.
+// The ports that every machine uses. Each machine has its own loopback address.
 const (
 	packetPort   = 21001
 	peerPort     = 21002
@@ -19,19 +19,20 @@
 	storePort    = 21007
 )
 
-// The third byte of the addresses of the kinds of machines.
+// The third byte of an IP address, by the kind of machine.
 const (
 	netBalancers = 1
-	netSides     = 2
+	netMachines  = 2
 	netClients   = 3
 	netStore     = 4
-	// netLinks holds the proxy before the store of each balancer.
-	netLinks = 5
+	// netProxies is for the proxies between each balancer and the store.
+	netProxies = 5
 )
 
 const zoneCount = 3
 
-// network is the loopback network of a run. Runs at the same time differ by process.
+// network is the second byte of the loopback addresses of a run. It is derived from the
+// process ID, so that concurrent runs usually use different addresses.
 type network byte
 
 func newNetwork() network { return network(64 + os.Getpid()%128) }
@@ -50,7 +51,8 @@
 
 func zoneName(zone int) string { return fmt.Sprint("zone-", zone+1) }
 
-// serviceSpec is one service of the site.
+// serviceSpec describes a service: its name, its initial number of endpoints and the slots of
+// each.
 type serviceSpec struct {
 	name      string
 	endpoints int
@@ -59,7 +61,7 @@
 
 var services = []serviceSpec{{"lookup", 4, 4}, {"export", 3, 4}}
 
-// routeAddress returns the address of the route of a service.
+// routeAddress returns the virtual address that clients of a service connect to.
 func routeAddress(service int) segment.Address {
 	return segment.Address{IP: [4]byte{198, 51, 100, byte(service + 1)}, Port: 443}
 }
