--- a/bench/experiment/apply.go
+++ b/bench/experiment/apply.go
@@ -1,4 +1,4 @@
-// This file implements the events of a schedule on the running cluster.
+// This file applies the events of a schedule to the running cluster.
 
 package experiment
 
@@ -12,20 +12,20 @@
 )
 
 const (
-	// detectionDelay is how long the fabric goes on sending to a balancer
-	// that has died or paused.
+	// detectionDelay is how long the fabric still sends to a balancer that was killed or
+	// paused.
 	detectionDelay = time.Second
-	// leaveDelay is how long a balancer that leaves goes on after the fabric
-	// has stopped sending to it.
-	leaveDelay = 500 * time.Millisecond
-	// agentExitLimit is how long after SIGTERM an agent may take to end.
+	// shutdownDelay is how long a removed balancer keeps running after the fabric has stopped
+	// sending to it.
+	shutdownDelay = 500 * time.Millisecond
+	// agentExitLimit is the longest time an agent may take to exit after SIGTERM.
 	agentExitLimit = agentStopLimit + time.Second
-	// balancerExitLimit is how long after SIGTERM a balancer may take to end.
+	// balancerExitLimit is the longest time a balancer may take to exit after SIGTERM.
 	balancerExitLimit = 5 * time.Second
 )
 
-// ApplyEvents applies the events at their times. It returns when the last one has
-// been applied or ctx ends.
+// ApplyEvents applies the events at their times. It returns when the last one has been applied
+// or ctx ends.
 func (c *Cluster) ApplyEvents(ctx context.Context, events []Event) {
 	start := time.Now()
 	for _, event := range events {
@@ -34,7 +34,7 @@
 		}
 		c.progress("event %s %s", event.Kind, event.Target)
 		if err := c.apply(ctx, event); err != nil {
-			c.fault("%s %s: %v", event.Kind, event.Target, err)
+			c.recordFault("%s %s: %v", event.Kind, event.Target, err)
 		}
 	}
 }
@@ -56,9 +56,9 @@
 	case EventEndpointDrain:
 		c.endpointNamed(event.Target).row.Drain = true
 		c.publishTable()
-		c.depart(event.Target)
+		c.startDrain(event.Target)
 	case EventEndpointUndrain:
-		c.comeBack(event.Target)
+		c.endDrain(event.Target)
 		c.endpointNamed(event.Target).row.Drain = false
 		c.publishTable()
 	case EventEndpointReweight:
@@ -101,12 +101,11 @@
 	member.process = process
 	member.listed = true
 	member.state = platform.StateLive
-	c.watch(process)
+	c.watchExit(process)
 	return nil
 }
 
-// addBalancer starts a balancer and lets the fabric send to it once it is
-// healthy.
+// addBalancer starts a balancer and adds it to the fabric once it is healthy.
 func (c *Cluster) addBalancer(ctx context.Context, member *balancerMember) error {
 	if err := c.startBalancer(member); err != nil {
 		return err
@@ -117,23 +116,23 @@
 		ctx, cancel := context.WithTimeout(ctx, healthTimeout)
 		defer cancel()
 		err := fleet.WaitHealthy(ctx, process, member.observability)
-		c.introduce(process, member, err)
+		c.addToFabric(process, member, err)
 		return nil
 	})
 	return nil
 }
 
-// introduce lets the fabric send to a started balancer unless the schedule has
-// ended it meanwhile.
-func (c *Cluster) introduce(process *fleet.Process, member *balancerMember, unhealthy error) {
+// addToFabric makes the fabric send to a started balancer, unless the schedule has ended its
+// process meanwhile.
+func (c *Cluster) addToFabric(process *fleet.Process, member *balancerMember, unhealthy error) {
 	c.mutex.Lock()
-	_, ended := c.expected[process]
+	_, ended := c.expectedExits[process]
 	if !ended && unhealthy == nil {
 		c.fabric.AddBalancer(member.listen)
 	}
 	c.mutex.Unlock()
 	if !ended && unhealthy != nil {
-		c.fault("%v", unhealthy)
+		c.recordFault("%v", unhealthy)
 	}
 }
 
@@ -141,19 +140,19 @@
 	member.state = platform.StateLeaving
 	c.publishMachines()
 	process := member.process
-	c.expect(process, exitPlanned)
+	c.expectExit(process, exitPlanned)
 	c.fabric.RemoveBalancer(member.listen)
-	time.AfterFunc(leaveDelay, func() {
+	time.AfterFunc(shutdownDelay, func() {
 		if err := process.Terminate(); err != nil {
-			c.fault("%v", err)
+			c.recordFault("%v", err)
 		}
 	})
-	c.limitExit(process, leaveDelay+balancerExitLimit)
+	c.limitExit(process, shutdownDelay+balancerExitLimit)
 	return nil
 }
 
 func (c *Cluster) killBalancer(member *balancerMember) error {
-	c.expect(member.process, exitKilled)
+	c.expectExit(member.process, exitKilled)
 	time.AfterFunc(detectionDelay, func() { c.fabric.RemoveBalancer(member.listen) })
 	return member.process.Kill()
 }
@@ -179,7 +178,7 @@
 	member.process = process
 	member.listed = true
 	member.state = platform.StateLive
-	c.watch(process)
+	c.watchExit(process)
 	return nil
 }
 
@@ -195,22 +194,22 @@
 func (c *Cluster) stopAgent(member *endpointMember) error {
 	member.state = platform.StateLeaving
 	c.publishMachines()
-	c.expect(member.process, exitPlanned)
+	c.expectExit(member.process, exitPlanned)
 	c.limitExit(member.process, agentExitLimit)
-	c.depart(member.row.Name)
+	c.startDrain(member.row.Name)
 	return member.process.Terminate()
 }
 
 func (c *Cluster) killAgent(member *endpointMember) error {
-	c.expect(member.process, exitKilled)
+	c.expectExit(member.process, exitKilled)
 	c.mutex.Lock()
-	c.kills = append(c.kills, kill{backend: member.row.Name, at: time.Now()})
+	c.agentKills = append(c.agentKills, kill{backend: member.row.Name, at: time.Now()})
 	c.mutex.Unlock()
 	return member.process.Kill()
 }
 
 func (c *Cluster) restartAgent(member *endpointMember) error {
-	c.comeBack(member.row.Name)
+	c.endDrain(member.row.Name)
 	if err := c.startAgent(member); err != nil {
 		return err
 	}
--- a/bench/experiment/cluster.go
+++ b/bench/experiment/cluster.go
@@ -29,37 +29,37 @@
 	Seed       uint64
 	// Duration is the length of the event phase.
 	Duration time.Duration
-	// Baseline names a simpler method to compare with; empty for the product.
+	// Baseline names a simpler method to run for comparison. It is empty for the product.
 	Baseline string
-	// Directory takes the daemon binary, settings and logs.
+	// Directory receives the daemon binary, settings and logs.
 	Directory string
-	// Progress takes one line for each step.
+	// Progress receives one line for each step.
 	Progress io.Writer
 }
 
-// Cluster is everything that runs during an experiment. Events are applied by
-// one goroutine at a time.
+// Cluster holds the daemons, simulated callers and back ends, fabric and platform of a run. Only
+// one goroutine at a time may apply events.
 type Cluster struct {
-	options  Options
-	platform *platform.Platform
-	fabric   *fabric.Fabric
-	fleet    *fleet.Fleet
-	ledger   *backend.Recorder
-	stack    *caller.Stack
-	client   *caller.Client
-	openings *openings
-	running  *errgroup.Group
-	started  time.Time
+	options     Options
+	platform    *platform.Platform
+	fabric      *fabric.Fabric
+	fleet       *fleet.Fleet
+	recorder    *backend.Recorder
+	stack       *caller.Stack
+	client      *caller.Client
+	acceptances *acceptances
+	running     *errgroup.Group
+	started     time.Time
 
 	mutex     sync.Mutex
 	version   table.Version
 	balancers []*balancerMember
 	endpoints []*endpointMember
-	// expected are the processes that the schedule has ended or is ending.
-	expected   map[*fleet.Process]expectedExit
-	faults     []string
-	kills      []kill
-	departures []departure
+	// expectedExits holds the processes that the run has ended or is ending.
+	expectedExits map[*fleet.Process]expectedExit
+	faults        []string
+	agentKills    []kill
+	drainPeriods  []drainPeriod
 }
 
 type expectedExit int
@@ -77,15 +77,15 @@
 	healthTimeout    = 15 * time.Second
 )
 
-// NewCluster opens every socket and starts every daemon. It fails when the
-// daemon cannot be built or does not become healthy. The returned cluster
-// must be stopped also after an error.
+// NewCluster opens the sockets and starts the daemons. It fails if the daemon cannot be built, a
+// socket cannot be opened or a daemon does not become healthy. The returned cluster must be
+// stopped also after an error.
 func NewCluster(ctx context.Context, options Options) (*Cluster, error) {
 	cluster := &Cluster{
-		options:  options,
-		ledger:   backend.NewRecorder(),
-		expected: make(map[*fleet.Process]expectedExit),
-		started:  time.Now(),
+		options:       options,
+		recorder:      backend.NewRecorder(),
+		expectedExits: make(map[*fleet.Process]expectedExit),
+		started:       time.Now(),
 	}
 	cluster.running, ctx = errgroup.WithContext(ctx)
 	steps := []func(context.Context) error{
@@ -103,7 +103,7 @@
 	c.progress("building the daemon")
 	directory, err := filepath.Abs(c.options.Directory)
 	if err != nil {
-		return errors.Wrap(err, "directory")
+		return errors.Wrapf(err, "make the directory %q absolute", c.options.Directory)
 	}
 	built, err := fleet.New(ctx, directory)
 	c.fleet = built
@@ -115,7 +115,7 @@
 	for _, member := range c.endpoints {
 		backendOf[member.agent] = member.row.Name
 	}
-	c.openings = newOpenings(backendOf)
+	c.acceptances = newAcceptances(backendOf)
 	var err error
 	c.platform, err = platform.New(fleet.AnyPort())
 	if err != nil {
@@ -126,7 +126,7 @@
 		Requests: c.options.Experiment.Network,
 		Answers:  c.options.Experiment.Network,
 		Seed:     c.options.Seed,
-		Observe:  func(opening fabric.Opening) { c.openings.observe(time.Now(), opening) },
+		Observe:  func(opening fabric.Opening) { c.acceptances.observe(time.Now(), opening) },
 	})
 	if err != nil {
 		return err
@@ -156,7 +156,7 @@
 	for i, name := range names {
 		c.balancers = append(c.balancers, &balancerMember{
 			name: name, zone: c.zone(i),
-			listen: ports.take(), control: ports.take(), observability: ports.take(),
+			listen: ports.next(), control: ports.next(), observability: ports.next(),
 		})
 	}
 	for _, service := range c.options.Shape.Services {
@@ -169,17 +169,17 @@
 
 type addressPool struct{ free []netip.AddrPort }
 
-func (p *addressPool) take() netip.AddrPort {
-	taken := p.free[0]
+func (p *addressPool) next() netip.AddrPort {
+	address := p.free[0]
 	p.free = p.free[1:]
-	return taken
+	return address
 }
 
 func (c *Cluster) startBackends(ctx context.Context, service ServiceShape, ports *addressPool) error {
 	for i, name := range service.endpointNames() {
 		created, err := newServer(service, backend.Settings{
 			Service: service.Name, Name: name, Listen: fleet.AnyPort(),
-			Slots: service.Slots, WorkTime: submissionTime, Recorder: c.ledger,
+			Slots: service.Slots, WorkTime: submissionTime, Recorder: c.recorder,
 		})
 		if err != nil {
 			return err
@@ -187,7 +187,7 @@
 		c.running.Go(func() error { return created.Run(ctx) })
 		member := &endpointMember{
 			service: service.Name, zone: c.zone(i), backend: created,
-			agent: ports.take(), observability: ports.take(),
+			agent: ports.next(), observability: ports.next(),
 		}
 		member.row = table.Backend{
 			ID: table.BackendID(len(c.endpoints) + 1), Service: service.ID, Name: name, Incarnation: 1,
@@ -203,8 +203,8 @@
 	return fmt.Sprintf("%s-%d", c.options.Shape.Name, number%c.options.Shape.Zones+1)
 }
 
-// startDaemons starts agents and balancers that are no spares and waits until
-// all are healthy.
+// startDaemons starts the agents and balancers that are not spares and waits until all are
+// healthy.
 func (c *Cluster) startDaemons(ctx context.Context) error {
 	c.progress("starting %d balancers and the agents", c.options.Shape.Balancers)
 	position := 0
@@ -240,26 +240,26 @@
 func (c *Cluster) waitHealthy(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
 	defer cancel()
-	return c.eachDaemon(func(process *fleet.Process, observability netip.AddrPort) error {
+	return c.forEachDaemon(func(process *fleet.Process, observability netip.AddrPort) error {
 		return fleet.WaitHealthy(ctx, process, observability)
 	})
 }
 
-// saveMetrics keeps the metrics of the daemons for a look at what they dropped
-// and why.
+// saveMetrics saves the metrics of all running daemons. They show which packets were dropped and
+// why.
 func (c *Cluster) saveMetrics(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
 	defer cancel()
-	err := c.eachDaemon(func(process *fleet.Process, observability netip.AddrPort) error {
+	err := c.forEachDaemon(func(process *fleet.Process, observability netip.AddrPort) error {
 		return c.fleet.SaveMetrics(ctx, process, observability)
 	})
 	if err != nil {
-		c.fault("%v", err)
+		c.recordFault("%v", err)
 	}
 }
 
-// eachDaemon calls action for every running daemon until it fails.
-func (c *Cluster) eachDaemon(action func(*fleet.Process, netip.AddrPort) error) error {
+// forEachDaemon calls action for every running daemon and stops at the first error.
+func (c *Cluster) forEachDaemon(action func(*fleet.Process, netip.AddrPort) error) error {
 	for _, member := range c.balancers {
 		if member.process == nil || !member.process.Running() {
 			continue
@@ -279,19 +279,20 @@
 	return nil
 }
 
-// Stop ends the daemons. The sockets close with the context of NewCluster.
+// Stop ends the daemons. The sockets are closed when the context of NewCluster ends.
 func (c *Cluster) Stop() {
 	if c.fleet == nil {
 		return
 	}
-	c.expectAll()
+	c.expectAllExits()
 	for _, process := range c.fleet.Stop(agentExitLimit) {
-		c.fault("%s did not stop in time and was killed", process.Name())
+		c.recordFault("%s did not stop in time and was killed", process.Name())
 	}
 }
 
-// fault records that something broke beside the flows.
-func (c *Cluster) fault(format string, arguments ...any) {
+// recordFault records a failure that is not the failure of a flow, such as the unexpected exit of
+// a daemon.
+func (c *Cluster) recordFault(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
 	c.progress("fault: %s", text)
 	c.mutex.Lock()
--- a/bench/experiment/event.go
+++ b/bench/experiment/event.go
@@ -1,5 +1,4 @@
-// This file defines the events of a schedule and the experiments that use
-// them.
+// This file defines the events of a schedule and the experiments.
 
 package experiment
 
@@ -11,11 +10,11 @@
 	"github.com/vanetiller/vanetiller/bench/fabric"
 )
 
-// EventKind is what happens to a balancer or a back end.
+// EventKind is what happens to a balancer, a back end or the platform.
 type EventKind string
 
-// The kinds of events. Those after the comment line "recoveries" are put into
-// a schedule to end an earlier event.
+// The kinds of events. A schedule contains those below "recoveries" only to end an earlier
+// event.
 const (
 	EventBalancerAdd      EventKind = "balancer_add"
 	EventBalancerRemove   EventKind = "balancer_remove"
@@ -40,14 +39,13 @@
 	EventPlatformRecover EventKind = "platform_recover"
 )
 
-// PlatformTarget is the target of events of the platform.
+// PlatformTarget is the target of events that affect the platform.
 const PlatformTarget = "platform"
 
 // Event is one entry of a schedule.
 type Event struct {
 	// At is the time since the start of the event phase.
-	At time.Duration
-	// Kind is what happens.
+	At   time.Duration
 	Kind EventKind
 	// Target is the name of the balancer or back end, or PlatformTarget.
 	Target string
@@ -55,21 +53,21 @@
 	Weight uint32
 }
 
-// Experiment is a named choice of events and disturbances.
+// Experiment is a named choice of events and network faults.
 type Experiment struct {
 	Name string
-	// Description says in one line what is tried.
+	// Description describes the experiment in one line.
 	Description string
-	// Kinds are the events to draw from.
+	// Kinds lists the events that the schedule chooses from.
 	Kinds []EventKind
-	// BatchSize is the number of events that happen at the same moment.
+	// BatchSize is the number of events that happen at the same time.
 	BatchSize int
-	// Spacing is the mean time between events.
+	// Spacing is the mean time between batches of events.
 	Spacing time.Duration
-	// Network disturbs the packets in both directions.
+	// Network is the impairment of packets in both directions.
 	Network fabric.Impairment
-	// RevisionSkew is the longest time by which a table revision reaches one balancer
-	// later than another.
+	// RevisionSkew is the longest time by which a table revision reaches one balancer later
+	// than another.
 	RevisionSkew time.Duration
 }
 
@@ -110,16 +108,15 @@
 		{Name: "planned", Description: "planned changes of balancers and back ends", Kinds: plannedKinds, BatchSize: 1, Spacing: defaultSpacing},
 		{Name: "revisions", Description: "table changes that reach balancers seconds apart", Kinds: tableKinds, BatchSize: 1, Spacing: defaultSpacing, RevisionSkew: revisionSkew},
 		{Name: "stalls", Description: "paused agents and balancers, the platform down or stale, and table changes", Kinds: stallKinds, BatchSize: 2, Spacing: defaultSpacing, RevisionSkew: revisionSkew},
-		// Callers of a killed agent's flows may notice only after the progress
-		// timeout, so the short demo kills none.
+		// The callers of a killed agent's flows may detect the loss only after the progress
+		// timeout. The demo is too short for that, so it kills no agent.
 		{Name: "demo", Description: "churn without killed agents, two events at once", Kinds: demoKinds, BatchSize: 2, Spacing: defaultSpacing, RevisionSkew: revisionSkew},
 		{Name: "churn", Description: "every kind of event, two at once, revisions seconds apart", Kinds: allKinds, BatchSize: 2, Spacing: defaultSpacing, RevisionSkew: revisionSkew},
 		{Name: "lossy", Description: "churn with loss, duplication and reordering", Kinds: allKinds, BatchSize: 2, Spacing: defaultSpacing, RevisionSkew: revisionSkew, Network: lossy},
 	}
 }
 
-// ExperimentByName returns the experiment of that name. It fails for an unknown
-// name.
+// ExperimentByName returns the experiment of that name. It fails if there is none.
 func ExperimentByName(name string) (Experiment, error) {
 	for _, experiment := range Experiments() {
 		if experiment.Name == name {
--- a/bench/experiment/export_test.go
+++ b/bench/experiment/export_test.go
@@ -9,10 +9,10 @@
 	"github.com/vanetiller/vanetiller/bench/fabric"
 )
 
-// MinimumOpenFlows gives tests minimumOpenFlows.
+// MinimumOpenFlows exports minimumOpenFlows.
 const MinimumOpenFlows = minimumOpenFlows
 
-// Kill gives tests kill.
+// Kill exports kill.
 type Kill struct {
 	Backend string
 	At      time.Time
@@ -26,39 +26,39 @@
 	At           time.Time
 }
 
-// NewReport gives tests newReport.
-func NewReport(ledger *backend.Recorder, acceptances []Acceptance, results []caller.Result, kills []Kill) Report {
+// NewReport exports newReport.
+func NewReport(recorder *backend.Recorder, acceptances []Acceptance, results []caller.Result, kills []Kill) Report {
 	backendOf := make(map[netip.AddrPort]string)
-	seen := evidence{ledger: ledger, results: results, openings: newOpenings(backendOf)}
+	observed := observations{recorder: recorder, results: results, acceptances: newAcceptances(backendOf)}
 	for _, exported := range acceptances {
 		agent := netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(len(backendOf)+1))
 		backendOf[agent] = exported.Backend
-		seen.openings.observe(exported.At, fabric.Opening{
+		observed.acceptances.observe(exported.At, fabric.Opening{
 			Agent: agent, Caller: exported.Caller, Acknowledged: exported.Acknowledged,
 		})
 	}
 	for _, exported := range kills {
-		seen.kills = append(seen.kills, kill{backend: exported.Backend, at: exported.At})
+		observed.kills = append(observed.kills, kill{backend: exported.Backend, at: exported.At})
 	}
-	return newReport(seen)
+	return newReport(observed)
 }
 
-// LargestOverMean gives tests largestOverMean.
-func LargestOverMean(shares []float64) float64 { return largestOverMean(shares) }
+// MaxOverMean exports maxOverMean.
+func MaxOverMean(shares []float64) float64 { return maxOverMean(shares) }
 
-// Departure gives tests departure; a zero Until lasts.
-type Departure struct {
+// DrainPeriod exports drainPeriod. A period with a zero Until lasts.
+type DrainPeriod struct {
 	Backend string
 	From    time.Time
 	Until   time.Time
 }
 
-// LateAdmissions gives tests countLate for one connection.
-func LateAdmissions(accepted Acceptance, departures ...Departure) int {
-	var left []departure
-	for _, exported := range departures {
-		left = append(left, departure{backend: exported.Backend, from: exported.From, until: exported.Until})
+// CountLateConnections exports countLateConnections for one connection.
+func CountLateConnections(accepted Acceptance, exportedPeriods ...DrainPeriod) int {
+	var periods []drainPeriod
+	for _, exported := range exportedPeriods {
+		periods = append(periods, drainPeriod{backend: exported.Backend, from: exported.From, until: exported.Until})
 	}
-	sightings := [][]backend.FirstContact{{{Backend: accepted.Backend, At: accepted.At}}}
-	return countLate(sightings, left, lateAfter)
+	contacts := [][]backend.FirstContact{{{Backend: accepted.Backend, At: accepted.At}}}
+	return countLateConnections(contacts, periods, drainGrace)
 }
--- a/bench/experiment/imbalance.go
+++ b/bench/experiment/imbalance.go
@@ -1,5 +1,4 @@
-// This file implements the measurement of imbalance between the back ends of
-// a service.
+// This file measures the imbalance between the back ends of a service.
 
 package experiment
 
@@ -10,17 +9,16 @@
 	"github.com/vanetiller/vanetiller/bench/timing"
 )
 
-// Imbalance is the largest number of open flows per weight of a back end over
-// the mean of its service; 1 is perfect.
+// Imbalance is the ratio between the largest load of a back end and the mean load of its
+// service, where load is open flows per weight. 1 means perfect balance.
 type Imbalance struct {
-	// Mean is the mean over the samples of the worst service.
+	// Mean is the mean of all samples. Each sample is the imbalance of the worst service.
 	Mean float64 `json:"mean"`
 	// Peak is the largest sample.
 	Peak float64 `json:"peak"`
-	// Open is the smallest number of open flows during the samples.
-	Open int64 `json:"open"`
-	// Samples is the number of samples.
-	Samples int `json:"samples"`
+	// Open is the smallest number of open flows in any sample.
+	Open    int64 `json:"open"`
+	Samples int   `json:"samples"`
 }
 
 const (
@@ -28,7 +26,7 @@
 	imbalanceInterval = 250 * time.Millisecond
 )
 
-// measureImbalance samples the open connections of the back ends.
+// measureImbalance samples the number of open connections of the back ends.
 func (c *Cluster) measureImbalance(ctx context.Context) Imbalance {
 	var measured Imbalance
 	for timing.Sleep(ctx, imbalanceInterval) {
@@ -46,8 +44,8 @@
 	return measured
 }
 
-// sampleImbalance returns the imbalance of the worst service and the number of
-// open flows of all services.
+// sampleImbalance returns the largest imbalance of any service and the number of open flows of
+// all services.
 func (c *Cluster) sampleImbalance() (float64, int64) {
 	worst := 0.0
 	var total int64
@@ -61,12 +59,12 @@
 			total += open
 			shares = append(shares, float64(open)/float64(member.row.Weight))
 		}
-		worst = max(worst, largestOverMean(shares))
+		worst = max(worst, maxOverMean(shares))
 	}
 	return worst, total
 }
 
-func largestOverMean(shares []float64) float64 {
+func maxOverMean(shares []float64) float64 {
 	sum, largest := 0.0, 0.0
 	for _, share := range shares {
 		sum += share
--- a/bench/experiment/load.go
+++ b/bench/experiment/load.go
@@ -1,5 +1,5 @@
-// This file implements the callers of an experiment: a fixed number of flows
-// is kept open for each service until the load ends.
+// This file implements the load of an experiment. A fixed number of callers of each service run
+// one flow after the other until the load ends.
 
 package experiment
 
@@ -16,12 +16,11 @@
 
 const (
 	rampTime = 3 * time.Second
-	// refusedPause is how long a caller waits after a flow that did not
-	// complete.
-	refusedPause = 200 * time.Millisecond
-	// submitPause is the mean time between two submissions of one caller.
-	submitPause = 500 * time.Millisecond
-	// lengthSpread is the part by which the number of pieces varies.
+	// failurePause is how long a caller waits after a flow that did not complete.
+	failurePause = 200 * time.Millisecond
+	// meanSubmitPause is the mean wait between two submissions of a caller.
+	meanSubmitPause = 500 * time.Millisecond
+	// lengthSpread is the share by which the number of pieces varies.
 	lengthSpread = 0.5
 )
 
@@ -29,37 +28,37 @@
 type load struct {
 	client *caller.Client
 	seed   uint64
-	// ending is closed when no new flow shall start.
-	ending chan struct{}
-	active sync.WaitGroup
-	open   atomic.Int64
+	// stopping is closed when no new flow may start.
+	stopping chan struct{}
+	active   sync.WaitGroup
+	open     atomic.Int64
 
 	mutex   sync.Mutex
 	results []caller.Result
 }
 
 func newLoad(client *caller.Client, seed uint64) *load {
-	return &load{client: client, seed: seed, ending: make(chan struct{})}
+	return &load{client: client, seed: seed, stopping: make(chan struct{})}
 }
 
-// start begins the callers of one service, spread over the ramp.
+// start starts the callers of one service, spread over rampTime.
 func (l *load) start(ctx context.Context, service ServiceShape) {
 	for number := range service.Callers {
 		delay := rampTime * time.Duration(number) / time.Duration(service.Callers)
-		l.active.Go(func() { l.caller(ctx, service, number, delay) })
+		l.active.Go(func() { l.runCaller(ctx, service, number, delay) })
 	}
 }
 
-// end lets the open flows finish and waits for them.
-func (l *load) end() {
-	close(l.ending)
+// finish prevents new flows and waits until the open flows have ended.
+func (l *load) finish() {
+	close(l.stopping)
 	l.active.Wait()
 }
 
-func (l *load) caller(ctx context.Context, service ServiceShape, number int, delay time.Duration) {
+func (l *load) runCaller(ctx context.Context, service ServiceShape, number int, delay time.Duration) {
 	random := rand.New(rand.NewPCG(l.seed, uint64(service.ID)<<32|uint64(number)))
 	flows := service.flowsOf(number)
-	for sequence := 0; l.wait(ctx, delay); sequence++ {
+	for sequence := 0; l.waitForNext(ctx, delay); sequence++ {
 		plan := newPlan(service, flows, fmt.Sprintf("%s-%d-%d", service.Name, number, sequence), random)
 		l.open.Add(1)
 		result := l.client.Run(ctx, plan)
@@ -69,31 +68,31 @@
 	}
 }
 
-// wait returns false when no further flow shall start, also when the load ends
-// in the same moment as the delay.
-func (l *load) wait(ctx context.Context, delay time.Duration) bool {
+// waitForNext waits for the delay. It returns false if no further flow may start, also if the
+// load stops at the same moment as the delay ends.
+func (l *load) waitForNext(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
-	case <-l.ending:
+	case <-l.stopping:
 		return false
 	case <-ctx.Done():
 		return false
 	case <-timer.C:
-		return !l.isEnding() && ctx.Err() == nil
+		return !l.isStopping() && ctx.Err() == nil
 	}
 }
 
-func (l *load) isEnding() bool {
+func (l *load) isStopping() bool {
 	select {
-	case <-l.ending:
+	case <-l.stopping:
 		return true
 	default:
 		return false
 	}
 }
 
-// newPlan varies the length of the flow, so that flows do not end in step.
+// newPlan returns a plan for a flow. The length varies, so that flows do not end in step.
 func newPlan(service ServiceShape, flows Flows, id string, random *rand.Rand) caller.Plan {
 	factor := 1 - lengthSpread + random.Float64()*lengthSpread
 	return caller.Plan{
@@ -109,9 +108,9 @@
 func pauseAfter(result caller.Result, random *rand.Rand) time.Duration {
 	switch {
 	case result.Outcome != caller.OutcomeCompleted:
-		return refusedPause
+		return failurePause
 	case result.Plan.Kind == caller.KindSubmit:
-		return time.Duration(random.Int64N(int64(2 * submitPause)))
+		return time.Duration(random.Int64N(int64(2 * meanSubmitPause)))
 	}
 	return 0
 }
--- a/bench/experiment/members.go
+++ b/bench/experiment/members.go
@@ -1,5 +1,5 @@
-// This file defines the balancers and back ends of a running cluster and the
-// settings of their daemons.
+// This file defines the balancers and back ends of a running cluster and the settings of their
+// daemons.
 
 package experiment
 
@@ -27,7 +27,7 @@
 	listed        bool
 }
 
-// server is a back end of either transport.
+// server is a TCP or UDP back end.
 type server interface {
 	Address() netip.AddrPort
 	Counters() backend.Counters
@@ -99,7 +99,8 @@
 	}
 }
 
-// readerURL names the reader, so that the platform keeps its lag.
+// readerURL returns a URL of the platform that identifies the reader. The platform delays
+// revisions by reader.
 func (c *Cluster) readerURL(path, reader string) string {
 	query := url.Values{}
 	query.Set(platform.QueryReader, reader)
@@ -124,7 +125,7 @@
 	panic("experiment: no back end " + name)
 }
 
-// currentTable is the table that operators have accepted.
+// currentTable returns the table that the platform should publish now.
 func (c *Cluster) currentTable() *table.Table {
 	current := &table.Table{Version: c.version}
 	for _, service := range c.options.Shape.Services {
@@ -145,7 +146,7 @@
 	return current
 }
 
-// currentMachines is the machine list.
+// currentMachines returns the machine list that the platform should publish now.
 func (c *Cluster) currentMachines() []platform.Machine {
 	var machines []platform.Machine
 	for _, member := range c.balancers {
--- a/bench/experiment/report.go
+++ b/bench/experiment/report.go
@@ -1,5 +1,4 @@
-// This file implements the report of a run and the promises it is checked
-// against.
+// This file computes the report of a run and the violations of each guarantee.
 
 package experiment
 
@@ -21,39 +20,37 @@
 	Outcome caller.Outcome `json:"outcome"`
 	Cause   caller.Cause   `json:"cause"`
 	Count   int            `json:"count"`
-	// Example is the flow and error text of the first of them.
+	// Example is the ID and error text of the first of these flows.
 	Example string `json:"example"`
 }
 
-// Report is the outcome of one run.
+// Report is the result of one run.
 type Report struct {
 	Experiment string `json:"experiment"`
 	Shape      string `json:"shape"`
 	Baseline   string `json:"baseline"`
 	Seed       uint64 `json:"seed"`
-	// Flows is the number of flows that were started.
+	// Flows is the number of started flows.
 	Flows     int `json:"flows"`
 	Completed int `json:"completed"`
-	// BrokenFlows is the number of established flows that did not complete,
-	// without those in BrokenByEndpointKill.
+	// BrokenFlows is the number of established flows that did not complete, except those in
+	// BrokenByEndpointKill.
 	BrokenFlows int `json:"broken_flows"`
-	// BrokenByEndpointKill is the number of flows that broke on a back end
-	// whose agent the schedule killed during the flow.
+	// BrokenByEndpointKill is the number of broken flows of back ends whose agent the schedule
+	// killed during the flow.
 	BrokenByEndpointKill int `json:"broken_by_endpoint_kill"`
 	// NotOpened is the number of flows whose handshake got no answer.
 	NotOpened              int `json:"not_opened"`
 	Misdelivered           int `json:"misdelivered"`
 	FlowsOnSeveralBackends int `json:"double_opened"`
 	DuplicateRuns          int `json:"double_runs"`
-	// LateConnections is the number of connections accepted by back ends that
-	// had been leaving for more than three seconds, not counting the skew of
-	// the experiment.
+	// LateConnections is the number of connections accepted by back ends that had been
+	// draining for more than three seconds plus the revision skew of the experiment.
 	LateConnections int `json:"late_admissions"`
 	Refused         int `json:"refused"`
-	// FalseRefusals is the number of refused requests that ran.
+	// FalseRefusals is the number of refused requests that were executed.
 	FalseRefusals int `json:"false_refusals"`
-	// Imbalance is the mean of the worst service's imbalance before the
-	// events.
+	// Imbalance is the mean imbalance of the worst service, measured before the events.
 	Imbalance      float64 `json:"imbalance"`
 	ImbalancePeak  float64 `json:"imbalance_peak"`
 	ImbalanceFlows int64   `json:"imbalance_flows"`
@@ -64,8 +61,7 @@
 	// HandshakeP50 and OpenP99 are times of handshakes.
 	HandshakeP50 float64 `json:"open_p50_ms"`
 	HandshakeP99 float64 `json:"open_p99_ms"`
-	// UnusedConnections is the number of connections that reached a back end
-	// and carried no request.
+	// UnusedConnections is the number of connections to back ends that carried no request.
 	UnusedConnections int64           `json:"unused_connections"`
 	Causes            []CauseCount    `json:"causes"`
 	Faults            []string        `json:"faults"`
@@ -73,13 +69,13 @@
 	Seconds           float64         `json:"seconds"`
 }
 
-// Guarantee is a rule that a run keeps or breaks.
+// Guarantee is a rule for the behavior of the daemons, with the number of its violations in a run.
 type Guarantee struct {
 	Name       string
 	Violations int
 }
 
-// Guarantees lists the rules and how often each was broken.
+// Guarantees lists the guarantees and how often each was violated.
 func (r Report) Guarantees() []Guarantee {
 	return []Guarantee{
 		{"established flows survive", r.BrokenFlows},
@@ -93,19 +89,18 @@
 	}
 }
 
-// Passed reports whether no promise was broken and enough flows were open to
-// tell.
+// Passed reports whether no guarantee was violated, at least one flow completed and at least
+// minimumOpenFlows were open.
 func (r Report) Passed() bool {
-	for _, promise := range r.Guarantees() {
-		if promise.Violations > 0 {
+	for _, guarantee := range r.Guarantees() {
+		if guarantee.Violations > 0 {
 			return false
 		}
 	}
 	return r.Completed > 0 && r.ImbalanceFlows >= minimumOpenFlows
 }
 
-// minimumOpenFlows is the number of open flows below which a run shows
-// nothing.
+// minimumOpenFlows is the number of open flows below which a run is not conclusive.
 const minimumOpenFlows = 300
 
 const (
@@ -116,7 +111,7 @@
 	tailPercent      = 99
 )
 
-// latencies collects times and gives percentiles in milliseconds.
+// latencies collects durations and returns percentiles in milliseconds.
 type latencies struct{ histogram *hdrhistogram.Histogram }
 
 func newLatencies() latencies {
@@ -126,7 +121,7 @@
 func (l latencies) add(duration time.Duration) {
 	microseconds := min(max(duration.Microseconds(), histogramLowest), histogramHighest)
 	if err := l.histogram.RecordValue(microseconds); err != nil {
-		panic("experiment: value was bounded before: " + err.Error())
+		panic("experiment: bounded latency is out of the range of the histogram: " + err.Error())
 	}
 }
 
@@ -134,48 +129,48 @@
 	return float64(l.histogram.ValueAtPercentile(percent)) / 1000
 }
 
-// kill is the moment at which the schedule killed the agent of a back end.
+// kill records when the schedule killed the agent of a back end.
 type kill struct {
 	backend string
 	at      time.Time
 }
 
-// evidence is everything that a run leaves behind.
-type evidence struct {
-	options Options
-	results []caller.Result
-	ledger  *backend.Recorder
-	// openings are the acceptances of connections by agents.
-	openings   *openings
-	kills      []kill
-	departures []departure
-	faults     []string
+// observations holds everything that a run recorded.
+type observations struct {
+	options  Options
+	results  []caller.Result
+	recorder *backend.Recorder
+	// acceptances are the connections that agents accepted.
+	acceptances  *acceptances
+	kills        []kill
+	drainPeriods []drainPeriod
+	faults       []string
 }
 
-// newReport sums up the evidence.
-func newReport(seen evidence) Report {
-	totals := seen.ledger.Totals()
+// newReport computes the report from the observations of a run.
+func newReport(observed observations) Report {
+	totals := observed.recorder.Totals()
 	report := Report{
-		Experiment:             seen.options.Experiment.Name,
-		Shape:                  seen.options.Shape.Name,
-		Baseline:               seen.options.Baseline,
-		Seed:                   seen.options.Seed,
-		Flows:                  len(seen.results),
+		Experiment:             observed.options.Experiment.Name,
+		Shape:                  observed.options.Shape.Name,
+		Baseline:               observed.options.Baseline,
+		Seed:                   observed.options.Seed,
+		Flows:                  len(observed.results),
 		Misdelivered:           totals.Misdelivered,
-		FlowsOnSeveralBackends: max(countDouble(seen.ledger.Flows(), seen.kills), countDouble(seen.openings.all(), seen.kills)),
+		FlowsOnSeveralBackends: max(countFlowsOnSeveralBackends(observed.recorder.Flows(), observed.kills), countFlowsOnSeveralBackends(observed.acceptances.all(), observed.kills)),
 		DuplicateRuns:          totals.DuplicateRuns,
-		LateConnections:        countLate(seen.openings.all(), seen.departures, lateAfter+seen.options.Experiment.RevisionSkew),
-		Causes:                 countCauses(seen.results),
-		Faults:                 seen.faults,
+		LateConnections:        countLateConnections(observed.acceptances.all(), observed.drainPeriods, drainGrace+observed.options.Experiment.RevisionSkew),
+		Causes:                 countCauses(observed.results),
+		Faults:                 observed.faults,
 	}
-	for _, result := range seen.results {
-		seen.count(&report, result)
+	for _, result := range observed.results {
+		observed.countResult(&report, result)
 	}
-	addLatencies(&report, seen.results)
+	addLatencies(&report, observed.results)
 	return report
 }
 
-func (e evidence) count(report *Report, result caller.Result) {
+func (o observations) countResult(report *Report, result caller.Result) {
 	switch result.Outcome {
 	case caller.OutcomeCompleted:
 		report.Completed++
@@ -183,11 +178,11 @@
 		report.NotOpened++
 	case caller.OutcomeRefused:
 		report.Refused++
-		if e.ledger.HasRun(result.Request) {
+		if o.recorder.HasRun(result.Request) {
 			report.FalseRefusals++
 		}
 	case caller.OutcomeBroken:
-		if e.killedDuring(result) {
+		if o.killedDuring(result) {
 			report.BrokenByEndpointKill++
 		} else {
 			report.BrokenFlows++
@@ -195,28 +190,28 @@
 	}
 }
 
-// killedDuring reports whether the agent that accepted the flow, or that of a
-// back end that has seen a request of it, was killed while the flow was open.
-func (e evidence) killedDuring(result caller.Result) bool {
-	seen := e.ledger.BackendsOf(result.Plan.ID)
-	seen = append(seen, e.openings.acceptors(result.Caller, result.Started, result.Ended)...)
-	return slices.ContainsFunc(e.kills, func(k kill) bool {
-		return slices.Contains(seen, k.backend) && k.at.After(result.Started) && k.at.Before(result.Ended)
+// killedDuring reports whether an agent was killed while the flow was open: the agent that
+// accepted the flow, or that of a back end that received a request of the flow.
+func (o observations) killedDuring(result caller.Result) bool {
+	backends := o.recorder.BackendsOf(result.Plan.ID)
+	backends = append(backends, o.acceptances.acceptingBackends(result.Caller, result.Started, result.Ended)...)
+	return slices.ContainsFunc(o.kills, func(k kill) bool {
+		return slices.Contains(backends, k.backend) && k.at.After(result.Started) && k.at.Before(result.Ended)
 	})
 }
 
 func addLatencies(report *Report, results []caller.Result) {
-	answers, openings := newLatencies(), newLatencies()
+	answers, handshakes := newLatencies(), newLatencies()
 	for _, result := range results {
 		if result.Outcome == caller.OutcomeCompleted {
-			openings.add(result.HandshakeTime)
+			handshakes.add(result.HandshakeTime)
 		}
 		for _, answer := range result.AnswerTimes {
 			answers.add(answer)
 		}
 	}
 	report.AnswerP50, report.AnswerP99 = answers.milliseconds(medianPercent), answers.milliseconds(tailPercent)
-	report.HandshakeP50, report.HandshakeP99 = openings.milliseconds(medianPercent), openings.milliseconds(tailPercent)
+	report.HandshakeP50, report.HandshakeP99 = handshakes.milliseconds(medianPercent), handshakes.milliseconds(tailPercent)
 }
 
 func countCauses(results []caller.Result) []CauseCount {
--- a/bench/experiment/report_test.go
+++ b/bench/experiment/report_test.go
@@ -22,10 +22,10 @@
 	testRequest = "audio-0-0-0"
 )
 
-// submitTo makes a back end see one submission of the flow.
-func submitTo(ledger *backend.Recorder, name, service string) {
+// submitTo sends one submission of the flow to a new back end.
+func submitTo(recorder *backend.Recorder, name, service string) {
 	server, err := backend.New(backend.Settings{
-		Service: "audio", Name: name, Recorder: ledger, Listen: netip.MustParseAddrPort("127.0.0.1:0"),
+		Service: "audio", Name: name, Recorder: recorder, Listen: netip.MustParseAddrPort("127.0.0.1:0"),
 	})
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -56,11 +56,11 @@
 		return []experiment.Kill{{Backend: name, At: start.Add(after)}}
 	}
 
-	DescribeTable("counts each flow once",
+	DescribeTable("counts each flow once, by outcome and killed agents",
 		func(outcome caller.Outcome, kills []experiment.Kill, expected experiment.Report) {
-			ledger := backend.NewRecorder()
-			submitTo(ledger, testBackend, "audio")
-			report := experiment.NewReport(ledger, nil, []caller.Result{ended(outcome)}, kills)
+			recorder := backend.NewRecorder()
+			submitTo(recorder, testBackend, "audio")
+			report := experiment.NewReport(recorder, nil, []caller.Result{ended(outcome)}, kills)
 			expected.Flows = 1
 			expected.Causes = report.Causes
 			expected.HandshakeP50, expected.HandshakeP99 = report.HandshakeP50, report.HandshakeP99
@@ -68,7 +68,7 @@
 		},
 		Entry("completed", caller.OutcomeCompleted, nil, experiment.Report{Completed: 1}),
 		Entry("not opened", caller.OutcomeNotOpened, nil, experiment.Report{NotOpened: 1}),
-		Entry("refused although it ran", caller.OutcomeRefused, nil, experiment.Report{Refused: 1, FalseRefusals: 1}),
+		Entry("refused although executed", caller.OutcomeRefused, nil, experiment.Report{Refused: 1, FalseRefusals: 1}),
 		Entry("broken", caller.OutcomeBroken, nil, experiment.Report{BrokenFlows: 1}),
 		Entry("broken by the kill of its back end's agent", caller.OutcomeBroken, killed(testBackend, time.Second), experiment.Report{BrokenByEndpointKill: 1}),
 		Entry("broken while another back end's agent was killed", caller.OutcomeBroken, killed("audio-2", time.Second), experiment.Report{BrokenFlows: 1}),
@@ -83,7 +83,7 @@
 		}
 	}
 
-	DescribeTable("blames a kill for a flow whose request reached no back end only if its agent was killed",
+	DescribeTable("attributes a broken flow without a request to a kill only if the accepting agent was killed",
 		func(acceptances []experiment.Acceptance, kills []experiment.Kill, byKill int) {
 			result := ended(caller.OutcomeBroken)
 			result.Caller = callerAddress
@@ -91,20 +91,20 @@
 			Expect(report.BrokenByEndpointKill).To(Equal(byKill))
 			Expect(report.BrokenFlows).To(Equal(1 - byKill))
 		},
-		Entry("its agent", []experiment.Acceptance{accepted("audio-1", 1, time.Second)}, killed("audio-1", 2*time.Second), 1),
+		Entry("the accepting agent", []experiment.Acceptance{accepted("audio-1", 1, time.Second)}, killed("audio-1", 2*time.Second), 1),
 		Entry("another agent", []experiment.Acceptance{accepted("audio-1", 1, time.Second)}, killed("audio-2", 2*time.Second), 0),
 		Entry("an earlier connection with the same port",
 			[]experiment.Acceptance{accepted("audio-1", 1, -time.Second), accepted("audio-2", 2, time.Second)},
 			killed("audio-1", 2*time.Second), 0),
 	)
 
-	DescribeTable("counts connections that two agents accepted",
+	DescribeTable("counts connections that two agents accepted, unless the first was killed in between",
 		func(acceptances []experiment.Acceptance, kills []experiment.Kill, expected int) {
 			report := experiment.NewReport(backend.NewRecorder(), acceptances, nil, kills)
 			Expect(report.FlowsOnSeveralBackends).To(Equal(expected))
 		},
 		Entry("none", nil, nil, 0),
-		Entry("one agent, repeated",
+		Entry("one agent, retransmitted",
 			[]experiment.Acceptance{accepted("audio-1", 1, 0), accepted("audio-1", 1, time.Second)}, nil, 0),
 		Entry("two agents", []experiment.Acceptance{accepted("audio-1", 1, 0), accepted("audio-2", 1, time.Second)}, nil, 1),
 		Entry("two connections", []experiment.Acceptance{accepted("audio-1", 1, 0), accepted("audio-2", 2, time.Second)}, nil, 0),
@@ -116,56 +116,56 @@
 			killed("audio-1", 3*time.Second), 1),
 	)
 
-	type faults struct{ DoubleOpened, DoubleRuns, Misdelivered int }
+	type violations struct{ FlowsOnSeveralBackends, DuplicateRuns, Misdelivered int }
 
-	DescribeTable("counts faults of the ledger",
-		func(prepare func(*backend.Recorder), expected faults) {
-			ledger := backend.NewRecorder()
-			prepare(ledger)
-			report := experiment.NewReport(ledger, nil, nil, nil)
-			Expect(faults{
-				DoubleOpened: report.FlowsOnSeveralBackends, DoubleRuns: report.DuplicateRuns, Misdelivered: report.Misdelivered,
+	DescribeTable("counts the violations that back ends recorded",
+		func(prepare func(*backend.Recorder), expected violations) {
+			recorder := backend.NewRecorder()
+			prepare(recorder)
+			report := experiment.NewReport(recorder, nil, nil, nil)
+			Expect(violations{
+				FlowsOnSeveralBackends: report.FlowsOnSeveralBackends, DuplicateRuns: report.DuplicateRuns, Misdelivered: report.Misdelivered,
 			}).To(Equal(expected))
 		},
-		Entry("nothing", func(*backend.Recorder) {}, faults{}),
-		Entry("one run", func(ledger *backend.Recorder) { submitTo(ledger, "audio-1", "audio") }, faults{}),
-		Entry("two runs on one back end", func(ledger *backend.Recorder) {
-			submitTo(ledger, "audio-1", "audio")
-			submitTo(ledger, "audio-1", "audio")
-		}, faults{DoubleRuns: 1}),
-		Entry("two back ends", func(ledger *backend.Recorder) {
-			submitTo(ledger, "audio-1", "audio")
-			submitTo(ledger, "audio-2", "audio")
-		}, faults{DoubleOpened: 1, DoubleRuns: 1}),
-		Entry("another service", func(ledger *backend.Recorder) { submitTo(ledger, "audio-1", "transcription") }, faults{Misdelivered: 1}),
+		Entry("nothing", func(*backend.Recorder) {}, violations{}),
+		Entry("one execution", func(recorder *backend.Recorder) { submitTo(recorder, "audio-1", "audio") }, violations{}),
+		Entry("two executions on one back end", func(recorder *backend.Recorder) {
+			submitTo(recorder, "audio-1", "audio")
+			submitTo(recorder, "audio-1", "audio")
+		}, violations{DuplicateRuns: 1}),
+		Entry("two back ends", func(recorder *backend.Recorder) {
+			submitTo(recorder, "audio-1", "audio")
+			submitTo(recorder, "audio-2", "audio")
+		}, violations{FlowsOnSeveralBackends: 1, DuplicateRuns: 1}),
+		Entry("another service", func(recorder *backend.Recorder) { submitTo(recorder, "audio-1", "transcription") }, violations{Misdelivered: 1}),
 	)
 
-	DescribeTable("is kept only without a broken promise",
-		func(spoil func(*experiment.Report), kept bool) {
+	DescribeTable("passes only without violations and with enough flows",
+		func(change func(*experiment.Report), passed bool) {
 			report := experiment.Report{Flows: 1000, Completed: 1000, ImbalanceFlows: experiment.MinimumOpenFlows, BrokenByEndpointKill: 5, Refused: 3}
-			spoil(&report)
-			Expect(report.Passed()).To(Equal(kept))
+			change(&report)
+			Expect(report.Passed()).To(Equal(passed))
 		},
-		Entry("all kept", func(*experiment.Report) {}, true),
+		Entry("no violation", func(*experiment.Report) {}, true),
 		Entry("broken flow", func(r *experiment.Report) { r.BrokenFlows = 1 }, false),
 		Entry("flow not opened", func(r *experiment.Report) { r.NotOpened = 1 }, false),
 		Entry("misdelivered request", func(r *experiment.Report) { r.Misdelivered = 1 }, false),
-		Entry("double opened flow", func(r *experiment.Report) { r.FlowsOnSeveralBackends = 1 }, false),
-		Entry("double run", func(r *experiment.Report) { r.DuplicateRuns = 1 }, false),
+		Entry("flow on several back ends", func(r *experiment.Report) { r.FlowsOnSeveralBackends = 1 }, false),
+		Entry("duplicate run", func(r *experiment.Report) { r.DuplicateRuns = 1 }, false),
 		Entry("false refusal", func(r *experiment.Report) { r.FalseRefusals = 1 }, false),
 		Entry("daemon fault", func(r *experiment.Report) { r.Faults = []string{"ended"} }, false),
 		Entry("too few flows", func(r *experiment.Report) { r.ImbalanceFlows = experiment.MinimumOpenFlows - 1 }, false),
 		Entry("nothing completed", func(r *experiment.Report) { r.Completed = 0 }, false),
 	)
 
-	DescribeTable("computes imbalance per weight",
+	DescribeTable("computes the ratio of the largest share to the mean",
 		func(shares []float64, expected float64) {
-			Expect(experiment.LargestOverMean(shares)).To(BeNumerically("~", expected, 1e-9))
+			Expect(experiment.MaxOverMean(shares)).To(BeNumerically("~", expected, 1e-9))
 		},
 		Entry("no back end", nil, 0.0),
 		Entry("no flow", []float64{0, 0}, 0.0),
 		Entry("equal", []float64{3, 3, 3}, 1.0),
-		Entry("one has all", []float64{6, 0, 0}, 3.0),
+		Entry("all on one", []float64{6, 0, 0}, 3.0),
 		Entry("slightly uneven", []float64{1, 1, 1, 2}, 1.6),
 	)
 })
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -1,4 +1,4 @@
-// This file implements the phases of a run.
+// This file runs the phases of an experiment.
 
 package experiment
 
@@ -14,18 +14,18 @@
 )
 
 const (
-	// startTime lets the agents obtain leases for longer than the longest one
-	// lasts, so that the start of a whole fleet does not count as an event.
-	startTime = 5 * time.Second
-	// steadyTime lets the first flows end, so that open flows are spread over
-	// their whole length before imbalance is measured.
-	steadyTime = 6 * time.Second
-	// settleTime follows the last event.
-	settleTime = time.Second
+	// leaseTime is longer than the longest lease. The run waits this long, until the agents
+	// have leases, so that the start of the whole fleet does not affect the results.
+	leaseTime = 5 * time.Second
+	// spreadTime is the wait between the ramp and the measurement of imbalance. The first
+	// flows end in it, so that the ages of the open flows are spread over their whole length.
+	spreadTime = 6 * time.Second
+	// finalWait is the wait after the last event.
+	finalWait = time.Second
 )
 
-// Run does one experiment and reports what happened. It fails when the cluster
-// cannot be started; broken promises are part of the report.
+// Run runs one experiment. It fails if the cluster cannot be started. Violations are part of the
+// report.
 func Run(ctx context.Context, options Options) (Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -34,14 +34,14 @@
 	if err != nil {
 		return Report{}, err
 	}
-	timing.Sleep(ctx, startTime)
+	timing.Sleep(ctx, leaseTime)
 	load := newLoad(cluster.client, options.Seed)
 	imbalance := cluster.openFlows(ctx, load)
 	events := Schedule(options.Shape, options.Experiment, options.Duration, options.Seed)
 	cluster.ApplyEvents(ctx, events)
-	timing.Sleep(ctx, settleTime)
+	timing.Sleep(ctx, finalWait)
 	cluster.progress("letting %d flows finish", load.open.Load())
-	load.end()
+	load.finish()
 	if ctx.Err() != nil {
 		return Report{}, errors.Wrap(ctx.Err(), "run")
 	}
@@ -57,20 +57,19 @@
 	return report, nil
 }
 
-// openFlows starts the callers and measures imbalance once their flows are
-// spread.
+// openFlows starts the callers and measures the imbalance after the ramp and spreadTime.
 func (c *Cluster) openFlows(ctx context.Context, load *load) Imbalance {
 	c.progress("opening flows")
 	for _, service := range c.options.Shape.Services {
 		load.start(ctx, service)
 	}
-	timing.Sleep(ctx, rampTime+steadyTime)
+	timing.Sleep(ctx, rampTime+spreadTime)
 	imbalance := c.measureImbalance(ctx)
 	c.progress("%d flows open, imbalance %.2f", imbalance.Open, imbalance.Mean)
 	return imbalance
 }
 
-// close ends everything that is still running.
+// close stops the daemons and everything else that is still running.
 func (c *Cluster) close(cancel context.CancelFunc) {
 	c.Stop()
 	cancel()
@@ -81,12 +80,12 @@
 
 func (c *Cluster) report(results []caller.Result) Report {
 	c.mutex.Lock()
-	seen := evidence{
-		options: c.options, results: results, ledger: c.ledger, openings: c.openings,
-		kills: slices.Clone(c.kills), departures: slices.Clone(c.departures), faults: slices.Clone(c.faults),
+	observed := observations{
+		options: c.options, results: results, recorder: c.recorder, acceptances: c.acceptances,
+		kills: slices.Clone(c.agentKills), drainPeriods: slices.Clone(c.drainPeriods), faults: slices.Clone(c.faults),
 	}
 	c.mutex.Unlock()
-	report := newReport(seen)
+	report := newReport(observed)
 	report.Fabric = c.fabric.Counters()
 	report.Seconds = time.Since(c.started).Seconds()
 	for _, member := range c.endpoints {
--- a/bench/experiment/schedule.go
+++ b/bench/experiment/schedule.go
@@ -1,5 +1,5 @@
-// This file implements the seeded schedule of events. It is a pure function of
-// shape, experiment, duration and seed.
+// This file computes the schedule of events. It depends only on the shape, experiment, duration
+// and seed.
 
 package experiment
 
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Lengths of outages and the least number of members that stay.
+// The lengths of outages, and the smallest number of members that stay available.
 const (
 	balancerOutage = 4 * time.Second
 	agentPause     = 3 * time.Second
@@ -19,7 +19,7 @@
 	drainTime      = 6 * time.Second
 	agentOutage    = 5 * time.Second
 	agentStopTime  = 14 * time.Second
-	// recoveryMargin is how long a member is left alone after its recovery.
+	// recoveryMargin is how long no event affects a member after its recovery.
 	recoveryMargin    = 2 * time.Second
 	minimumBalancers  = 2
 	minimumEndpoints  = 2
@@ -33,19 +33,19 @@
 const (
 	memberSpare memberState = iota
 	memberLive
-	memberBusy
+	memberDisturbed
 )
 
 type member struct {
 	name    string
 	service int
 	state   memberState
-	// until is when a busy member is live again.
-	until time.Duration
+	// availableAt is the time at which a disturbed member is live again.
+	availableAt time.Duration
 }
 
-// planner keeps the state that the fleet will have at each moment, so that it
-// draws only events that are possible then.
+// planner tracks the state that the fleet will have during the schedule, so that it chooses only
+// events that are possible at their time.
 type planner struct {
 	random    *rand.Rand
 	balancers []*member
@@ -54,17 +54,17 @@
 	events    []Event
 }
 
-// Schedule returns the events of an experiment in order of time. Events whose
-// recovery would come after the duration are still followed by it.
+// Schedule returns the events of an experiment in order of time. The recovery of an event is
+// included even if it falls after the duration.
 func Schedule(shape Shape, experiment Experiment, duration time.Duration, seed uint64) []Event {
 	if len(experiment.Kinds) == 0 {
 		return nil
 	}
 	plan := newPlanner(shape, seed)
-	for at := experiment.Spacing / 2; at < duration; at += plan.gap(experiment.Spacing) {
-		plan.recover(at)
+	for at := experiment.Spacing / 2; at < duration; at += plan.interval(experiment.Spacing) {
+		plan.endDisturbances(at)
 		for range experiment.BatchSize {
-			plan.draw(at, experiment.Kinds)
+			plan.addRandomEvent(at, experiment.Kinds)
 		}
 	}
 	slices.SortStableFunc(plan.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
@@ -95,56 +95,56 @@
 	return &member{name: name, service: service, state: state}
 }
 
-// gap is between half and one and a half times the spacing.
-func (p *planner) gap(spacing time.Duration) time.Duration {
+// interval returns a random time between 0.5 and 1.5 times the spacing.
+func (p *planner) interval(spacing time.Duration) time.Duration {
 	return spacing/2 + time.Duration(p.random.Int64N(int64(spacing)))
 }
 
-func (p *planner) recover(now time.Duration) {
+func (p *planner) endDisturbances(now time.Duration) {
 	for _, member := range slices.Concat(p.balancers, p.endpoints, []*member{p.platform}) {
-		if member.state == memberBusy && member.until <= now {
+		if member.state == memberDisturbed && member.availableAt <= now {
 			member.state = memberLive
 		}
 	}
 }
 
-// draw adds one possible event, trying the kinds in random order.
-func (p *planner) draw(at time.Duration, kinds []EventKind) {
+// addRandomEvent adds one event that is possible now. It tries the kinds in random order.
+func (p *planner) addRandomEvent(at time.Duration, kinds []EventKind) {
 	for _, index := range p.random.Perm(len(kinds)) {
-		if p.try(at, kinds[index]) {
+		if p.tryEvent(at, kinds[index]) {
 			return
 		}
 	}
 }
 
-func (p *planner) try(at time.Duration, kind EventKind) bool {
+func (p *planner) tryEvent(at time.Duration, kind EventKind) bool {
 	switch kind {
 	case EventBalancerAdd:
-		return p.add(at, kind, p.balancers)
+		return p.addSpare(at, kind, p.balancers)
 	case EventEndpointAdd:
-		return p.add(at, kind, p.endpoints)
+		return p.addSpare(at, kind, p.endpoints)
 	case EventBalancerRemove, EventBalancerKill:
-		return p.disturb(at, kind, p.balancerToDisturb(), EventBalancerStart, balancerOutage)
+		return p.addDisturbance(at, kind, p.balancerToDisturb(), EventBalancerStart, balancerOutage)
 	case EventBalancerPause:
-		return p.disturb(at, kind, p.balancerToDisturb(), EventBalancerResume, balancerPause)
+		return p.addDisturbance(at, kind, p.balancerToDisturb(), EventBalancerResume, balancerPause)
 	case EventEndpointDrain:
-		return p.disturb(at, kind, p.endpointToDisturb(), EventEndpointUndrain, drainTime)
+		return p.addDisturbance(at, kind, p.endpointToDisturb(), EventEndpointUndrain, drainTime)
 	case EventAgentStop:
-		return p.disturb(at, kind, p.endpointToDisturb(), EventAgentStart, agentStopTime)
+		return p.addDisturbance(at, kind, p.endpointToDisturb(), EventAgentStart, agentStopTime)
 	case EventAgentKill:
-		return p.disturb(at, kind, p.endpointToDisturb(), EventAgentStart, agentOutage)
+		return p.addDisturbance(at, kind, p.endpointToDisturb(), EventAgentStart, agentOutage)
 	case EventAgentPause:
-		return p.disturb(at, kind, p.endpointToDisturb(), EventAgentResume, agentPause)
+		return p.addDisturbance(at, kind, p.endpointToDisturb(), EventAgentResume, agentPause)
 	case EventPlatformDown, EventPlatformStale:
-		return p.disturb(at, kind, p.platformToDisturb(), EventPlatformRecover, platformOutage)
+		return p.addDisturbance(at, kind, p.platformToDisturb(), EventPlatformRecover, platformOutage)
 	case EventEndpointReweight:
 		return p.reweight(at)
 	}
 	panic("experiment: unknown event kind " + string(kind))
 }
 
-func (p *planner) add(at time.Duration, kind EventKind, members []*member) bool {
-	spare := p.pick(members, func(m *member) bool { return m.state == memberSpare })
+func (p *planner) addSpare(at time.Duration, kind EventKind, members []*member) bool {
+	spare := p.pickRandom(members, func(m *member) bool { return m.state == memberSpare })
 	if spare == nil {
 		return false
 	}
@@ -153,13 +153,13 @@
 	return true
 }
 
-func (p *planner) disturb(at time.Duration, kind EventKind, target *member, recovery EventKind, outage time.Duration) bool {
+func (p *planner) addDisturbance(at time.Duration, kind EventKind, target *member, recovery EventKind, outage time.Duration) bool {
 	if target == nil {
 		return false
 	}
-	target.state = memberBusy
+	target.state = memberDisturbed
 	recovered := at + outage
-	target.until = recovered + recoveryMargin
+	target.availableAt = recovered + recoveryMargin
 	p.events = append(p.events,
 		Event{At: at, Kind: kind, Target: target.name},
 		Event{At: recovered, Kind: recovery, Target: target.name})
@@ -167,7 +167,7 @@
 }
 
 func (p *planner) reweight(at time.Duration) bool {
-	target := p.pick(p.endpoints, func(m *member) bool { return m.state == memberLive })
+	target := p.pickRandom(p.endpoints, func(m *member) bool { return m.state == memberLive })
 	if target == nil {
 		return false
 	}
@@ -178,15 +178,15 @@
 
 func (p *planner) balancerToDisturb() *member {
 	live := func(m *member) bool { return m.state == memberLive }
-	if count(p.balancers, live) <= minimumBalancers {
+	if countEligible(p.balancers, live) <= minimumBalancers {
 		return nil
 	}
-	return p.pick(p.balancers, live)
+	return p.pickRandom(p.balancers, live)
 }
 
 func (p *planner) endpointToDisturb() *member {
-	return p.pick(p.endpoints, func(m *member) bool {
-		peers := count(p.endpoints, func(peer *member) bool {
+	return p.pickRandom(p.endpoints, func(m *member) bool {
+		peers := countEligible(p.endpoints, func(peer *member) bool {
 			return peer.service == m.service && peer.state == memberLive
 		})
 		return m.state == memberLive && peers > minimumEndpoints
@@ -200,7 +200,7 @@
 	return p.platform
 }
 
-func (p *planner) pick(members []*member, eligible func(*member) bool) *member {
+func (p *planner) pickRandom(members []*member, eligible func(*member) bool) *member {
 	var candidates []*member
 	for _, member := range members {
 		if eligible(member) {
@@ -213,7 +213,7 @@
 	return candidates[p.random.IntN(len(candidates))]
 }
 
-func count(members []*member, eligible func(*member) bool) int {
+func countEligible(members []*member, eligible func(*member) bool) int {
 	counted := 0
 	for _, member := range members {
 		if eligible(member) {
--- a/bench/experiment/schedule_test.go
+++ b/bench/experiment/schedule_test.go
@@ -10,13 +10,13 @@
 	"github.com/vanetiller/vanetiller/bench/experiment"
 )
 
-func shapeNamed(name string) experiment.Shape {
+func shapeByName(name string) experiment.Shape {
 	shape, err := experiment.ShapeByName(name)
 	Expect(err).NotTo(HaveOccurred())
 	return shape
 }
 
-func experimentNamed(name string) experiment.Experiment {
+func experimentByName(name string) experiment.Experiment {
 	found, err := experiment.ExperimentByName(name)
 	Expect(err).NotTo(HaveOccurred())
 	return found
@@ -25,21 +25,21 @@
 var _ = Describe("Schedule", func() {
 	const duration = 10 * time.Minute
 
-	It("depends on the seed only", func() {
-		shape, churn := shapeNamed("casablanca"), experimentNamed("churn")
+	It("returns the same events for the same seed and others for another", func() {
+		shape, churn := shapeByName("casablanca"), experimentByName("churn")
 		Expect(experiment.Schedule(shape, churn, duration, 1)).To(Equal(experiment.Schedule(shape, churn, duration, 1)))
 		Expect(experiment.Schedule(shape, churn, duration, 1)).NotTo(Equal(experiment.Schedule(shape, churn, duration, 2)))
 	})
 
 	It("is empty for an experiment without events", func() {
-		Expect(experiment.Schedule(shapeNamed("kolkata"), experimentNamed("steady"), duration, 1)).To(BeEmpty())
+		Expect(experiment.Schedule(shapeByName("kolkata"), experimentByName("steady"), duration, 1)).To(BeEmpty())
 	})
 
-	DescribeTable("never disturbs too many at once, whatever the seed",
+	DescribeTable("keeps two balancers available and disturbs no member twice at a time, for any seed",
 		func(shapeName, experimentName string) {
-			shape, tried := shapeNamed(shapeName), experimentNamed(experimentName)
+			shape, tested := shapeByName(shapeName), experimentByName(experimentName)
 			for seed := range uint64(20) {
-				events := experiment.Schedule(shape, tried, duration, seed)
+				events := experiment.Schedule(shape, tested, duration, seed)
 				Expect(events).NotTo(BeEmpty())
 				Expect(slices.IsSortedFunc(events, func(a, b experiment.Event) int { return int(a.At - b.At) })).To(BeTrue())
 				checkMembers(shape, events)
@@ -52,17 +52,17 @@
 		Entry("planned changes in Kolkata", "kolkata", "planned"),
 	)
 
-	It("uses every kind of an experiment in a long run", func() {
-		churn := experimentNamed("churn")
-		events := experiment.Schedule(shapeNamed("casablanca"), churn, duration, 1)
+	It("uses every kind of event of an experiment in a long run", func() {
+		churn := experimentByName("churn")
+		events := experiment.Schedule(shapeByName("casablanca"), churn, duration, 1)
 		for _, kind := range churn.Kinds {
 			Expect(slices.ContainsFunc(events, func(e experiment.Event) bool { return e.Kind == kind })).To(BeTrue(), string(kind))
 		}
 	})
 })
 
-// checkMembers replays a schedule and expects that two balancers stay and that
-// no member is disturbed while it is not live.
+// checkMembers replays a schedule. It expects that two balancers stay available and that no member
+// is disturbed while it is not live.
 func checkMembers(shape experiment.Shape, events []experiment.Event) {
 	balancers := shape.Balancers
 	disturbed := make(map[string]bool)
--- a/bench/experiment/shape.go
+++ b/bench/experiment/shape.go
@@ -1,5 +1,8 @@
-// Package experiment runs callers, back ends and real daemons through a seeded
-// schedule of changes and failures, and checks the promises made to users.
+// Package experiment checks the guarantees that vanetillerd gives to its users while the fleet
+// changes and fails. A run takes a shape (the fleet and its traffic), an experiment (the kinds
+// of events), a duration and a seed. It starts real daemons and simulated callers and back
+// ends, applies the events that the seed determines, and reports the violations and the
+// latencies.
 package experiment
 
 import (
@@ -13,12 +16,11 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Flows describes the flows of one kind that callers keep open.
+// Flows describes the flows of one kind that callers run.
 type Flows struct {
 	// Kind is what the flows do.
 	Kind caller.Kind
-	// Share is the share of the service's callers that run flows of this
-	// kind, relative to the other kinds.
+	// Share is the weight of this kind among the callers of the service.
 	Share int
 	// Pieces, PieceSize and Pause are as in caller.Plan.
 	Pieces    int
@@ -39,11 +41,11 @@
 	Endpoints int
 	// Spares is the number of back ends that the schedule may add.
 	Spares int
-	// Slots is how many submissions one back end runs at a time.
+	// Slots is the number of submissions that one back end executes at a time.
 	Slots int
-	// Callers is the number of flows that are kept open.
+	// Callers is the number of concurrent flows.
 	Callers int
-	// Mix lists the kinds of flows.
+	// Mix lists the kinds of flows and their shares.
 	Mix []Flows
 }
 
@@ -82,7 +84,7 @@
 	return addresses
 }
 
-// Shapes lists the shapes of the two users and one of a UDP service.
+// Shapes lists the shapes of two users and one with a UDP service.
 func Shapes() []Shape {
 	return []Shape{casablanca(), kolkata(), datagrams()}
 }
@@ -174,7 +176,7 @@
 	}
 }
 
-// balancerNames returns the names of all balancers, spares last.
+// balancerNames returns the names of all balancers. The spares come last.
 func (s Shape) balancerNames() []string {
 	names := make([]string, s.Balancers+s.SpareBalancers)
 	for i := range names {
@@ -183,7 +185,7 @@
 	return names
 }
 
-// endpointNames returns the names of all back ends, spares last.
+// endpointNames returns the names of all back ends. The spares come last.
 func (s ServiceShape) endpointNames() []string {
 	names := make([]string, s.Endpoints+s.Spares)
 	for i := range names {
@@ -192,8 +194,8 @@
 	return names
 }
 
-// flowsOf returns the kind of flows that the caller of the given number runs,
-// so that the shares hold for any run of consecutive numbers.
+// flowsOf returns the flows that the caller of the given number runs. Every full cycle of
+// consecutive numbers has the shares of Mix.
 func (s ServiceShape) flowsOf(number int) Flows {
 	total := 0
 	for _, flows := range s.Mix {
@@ -206,5 +208,5 @@
 		}
 		position -= flows.Share
 	}
-	panic("experiment: shares do not add up")
+	panic("experiment: position exceeds the sum of the shares")
 }
--- a/bench/experiment/trace.go
+++ b/bench/experiment/trace.go
@@ -1,5 +1,5 @@
-// This file implements the list of noteworthy flows that a run leaves beside
-// the logs of the daemons.
+// This file writes the list of flows that failed or opened slowly, next to the logs of the
+// daemons.
 
 package experiment
 
@@ -27,42 +27,41 @@
 	Caller netip.AddrPort `json:"caller"`
 	// Accepted names the back ends whose agents accepted the connection.
 	Accepted []string `json:"accepted"`
-	// Backends have seen a request of the flow.
+	// Backends names the back ends that received a request of the flow.
 	Backends []string `json:"backends"`
-	// Started and Ended are seconds since the start of the run, as in the
-	// progress lines.
+	// Started and Ended are in seconds since the start of the run, as in the progress lines.
 	Started float64 `json:"started_s"`
 	Ended   float64 `json:"ended_s"`
-	// HandshakeTime is the time of the handshake in seconds.
+	// HandshakeTime is in seconds.
 	HandshakeTime float64 `json:"opening_s"`
 }
 
 const (
 	traceName     = "flows.jsonl"
 	traceFileMode = 0o600
-	// slowOpening is the time of a handshake from which it is noteworthy: one
+	// slowHandshake is the duration from which a handshake is listed. It corresponds to one
 	// retransmission of the first packet.
-	slowOpening = 900 * time.Millisecond
+	slowHandshake = 900 * time.Millisecond
 )
 
-// writeTrace lists the flows that did not complete or opened slowly.
+// writeTrace writes the flows that did not complete or opened slowly to a file.
 func (c *Cluster) writeTrace(results []caller.Result) error {
 	path := filepath.Join(c.fleet.Directory(), traceName)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, traceFileMode)
 	if err != nil {
-		return errors.Wrap(err, "list of flows")
+		return errors.Wrapf(err, "write the list of flows to %s", path)
 	}
 	encoder := json.NewEncoder(file)
 	for _, result := range results {
-		if result.Outcome == caller.OutcomeCompleted && result.HandshakeTime < slowOpening {
+		if result.Outcome == caller.OutcomeCompleted && result.HandshakeTime < slowHandshake {
 			continue
 		}
 		if err := encoder.Encode(c.flowRecord(result)); err != nil {
 			file.Close()
-			return errors.Wrap(err, "list of flows")
+			return errors.Wrapf(err, "write the list of flows to %s", path)
 		}
 	}
-	return errors.Wrap(file.Close(), "list of flows")
+	return errors.Wrapf(file.Close(), "write the list of flows to %s", path)
 }
 
 func (c *Cluster) flowRecord(result caller.Result) FlowRecord {
@@ -74,8 +73,8 @@
 		Cause:         result.Cause,
 		Detail:        result.Detail,
 		Caller:        result.Caller,
-		Accepted:      c.openings.acceptors(result.Caller, result.Started, result.Ended),
-		Backends:      c.ledger.BackendsOf(result.Plan.ID),
+		Accepted:      c.acceptances.acceptingBackends(result.Caller, result.Started, result.Ended),
+		Backends:      c.recorder.BackendsOf(result.Plan.ID),
 		Started:       result.Started.Sub(c.started).Seconds(),
 		Ended:         result.Ended.Sub(c.started).Seconds(),
 		HandshakeTime: result.HandshakeTime.Seconds(),
