--- a/bench/backend/backend.go
+++ b/bench/backend/backend.go
@@ -38,12 +38,12 @@
 	listener net.Listener
 	server   *http.Server
 
-	accepted     atomic.Int64
-	open         atomic.Int64
-	closedUnused atomic.Int64
-	running      atomic.Int64
-	shed         atomic.Int64
-	connections  sync.Map
+	accepted        atomic.Int64
+	open            atomic.Int64
+	closedUnused    atomic.Int64
+	running         atomic.Int64
+	shed            atomic.Int64
+	usedConnections sync.Map
 }
 
 // Counters are the numbers of a back end since its start.
@@ -67,7 +67,7 @@
 	backend := &Backend{settings: settings, listener: listener}
 	backend.server = &http.Server{
 		Handler:   backend.handler(),
-		ConnState: backend.connectionChanged,
+		ConnState: backend.connStateChanged,
 	}
 	return backend, nil
 }
@@ -106,16 +106,16 @@
 
 // connectionChanged keeps the counters of connections. A connection that goes
 // from new to closed without having been active has carried no request.
-func (b *Backend) connectionChanged(connection net.Conn, state http.ConnState) {
+func (b *Backend) connStateChanged(connection net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		b.accepted.Add(1)
 		b.open.Add(1)
 	case http.StateActive:
-		b.connections.Store(connection, true)
+		b.usedConnections.Store(connection, true)
 	case http.StateClosed, http.StateHijacked:
 		b.open.Add(-1)
-		if _, used := b.connections.LoadAndDelete(connection); !used {
+		if _, used := b.usedConnections.LoadAndDelete(connection); !used {
 			b.closedUnused.Add(1)
 		}
 	}
--- a/bench/backend/datagram.go
+++ b/bench/backend/datagram.go
@@ -24,13 +24,13 @@
 
 	mutex sync.Mutex
 	// seen is when the last datagram of each peer came.
-	seen map[netip.AddrPort]time.Time
+	lastReceived map[netip.AddrPort]time.Time
 }
 
 const (
 	datagramBufferSize = 9000
 	// peerIdle is how long a peer without datagrams counts as open.
-	peerIdle = 2 * time.Second
+	peerIdleTime = 2 * time.Second
 )
 
 // NewDatagram opens the socket of a back end. It fails when the address is
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "back end %s", settings.Name)
 	}
-	return &DatagramBackend{settings: settings, socket: socket, seen: make(map[netip.AddrPort]time.Time)}, nil
+	return &DatagramBackend{settings: settings, socket: socket, lastReceived: make(map[netip.AddrPort]time.Time)}, nil
 }
 
 // Address is the UDP address of the back end.
@@ -69,14 +69,14 @@
 }
 
 func (b *DatagramBackend) answer(peer netip.AddrPort, data []byte) {
-	b.heard(peer)
+	b.recordPeer(peer)
 	request, err := exchange.DecodeDatagram(data)
 	if err != nil {
 		return
 	}
-	b.settings.Recorder.flowSeen(request.Flow, b.settings.Name)
+	b.settings.Recorder.recordContact(request.Flow, b.settings.Name)
 	if request.Service != b.settings.Service {
-		b.settings.Recorder.requestMisdelivered()
+		b.settings.Recorder.recordMisdelivery()
 	}
 	answer := exchange.Datagram{
 		Flow: request.Flow, Request: request.Request,
@@ -86,22 +86,22 @@
 	_, _ = b.socket.WriteToUDPAddrPort(answer.Encode(), peer)
 }
 
-func (b *DatagramBackend) heard(peer netip.AddrPort) {
+func (b *DatagramBackend) recordPeer(peer netip.AddrPort) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if _, known := b.seen[peer]; !known {
+	if _, known := b.lastReceived[peer]; !known {
 		b.accepted.Add(1)
 	}
-	b.seen[peer] = time.Now()
+	b.lastReceived[peer] = time.Now()
 }
 
 // Counters returns the numbers so far. A peer is open while it sends.
 func (b *DatagramBackend) Counters() Counters {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	oldest := time.Now().Add(-peerIdle)
+	oldest := time.Now().Add(-peerIdleTime)
 	counters := Counters{Accepted: b.accepted.Load()}
-	for _, last := range b.seen {
+	for _, last := range b.lastReceived {
 		if last.After(oldest) {
 			counters.Open++
 		}
--- a/bench/backend/handler.go
+++ b/bench/backend/handler.go
@@ -24,10 +24,10 @@
 
 func (b *Backend) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+exchange.PathUpload, b.recorded(b.upload))
-	mux.HandleFunc("GET "+exchange.PathDownload, b.recorded(b.download))
-	mux.HandleFunc("GET "+exchange.PathPoll, b.recorded(b.poll))
-	mux.HandleFunc("POST "+exchange.PathSubmit, b.recorded(b.submit))
+	mux.HandleFunc("POST "+exchange.PathUpload, b.recordRequests(b.upload))
+	mux.HandleFunc("GET "+exchange.PathDownload, b.recordRequests(b.download))
+	mux.HandleFunc("GET "+exchange.PathPoll, b.recordRequests(b.poll))
+	mux.HandleFunc("POST "+exchange.PathSubmit, b.recordRequests(b.submit))
 	mux.HandleFunc("GET "+exchange.PathHealth, b.health)
 	mux.HandleFunc("GET "+exchange.PathLoad, b.load)
 	return mux
@@ -35,15 +35,15 @@
 
 // recorded notes flow and service of a request before it is served, and
 // repeats its identifier in the answer.
-func (b *Backend) recorded(serve http.HandlerFunc) http.HandlerFunc {
+func (b *Backend) recordRequests(serve http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		b.settings.Recorder.flowSeen(request.Header.Get(exchange.HeaderFlow), b.settings.Name)
+		b.settings.Recorder.recordContact(request.Header.Get(exchange.HeaderFlow), b.settings.Name)
 		header := writer.Header()
 		header.Set(exchange.HeaderRequest, request.Header.Get(exchange.HeaderRequest))
 		header.Set(exchange.HeaderBackend, b.settings.Name)
 		header.Set(exchange.HeaderService, b.settings.Service)
 		if request.Header.Get(exchange.HeaderService) != b.settings.Service {
-			b.settings.Recorder.requestMisdelivered()
+			b.settings.Recorder.recordMisdelivery()
 			http.Error(writer, "request meant for another service", http.StatusMisdirectedRequest)
 			return
 		}
@@ -96,20 +96,20 @@
 		http.Error(writer, "body cut short", http.StatusBadRequest)
 		return
 	}
-	if !b.takeSlot() {
+	if !b.acquireSlot() {
 		writer.Header().Set("Retry-After", "1")
 		writer.Header().Set(exchange.HeaderNotRun, "true")
 		http.Error(writer, "no slot", http.StatusServiceUnavailable)
 		return
 	}
 	defer b.running.Add(-1)
-	b.settings.Recorder.submissionRan(request.Header.Get(exchange.HeaderRequest))
+	b.settings.Recorder.recordExecution(request.Header.Get(exchange.HeaderRequest))
 	timing.Sleep(request.Context(), b.settings.WorkTime)
 	writer.Header().Set(exchange.HeaderChecksum, checksum)
 	writer.WriteHeader(http.StatusOK)
 }
 
-func (b *Backend) takeSlot() bool {
+func (b *Backend) acquireSlot() bool {
 	running := b.running.Add(1)
 	if b.settings.Slots > 0 && running > int64(b.settings.Slots) {
 		b.running.Add(-1)
--- a/bench/backend/recorder.go
+++ b/bench/backend/recorder.go
@@ -13,13 +13,13 @@
 type Recorder struct {
 	mutex        sync.Mutex
 	flows        map[string][]FirstContact
-	runs         map[string]int
+	executions   map[string]int
 	misdelivered int
 }
 
 // NewRecorder returns an empty ledger.
 func NewRecorder() *Recorder {
-	return &Recorder{flows: make(map[string][]FirstContact), runs: make(map[string]int)}
+	return &Recorder{flows: make(map[string][]FirstContact), executions: make(map[string]int)}
 }
 
 // Totals are the faults that a ledger has seen.
@@ -38,68 +38,68 @@
 
 // AddFirstContact records a sighting unless the back end is known. Sightings must
 // be added in order of time.
-func AddFirstContact(seen []FirstContact, backend string, at time.Time) []FirstContact {
-	if slices.ContainsFunc(seen, func(s FirstContact) bool { return s.Backend == backend }) {
-		return seen
+func AddFirstContact(contacts []FirstContact, backend string, at time.Time) []FirstContact {
+	if slices.ContainsFunc(contacts, func(s FirstContact) bool { return s.Backend == backend }) {
+		return contacts
 	}
-	return append(seen, FirstContact{Backend: backend, At: at})
+	return append(contacts, FirstContact{Backend: backend, At: at})
 }
 
 // flowSeen records that a back end has read a request of a flow.
-func (l *Recorder) flowSeen(flow, backend string) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.flows[flow] = AddFirstContact(l.flows[flow], backend, time.Now())
+func (r *Recorder) recordContact(flow, backend string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.flows[flow] = AddFirstContact(r.flows[flow], backend, time.Now())
 }
 
 // submissionRan records one run of a submission.
-func (l *Recorder) submissionRan(request string) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.runs[request]++
+func (r *Recorder) recordExecution(request string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.executions[request]++
 }
 
-func (l *Recorder) requestMisdelivered() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.misdelivered++
+func (r *Recorder) recordMisdelivery() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.misdelivered++
 }
 
 // BackendsOf returns the names of the back ends that have seen a flow.
-func (l *Recorder) BackendsOf(flow string) []string {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (r *Recorder) BackendsOf(flow string) []string {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	var names []string
-	for _, sighting := range l.flows[flow] {
-		names = append(names, sighting.Backend)
+	for _, contact := range r.flows[flow] {
+		names = append(names, contact.Backend)
 	}
 	return names
 }
 
 // Flows returns the sightings of every flow.
-func (l *Recorder) Flows() [][]FirstContact {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	flows := make([][]FirstContact, 0, len(l.flows))
-	for _, seen := range l.flows {
-		flows = append(flows, slices.Clone(seen))
+func (r *Recorder) Flows() [][]FirstContact {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	flows := make([][]FirstContact, 0, len(r.flows))
+	for _, contacts := range r.flows {
+		flows = append(flows, slices.Clone(contacts))
 	}
 	return flows
 }
 
 // HasRun reports whether a submission has run.
-func (l *Recorder) HasRun(request string) bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.runs[request] > 0
+func (r *Recorder) HasRun(request string) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.executions[request] > 0
 }
 
 // Totals returns the faults seen so far.
-func (l *Recorder) Totals() Totals {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	totals := Totals{Misdelivered: l.misdelivered}
-	for _, runs := range l.runs {
+func (r *Recorder) Totals() Totals {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	totals := Totals{Misdelivered: r.misdelivered}
+	for _, runs := range r.executions {
 		if runs > 1 {
 			totals.DuplicateRuns++
 		}
--- a/bench/caller/client.go
+++ b/bench/caller/client.go
@@ -52,37 +52,37 @@
 	}
 	if failure := run(ctx, plan, &result); failure != nil {
 		if ctx.Err() != nil && failure.outcome == OutcomeBroken {
-			failure = &failed{OutcomeBroken, CauseCancelled, ctx.Err()}
+			failure = &flowFailure{OutcomeBroken, CauseCancelled, ctx.Err()}
 		}
-		result.fail(failure)
+		result.setFailure(failure)
 	}
 	result.Ended = time.Now()
 	return result
 }
 
 // runStream does one flow on a TCP connection.
-func (c *Client) runStream(ctx context.Context, plan Plan, result *Result) *failed {
+func (c *Client) runStream(ctx context.Context, plan Plan, result *Result) *flowFailure {
 	raw, err := c.dial(ctx, plan.Service.Address)
 	result.HandshakeTime = time.Since(result.Started)
 	if err != nil {
 		return classifyDial(ctx, err)
 	}
 	defer raw.Close()
-	result.Caller = addressOf(raw.LocalAddr())
+	result.Caller = addrPortOf(raw.LocalAddr())
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
 	connection := &progressConn{Conn: raw, timeout: c.ProgressTimeout}
-	flow := &flow{plan: plan, connection: connection, reader: bufio.NewReader(connection), result: result}
+	flow := &streamFlow{plan: plan, connection: connection, reader: bufio.NewReader(connection), result: result}
 	return flow.run(ctx)
 }
 
 // addressOf returns the zero AddrPort for anything but an IP address and a port.
-func addressOf(address net.Addr) netip.AddrPort {
-	numbered, isNumbered := address.(interface{ AddrPort() netip.AddrPort })
-	if !isNumbered {
+func addrPortOf(address net.Addr) netip.AddrPort {
+	withPort, hasPort := address.(interface{ AddrPort() netip.AddrPort })
+	if !hasPort {
 		return netip.AddrPort{}
 	}
-	return netip.AddrPortFrom(numbered.AddrPort().Addr().Unmap(), numbered.AddrPort().Port())
+	return netip.AddrPortFrom(withPort.AddrPort().Addr().Unmap(), withPort.AddrPort().Port())
 }
 
 func (c *Client) dial(ctx context.Context, service netip.AddrPort) (net.Conn, error) {
@@ -91,10 +91,10 @@
 	return c.Dialer.DialTCP(ctx, service)
 }
 
-func (r *Result) fail(failure *failed) {
+func (r *Result) setFailure(failure *flowFailure) {
 	r.Outcome = failure.outcome
 	r.Cause = failure.cause
-	r.Detail = failure.detail.Error()
+	r.Detail = failure.err.Error()
 }
 
 // progressConn fails when nothing moves for a while.
@@ -120,14 +120,14 @@
 }
 
 // flow is one established connection.
-type flow struct {
+type streamFlow struct {
 	plan       Plan
 	connection net.Conn
 	reader     *bufio.Reader
 	result     *Result
 }
 
-func (f *flow) run(ctx context.Context) *failed {
+func (f *streamFlow) run(ctx context.Context) *flowFailure {
 	switch f.plan.Kind {
 	case KindUpload:
 		body := exchange.Content(f.plan.ID, f.plan.Pieces*f.plan.PieceSize)
@@ -136,14 +136,14 @@
 		return f.exchange(ctx, 0, http.MethodGet, f.downloadPath(), nil, 1)
 	case KindSubmit:
 		body := exchange.Content(f.plan.ID, f.plan.PieceSize)
-		return f.timed(ctx, 0, http.MethodPost, exchange.PathSubmit, body)
+		return f.timedExchange(ctx, 0, http.MethodPost, exchange.PathSubmit, body)
 	case KindPoll:
-		return f.polls(ctx)
+		return f.poll(ctx)
 	}
-	return &failed{OutcomeBroken, CauseMalformedRequest, errors.Errorf("unknown kind %q", f.plan.Kind)}
+	return &flowFailure{OutcomeBroken, CauseMalformedRequest, errors.Errorf("unknown kind %q", f.plan.Kind)}
 }
 
-func (f *flow) downloadPath() string {
+func (f *streamFlow) downloadPath() string {
 	query := url.Values{}
 	query.Set(exchange.QuerySize, strconv.Itoa(f.plan.Pieces*f.plan.PieceSize))
 	query.Set(exchange.QueryPieces, strconv.Itoa(f.plan.Pieces))
@@ -151,19 +151,19 @@
 	return exchange.PathDownload + "?" + query.Encode()
 }
 
-func (f *flow) polls(ctx context.Context) *failed {
+func (f *streamFlow) poll(ctx context.Context) *flowFailure {
 	for number := range f.plan.Pieces {
-		if failure := f.timed(ctx, number, http.MethodGet, exchange.PathPoll, nil); failure != nil {
+		if failure := f.timedExchange(ctx, number, http.MethodGet, exchange.PathPoll, nil); failure != nil {
 			return failure
 		}
 		if number+1 < f.plan.Pieces && !timing.Sleep(ctx, f.plan.Pause) {
-			return &failed{OutcomeBroken, CauseCancelled, ctx.Err()}
+			return &flowFailure{OutcomeBroken, CauseCancelled, ctx.Err()}
 		}
 	}
 	return nil
 }
 
-func (f *flow) timed(ctx context.Context, number int, method, path string, body []byte) *failed {
+func (f *streamFlow) timedExchange(ctx context.Context, number int, method, path string, body []byte) *flowFailure {
 	started := time.Now()
 	failure := f.exchange(ctx, number, method, path, body, 1)
 	if failure == nil {
@@ -173,16 +173,16 @@
 }
 
 // exchange sends one request, in pieces, and checks its answer.
-func (f *flow) exchange(ctx context.Context, number int, method, path string, body []byte, pieces int) *failed {
-	identifier := fmt.Sprintf("%s-%d", f.plan.ID, number)
-	f.result.Request = identifier
-	request, err := f.newRequest(method, path, identifier, body)
+func (f *streamFlow) exchange(ctx context.Context, number int, method, path string, body []byte, pieces int) *flowFailure {
+	requestID := fmt.Sprintf("%s-%d", f.plan.ID, number)
+	f.result.Request = requestID
+	request, err := f.newRequest(method, path, requestID, body)
 	if err != nil {
-		return &failed{OutcomeBroken, CauseMalformedRequest, err}
+		return &flowFailure{OutcomeBroken, CauseMalformedRequest, err}
 	}
 	var encoded bytes.Buffer
 	if err := request.Write(&encoded); err != nil {
-		return &failed{OutcomeBroken, CauseMalformedRequest, err}
+		return &flowFailure{OutcomeBroken, CauseMalformedRequest, err}
 	}
 	if failure := f.send(ctx, encoded.Bytes(), pieces); failure != nil {
 		return failure
@@ -192,16 +192,16 @@
 		return classifyTransfer(err)
 	}
 	defer response.Body.Close()
-	return f.check(response, identifier, body)
+	return f.checkResponse(response, requestID, body)
 }
 
-func (f *flow) newRequest(method, path, identifier string, body []byte) (*http.Request, error) {
+func (f *streamFlow) newRequest(method, path, requestID string, body []byte) (*http.Request, error) {
 	target := "http://" + f.plan.Service.Address.String() + path
 	request, err := http.NewRequest(method, target, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "request")
 	}
-	request.Header.Set(exchange.HeaderRequest, identifier)
+	request.Header.Set(exchange.HeaderRequest, requestID)
 	request.Header.Set(exchange.HeaderFlow, f.plan.ID)
 	request.Header.Set(exchange.HeaderService, f.plan.Service.Name)
 	return request, nil
@@ -209,65 +209,65 @@
 
 // send writes the encoded request in pieces with pauses between them. The
 // first piece holds the whole header, as the body is the larger part.
-func (f *flow) send(ctx context.Context, encoded []byte, pieces int) *failed {
+func (f *streamFlow) send(ctx context.Context, encoded []byte, pieces int) *flowFailure {
 	for piece := range pieces {
 		start, end := piece*len(encoded)/pieces, (piece+1)*len(encoded)/pieces
 		if _, err := f.connection.Write(encoded[start:end]); err != nil {
 			return classifyTransfer(err)
 		}
 		if piece+1 < pieces && !timing.Sleep(ctx, f.plan.Pause) {
-			return &failed{OutcomeBroken, CauseCancelled, ctx.Err()}
+			return &flowFailure{OutcomeBroken, CauseCancelled, ctx.Err()}
 		}
 	}
 	return nil
 }
 
 // check reads the answer and verifies that it is whole and the flow's own.
-func (f *flow) check(response *http.Response, identifier string, body []byte) *failed {
+func (f *streamFlow) checkResponse(response *http.Response, requestID string, body []byte) *flowFailure {
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return classifyTransfer(err)
 	}
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(exchange.HeaderNotRun) != "" {
-		return &failed{OutcomeRefused, CauseShed, errors.New(response.Status)}
+		return &flowFailure{OutcomeRefused, CauseShed, errors.New(response.Status)}
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest {
-		return &failed{OutcomeBroken, CauseWrongService, errors.New(response.Status)}
+		return &flowFailure{OutcomeBroken, CauseWrongService, errors.New(response.Status)}
 	}
 	if response.StatusCode/100 != 2 {
-		return &failed{OutcomeBroken, CauseWrongStatus, errors.New(response.Status)}
+		return &flowFailure{OutcomeBroken, CauseWrongStatus, errors.New(response.Status)}
 	}
-	if answered := response.Header.Get(exchange.HeaderRequest); answered != identifier {
-		return &failed{OutcomeBroken, CauseMismatchedAnswer, errors.Errorf("answer to %q instead of %q", answered, identifier)}
+	if answered := response.Header.Get(exchange.HeaderRequest); answered != requestID {
+		return &flowFailure{OutcomeBroken, CauseMismatchedAnswer, errors.Errorf("answer to %q instead of %q", answered, requestID)}
 	}
 	if service := response.Header.Get(exchange.HeaderService); service != f.plan.Service.Name {
-		return &failed{OutcomeBroken, CauseWrongService, errors.Errorf("answer of service %q", service)}
+		return &flowFailure{OutcomeBroken, CauseWrongService, errors.Errorf("answer of service %q", service)}
 	}
 	if failure := f.result.checkBackend(response.Header.Get(exchange.HeaderBackend)); failure != nil {
 		return failure
 	}
-	return f.checkContent(response, content, identifier, body)
+	return f.checkContent(response, content, requestID, body)
 }
 
 // checkBackend notes the back end of an answer, which must not change.
-func (r *Result) checkBackend(backend string) *failed {
+func (r *Result) checkBackend(backend string) *flowFailure {
 	if r.Backend != "" && r.Backend != backend {
-		return &failed{OutcomeBroken, CauseBackendChanged, errors.Errorf("%s, then %s", r.Backend, backend)}
+		return &flowFailure{OutcomeBroken, CauseBackendChanged, errors.Errorf("%s, then %s", r.Backend, backend)}
 	}
 	r.Backend = backend
 	return nil
 }
 
-func (f *flow) checkContent(response *http.Response, content []byte, identifier string, body []byte) *failed {
+func (f *streamFlow) checkContent(response *http.Response, content []byte, requestID string, body []byte) *flowFailure {
 	if f.plan.Kind == KindDownload {
-		expected := exchange.Content(identifier, f.plan.Pieces*f.plan.PieceSize)
+		expected := exchange.Content(requestID, f.plan.Pieces*f.plan.PieceSize)
 		if !bytes.Equal(content, expected) {
-			return &failed{OutcomeBroken, CauseWrongContent, errors.Errorf("%d bytes differ from the expected %d", len(content), len(expected))}
+			return &flowFailure{OutcomeBroken, CauseWrongContent, errors.Errorf("%d bytes differ from the expected %d", len(content), len(expected))}
 		}
 		return nil
 	}
 	if answered := response.Header.Get(exchange.HeaderChecksum); answered != exchange.Checksum(body) {
-		return &failed{OutcomeBroken, CauseWrongContent, errors.Errorf("checksum %q of the body", answered)}
+		return &flowFailure{OutcomeBroken, CauseWrongContent, errors.Errorf("checksum %q of the body", answered)}
 	}
 	return nil
 }
--- a/bench/caller/client_test.go
+++ b/bench/caller/client_test.go
@@ -20,8 +20,8 @@
 	service  = caller.Service{Name: "audio", Address: netip.MustParseAddrPort("198.51.100.2:80")}
 )
 
-func newClient(choose func() netip.AddrPort) *caller.Client {
-	callers, err := caller.NewStack(newLoop(choose), []netip.Addr{
+func newClient(chooseBackend func() netip.AddrPort) *caller.Client {
+	callers, err := caller.NewStack(newTestNetwork(chooseBackend), []netip.Addr{
 		netip.MustParseAddr("203.0.113.10"), netip.MustParseAddr("203.0.113.11"),
 	})
 	Expect(err).NotTo(HaveOccurred())
@@ -69,16 +69,16 @@
 var _ = Describe("Client", func() {
 	DescribeTable("completes every kind of flow on one back end",
 		func(kind caller.Kind, answers int) {
-			ledger := backend.NewRecorder()
-			server := startBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: ledger})
+			recorder := backend.NewRecorder()
+			server := startBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: recorder})
 			client := newClient(server.Address)
 			result := client.Run(context.Background(), plan(kind))
 			Expect(result.Outcome).To(Equal(caller.OutcomeCompleted), result.Detail)
 			Expect(result.Backend).To(Equal("audio-1"))
 			Expect(result.AnswerTimes).To(HaveLen(answers))
-			Expect(ledger.BackendsOf("flow-1")).To(Equal([]string{"audio-1"}))
-			Expect(ledger.HasRun(result.Request)).To(Equal(kind == caller.KindSubmit))
-			Expect(ledger.Totals()).To(Equal(backend.Totals{}))
+			Expect(recorder.BackendsOf("flow-1")).To(Equal([]string{"audio-1"}))
+			Expect(recorder.HasRun(result.Request)).To(Equal(kind == caller.KindSubmit))
+			Expect(recorder.Totals()).To(Equal(backend.Totals{}))
 			Expect(server.Counters().Accepted).To(BeEquivalentTo(1))
 		},
 		Entry("upload", caller.KindUpload, 0),
@@ -95,50 +95,50 @@
 	})
 
 	It("reports a submission that the back end refuses before running it", func() {
-		ledger := backend.NewRecorder()
-		gate := make(chan struct{})
+		recorder := backend.NewRecorder()
+		received := make(chan struct{})
 		server := startServer(func(writer http.ResponseWriter, request *http.Request) {
-			close(gate)
+			close(received)
 			writer.Header().Set(exchange.HeaderNotRun, "true")
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		})
 		result := newClient(func() netip.AddrPort { return server }).Run(context.Background(), plan(caller.KindSubmit))
-		Expect(gate).To(BeClosed())
+		Expect(received).To(BeClosed())
 		Expect(result.Outcome).To(Equal(caller.OutcomeRefused))
 		Expect(result.Cause).To(Equal(caller.CauseShed))
-		Expect(ledger.HasRun(result.Request)).To(BeFalse())
+		Expect(recorder.HasRun(result.Request)).To(BeFalse())
 	})
 
 	It("notices a request that reached another service", func() {
-		ledger := backend.NewRecorder()
-		server := startBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Recorder: ledger})
+		recorder := backend.NewRecorder()
+		server := startBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Recorder: recorder})
 		result := newClient(server.Address).Run(context.Background(), plan(caller.KindSubmit))
 		Expect(result.Outcome).To(Equal(caller.OutcomeBroken))
 		Expect(result.Cause).To(Equal(caller.CauseWrongService))
-		Expect(ledger.Totals()).To(Equal(backend.Totals{Misdelivered: 1}))
-		Expect(ledger.HasRun(result.Request)).To(BeFalse())
+		Expect(recorder.Totals()).To(Equal(backend.Totals{Misdelivered: 1}))
+		Expect(recorder.HasRun(result.Request)).To(BeFalse())
 	})
 
 	It("notices a flow that two back ends have seen and a submission that ran twice", func() {
-		ledger := backend.NewRecorder()
-		first := startBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: ledger})
-		second := startBackend(backend.Settings{Service: "audio", Name: "audio-2", Recorder: ledger})
+		recorder := backend.NewRecorder()
+		first := startBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: recorder})
+		second := startBackend(backend.Settings{Service: "audio", Name: "audio-2", Recorder: recorder})
 		for _, server := range []*backend.Backend{first, second} {
 			newClient(server.Address).Run(context.Background(), plan(caller.KindSubmit))
 		}
-		Expect(ledger.BackendsOf("flow-1")).To(Equal([]string{"audio-1", "audio-2"}))
-		Expect(ledger.Totals()).To(Equal(backend.Totals{DuplicateRuns: 1}))
+		Expect(recorder.BackendsOf("flow-1")).To(Equal([]string{"audio-1", "audio-2"}))
+		Expect(recorder.Totals()).To(Equal(backend.Totals{DuplicateRuns: 1}))
 	})
 
 	DescribeTable("notices a wrong answer",
-		func(kind caller.Kind, spoil func(http.ResponseWriter), cause caller.Cause) {
+		func(kind caller.Kind, change func(http.ResponseWriter), cause caller.Cause) {
 			server := startServer(func(writer http.ResponseWriter, request *http.Request) {
 				header := writer.Header()
 				header.Set(exchange.HeaderRequest, request.Header.Get(exchange.HeaderRequest))
 				header.Set(exchange.HeaderService, "audio")
 				header.Set(exchange.HeaderBackend, "audio-1")
 				header.Set(exchange.HeaderChecksum, exchange.Checksum(nil))
-				spoil(writer)
+				change(writer)
 			})
 			result := newClient(func() netip.AddrPort { return server }).Run(context.Background(), plan(kind))
 			Expect(result.Outcome).To(Equal(caller.OutcomeBroken))
@@ -163,22 +163,22 @@
 
 var _ = Describe("Backend", func() {
 	It("sheds a submission for which it has no slot and does not run it", func() {
-		ledger := backend.NewRecorder()
+		recorder := backend.NewRecorder()
 		server := startBackend(backend.Settings{
-			Service: "audio", Name: "audio-1", Recorder: ledger, Slots: 1, WorkTime: time.Hour,
+			Service: "audio", Name: "audio-1", Recorder: recorder, Slots: 1, WorkTime: time.Hour,
 		})
 		client := newClient(server.Address)
-		holding, release := context.WithCancel(context.Background())
-		held := make(chan caller.Result, 1)
-		go func() { held <- client.Run(holding, plan(caller.KindSubmit)) }()
-		Eventually(func() bool { return ledger.HasRun("flow-1-0") }, "30s").Should(BeTrue())
+		firstContext, release := context.WithCancel(context.Background())
+		firstResult := make(chan caller.Result, 1)
+		go func() { firstResult <- client.Run(firstContext, plan(caller.KindSubmit)) }()
+		Eventually(func() bool { return recorder.HasRun("flow-1-0") }, "30s").Should(BeTrue())
 		second := plan(caller.KindSubmit)
 		second.ID = "flow-2"
 		result := client.Run(context.Background(), second)
 		Expect(result.Outcome).To(Equal(caller.OutcomeRefused))
-		Expect(ledger.HasRun(result.Request)).To(BeFalse())
+		Expect(recorder.HasRun(result.Request)).To(BeFalse())
 		Expect(server.Counters().Shed).To(BeEquivalentTo(1))
 		release()
-		Eventually(held, "30s").Should(Receive(HaveField("Cause", caller.CauseCancelled)))
+		Eventually(firstResult, "30s").Should(Receive(HaveField("Cause", caller.CauseCancelled)))
 	})
 })
--- a/bench/caller/datagram.go
+++ b/bench/caller/datagram.go
@@ -17,7 +17,7 @@
 const (
 	// repeatInterval is the time after which a request without an answer is
 	// sent again.
-	repeatInterval     = 250 * time.Millisecond
+	retransmitInterval = 250 * time.Millisecond
 	datagramBufferSize = 9000
 )
 
@@ -31,29 +31,29 @@
 
 // runDatagrams sends requests one after the other on one socket. All answers
 // must come from one back end.
-func (c *Client) runDatagrams(ctx context.Context, plan Plan, result *Result) *failed {
+func (c *Client) runDatagrams(ctx context.Context, plan Plan, result *Result) *flowFailure {
 	connection, err := c.Dialer.DialUDP(plan.Service.Address)
 	if err != nil {
-		return &failed{OutcomeNotOpened, CauseConnectFailed, err}
+		return &flowFailure{OutcomeNotOpened, CauseConnectFailed, err}
 	}
 	defer connection.Close()
 	stop := context.AfterFunc(ctx, func() { connection.Close() })
 	defer stop()
-	result.Caller = addressOf(connection.LocalAddr())
+	result.Caller = addrPortOf(connection.LocalAddr())
 	flow := &datagramFlow{plan: plan, connection: connection, timeout: c.ProgressTimeout, result: result}
 	for number := range plan.Pieces {
 		if failure := flow.exchange(number); failure != nil {
 			return failure
 		}
 		if number+1 < plan.Pieces && !timing.Sleep(ctx, plan.Pause) {
-			return &failed{OutcomeBroken, CauseCancelled, ctx.Err()}
+			return &flowFailure{OutcomeBroken, CauseCancelled, ctx.Err()}
 		}
 	}
 	return nil
 }
 
 // exchange repeats one request until it is answered.
-func (f *datagramFlow) exchange(number int) *failed {
+func (f *datagramFlow) exchange(number int) *flowFailure {
 	request := exchange.Datagram{
 		Flow:    f.plan.ID,
 		Request: fmt.Sprintf("%s-%d", f.plan.ID, number),
@@ -71,17 +71,17 @@
 			continue
 		}
 		if answer.Service != f.plan.Service.Name {
-			return &failed{OutcomeBroken, CauseWrongService, errors.Errorf("answer of service %q", answer.Service)}
+			return &flowFailure{OutcomeBroken, CauseWrongService, errors.Errorf("answer of service %q", answer.Service)}
 		}
 		f.result.AnswerTimes = append(f.result.AnswerTimes, time.Since(started))
 		return f.result.checkBackend(answer.Backend)
 	}
-	return &failed{OutcomeBroken, CauseStalled, errors.Errorf("no answer to %s", request.Request)}
+	return &flowFailure{OutcomeBroken, CauseStalled, errors.Errorf("no answer to %s", request.Request)}
 }
 
 // awaitAnswer skips late answers to earlier requests.
 func (f *datagramFlow) awaitAnswer(request string) (exchange.Datagram, bool) {
-	deadline := time.Now().Add(repeatInterval)
+	deadline := time.Now().Add(retransmitInterval)
 	if err := f.connection.SetReadDeadline(deadline); err != nil {
 		return exchange.Datagram{}, false
 	}
--- a/bench/caller/datagram_test.go
+++ b/bench/caller/datagram_test.go
@@ -70,26 +70,26 @@
 }
 
 var _ = Describe("Client with datagrams", func() {
-	whole := func(request exchange.Datagram, name string) exchange.Datagram {
+	answerFrom := func(request exchange.Datagram, name string) exchange.Datagram {
 		return exchange.Datagram{Flow: request.Flow, Request: request.Request, Service: "audio", Backend: name}
 	}
 
 	It("completes on one back end", func() {
-		ledger := backend.NewRecorder()
-		server := startDatagramBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: ledger})
+		recorder := backend.NewRecorder()
+		server := startDatagramBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: recorder})
 		result := runDatagrams(server.Address(), 30*time.Second)
 		Expect(result.Outcome).To(Equal(caller.OutcomeCompleted), result.Detail)
 		Expect(result.Backend).To(Equal("audio-1"))
 		Expect(result.AnswerTimes).To(HaveLen(4))
-		Expect(ledger.BackendsOf("flow-1")).To(Equal([]string{"audio-1"}))
+		Expect(recorder.BackendsOf("flow-1")).To(Equal([]string{"audio-1"}))
 		Expect(server.Counters().Accepted).To(BeEquivalentTo(1))
 	})
 
 	It("notices a request that reached another service", func() {
-		ledger := backend.NewRecorder()
-		server := startDatagramBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Recorder: ledger})
+		recorder := backend.NewRecorder()
+		server := startDatagramBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Recorder: recorder})
 		Expect(runDatagrams(server.Address(), 30*time.Second).Cause).To(Equal(caller.CauseWrongService))
-		Expect(ledger.Totals().Misdelivered).To(Equal(1))
+		Expect(recorder.Totals().Misdelivered).To(Equal(1))
 	})
 
 	It("repeats a request without an answer and skips a late one", func() {
@@ -100,7 +100,7 @@
 			case 2:
 				request.Request = "flow-1-0"
 			}
-			return whole(request, "audio-1")
+			return answerFrom(request, "audio-1")
 		})
 		Expect(runDatagrams(target, 30*time.Second).Outcome).To(Equal(caller.OutcomeCompleted))
 	})
@@ -108,9 +108,9 @@
 	It("notices that the back end changes", func() {
 		target := answerDatagrams(func(number int, request exchange.Datagram) exchange.Datagram {
 			if request.Request == "flow-1-2" {
-				return whole(request, "audio-2")
+				return answerFrom(request, "audio-2")
 			}
-			return whole(request, "audio-1")
+			return answerFrom(request, "audio-1")
 		})
 		Expect(runDatagrams(target, 30*time.Second).Cause).To(Equal(caller.CauseBackendChanged))
 	})
--- a/bench/caller/failure.go
+++ b/bench/caller/failure.go
@@ -13,10 +13,10 @@
 )
 
 // failed is why a flow did not complete.
-type failed struct {
+type flowFailure struct {
 	outcome Outcome
 	cause   Cause
-	detail  error
+	err     error
 }
 
 // The stack reports its errors only as text, so they are told apart by it.
@@ -27,29 +27,29 @@
 	textTimeout = (&tcpip.ErrTimeout{}).String()
 )
 
-func classifyDial(ctx context.Context, err error) *failed {
+func classifyDial(ctx context.Context, err error) *flowFailure {
 	text := err.Error()
 	switch {
 	case strings.Contains(text, textRefused), strings.Contains(text, textReset):
-		return &failed{OutcomeRefused, CauseConnectRefused, err}
+		return &flowFailure{OutcomeRefused, CauseConnectRefused, err}
 	case ctx.Err() != nil:
-		return &failed{OutcomeNotOpened, CauseCancelled, err}
+		return &flowFailure{OutcomeNotOpened, CauseCancelled, err}
 	case errors.Is(err, context.DeadlineExceeded), strings.Contains(text, textTimeout):
-		return &failed{OutcomeNotOpened, CauseConnectTimeout, err}
+		return &flowFailure{OutcomeNotOpened, CauseConnectTimeout, err}
 	}
-	return &failed{OutcomeNotOpened, CauseConnectFailed, err}
+	return &flowFailure{OutcomeNotOpened, CauseConnectFailed, err}
 }
 
-func classifyTransfer(err error) *failed {
+func classifyTransfer(err error) *flowFailure {
 	text := err.Error()
 	var networkError net.Error
 	switch {
 	case errors.As(err, &networkError) && networkError.Timeout(), strings.Contains(text, textTimeout):
-		return &failed{OutcomeBroken, CauseStalled, err}
+		return &flowFailure{OutcomeBroken, CauseStalled, err}
 	case strings.Contains(text, textReset), strings.Contains(text, textAborted):
-		return &failed{OutcomeBroken, CauseReset, err}
+		return &flowFailure{OutcomeBroken, CauseReset, err}
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return &failed{OutcomeBroken, CauseTruncated, err}
+		return &flowFailure{OutcomeBroken, CauseTruncated, err}
 	}
-	return &failed{OutcomeBroken, CauseReset, err}
+	return &flowFailure{OutcomeBroken, CauseReset, err}
 }
--- a/bench/caller/loop_test.go
+++ b/bench/caller/network_test.go
@@ -22,22 +22,22 @@
 // loop is a network with one agent on it: it accepts every connection of the
 // callers and splices it to the back end that choose names. A connection for
 // which choose returns the zero address is refused.
-type loop struct {
-	stack     *stack.Stack
-	link      *channel.Endpoint
-	receivers map[netip.Addr]func([]byte)
-	choose    func() netip.AddrPort
+type testNetwork struct {
+	stack         *stack.Stack
+	link          *channel.Endpoint
+	receivers     map[netip.Addr]func([]byte)
+	chooseBackend func() netip.AddrPort
 }
 
-func newLoop(choose func() netip.AddrPort) *loop {
-	created := &loop{
+func newTestNetwork(chooseBackend func() netip.AddrPort) *testNetwork {
+	created := &testNetwork{
 		stack: stack.New(stack.Options{
 			NetworkProtocols:   []stack.NetworkProtocolFactory{ipv4.NewProtocol},
 			TransportProtocols: []stack.TransportProtocolFactory{tcp.NewProtocol},
 		}),
-		link:      channel.New(1024, 1400, ""),
-		receivers: make(map[netip.Addr]func([]byte)),
-		choose:    choose,
+		link:          channel.New(1024, 1400, ""),
+		receivers:     make(map[netip.Addr]func([]byte)),
+		chooseBackend: chooseBackend,
 	}
 	Expect(created.stack.CreateNIC(1, created.link)).To(BeNil())
 	Expect(created.stack.SetPromiscuousMode(1, true)).To(BeNil())
@@ -46,13 +46,13 @@
 	forwarder := tcp.NewForwarder(created.stack, 0, 64, created.accept)
 	created.stack.SetTransportProtocolHandler(tcp.ProtocolNumber, forwarder.HandlePacket)
 	ctx, cancel := context.WithCancel(context.Background())
-	go created.answer(ctx)
+	go created.deliverAnswers(ctx)
 	DeferCleanup(cancel)
 	return created
 }
 
-func (l *loop) accept(request *tcp.ForwarderRequest) {
-	target := l.choose()
+func (n *testNetwork) accept(request *tcp.ForwarderRequest) {
+	target := n.chooseBackend()
 	if !target.IsValid() {
 		request.Complete(true)
 		return
@@ -81,26 +81,26 @@
 }
 
 // Inject implements caller.Network.
-func (l *loop) Inject(packet []byte) {
+func (n *testNetwork) Inject(packet []byte) {
 	incoming := stack.NewPacketBuffer(stack.PacketBufferOptions{Payload: buffer.MakeWithData(packet)})
 	defer incoming.DecRef()
-	l.link.InjectInbound(ipv4.ProtocolNumber, incoming)
+	n.link.InjectInbound(ipv4.ProtocolNumber, incoming)
 }
 
 // Attach implements caller.Network.
-func (l *loop) Attach(address netip.Addr, receiver func([]byte)) {
-	l.receivers[address] = receiver
+func (n *testNetwork) Attach(address netip.Addr, receiver func([]byte)) {
+	n.receivers[address] = receiver
 }
 
-func (l *loop) answer(ctx context.Context) {
+func (n *testNetwork) deliverAnswers(ctx context.Context) {
 	for {
-		outgoing := l.link.ReadContext(ctx)
+		outgoing := n.link.ReadContext(ctx)
 		if outgoing == nil {
 			return
 		}
 		view := outgoing.ToView()
 		destination := header.IPv4(view.AsSlice()).DestinationAddress()
-		l.receivers[netip.AddrFrom4(destination.As4())](view.AsSlice())
+		n.receivers[netip.AddrFrom4(destination.As4())](view.AsSlice())
 		view.Release()
 		outgoing.DecRef()
 	}
--- a/bench/experiment/cluster.go
+++ b/bench/experiment/cluster.go
@@ -103,7 +103,7 @@
 	c.progress("building the daemon")
 	directory, err := filepath.Abs(c.options.Directory)
 	if err != nil {
-		return errors.Wrapf(err, "make the directory %q absolute", c.options.Directory)
+		return errors.Wrap(err, "make the path of the run's directory absolute")
 	}
 	built, err := fleet.New(ctx, directory)
 	c.fleet = built
--- a/bench/experiment/report.go
+++ b/bench/experiment/report.go
@@ -55,10 +55,11 @@
 	ImbalancePeak  float64 `json:"imbalance_peak"`
 	ImbalanceFlows int64   `json:"imbalance_flows"`
 	Events         int     `json:"events"`
-	// AnswerP50 and P99 are times from a poll or submission to its answer.
+	// AnswerP50 and AnswerP99 are percentiles of the time from a request, that is a poll, a
+	// submission or a datagram, to the end of its answer.
 	AnswerP50 float64 `json:"p50_ms"`
 	AnswerP99 float64 `json:"p99_ms"`
-	// HandshakeP50 and OpenP99 are times of handshakes.
+	// HandshakeP50 and HandshakeP99 are percentiles of the duration of handshakes.
 	HandshakeP50 float64 `json:"open_p50_ms"`
 	HandshakeP99 float64 `json:"open_p99_ms"`
 	// UnusedConnections is the number of connections to back ends that carried no request.
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -43,7 +43,7 @@
 	cluster.progress("letting %d flows finish", load.open.Load())
 	load.finish()
 	if ctx.Err() != nil {
-		return Report{}, errors.Wrap(ctx.Err(), "run")
+		return Report{}, errors.Wrap(ctx.Err(), "experiment interrupted")
 	}
 	cluster.saveMetrics(ctx)
 	cluster.Stop()
--- a/bench/experiment/trace.go
+++ b/bench/experiment/trace.go
@@ -49,7 +49,7 @@
 	path := filepath.Join(c.fleet.Directory(), traceName)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, traceFileMode)
 	if err != nil {
-		return errors.Wrapf(err, "write the list of flows to %s", path)
+		return errors.Wrap(err, "write the list of flows")
 	}
 	encoder := json.NewEncoder(file)
 	for _, result := range results {
@@ -58,10 +58,10 @@
 		}
 		if err := encoder.Encode(c.flowRecord(result)); err != nil {
 			file.Close()
-			return errors.Wrapf(err, "write the list of flows to %s", path)
+			return errors.Wrap(err, "write the list of flows")
 		}
 	}
-	return errors.Wrapf(file.Close(), "write the list of flows to %s", path)
+	return errors.Wrap(file.Close(), "write the list of flows")
 }
 
 func (c *Cluster) flowRecord(result caller.Result) FlowRecord {
--- a/bench/fleet/settings_test.go
+++ b/bench/fleet/settings_test.go
@@ -14,7 +14,7 @@
 func address(text string) netip.AddrPort { return netip.MustParseAddrPort(text) }
 
 var _ = Describe("Settings", func() {
-	common := fleet.Settings{
+	base := fleet.Settings{
 		Name: "member-1", Zone: "zone-1", LogLevel: "info",
 		Observability:    address("127.0.0.1:9100"),
 		ConfigurationURL: "http://127.0.0.1:9000/v1/configuration?reader=member-1",
@@ -32,7 +32,7 @@
 
 	DescribeTable("are accepted by the daemon for a balancer",
 		func(baseline string) {
-			written := common
+			written := base
 			written.Baseline = baseline
 			written.Balancer = &fleet.Balancer{Listen: address("127.0.0.1:6081"), Control: address("127.0.0.1:7000")}
 			parsed := parse(written)
@@ -48,7 +48,7 @@
 
 	DescribeTable("are accepted by the daemon for an agent",
 		func(baseline string) {
-			written := common
+			written := base
 			written.Baseline = baseline
 			written.Agent = &fleet.Agent{
 				Listen: address("127.0.0.1:6181"), Fabric: address("127.0.0.1:6080"),
--- a/bench/soak/client.go
+++ b/bench/soak/client.go
@@ -78,7 +78,7 @@
 	at := h.network.address(netClients, zone, packetPort)
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at.AddrPort()))
 	if err != nil {
-		return nil, errors.Wrapf(err, "open the client socket of %s at %s", zoneName(zone), at)
+		return nil, errors.Wrap(err, "open the client socket of a zone")
 	}
 	return &clientHost{
 		harness: h, zone: zone, ip: at.IP, socket: socket, lastRequestID: uint64(zone) << 48, lastPort: firstFlowPort,
--- a/bench/soak/daemon.go
+++ b/bench/soak/daemon.go
@@ -48,7 +48,7 @@
 }
 
 func (d *daemon) writeSettings(settings string) error {
-	return errors.Wrapf(os.WriteFile(d.basePath+".toml", []byte(settings), 0o600), "write the settings of %s", d.name)
+	return errors.Wrap(os.WriteFile(d.basePath+".toml", []byte(settings), 0o600), "write the settings of a daemon")
 }
 
 // supervise starts the process and restarts it whenever it ends, until ctx ends or the machine
--- a/bench/soak/endpoint.go
+++ b/bench/soak/endpoint.go
@@ -109,7 +109,7 @@
 	at := segment.Address{IP: ip, Port: appPort}
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at.AddrPort()))
 	if err != nil {
-		return nil, errors.Wrapf(err, "open the socket of endpoint %s at %s", id, at)
+		return nil, errors.Wrapf(err, "open the socket of endpoint %s", id)
 	}
 	created := &endpoint{
 		harness: h, id: id, service: service, socket: socket,
--- a/bench/soak/harness.go
+++ b/bench/soak/harness.go
@@ -94,7 +94,7 @@
 func (h *harness) serveStore(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", h.network.addrPort(netStore, 0, storePort).String())
 	if err != nil {
-		return errors.Wrap(err, "store")
+		return errors.Wrap(err, "open the listener of the store")
 	}
 	server := &http.Server{Handler: h.store, ReadHeaderTimeout: time.Minute}
 	h.running.Go(func() { _ = server.Serve(listener) })
--- a/bench/soak/proxy.go
+++ b/bench/soak/proxy.go
@@ -49,7 +49,7 @@
 func NewProxy(listen, server netip.AddrPort) (*Proxy, error) {
 	listener, err := net.Listen("tcp4", listen.String())
 	if err != nil {
-		return nil, errors.Wrapf(err, "listen on %s as a proxy of %s", listen, server)
+		return nil, errors.Wrap(err, "open the listener of a store proxy")
 	}
 	created := &Proxy{
 		listener: listener, server: server, changed: make(chan struct{}), connections: make(map[net.Conn]bool),
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -86,7 +86,7 @@
 	h.runPhases(running)
 	report.Seconds = time.Since(started).Seconds()
 	h.checker.fillResult(&report)
-	return report, errors.Wrap(ctx.Err(), "soak")
+	return report, errors.Wrap(ctx.Err(), "soak run interrupted")
 }
 
 func (h *harness) awaitReady(ctx context.Context) error {
--- a/bench/timeline/plot.go
+++ b/bench/timeline/plot.go
@@ -17,27 +17,27 @@
 // Plot writes to a file, whose name ends in png, svg or pdf, which part of the starts had
 // come to each step by a time after them. It fails if there is nothing to show.
 func Plot(starts []Start, path string) error {
-	drawn := plot.New()
-	drawn.Title.Text = "Steps after the start of processes"
-	drawn.X.Label.Text = "ms after the start"
-	drawn.Y.Label.Text = "part of those that came to it"
+	chart := plot.New()
+	chart.Title.Text = "Steps after the start of processes"
+	chart.X.Label.Text = "ms after the start"
+	chart.Y.Label.Text = "part of those that came to it"
 	var curves []any
 	for _, step := range Steps() {
 		if times := StepTimes(starts, step); len(times) > 0 {
-			curves = append(curves, string(step), curve(times))
+			curves = append(curves, string(step), distribution(times))
 		}
 	}
 	if len(curves) == 0 {
 		return errors.New("the logs show no step after a start")
 	}
-	if err := plotutil.AddLines(drawn, curves...); err != nil {
+	if err := plotutil.AddLines(chart, curves...); err != nil {
 		return errors.Wrap(err, "plot")
 	}
-	return errors.Wrap(drawn.Save(plotWidth, plotHeight, path), "plot")
+	return errors.Wrap(chart.Save(plotWidth, plotHeight, path), "plot")
 }
 
 // curve is the distribution of sorted times.
-func curve(sorted []float64) plotter.XYs {
+func distribution(sorted []float64) plotter.XYs {
 	points := make(plotter.XYs, 0, 2*len(sorted))
 	for index, at := range sorted {
 		below := float64(index) / float64(len(sorted))
--- a/bench/timeline/propagation.go
+++ b/bench/timeline/propagation.go
@@ -24,12 +24,12 @@
 // ReadPropagation returns the changes that a log shows, in the order of time: configurations, and
 // the revisions at which any process had a new directory. Changes that fewer than a part of
 // all processes came to know are left out, as those before a loss of power.
-func ReadPropagation(input io.Reader, part float64) ([]Propagation, error) {
+func ReadPropagation(input io.Reader, minShare float64) ([]Propagation, error) {
 	lines, err := readLines(input)
 	if err != nil {
 		return nil, err
 	}
-	lines = slices.DeleteFunc(lines, func(each line) bool { return Step(each.Message) != StepDirectory })
+	lines = slices.DeleteFunc(lines, func(each logLine) bool { return Step(each.Message) != StepDirectory })
 	processes := make(map[string]bool)
 	versions := make(map[uint64]bool)
 	revisions := make(map[uint64]bool)
@@ -40,23 +40,23 @@
 	}
 	var changes []Propagation
 	for version := range versions {
-		changes = append(changes, reachOf(lines, Propagation{Version: version}, func(each line) bool { return each.Version >= version }))
+		changes = append(changes, measurePropagation(lines, Propagation{Version: version}, func(each logLine) bool { return each.Version >= version }))
 	}
 	for revision := range revisions {
-		changes = append(changes, reachOf(lines, Propagation{Revision: revision}, func(each line) bool { return each.Revision >= revision }))
+		changes = append(changes, measurePropagation(lines, Propagation{Revision: revision}, func(each logLine) bool { return each.Revision >= revision }))
 	}
-	least := part * float64(len(processes))
-	changes = slices.DeleteFunc(changes, func(each Propagation) bool { return float64(each.Processes) < least })
+	minProcesses := minShare * float64(len(processes))
+	changes = slices.DeleteFunc(changes, func(each Propagation) bool { return float64(each.Processes) < minProcesses })
 	slices.SortFunc(changes, func(a, b Propagation) int { return a.First.Compare(b.First) })
 	return changes, nil
 }
 
 // reachOf returns how long it took until each process had a line that shows a change.
-func reachOf(lines []line, change Propagation, shows func(line) bool) Propagation {
+func measurePropagation(lines []logLine, change Propagation, reflects func(logLine) bool) Propagation {
 	known := make(map[string]bool)
 	var times []float64
 	for _, each := range lines {
-		if known[each.Name] || !shows(each) {
+		if known[each.Name] || !reflects(each) {
 			continue
 		}
 		known[each.Name] = true
--- a/bench/timeline/propagation_test.go
+++ b/bench/timeline/propagation_test.go
@@ -10,7 +10,7 @@
 	"github.com/vanetiller/vanetiller/bench/timeline"
 )
 
-const reachLog = `  1.0 b-1 {"time":"2026-01-01T00:00:01Z","msg":"directory changed","name":"b-1","version":3,"revision":7}
+const propagationLog = `  1.0 b-1 {"time":"2026-01-01T00:00:01Z","msg":"directory changed","name":"b-1","version":3,"revision":7}
   1.1 b-2 {"time":"2026-01-01T00:00:01.1Z","msg":"directory changed","name":"b-2","version":3,"revision":7}
   1.2 b-3 {"time":"2026-01-01T00:00:01.2Z","msg":"directory changed","name":"b-3","version":3,"revision":7}
   2.0 b-2 {"time":"2026-01-01T00:00:02Z","msg":"directory changed","name":"b-2","version":3,"revision":8}
@@ -22,7 +22,7 @@
 	first := time.Date(2026, 1, 1, 0, 0, 1, 0, time.UTC)
 
 	It("tells how long after the first others knew a configuration or a revision, or a later one", func() {
-		changes, err := timeline.ReadPropagation(strings.NewReader(reachLog), 1)
+		changes, err := timeline.ReadPropagation(strings.NewReader(propagationLog), 1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(changes).To(ConsistOf(
 			timeline.Propagation{Version: 3, First: first, Processes: 3, Median: 100, P99: 200, Longest: 200},
@@ -32,7 +32,7 @@
 	})
 
 	It("shows changes that only some came to know if that is wanted", func() {
-		changes, err := timeline.ReadPropagation(strings.NewReader(reachLog), 0.3)
+		changes, err := timeline.ReadPropagation(strings.NewReader(propagationLog), 0.3)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(changes).To(ContainElement(HaveField("Version", uint64(4))))
 	})
--- a/bench/timeline/timeline.go
+++ b/bench/timeline/timeline.go
@@ -15,7 +15,7 @@
 )
 
 // longestLine bounds a line of a log, in bytes.
-const longestLine = 1 << 20
+const maxLineLength = 1 << 20
 
 // startMessage is the message of a process that has been started.
 const startMessage = "daemon started"
@@ -51,7 +51,7 @@
 }
 
 // line is what is read of a line of a log.
-type line struct {
+type logLine struct {
 	Time    time.Time `json:"time"`
 	Name    string    `json:"name"`
 	Message string    `json:"msg"`
@@ -74,51 +74,51 @@
 
 // readLines returns the lines of a log that are JSON objects of a process, in the order of
 // time.
-func readLines(input io.Reader) ([]line, error) {
+func readLines(input io.Reader) ([]logLine, error) {
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(nil, longestLine)
-	var lines []line
+	scanner.Buffer(nil, maxLineLength)
+	var lines []logLine
 	for scanner.Scan() {
-		begin := bytes.IndexByte(scanner.Bytes(), '{')
-		if begin < 0 {
+		start := bytes.IndexByte(scanner.Bytes(), '{')
+		if start < 0 {
 			continue
 		}
-		var read line
-		if json.Unmarshal(scanner.Bytes()[begin:], &read) == nil && read.Name != "" {
-			lines = append(lines, read)
+		var parsed logLine
+		if json.Unmarshal(scanner.Bytes()[start:], &parsed) == nil && parsed.Name != "" {
+			lines = append(lines, parsed)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, errors.Wrap(err, "log")
 	}
-	slices.SortStableFunc(lines, func(a, b line) int { return a.Time.Compare(b.Time) })
+	slices.SortStableFunc(lines, func(a, b logLine) int { return a.Time.Compare(b.Time) })
 	return lines, nil
 }
 
-func startsOf(lines []line) []Start {
+func startsOf(lines []logLine) []Start {
 	var starts []*Start
 	latest := make(map[string]*Start)
-	for _, read := range lines {
-		if read.Message == startMessage {
-			begun := &Start{Process: read.Name, At: read.Time, After: make(map[Step]time.Duration)}
-			starts = append(starts, begun)
-			latest[read.Name] = begun
+	for _, parsed := range lines {
+		if parsed.Message == startMessage {
+			start := &Start{Process: parsed.Name, At: parsed.Time, After: make(map[Step]time.Duration)}
+			starts = append(starts, start)
+			latest[parsed.Name] = start
 			continue
 		}
-		begun, known := latest[read.Name]
-		step := Step(cmp.Or(read.Event, read.Message))
+		start, known := latest[parsed.Name]
+		step := Step(cmp.Or(parsed.Event, parsed.Message))
 		if !known || !slices.Contains(Steps(), step) {
 			continue
 		}
-		if _, taken := begun.After[step]; !taken {
-			begun.After[step] = read.Time.Sub(begun.At)
+		if _, taken := start.After[step]; !taken {
+			start.After[step] = parsed.Time.Sub(start.At)
 		}
 	}
-	found := make([]Start, len(starts))
-	for index, begun := range starts {
-		found[index] = *begun
+	results := make([]Start, len(starts))
+	for index, start := range starts {
+		results[index] = *start
 	}
-	return found
+	return results
 }
 
 // Between returns the starts from one time to another, each since the first start.
@@ -127,8 +127,8 @@
 		return nil
 	}
 	first := slices.MinFunc(starts, func(a, b Start) int { return a.At.Compare(b.At) }).At
-	return slices.DeleteFunc(slices.Clone(starts), func(begun Start) bool {
-		since := begun.At.Sub(first)
+	return slices.DeleteFunc(slices.Clone(starts), func(start Start) bool {
+		since := start.At.Sub(first)
 		return since < from || since > to
 	})
 }
@@ -162,8 +162,8 @@
 // StepTimes returns how long a step took, in milliseconds and in order.
 func StepTimes(starts []Start, step Step) []float64 {
 	var times []float64
-	for _, begun := range starts {
-		if after, taken := begun.After[step]; taken {
+	for _, start := range starts {
+		if after, taken := start.After[step]; taken {
 			times = append(times, float64(after.Microseconds())/1000)
 		}
 	}
@@ -172,7 +172,7 @@
 }
 
 // quantile returns the least of sorted times that is not below a part of them.
-func quantile(sorted []float64, part float64) float64 {
-	index := int(part*float64(len(sorted))+0.5) - 1
+func quantile(sorted []float64, rank float64) float64 {
+	index := int(rank*float64(len(sorted))+0.5) - 1
 	return sorted[min(max(index, 0), len(sorted)-1)]
 }
--- a/bench/timeline/timeline_test.go
+++ b/bench/timeline/timeline_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "Timeline")
 }
 
-const log = `seen: 2 machines
+const startLog = `seen: 2 machines
   1.0 b-1 {"time":"2026-01-01T00:00:01Z","msg":"daemon started","name":"b-1"}
   1.2 b-1 {"time":"2026-01-01T00:00:01.2Z","msg":"directory changed","name":"b-1","version":3}
   1.1 a-1 {"time":"2026-01-01T00:00:01.1Z","msg":"daemon started","name":"a-1"}
@@ -33,7 +33,7 @@
 
 var _ = Describe("Timeline", func() {
 	read := func() []timeline.Start {
-		starts, err := timeline.Read(strings.NewReader(log))
+		starts, err := timeline.Read(strings.NewReader(startLog))
 		Expect(err).NotTo(HaveOccurred())
 		return starts
 	}
--- a/cmd/vanetiller-bench/commands.go
+++ b/cmd/vanetiller-bench/commands.go
@@ -16,7 +16,7 @@
 )
 
 func demo(ctx context.Context, arguments []string) int {
-	var values parameters
+	var values runFlags
 	flags := newFlagSet("demo", &values, demoDuration)
 	positional, err := parseInterleaved(flags, arguments)
 	if err == nil && len(positional) > 0 {
@@ -29,7 +29,7 @@
 }
 
 func run(ctx context.Context, arguments []string) int {
-	var values parameters
+	var values runFlags
 	flags := newFlagSet("run", &values, defaultDuration)
 	flags.BoolVar(&values.json, "json", false, "print only the line of JSON that otherwise follows the summary")
 	flags.StringVar(&values.hash, "hash", string(flownet.HashSteady), "`way` in which the fabric of the experiment platform chooses balancers: steady or modulo")
@@ -50,7 +50,7 @@
 }
 
 // execute does one run and prints its report.
-func execute(ctx context.Context, values parameters, experimentName string) int {
+func execute(ctx context.Context, values runFlags, experimentName string) int {
 	options, err := values.options(experimentName)
 	if err != nil {
 		return usageError(err)
@@ -60,35 +60,35 @@
 		options.Directory, err = os.MkdirTemp("", "vanetiller-bench-")
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-			return exitBroken
+			return exitFailure
 		}
 	}
 	report, err := experiment.Run(ctx, options)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
 		fmt.Fprintln(os.Stderr, "logs are in", options.Directory)
-		return exitBroken
+		return exitFailure
 	}
 	if err := printReport(report, values.json); err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
 	if !report.Passed() {
 		fmt.Fprintln(os.Stderr, "logs are in", options.Directory)
-		return exitBroken
+		return exitFailure
 	}
 	if temporary {
 		return removeDirectory(options.Directory)
 	}
-	return exitKept
+	return exitOK
 }
 
 func removeDirectory(directory string) int {
 	if err := os.RemoveAll(directory); err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
-	return exitKept
+	return exitOK
 }
 
 func printReport(report experiment.Report, asJSON bool) error {
@@ -120,12 +120,12 @@
 		report.Imbalance, report.ImbalancePeak, report.ImbalanceFlows)
 	fmt.Fprintf(table, "answers\t%.2f ms\tmedian; %.2f ms for 99 of 100\n", report.AnswerP50, report.AnswerP99)
 	fmt.Fprintf(table, "handshakes\t%.2f ms\tmedian; %.2f ms for 99 of 100\n\n", report.HandshakeP50, report.HandshakeP99)
-	for _, promise := range report.Guarantees() {
+	for _, guarantee := range report.Guarantees() {
 		verdict := "kept"
-		if promise.Violations > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", promise.Violations)
+		if guarantee.Violations > 0 {
+			verdict = fmt.Sprintf("BROKEN %d times", guarantee.Violations)
 		}
-		fmt.Fprintf(table, "%s\t%s\n", promise.Name, verdict)
+		fmt.Fprintf(table, "%s\t%s\n", guarantee.Name, verdict)
 	}
 	for _, cause := range report.Causes {
 		fmt.Fprintf(table, "%s, %s\t%d\tsuch as %s\n", cause.Outcome, cause.Cause, cause.Count, cause.Example)
@@ -144,7 +144,7 @@
 			shape.Name, shape.Balancers, len(shape.Services), shape.Zones)
 	}
 	if err := table.Flush(); err != nil {
-		return exitBroken
+		return exitFailure
 	}
-	return exitKept
+	return exitOK
 }
--- a/cmd/vanetiller-bench/flags.go
+++ b/cmd/vanetiller-bench/flags.go
@@ -25,7 +25,7 @@
 )
 
 // parameters are the values of the flags.
-type parameters struct {
+type runFlags struct {
 	shape     string
 	seed      uint64
 	duration  time.Duration
@@ -38,7 +38,7 @@
 	unbounded bool
 }
 
-func newFlagSet(command string, values *parameters, duration time.Duration) *flag.FlagSet {
+func newFlagSet(command string, values *runFlags, duration time.Duration) *flag.FlagSet {
 	flags := flag.NewFlagSet(command, flag.ContinueOnError)
 	flags.SetOutput(os.Stderr)
 	flags.StringVar(&values.shape, "shape", defaultShape, "`name` of the fleet and traffic: casablanca, kolkata or datagrams")
@@ -67,7 +67,7 @@
 }
 
 // options checks the values and turns them into the options of a run.
-func (p parameters) options(experimentName string) (experiment.Options, error) {
+func (p runFlags) options(experimentName string) (experiment.Options, error) {
 	shape, err := experiment.ShapeByName(p.shape)
 	if err != nil {
 		return experiment.Options{}, err
@@ -102,7 +102,7 @@
 // usageError prints the error and returns the exit status.
 func usageError(err error) int {
 	if errors.Is(err, flag.ErrHelp) {
-		return exitKept
+		return exitOK
 	}
 	fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
 	return exitUsage
--- a/cmd/vanetiller-bench/flags_test.go
+++ b/cmd/vanetiller-bench/flags_test.go
@@ -12,7 +12,7 @@
 var _ = Describe("Flags", func() {
 	DescribeTable("may stand before and after the experiment",
 		func(arguments ...string) {
-			var values parameters
+			var values runFlags
 			flags := newFlagSet("run", &values, time.Second)
 			flags.SetOutput(io.Discard)
 			positional, err := parseInterleaved(flags, arguments)
@@ -44,7 +44,7 @@
 
 	DescribeTable("explain themselves",
 		func(arguments ...string) {
-			Expect(dispatch(context.Background(), arguments)).To(Equal(exitKept))
+			Expect(dispatch(context.Background(), arguments)).To(Equal(exitOK))
 		},
 		Entry("all", "-help"),
 		Entry("run", "run", "-help"),
--- a/cmd/vanetiller-bench/main.go
+++ b/cmd/vanetiller-bench/main.go
@@ -12,9 +12,9 @@
 
 // Exit statuses.
 const (
-	exitKept   = 0
-	exitBroken = 1
-	exitUsage  = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
 const usage = `vanetiller-bench runs callers, back ends and real daemons on this machine.
@@ -58,7 +58,7 @@
 		return list()
 	case "help", "-help", "--help", "-h":
 		fmt.Fprint(os.Stdout, usage)
-		return exitKept
+		return exitOK
 	}
 	fmt.Fprintf(os.Stderr, "unknown command %q\n\n%s", arguments[0], usage)
 	return exitUsage
--- a/cmd/vanetiller-bench/platform.go
+++ b/cmd/vanetiller-bench/platform.go
@@ -22,7 +22,7 @@
 )
 
 // runPlatform plays one run and prints its report.
-func runPlatform(values parameters) int {
+func runPlatform(values runFlags) int {
 	shape, err := flownet.ShapeNamed(values.shape)
 	if err != nil {
 		return usageError(err)
@@ -45,13 +45,13 @@
 	encoded, err := json.Marshal(report)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
 	fmt.Println(string(encoded))
 	if report.Broken() > 0 {
-		return exitBroken
+		return exitFailure
 	}
-	return exitKept
+	return exitOK
 }
 
 func printPlatform(report flownet.Report) {
@@ -60,9 +60,9 @@
 	fmt.Fprintf(table, "requests\t%d\t%.2f%% served, %.2f%% within their objective\n",
 		report.Asked, 100*report.Served, 100*report.InTarget)
 	fmt.Fprintf(table, "worst two seconds\t%.2f%%\twithin their objective\n\n", 100*report.WorstWindow)
-	for _, promise := range []struct {
-		name   string
-		broken int
+	for _, guarantee := range []struct {
+		name       string
+		violations int
 	}{
 		{"open flows are not reset", report.ResetOpen},
 		{"packets of open flows reach their endpoint", report.Misrouted},
@@ -73,10 +73,10 @@
 		{"answers belong to their requests", report.Mixed},
 	} {
 		verdict := "kept"
-		if promise.broken > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", promise.broken)
+		if guarantee.violations > 0 {
+			verdict = fmt.Sprintf("BROKEN %d times", guarantee.violations)
 		}
-		fmt.Fprintf(table, "%s\t%s\n", promise.name, verdict)
+		fmt.Fprintf(table, "%s\t%s\n", guarantee.name, verdict)
 	}
 	_ = table.Flush()
 }
--- a/cmd/vanetiller-bench/reach.go
+++ b/cmd/vanetiller-bench/reach.go
@@ -15,19 +15,19 @@
 )
 
 // reachParameters are the values of the flags of reach.
-type reachParameters struct {
-	part float64
-	json bool
+type reachFlags struct {
+	minShare float64
+	json     bool
 }
 
 // defaultReachPart leaves out what was lost before nearly all knew it.
-const defaultReachPart = 0.98
+const defaultMinShare = 0.98
 
 func reachCommand(arguments []string) int {
-	var values reachParameters
+	var values reachFlags
 	flags := flag.NewFlagSet("reach", flag.ContinueOnError)
 	flags.SetOutput(os.Stderr)
-	flags.Float64Var(&values.part, "part", defaultReachPart, "`share` of the balancers that must have come to know a change for it to be shown")
+	flags.Float64Var(&values.minShare, "part", defaultMinShare, "`share` of the balancers that must have come to know a change for it to be shown")
 	flags.BoolVar(&values.json, "json", false, "print a JSON array")
 	err := flags.Parse(arguments)
 	if err == nil && flags.NArg() != 1 {
@@ -36,20 +36,20 @@
 	if err != nil {
 		return usageError(err)
 	}
-	if err := showReach(values, flags.Arg(0)); err != nil {
+	if err := printReach(values, flags.Arg(0)); err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
-	return exitKept
+	return exitOK
 }
 
-func showReach(values reachParameters, path string) error {
+func printReach(values reachFlags, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return errors.Wrap(err, "log")
 	}
 	defer file.Close()
-	changes, err := timeline.ReadPropagation(file, values.part)
+	changes, err := timeline.ReadPropagation(file, values.minShare)
 	if err != nil {
 		return errors.Wrap(err, path)
 	}
@@ -60,13 +60,13 @@
 	fmt.Fprintln(columns, "FIRST\tVERSION\tREVISION\tBALANCERS\tMEDIAN MS\tP99 MS\tLONGEST MS")
 	for _, each := range changes {
 		fmt.Fprintf(columns, "%s\t%s\t%s\t%d\t%.1f\t%.1f\t%.1f\n", each.First.Format("15:04:05.000"),
-			number(each.Version), number(each.Revision), each.Processes, each.Median, each.P99, each.Longest)
+			formatNumber(each.Version), formatNumber(each.Revision), each.Processes, each.Median, each.P99, each.Longest)
 	}
 	return errors.Wrap(columns.Flush(), "output")
 }
 
 // number is empty for none.
-func number(value uint64) string {
+func formatNumber(value uint64) string {
 	if value == 0 {
 		return ""
 	}
--- a/cmd/vanetiller-bench/soak.go
+++ b/cmd/vanetiller-bench/soak.go
@@ -24,7 +24,7 @@
 )
 
 // soakParameters are the values of the flags of soak.
-type soakParameters struct {
+type soakFlags struct {
 	seed      uint64
 	runs      int
 	duration  time.Duration
@@ -33,7 +33,7 @@
 }
 
 func soakCommand(ctx context.Context, arguments []string) int {
-	var values soakParameters
+	var values soakFlags
 	flags := flag.NewFlagSet("soak", flag.ContinueOnError)
 	flags.SetOutput(os.Stderr)
 	flags.Uint64Var(&values.seed, "seed", uint64(time.Now().UnixNano())%1_000_000, "`number` that determines the faults of the first run; the next runs take the next numbers")
@@ -48,19 +48,19 @@
 	if err != nil {
 		return usageError(err)
 	}
-	status := exitKept
+	status := exitOK
 	for run := range values.runs {
-		status = max(status, soakOnce(ctx, values, values.seed+uint64(run)))
+		status = max(status, runSoak(ctx, values, values.seed+uint64(run)))
 	}
 	return status
 }
 
 // soakOnce plays one run and prints its report as a line of JSON.
-func soakOnce(ctx context.Context, values soakParameters, seed uint64) int {
+func runSoak(ctx context.Context, values soakFlags, seed uint64) int {
 	directory, err := soakDirectory(values, seed)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
 	progress := io.Writer(os.Stderr)
 	if values.quiet {
@@ -72,25 +72,25 @@
 	})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
 	encoded, err := json.Marshal(report)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
 	fmt.Println(string(encoded))
 	if report.Violations.Total() > 0 {
 		fmt.Fprintln(os.Stderr, "logs are in", directory)
-		return exitBroken
+		return exitFailure
 	}
 	if values.directory == "" {
 		return removeDirectory(directory)
 	}
-	return exitKept
+	return exitOK
 }
 
-func soakDirectory(values soakParameters, seed uint64) (string, error) {
+func soakDirectory(values soakFlags, seed uint64) (string, error) {
 	if values.directory == "" {
 		return os.MkdirTemp("", "vanetiller-soak-")
 	}
--- a/cmd/vanetiller-bench/timeline.go
+++ b/cmd/vanetiller-bench/timeline.go
@@ -16,20 +16,20 @@
 )
 
 // timelineParameters are the values of the flags of timeline.
-type timelineParameters struct {
+type timelineFlags struct {
 	from, to time.Duration
 	plot     string
 	json     bool
 }
 
-const wholeLog = 1000 * time.Hour
+const entireLog = 1000 * time.Hour
 
 func timelineCommand(arguments []string) int {
-	var values timelineParameters
+	var values timelineFlags
 	flags := flag.NewFlagSet("timeline", flag.ContinueOnError)
 	flags.SetOutput(os.Stderr)
 	flags.DurationVar(&values.from, "from", 0, "`time` since the first start in the logs from which starts count")
-	flags.DurationVar(&values.to, "to", wholeLog, "`time` since the first start in the logs until which starts count")
+	flags.DurationVar(&values.to, "to", entireLog, "`time` since the first start in the logs until which starts count")
 	flags.StringVar(&values.plot, "plot", "", "`file` for a plot, which ends in png, svg or pdf (default: none)")
 	flags.BoolVar(&values.json, "json", false, "print a JSON array")
 	err := flags.Parse(arguments)
@@ -39,14 +39,14 @@
 	if err != nil {
 		return usageError(err)
 	}
-	if err := showTimeline(values, flags.Args()); err != nil {
+	if err := printTimeline(values, flags.Args()); err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
-	return exitKept
+	return exitOK
 }
 
-func showTimeline(values timelineParameters, paths []string) error {
+func printTimeline(values timelineFlags, paths []string) error {
 	var starts []timeline.Start
 	for _, path := range paths {
 		read, err := readTimeline(path)
@@ -55,13 +55,13 @@
 		}
 		starts = append(starts, read...)
 	}
-	chosen := timeline.Between(starts, values.from, values.to)
+	selected := timeline.Between(starts, values.from, values.to)
 	if values.plot != "" {
-		if err := timeline.Plot(chosen, values.plot); err != nil {
+		if err := timeline.Plot(selected, values.plot); err != nil {
 			return err
 		}
 	}
-	summaries := timeline.Summarize(chosen)
+	summaries := timeline.Summarize(selected)
 	if values.json {
 		return errors.Wrap(json.NewEncoder(os.Stdout).Encode(summaries), "output")
 	}
