--- a/bench/backend/backend.go
+++ b/bench/backend/backend.go
@@ -1,6 +1,8 @@
-// Package backend stands in for the back ends of the services: HTTP servers on
-// kernel sockets that know their service, record every request and stream
-// content that belongs to one request only.
+// Package backend simulates the back ends of the services for the bench. They are HTTP and UDP
+// servers on kernel sockets. They answer the requests of the simulated callers and record which
+// back end received which flow and executed which submission, and which requests were meant for
+// another service. Downloads stream content that differs for each request, so that callers detect
+// the answer to another request.
 package backend
 
 import (
@@ -23,16 +25,16 @@
 	Name string
 	// Listen is the TCP address; port 0 picks a free one.
 	Listen netip.AddrPort
-	// Slots is how many submissions run at a time; more are shed with the
-	// status 503. Zero means no limit.
+	// Slots is the number of submissions that run at a time. More are refused with the status
+	// 503. Zero means no limit.
 	Slots int
-	// WorkTime is how long a submission takes.
+	// WorkTime is the processing time of a submission.
 	WorkTime time.Duration
 	// Recorder records flows and requests.
 	Recorder *Recorder
 }
 
-// Backend is safe for concurrent use.
+// Backend is an HTTP server of one service. It is safe for concurrent use.
 type Backend struct {
 	settings Settings
 	listener net.Listener
@@ -46,7 +48,7 @@
 	usedConnections sync.Map
 }
 
-// Counters are the numbers of a back end since its start.
+// Counters counts the connections and refusals of a back end since its start.
 type Counters struct {
 	// Accepted is the number of TCP connections accepted.
 	Accepted int64
@@ -54,15 +56,15 @@
 	Open int64
 	// ClosedUnused is the number of connections closed without a request.
 	ClosedUnused int64
-	// Shed is the number of submissions refused for want of a slot.
+	// Shed is the number of submissions that were refused because no slot was free.
 	Shed int64
 }
 
-// New opens the socket of a back end. It fails when the address is taken.
+// New opens the socket of a back end. It fails if the address cannot be bound.
 func New(settings Settings) (*Backend, error) {
 	listener, err := net.Listen("tcp4", settings.Listen.String())
 	if err != nil {
-		return nil, errors.Wrapf(err, "back end %s", settings.Name)
+		return nil, errors.Wrapf(err, "open the listener of back end %s", settings.Name)
 	}
 	backend := &Backend{settings: settings, listener: listener}
 	backend.server = &http.Server{
@@ -83,7 +85,7 @@
 // Service is the name of the service.
 func (b *Backend) Service() string { return b.settings.Service }
 
-// Run serves until ctx ends and returns nil then.
+// Run serves requests until ctx ends, then returns nil.
 func (b *Backend) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { b.server.Close() })
 	defer stop()
@@ -91,10 +93,10 @@
 	if ctx.Err() != nil || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return errors.Wrapf(err, "back end %s", b.settings.Name)
+	return errors.Wrapf(err, "serve back end %s", b.settings.Name)
 }
 
-// Counters returns the numbers so far.
+// Counters returns the current counters.
 func (b *Backend) Counters() Counters {
 	return Counters{
 		Accepted:     b.accepted.Load(),
@@ -104,8 +106,8 @@
 	}
 }
 
-// connectionChanged keeps the counters of connections. A connection that goes
-// from new to closed without having been active has carried no request.
+// connStateChanged updates the counters of connections. A connection that closes without having
+// been active has carried no request.
 func (b *Backend) connStateChanged(connection net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -121,10 +123,10 @@
 	}
 }
 
-// flush sends what has been written of an answer.
+// flush sends the buffered part of an answer.
 func flush(writer http.ResponseWriter) {
 	if err := http.NewResponseController(writer).Flush(); err != nil {
-		// A caller that has gone away is noticed by the next write.
+		// If the caller is gone, the next write fails.
 		return
 	}
 }
--- a/bench/backend/datagram.go
+++ b/bench/backend/datagram.go
@@ -15,30 +15,30 @@
 	"github.com/vanetiller/vanetiller/bench/exchange"
 )
 
-// DatagramBackend answers every request on the spot. It is safe for concurrent
-// use.
+// DatagramBackend is a UDP server of one service that answers every request immediately. It is safe
+// for concurrent use.
 type DatagramBackend struct {
 	settings Settings
 	socket   *net.UDPConn
 	accepted atomic.Int64
 
 	mutex sync.Mutex
-	// seen is when the last datagram of each peer came.
+	// lastReceived is the time of the last datagram of each peer.
 	lastReceived map[netip.AddrPort]time.Time
 }
 
 const (
 	datagramBufferSize = 9000
-	// peerIdle is how long a peer without datagrams counts as open.
+	// peerIdleTime is how long a peer counts as open after its last datagram.
 	peerIdleTime = 2 * time.Second
 )
 
-// NewDatagram opens the socket of a back end. It fails when the address is
-// taken. Slots and WorkTime have no meaning for datagrams.
+// NewDatagram opens the socket of a back end. It fails if the address cannot be bound. It ignores
+// the settings Slots and WorkTime.
 func NewDatagram(settings Settings) (*DatagramBackend, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(settings.Listen))
 	if err != nil {
-		return nil, errors.Wrapf(err, "back end %s", settings.Name)
+		return nil, errors.Wrapf(err, "open the socket of back end %s", settings.Name)
 	}
 	return &DatagramBackend{settings: settings, socket: socket, lastReceived: make(map[netip.AddrPort]time.Time)}, nil
 }
@@ -48,7 +48,7 @@
 	return b.socket.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Run serves until ctx ends and returns nil then.
+// Run serves requests until ctx ends, then returns nil.
 func (b *DatagramBackend) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { b.socket.Close() })
 	defer stop()
@@ -59,7 +59,7 @@
 			return nil
 		}
 		if errors.Is(err, net.ErrClosed) {
-			return errors.Wrapf(err, "back end %s", b.settings.Name)
+			return errors.Wrapf(err, "read from the socket of back end %s", b.settings.Name)
 		}
 		if err != nil {
 			continue
@@ -82,7 +82,7 @@
 		Flow: request.Flow, Request: request.Request,
 		Service: b.settings.Service, Backend: b.settings.Name,
 	}
-	// The caller repeats a request whose answer is lost.
+	// A lost answer needs no handling, since the caller retransmits the request.
 	_, _ = b.socket.WriteToUDPAddrPort(answer.Encode(), peer)
 }
 
@@ -95,7 +95,8 @@
 	b.lastReceived[peer] = time.Now()
 }
 
-// Counters returns the numbers so far. A peer is open while it sends.
+// Counters returns the current counters. A peer counts as open until peerIdleTime after its last
+// datagram.
 func (b *DatagramBackend) Counters() Counters {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/bench/backend/handler.go
+++ b/bench/backend/handler.go
@@ -1,4 +1,4 @@
-// This file implements the HTTP requests that a back end serves.
+// This file implements the HTTP handlers of a back end.
 
 package backend
 
@@ -18,7 +18,7 @@
 	Open int64 `json:"open"`
 	// Running is the number of submissions that are running.
 	Running int64 `json:"running"`
-	// Slots is how many submissions may run at a time; zero means no limit.
+	// Slots is the number of submissions that may run at a time. Zero means no limit.
 	Slots int `json:"slots"`
 }
 
@@ -33,8 +33,8 @@
 	return mux
 }
 
-// recorded notes flow and service of a request before it is served, and
-// repeats its identifier in the answer.
+// recordRequests returns a handler that records the flow of a request and copies the request ID to
+// the answer. It then serves the request, or refuses it if it is meant for another service.
 func (b *Backend) recordRequests(serve http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		b.settings.Recorder.recordContact(request.Header.Get(exchange.HeaderFlow), b.settings.Name)
@@ -54,7 +54,7 @@
 func (b *Backend) upload(writer http.ResponseWriter, request *http.Request) {
 	checksum, err := exchange.ChecksumReader(request.Body)
 	if err != nil {
-		http.Error(writer, "body cut short", http.StatusBadRequest)
+		http.Error(writer, "request body is incomplete", http.StatusBadRequest)
 		return
 	}
 	writer.Header().Set(exchange.HeaderChecksum, checksum)
@@ -88,18 +88,18 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// submit runs a submission once it has a slot. A submission without a slot is
-// refused before anything of it has run.
+// submit executes a submission if a slot is free. Otherwise it refuses the submission before
+// executing any part of it.
 func (b *Backend) submit(writer http.ResponseWriter, request *http.Request) {
 	checksum, err := exchange.ChecksumReader(request.Body)
 	if err != nil {
-		http.Error(writer, "body cut short", http.StatusBadRequest)
+		http.Error(writer, "request body is incomplete", http.StatusBadRequest)
 		return
 	}
 	if !b.acquireSlot() {
 		writer.Header().Set("Retry-After", "1")
 		writer.Header().Set(exchange.HeaderNotRun, "true")
-		http.Error(writer, "no slot", http.StatusServiceUnavailable)
+		http.Error(writer, "no slot is free for the submission", http.StatusServiceUnavailable)
 		return
 	}
 	defer b.running.Add(-1)
--- a/bench/backend/recorder.go
+++ b/bench/backend/recorder.go
@@ -1,4 +1,4 @@
-// This file implements the record of which requests ran where.
+// This file records which back ends received which flows and executed which requests.
 
 package backend
 
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Recorder records flows and requests across all back ends of an experiment. It
-// is safe for concurrent use.
+// Recorder records the flows and requests of all back ends of an experiment. It is safe for
+// concurrent use.
 type Recorder struct {
 	mutex        sync.Mutex
 	flows        map[string][]FirstContact
@@ -17,42 +17,42 @@
 	misdelivered int
 }
 
-// NewRecorder returns an empty ledger.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{flows: make(map[string][]FirstContact), executions: make(map[string]int)}
 }
 
-// Totals are the faults that a ledger has seen.
+// Totals counts the violations that a recorder has detected.
 type Totals struct {
-	// DuplicateRuns is the number of submissions that ran more than once.
+	// DuplicateRuns is the number of submissions that were executed more than once.
 	DuplicateRuns int
-	// Misdelivered is the number of requests meant for another service.
+	// Misdelivered is the number of requests that reached a back end of another service.
 	Misdelivered int
 }
 
-// FirstContact is the first time that a back end had to do with a flow.
+// FirstContact is the time at which a back end first received or accepted a flow.
 type FirstContact struct {
 	Backend string
 	At      time.Time
 }
 
-// AddFirstContact records a sighting unless the back end is known. Sightings must
-// be added in order of time.
+// AddFirstContact appends a contact, unless the back end already has one. Contacts must be added in
+// order of time.
 func AddFirstContact(contacts []FirstContact, backend string, at time.Time) []FirstContact {
-	if slices.ContainsFunc(contacts, func(s FirstContact) bool { return s.Backend == backend }) {
+	if slices.ContainsFunc(contacts, func(c FirstContact) bool { return c.Backend == backend }) {
 		return contacts
 	}
 	return append(contacts, FirstContact{Backend: backend, At: at})
 }
 
-// flowSeen records that a back end has read a request of a flow.
+// recordContact records that a back end has received a request of a flow.
 func (r *Recorder) recordContact(flow, backend string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.flows[flow] = AddFirstContact(r.flows[flow], backend, time.Now())
 }
 
-// submissionRan records one run of a submission.
+// recordExecution records one execution of a submission.
 func (r *Recorder) recordExecution(request string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -65,7 +65,7 @@
 	r.misdelivered++
 }
 
-// BackendsOf returns the names of the back ends that have seen a flow.
+// BackendsOf returns the names of the back ends that have received a request of a flow.
 func (r *Recorder) BackendsOf(flow string) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -76,7 +76,7 @@
 	return names
 }
 
-// Flows returns the sightings of every flow.
+// Flows returns the first contacts of each flow.
 func (r *Recorder) Flows() [][]FirstContact {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -87,20 +87,20 @@
 	return flows
 }
 
-// HasRun reports whether a submission has run.
+// HasRun reports whether a submission has been executed.
 func (r *Recorder) HasRun(request string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.executions[request] > 0
 }
 
-// Totals returns the faults seen so far.
+// Totals returns the violations detected so far.
 func (r *Recorder) Totals() Totals {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	totals := Totals{Misdelivered: r.misdelivered}
-	for _, runs := range r.executions {
-		if runs > 1 {
+	for _, executions := range r.executions {
+		if executions > 1 {
 			totals.DuplicateRuns++
 		}
 	}
--- a/bench/caller/client.go
+++ b/bench/caller/client.go
@@ -1,8 +1,7 @@
 // This file implements the HTTP flows of callers.
 //
-// Each flow writes its requests to one connection of its own instead of using
-// http.Transport, which would open another connection after a failure and so
-// hide what is measured here.
+// Each flow writes its requests to a connection of its own. It does not use http.Transport, which
+// would open another connection after a failure and hide the failures that are counted here.
 
 package caller
 
@@ -37,13 +36,13 @@
 	Dialer Dialer
 	// ConnectTimeout bounds the handshake.
 	ConnectTimeout time.Duration
-	// ProgressTimeout is how long an established flow may go without sending
-	// or receiving a byte before it counts as broken.
+	// ProgressTimeout is how long a read or write of an established flow may take before the
+	// flow counts as broken. For datagram flows it bounds the wait for each answer.
 	ProgressTimeout time.Duration
 }
 
-// Run does one flow and reports how it went. A flow that is under way when ctx
-// ends is broken with CauseCancelled.
+// Run runs one flow and returns its result. If ctx ends while the flow is established, the result
+// is OutcomeBroken with CauseCancelled.
 func (c *Client) Run(ctx context.Context, plan Plan) Result {
 	result := Result{Plan: plan, Outcome: OutcomeCompleted, Started: time.Now()}
 	run := c.runStream
@@ -60,7 +59,7 @@
 	return result
 }
 
-// runStream does one flow on a TCP connection.
+// runStream runs one flow on a TCP connection.
 func (c *Client) runStream(ctx context.Context, plan Plan, result *Result) *flowFailure {
 	raw, err := c.dial(ctx, plan.Service.Address)
 	result.HandshakeTime = time.Since(result.Started)
@@ -76,7 +75,8 @@
 	return flow.run(ctx)
 }
 
-// addressOf returns the zero AddrPort for anything but an IP address and a port.
+// addrPortOf returns the address as an AddrPort, or the zero AddrPort if it is not an IP address
+// with a port.
 func addrPortOf(address net.Addr) netip.AddrPort {
 	withPort, hasPort := address.(interface{ AddrPort() netip.AddrPort })
 	if !hasPort {
@@ -97,7 +97,7 @@
 	r.Detail = failure.err.Error()
 }
 
-// progressConn fails when nothing moves for a while.
+// progressConn is a connection on which each read and each write has a timeout.
 type progressConn struct {
 	net.Conn
 	timeout time.Duration
@@ -119,7 +119,7 @@
 	return c.Conn.Write(data)
 }
 
-// flow is one established connection.
+// streamFlow is a flow on an established TCP connection.
 type streamFlow struct {
 	plan       Plan
 	connection net.Conn
@@ -140,7 +140,7 @@
 	case KindPoll:
 		return f.poll(ctx)
 	}
-	return &flowFailure{OutcomeBroken, CauseMalformedRequest, errors.Errorf("unknown kind %q", f.plan.Kind)}
+	return &flowFailure{OutcomeBroken, CauseMalformedRequest, errors.Errorf("unknown kind of flow %q", f.plan.Kind)}
 }
 
 func (f *streamFlow) downloadPath() string {
@@ -172,7 +172,7 @@
 	return failure
 }
 
-// exchange sends one request, in pieces, and checks its answer.
+// exchange sends one request in pieces and checks its answer.
 func (f *streamFlow) exchange(ctx context.Context, number int, method, path string, body []byte, pieces int) *flowFailure {
 	requestID := fmt.Sprintf("%s-%d", f.plan.ID, number)
 	f.result.Request = requestID
@@ -199,7 +199,7 @@
 	target := "http://" + f.plan.Service.Address.String() + path
 	request, err := http.NewRequest(method, target, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "request")
+		return nil, errors.Wrap(err, "create the request of a flow")
 	}
 	request.Header.Set(exchange.HeaderRequest, requestID)
 	request.Header.Set(exchange.HeaderFlow, f.plan.ID)
@@ -207,8 +207,8 @@
 	return request, nil
 }
 
-// send writes the encoded request in pieces with pauses between them. The
-// first piece holds the whole header, as the body is the larger part.
+// send writes the encoded request in pieces with pauses between them. The first piece contains the
+// whole header, since the body is larger than the header.
 func (f *streamFlow) send(ctx context.Context, encoded []byte, pieces int) *flowFailure {
 	for piece := range pieces {
 		start, end := piece*len(encoded)/pieces, (piece+1)*len(encoded)/pieces
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// check reads the answer and verifies that it is whole and the flow's own.
+// checkResponse reads the answer and checks that it is complete and belongs to the request.
 func (f *streamFlow) checkResponse(response *http.Response, requestID string, body []byte) *flowFailure {
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -238,10 +238,10 @@
 		return &flowFailure{OutcomeBroken, CauseWrongStatus, errors.New(response.Status)}
 	}
 	if answered := response.Header.Get(exchange.HeaderRequest); answered != requestID {
-		return &flowFailure{OutcomeBroken, CauseMismatchedAnswer, errors.Errorf("answer to %q instead of %q", answered, requestID)}
+		return &flowFailure{OutcomeBroken, CauseMismatchedAnswer, errors.Errorf("got the answer to request %q, want that to %q", answered, requestID)}
 	}
 	if service := response.Header.Get(exchange.HeaderService); service != f.plan.Service.Name {
-		return &flowFailure{OutcomeBroken, CauseWrongService, errors.Errorf("answer of service %q", service)}
+		return &flowFailure{OutcomeBroken, CauseWrongService, errors.Errorf("got an answer of service %q, which is not the flow's", service)}
 	}
 	if failure := f.result.checkBackend(response.Header.Get(exchange.HeaderBackend)); failure != nil {
 		return failure
@@ -249,10 +249,10 @@
 	return f.checkContent(response, content, requestID, body)
 }
 
-// checkBackend notes the back end of an answer, which must not change.
+// checkBackend records the back end of an answer. It fails if another back end answered before.
 func (r *Result) checkBackend(backend string) *flowFailure {
 	if r.Backend != "" && r.Backend != backend {
-		return &flowFailure{OutcomeBroken, CauseBackendChanged, errors.Errorf("%s, then %s", r.Backend, backend)}
+		return &flowFailure{OutcomeBroken, CauseBackendChanged, errors.Errorf("back end %s answered first, then %s", r.Backend, backend)}
 	}
 	r.Backend = backend
 	return nil
@@ -262,12 +262,12 @@
 	if f.plan.Kind == KindDownload {
 		expected := exchange.Content(requestID, f.plan.Pieces*f.plan.PieceSize)
 		if !bytes.Equal(content, expected) {
-			return &flowFailure{OutcomeBroken, CauseWrongContent, errors.Errorf("%d bytes differ from the expected %d", len(content), len(expected))}
+			return &flowFailure{OutcomeBroken, CauseWrongContent, errors.Errorf("download of %d bytes differs from the expected %d bytes", len(content), len(expected))}
 		}
 		return nil
 	}
 	if answered := response.Header.Get(exchange.HeaderChecksum); answered != exchange.Checksum(body) {
-		return &flowFailure{OutcomeBroken, CauseWrongContent, errors.Errorf("checksum %q of the body", answered)}
+		return &flowFailure{OutcomeBroken, CauseWrongContent, errors.Errorf("checksum %q in the answer does not match the body", answered)}
 	}
 	return nil
 }
--- a/bench/caller/client_test.go
+++ b/bench/caller/client_test.go
@@ -49,7 +49,7 @@
 	return created
 }
 
-// startServer serves one handler in place of a back end.
+// startServer starts an HTTP server with the given handler in place of a back end.
 func startServer(handler http.HandlerFunc) netip.AddrPort {
 	listener, err := net.Listen("tcp4", loopback.String())
 	Expect(err).NotTo(HaveOccurred())
@@ -67,7 +67,7 @@
 }
 
 var _ = Describe("Client", func() {
-	DescribeTable("completes every kind of flow on one back end",
+	DescribeTable("completes every kind of flow on a single back end",
 		func(kind caller.Kind, answers int) {
 			recorder := backend.NewRecorder()
 			server := startBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: recorder})
@@ -109,7 +109,7 @@
 		Expect(recorder.HasRun(result.Request)).To(BeFalse())
 	})
 
-	It("notices a request that reached another service", func() {
+	It("reports a wrong service when a request reaches a back end of another service", func() {
 		recorder := backend.NewRecorder()
 		server := startBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Recorder: recorder})
 		result := newClient(server.Address).Run(context.Background(), plan(caller.KindSubmit))
@@ -119,7 +119,7 @@
 		Expect(recorder.HasRun(result.Request)).To(BeFalse())
 	})
 
-	It("notices a flow that two back ends have seen and a submission that ran twice", func() {
+	It("records both back ends of a flow and a duplicate run when the same submission reaches two", func() {
 		recorder := backend.NewRecorder()
 		first := startBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: recorder})
 		second := startBackend(backend.Settings{Service: "audio", Name: "audio-2", Recorder: recorder})
@@ -130,7 +130,7 @@
 		Expect(recorder.Totals()).To(Equal(backend.Totals{DuplicateRuns: 1}))
 	})
 
-	DescribeTable("notices a wrong answer",
+	DescribeTable("reports the cause of a wrong answer",
 		func(kind caller.Kind, change func(http.ResponseWriter), cause caller.Cause) {
 			server := startServer(func(writer http.ResponseWriter, request *http.Request) {
 				header := writer.Header()
@@ -154,7 +154,7 @@
 		Entry("status", caller.KindPoll, func(writer http.ResponseWriter) {
 			writer.WriteHeader(http.StatusInternalServerError)
 		}, caller.CauseWrongStatus),
-		Entry("answer cut short", caller.KindDownload, func(writer http.ResponseWriter) {
+		Entry("truncated answer", caller.KindDownload, func(writer http.ResponseWriter) {
 			writer.Header().Set("Content-Length", "12000")
 			_, _ = writer.Write(exchange.Content("flow-1-0", 6000))
 		}, caller.CauseTruncated),
@@ -162,7 +162,7 @@
 })
 
 var _ = Describe("Backend", func() {
-	It("sheds a submission for which it has no slot and does not run it", func() {
+	It("refuses a submission without executing it when no slot is free", func() {
 		recorder := backend.NewRecorder()
 		server := startBackend(backend.Settings{
 			Service: "audio", Name: "audio-1", Recorder: recorder, Slots: 1, WorkTime: time.Hour,
--- a/bench/caller/datagram.go
+++ b/bench/caller/datagram.go
@@ -15,13 +15,12 @@
 )
 
 const (
-	// repeatInterval is the time after which a request without an answer is
-	// sent again.
+	// retransmitInterval is the time after which a request without an answer is retransmitted.
 	retransmitInterval = 250 * time.Millisecond
 	datagramBufferSize = 9000
 )
 
-// datagramFlow is one UDP socket of a caller.
+// datagramFlow is a flow on a UDP socket.
 type datagramFlow struct {
 	plan       Plan
 	connection net.Conn
@@ -29,8 +28,8 @@
 	result     *Result
 }
 
-// runDatagrams sends requests one after the other on one socket. All answers
-// must come from one back end.
+// runDatagrams sends requests one after the other on one socket. All answers must come from the
+// same back end.
 func (c *Client) runDatagrams(ctx context.Context, plan Plan, result *Result) *flowFailure {
 	connection, err := c.Dialer.DialUDP(plan.Service.Address)
 	if err != nil {
@@ -52,7 +51,7 @@
 	return nil
 }
 
-// exchange repeats one request until it is answered.
+// exchange sends one request and retransmits it until the answer arrives or the timeout has passed.
 func (f *datagramFlow) exchange(number int) *flowFailure {
 	request := exchange.Datagram{
 		Flow:    f.plan.ID,
@@ -71,15 +70,16 @@
 			continue
 		}
 		if answer.Service != f.plan.Service.Name {
-			return &flowFailure{OutcomeBroken, CauseWrongService, errors.Errorf("answer of service %q", answer.Service)}
+			return &flowFailure{OutcomeBroken, CauseWrongService, errors.Errorf("got an answer of service %q, which is not the flow's", answer.Service)}
 		}
 		f.result.AnswerTimes = append(f.result.AnswerTimes, time.Since(started))
 		return f.result.checkBackend(answer.Backend)
 	}
-	return &flowFailure{OutcomeBroken, CauseStalled, errors.Errorf("no answer to %s", request.Request)}
+	return &flowFailure{OutcomeBroken, CauseStalled, errors.Errorf("no answer to request %s within the progress timeout", request.Request)}
 }
 
-// awaitAnswer skips late answers to earlier requests.
+// awaitAnswer waits up to retransmitInterval for the answer to a request. It skips late answers to
+// earlier requests.
 func (f *datagramFlow) awaitAnswer(request string) (exchange.Datagram, bool) {
 	deadline := time.Now().Add(retransmitInterval)
 	if err := f.connection.SetReadDeadline(deadline); err != nil {
--- a/bench/caller/datagram_test.go
+++ b/bench/caller/datagram_test.go
@@ -14,7 +14,7 @@
 	"github.com/vanetiller/vanetiller/bench/exchange"
 )
 
-// directDialer connects to a back end without a network in between.
+// directDialer connects to a back end over kernel sockets.
 type directDialer struct{ target netip.AddrPort }
 
 func (d directDialer) DialTCP(context.Context, netip.AddrPort) (net.Conn, error) {
@@ -30,8 +30,8 @@
 	return client.Run(context.Background(), plan(caller.KindDatagrams))
 }
 
-// answerDatagrams answers the request of each number, counted from 0, with
-// what answer returns; an empty back end means no answer.
+// answerDatagrams starts a server that answers each request with the datagram that answer returns.
+// Requests are numbered from 0. The server sends no answer if the back end is empty.
 func answerDatagrams(answer func(number int, request exchange.Datagram) exchange.Datagram) netip.AddrPort {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(loopback))
 	Expect(err).NotTo(HaveOccurred())
@@ -74,7 +74,7 @@
 		return exchange.Datagram{Flow: request.Flow, Request: request.Request, Service: "audio", Backend: name}
 	}
 
-	It("completes on one back end", func() {
+	It("completes when a single back end answers", func() {
 		recorder := backend.NewRecorder()
 		server := startDatagramBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: recorder})
 		result := runDatagrams(server.Address(), 30*time.Second)
@@ -85,14 +85,14 @@
 		Expect(server.Counters().Accepted).To(BeEquivalentTo(1))
 	})
 
-	It("notices a request that reached another service", func() {
+	It("reports a wrong service when a request reaches a back end of another service", func() {
 		recorder := backend.NewRecorder()
 		server := startDatagramBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Recorder: recorder})
 		Expect(runDatagrams(server.Address(), 30*time.Second).Cause).To(Equal(caller.CauseWrongService))
 		Expect(recorder.Totals().Misdelivered).To(Equal(1))
 	})
 
-	It("repeats a request without an answer and skips a late one", func() {
+	It("retransmits a request without an answer and skips a late answer to an earlier request", func() {
 		target := answerDatagrams(func(number int, request exchange.Datagram) exchange.Datagram {
 			switch number {
 			case 0:
@@ -105,7 +105,7 @@
 		Expect(runDatagrams(target, 30*time.Second).Outcome).To(Equal(caller.OutcomeCompleted))
 	})
 
-	It("notices that the back end changes", func() {
+	It("reports a changed back end when another one answers", func() {
 		target := answerDatagrams(func(number int, request exchange.Datagram) exchange.Datagram {
 			if request.Request == "flow-1-2" {
 				return answerFrom(request, "audio-2")
@@ -115,7 +115,7 @@
 		Expect(runDatagrams(target, 30*time.Second).Cause).To(Equal(caller.CauseBackendChanged))
 	})
 
-	It("gives up after the progress timeout", func() {
+	It("reports a stall when there is no answer within the progress timeout", func() {
 		target := answerDatagrams(func(int, exchange.Datagram) exchange.Datagram { return exchange.Datagram{} })
 		Expect(runDatagrams(target, time.Millisecond).Cause).To(Equal(caller.CauseStalled))
 	})
--- a/bench/caller/failure.go
+++ b/bench/caller/failure.go
@@ -1,4 +1,4 @@
-// This file sorts the errors of connections into outcomes and causes.
+// This file maps the errors of connections to outcomes and causes.
 
 package caller
 
@@ -12,14 +12,14 @@
 	"gvisor.dev/gvisor/pkg/tcpip"
 )
 
-// failed is why a flow did not complete.
+// flowFailure describes why a flow did not complete.
 type flowFailure struct {
 	outcome Outcome
 	cause   Cause
 	err     error
 }
 
-// The stack reports its errors only as text, so they are told apart by it.
+// The network stack reports its errors only as text, so they are classified by text.
 var (
 	textRefused = (&tcpip.ErrConnectionRefused{}).String()
 	textReset   = (&tcpip.ErrConnectionReset{}).String()
--- a/bench/caller/flow.go
+++ b/bench/caller/flow.go
@@ -1,4 +1,4 @@
-// This file defines what a flow does and how it ended.
+// This file defines the plans and results of flows.
 
 package caller
 
@@ -33,17 +33,17 @@
 	KindDatagrams Kind = "datagrams"
 )
 
-// Plan is one flow.
+// Plan describes what one flow does.
 type Plan struct {
-	// ID identifies the flow and is the stem of its request identifiers.
+	// ID identifies the flow. It is the prefix of the IDs of its requests.
 	ID string
 	// Service is what the flow connects to.
 	Service Service
 	// Kind is what the flow does.
 	Kind Kind
-	// Pieces is the number of pieces of a body, or of polls.
+	// Pieces is the number of pieces of a body, or the number of polls or datagrams.
 	Pieces int
-	// PieceSize is the number of bytes of a piece; polls have none.
+	// PieceSize is the number of bytes of a piece. Polls and datagrams do not use it.
 	PieceSize int
 	// Pause is the time between two pieces.
 	Pause time.Duration
@@ -54,19 +54,20 @@
 
 // The outcomes of flows.
 const (
-	// OutcomeCompleted means that every answer was whole and the flow's own.
+	// OutcomeCompleted means that every answer was complete and belonged to the flow.
 	OutcomeCompleted Outcome = "completed"
-	// OutcomeRefused means that the connection was refused, or that the back
-	// end answered that the request has not run.
+	// OutcomeRefused means that the connection was refused, or that the back end answered that
+	// it has not executed the request.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeNotOpened means that the handshake got no answer in time.
+	// OutcomeNotOpened means that the connection could not be opened, for example because the
+	// handshake timed out.
 	OutcomeNotOpened Outcome = "not_opened"
-	// OutcomeBroken means that an established flow was reset, stalled, or got
-	// a wrong answer.
+	// OutcomeBroken means that an established flow was reset, stalled, received a wrong answer
+	// or was cancelled.
 	OutcomeBroken Outcome = "broken"
 )
 
-// Cause says why a flow did not complete.
+// Cause is the reason why a flow did not complete.
 type Cause string
 
 // The causes.
@@ -88,7 +89,7 @@
 	CauseMalformedRequest Cause = "malformed_request"
 )
 
-// Result is how one flow went.
+// Result describes how one flow ended.
 type Result struct {
 	Plan    Plan
 	Outcome Outcome
@@ -99,12 +100,12 @@
 	Caller netip.AddrPort
 	// Backend is the back end that answered, if any did.
 	Backend string
-	// Request is the last request that was sent.
+	// Request is the ID of the last request.
 	Request string
-	// HandshakeTime is how long the handshake took.
+	// HandshakeTime is the duration of the handshake.
 	HandshakeTime time.Duration
-	// AnswerTimes are the times from sending a poll or a submission to the end of
-	// its answer.
+	// AnswerTimes are the times from the start of each poll, submission or datagram request to
+	// the end of its answer.
 	AnswerTimes []time.Duration
 	// Started is when the handshake began and Ended when the flow ended.
 	Started time.Time
--- a/bench/caller/network_test.go
+++ b/bench/caller/network_test.go
@@ -19,9 +19,9 @@
 	"gvisor.dev/gvisor/pkg/waiter"
 )
 
-// loop is a network with one agent on it: it accepts every connection of the
-// callers and splices it to the back end that choose names. A connection for
-// which choose returns the zero address is refused.
+// testNetwork is a network with one agent. It accepts every connection of the callers and forwards
+// it to the back end that chooseBackend returns. It refuses a connection if chooseBackend returns
+// the zero address.
 type testNetwork struct {
 	stack         *stack.Stack
 	link          *channel.Endpoint
--- a/bench/caller/stack.go
+++ b/bench/caller/stack.go
@@ -1,6 +1,7 @@
-// Package caller stands in for the callers of the services: TCP and UDP of a
-// user-space network stack whose packets go through the fabric, and HTTP flows
-// that check every answer.
+// Package caller simulates the callers of the services for the bench. A Client runs flows of
+// requests over HTTP or UDP from a plan and checks every answer. A Stack provides the TCP and UDP
+// sockets of many caller addresses in user space and sends their packets through the simulated
+// fabric.
 package caller
 
 import (
@@ -22,16 +23,15 @@
 	"gvisor.dev/gvisor/pkg/tcpip/transport/udp"
 )
 
-// Network carries packets of callers and delivers the answers.
+// Network transports packets from the callers and delivers the answers.
 type Network interface {
 	// Inject sends one IPv4 packet.
 	Inject(packet []byte)
-	// Attach makes receiver get the answers to one caller address.
+	// Attach registers the receiver of the packets to a caller address.
 	Attach(caller netip.Addr, receiver func(packet []byte))
 }
 
-// Stack is a user-space network stack with many caller addresses. It is safe
-// for concurrent use.
+// Stack is a user-space network stack with many caller addresses. It is safe for concurrent use.
 type Stack struct {
 	stack     *stack.Stack
 	link      *channel.Endpoint
@@ -49,8 +49,7 @@
 	addressBits   = 32
 )
 
-// NewStack returns a stack that owns the given IPv4 addresses and sends
-// through the network.
+// NewStack returns a stack that has the given IPv4 addresses and sends through the network.
 func NewStack(network Network, addresses []netip.Addr) (*Stack, error) {
 	created := &Stack{
 		stack: stack.New(stack.Options{
@@ -79,11 +78,11 @@
 	maximum := tcpip.TCPMaxRTOOption(maximumRTO)
 	for _, option := range []tcpip.SettableTransportProtocolOption{&sack, &minimum, &maximum} {
 		if err := s.stack.SetTransportProtocolOption(tcp.ProtocolNumber, option); err != nil {
-			return errors.Errorf("caller stack option: %s", err)
+			return errors.Errorf("set a TCP option of the caller stack: %s", err)
 		}
 	}
 	if err := s.stack.CreateNIC(nicID, s.link); err != nil {
-		return errors.Errorf("caller stack interface: %s", err)
+		return errors.Errorf("create the interface of the caller stack: %s", err)
 	}
 	s.stack.SetRouteTable([]tcpip.Route{{Destination: header.IPv4EmptySubnet, NIC: nicID}})
 	return nil
@@ -98,7 +97,7 @@
 		},
 	}, stack.AddressProperties{})
 	if err != nil {
-		return errors.Errorf("caller address %s: %s", address, err)
+		return errors.Errorf("add the caller address %s to the stack: %s", address, err)
 	}
 	return nil
 }
@@ -124,8 +123,8 @@
 	s.link.InjectInbound(ipv4.ProtocolNumber, incoming)
 }
 
-// DialTCP opens a connection from one of the caller addresses, in turn. It
-// fails when the handshake is refused or ctx ends.
+// DialTCP opens a connection to the service. It uses the caller addresses in turn. It fails if the
+// handshake is refused or ctx ends.
 func (s *Stack) DialTCP(ctx context.Context, service netip.AddrPort) (net.Conn, error) {
 	local := tcpip.FullAddress{NIC: nicID, Addr: tcpip.AddrFrom4(s.nextAddress().As4())}
 	remote := fullAddress(service)
@@ -136,8 +135,8 @@
 	return connection, nil
 }
 
-// DialUDP returns a socket bound to one of the caller addresses, in turn, that
-// exchanges datagrams with the service.
+// DialUDP returns a socket that exchanges datagrams with the service. It uses the caller addresses
+// in turn.
 func (s *Stack) DialUDP(service netip.AddrPort) (net.Conn, error) {
 	local := tcpip.FullAddress{NIC: nicID, Addr: tcpip.AddrFrom4(s.nextAddress().As4())}
 	remote := fullAddress(service)
--- a/bench/exchange/datagram.go
+++ b/bench/exchange/datagram.go
@@ -1,5 +1,4 @@
-// This file defines the datagrams between callers and back ends of UDP
-// services.
+// This file defines the datagrams between the callers and the back ends of UDP services.
 
 package exchange
 
@@ -9,34 +8,32 @@
 	"github.com/pkg/errors"
 )
 
-// Datagram is a request, or its answer if Backend is set.
+// Datagram is a request, or an answer if Backend is set.
 type Datagram struct {
 	// Flow identifies the caller's socket.
 	Flow string `json:"flow"`
-	// Request identifies the request; the answer repeats it.
+	// Request is the ID of the request. The answer has the same value.
 	Request string `json:"request"`
-	// Service names the service that the request is meant for, or that
-	// answered.
+	// Service names the service that a request is meant for or that sent an answer.
 	Service string `json:"service"`
 	// Backend names the back end that answered.
 	Backend string `json:"backend,omitempty"`
 }
 
-// Encode returns the datagram as it is sent.
+// Encode returns the datagram in its JSON encoding.
 func (d Datagram) Encode() []byte {
 	encoded, err := json.Marshal(d)
 	if err != nil {
-		panic("exchange: strings can always be encoded: " + err.Error())
+		panic("exchange: encode a datagram that has only strings: " + err.Error())
 	}
 	return encoded
 }
 
-// DecodeDatagram reads a datagram. It fails for anything but one made by
-// Encode.
+// DecodeDatagram decodes a datagram. It fails if the data are not valid JSON of a datagram.
 func DecodeDatagram(data []byte) (Datagram, error) {
 	var decoded Datagram
 	if err := json.Unmarshal(data, &decoded); err != nil {
-		return Datagram{}, errors.Wrap(err, "datagram")
+		return Datagram{}, errors.Wrap(err, "decode the datagram")
 	}
 	return decoded, nil
 }
--- a/bench/exchange/exchange.go
+++ b/bench/exchange/exchange.go
@@ -1,5 +1,6 @@
-// Package exchange defines the HTTP requests between the callers and the back
-// ends of the bench: paths, headers and the content of answers.
+// Package exchange defines the protocol between the simulated callers and back ends of the bench:
+// the paths, headers and content of HTTP requests and answers, and the format of datagrams. The
+// content and checksums let callers detect an answer that belongs to another request.
 package exchange
 
 import (
@@ -11,24 +12,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Paths of the back ends.
+// The HTTP paths of the back ends.
 const (
-	// PathUpload takes a body and answers with its checksum.
+	// PathUpload accepts a body and answers with its checksum.
 	PathUpload = "/upload"
-	// PathDownload streams Content of the request.
+	// PathDownload streams the Content of the request.
 	PathDownload = "/download"
-	// PathPoll answers at once.
+	// PathPoll answers immediately.
 	PathPoll = "/poll"
-	// PathSubmit takes a submission that must run at most once.
+	// PathSubmit accepts a submission that must be executed at most once.
 	PathSubmit = "/submit"
 	// PathHealth and PathLoad report the state of the back end.
 	PathHealth = "/health"
 	PathLoad   = "/load"
 )
 
-// Headers of requests and answers.
+// The headers of requests and answers, and the query parameters of requests.
 const (
-	// HeaderRequest identifies the request; the answer repeats it.
+	// HeaderRequest is the ID of the request. The answer has the same value.
 	HeaderRequest = "Bench-Request"
 	// HeaderService names the service that the request is meant for.
 	HeaderService = "Bench-Service"
@@ -38,8 +39,7 @@
 	HeaderBackend = "Bench-Backend"
 	// HeaderChecksum is Checksum of the request body.
 	HeaderChecksum = "Bench-Checksum"
-	// HeaderNotRun is set on an answer that promises that the request has not
-	// run.
+	// HeaderNotRun is set in an answer if the request has not been executed.
 	HeaderNotRun = "Bench-Not-Run"
 	// QuerySize is the number of bytes of a download.
 	QuerySize = "size"
@@ -49,7 +49,7 @@
 	QueryPause = "pause_ms"
 )
 
-// Content returns the bytes that belong to one request and to no other.
+// Content returns pseudorandom bytes that depend on the request ID and the size.
 func Content(request string, size int) []byte {
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(request), uint64(size)))
 	content := make([]byte, size+8)
@@ -64,8 +64,7 @@
 	return strconv.FormatUint(xxhash.Sum64(data), 16)
 }
 
-// ChecksumReader reads everything and returns its Checksum. It fails when the
-// reader does.
+// ChecksumReader returns the Checksum of everything it reads. It fails if the reader fails.
 func ChecksumReader(reader io.Reader) (string, error) {
 	digest := xxhash.New()
 	if _, err := io.Copy(digest, reader); err != nil {
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet builds the daemon once and runs one process of it for each
-// balancer and each agent of an experiment.
+// Package fleet runs the daemons of an experiment as child processes. It builds the daemon once,
+// writes a settings file for each balancer and agent, and starts, signals and stops their
+// processes. It also waits for their health checks and saves their metrics.
 package fleet
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// Fleet is the processes of one experiment. It is safe for concurrent use.
+// Fleet holds the processes of one experiment. It is safe for concurrent use.
 type Fleet struct {
 	directory string
 	binary    string
@@ -30,8 +31,8 @@
 	logExtension      = ".log"
 )
 
-// New builds the daemon into a directory, which also takes settings and logs.
-// It fails when the build does; the error holds the compiler's output.
+// New builds the daemon into a directory, which also receives settings and logs. It fails if the
+// build fails. The error contains the output of the compiler.
 func New(ctx context.Context, directory string) (*Fleet, error) {
 	binary, err := Build(ctx, directory, daemonName)
 	if err != nil {
@@ -40,11 +41,11 @@
 	return &Fleet{directory: directory, binary: binary}, nil
 }
 
-// Build builds a program of this repository into a directory, which is made if it
-// does not exist, and returns its path. The error holds the compiler's output.
+// Build builds a program of this repository into a directory and returns the path of the binary. It
+// creates the directory if necessary. The error contains the output of the compiler.
 func Build(ctx context.Context, directory, program string) (string, error) {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
-		return "", errors.Wrap(err, "fleet directory")
+		return "", errors.Wrap(err, "create the directory of the fleet")
 	}
 	binary := filepath.Join(directory, program)
 	build := exec.CommandContext(ctx, "go", "build", "-o", binary, programsPath+program)
@@ -52,11 +53,11 @@
 	return binary, errors.Wrapf(err, "build %s: %s", program, output)
 }
 
-// Directory holds the binary, settings and logs.
+// Directory returns the path of the directory with the binary, settings and logs.
 func (f *Fleet) Directory() string { return f.directory }
 
-// Start writes a settings file and starts a daemon with it. A name can be
-// started again after its process has ended; the log file is continued.
+// Start writes a settings file and starts a daemon with it. The name may be reused after its process
+// has ended. The new process then appends to the same log file.
 func (f *Fleet) Start(settings Settings) (*Process, error) {
 	base := filepath.Join(f.directory, settings.Name)
 	if err := settings.write(base + settingsExtension); err != nil {
@@ -72,12 +73,12 @@
 	return process, nil
 }
 
-// Stop resumes and terminates every process and kills those that have not
-// ended after the grace period. It returns the processes that had to be killed.
+// Stop resumes and terminates all processes and kills those that have not ended after the grace
+// period. It returns the killed processes.
 func (f *Fleet) Stop(grace time.Duration) []*Process {
 	running := f.Running()
 	for _, process := range running {
-		// A process that ends in between needs no signal.
+		// The signals fail if the process ends meanwhile, which does no harm.
 		_ = process.Resume()
 		_ = process.Terminate()
 	}
--- a/bench/fleet/health.go
+++ b/bench/fleet/health.go
@@ -1,4 +1,4 @@
-// This file implements waiting until a daemon reports that it is ready.
+// This file waits until a daemon is healthy.
 
 package fleet
 
@@ -13,8 +13,8 @@
 
 const healthInterval = 50 * time.Millisecond
 
-// WaitHealthy returns when the daemon answers its health check with the status
-// 200. It fails when the process ends or ctx does.
+// WaitHealthy waits until the daemon answers its health check with the status 200. It fails if the
+// process ends or ctx ends first.
 func WaitHealthy(ctx context.Context, process *Process, observability netip.AddrPort) error {
 	ticker := time.NewTicker(healthInterval)
 	defer ticker.Stop()
@@ -25,7 +25,7 @@
 		select {
 		case <-ticker.C:
 		case <-process.Done():
-			return errors.Errorf("%s ended with code %d before it was healthy", process.Name(), process.Exit().Code)
+			return errors.Errorf("%s exited with code %d before it was healthy", process.Name(), process.Exit().Code)
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "%s did not become healthy", process.Name())
 		}
--- a/bench/fleet/ports.go
+++ b/bench/fleet/ports.go
@@ -1,4 +1,4 @@
-// This file implements the choice of free loopback ports.
+// This file chooses free loopback ports.
 
 package fleet
 
@@ -12,20 +12,19 @@
 
 var loopback = netip.AddrFrom4([4]byte{127, 0, 0, 1})
 
-// AnyPort is the loopback address with the port left to the system.
+// AnyPort returns the loopback address with port 0, for which the system chooses a port.
 func AnyPort() netip.AddrPort { return netip.AddrPortFrom(loopback, 0) }
 
-// Ports are chosen below the range from which Linux takes the ports of
-// outgoing connections, so that no connection of the bench takes one between
-// the choice and the start of the daemon that is to listen on it.
+// The range of ports is below the range that Linux uses for outgoing connections. So no connection
+// of the bench can take a chosen port before the daemon listens on it.
 const (
 	firstPort = 12_000
 	lastPort  = 32_000
 )
 
-// FreeAddresses returns loopback addresses whose port is free for TCP and
-// for UDP. They are all reserved at once, so that no two are the same, and
-// released before the call returns. It fails when too few ports are free.
+// FreeAddresses returns different loopback addresses whose ports are free for TCP and UDP. It binds
+// all of them at the same time and releases them before it returns. It fails if too few ports are
+// free.
 func FreeAddresses(count int) ([]netip.AddrPort, error) {
 	const ports = lastPort - firstPort
 	offset := rand.IntN(ports)
--- a/bench/fleet/process.go
+++ b/bench/fleet/process.go
@@ -1,4 +1,4 @@
-// This file implements one daemon as a child process of the bench.
+// This file runs a daemon as a child process of the bench.
 
 package fleet
 
@@ -11,15 +11,15 @@
 	"github.com/pkg/errors"
 )
 
-// Exit is how a process ended.
+// Exit describes how a process ended.
 type Exit struct {
-	// Code is the exit status, or -1 when a signal ended the process.
+	// Code is the exit status, or -1 if a signal ended the process.
 	Code int
 	// Signal is the signal that ended the process, or zero.
 	Signal syscall.Signal
 }
 
-// Process is one running or ended daemon. It is safe for concurrent use.
+// Process is a running or ended daemon. It is safe for concurrent use.
 type Process struct {
 	name    string
 	command *exec.Cmd
@@ -32,16 +32,16 @@
 
 const logFileMode = 0o600
 
-// Start runs the binary with a settings file and sends its output to a log
-// file, which is continued. It fails if the log or the binary cannot be opened.
+// Start runs the binary with a settings file and appends its output to a log file. It fails if the
+// log cannot be opened or the binary cannot be started.
 func Start(name, binary, settingsPath, logPath string) (*Process, error) {
 	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, logFileMode)
 	if err != nil {
-		return nil, errors.Wrapf(err, "log of %s", name)
+		return nil, errors.Wrapf(err, "open the log of %s", name)
 	}
 	command := exec.Command(binary, "-settings", settingsPath)
-	// A group of its own keeps an interrupt typed at the terminal from the
-	// daemon, so that the bench can end it in order.
+	// The daemon runs in a process group of its own. An interrupt from the terminal does not
+	// reach it, so that the bench can stop it in an orderly way.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	command.Stdout = log
 	command.Stderr = log
@@ -54,8 +54,8 @@
 	return process, nil
 }
 
-// wait records how the process ended. The error of Wait only repeats the
-// status that ProcessState holds.
+// wait records how the process ended. It ignores the error of Wait, which only repeats the status
+// in ProcessState.
 func (p *Process) wait() {
 	_ = p.command.Wait()
 	p.log.Close()
@@ -69,20 +69,20 @@
 	close(p.done)
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Exit returns how the process ended. It is meaningful only after Done.
+// Exit returns how the process ended. The result is valid only after Done is closed.
 func (p *Process) Exit() Exit {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.exit
 }
 
-// PID is the process identifier.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Name is the name of the daemon.
+// Name returns the name of the daemon.
 func (p *Process) Name() string { return p.name }
 
 // Running reports whether the process has not ended.
@@ -95,22 +95,22 @@
 	}
 }
 
-// signal fails when the process has already ended.
+// signal sends a signal to the process. It fails if the process has already ended.
 func (p *Process) signal(signal syscall.Signal) error {
 	return errors.Wrapf(p.command.Process.Signal(signal), "signal %s", p.name)
 }
 
-// Terminate asks for a planned stop.
+// Terminate asks the process to shut down with SIGTERM.
 func (p *Process) Terminate() error { return p.signal(syscall.SIGTERM) }
 
-// Kill ends the process at once.
+// Kill ends the process with SIGKILL.
 func (p *Process) Kill() error { return p.signal(syscall.SIGKILL) }
 
-// Pause stops the process without its noticing.
+// Pause pauses the process with SIGSTOP, which the process cannot detect.
 func (p *Process) Pause() error { return p.signal(syscall.SIGSTOP) }
 
-// Reload tells the process that its settings have changed.
+// Reload asks the process to reload its settings with SIGHUP.
 func (p *Process) Reload() error { return p.signal(syscall.SIGHUP) }
 
-// Resume continues a paused process.
+// Resume resumes a paused process with SIGCONT.
 func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
--- a/bench/fleet/settings.go
+++ b/bench/fleet/settings.go
@@ -1,5 +1,4 @@
-// This file implements the settings files of the daemons: one template for
-// both roles.
+// This file writes the settings files of the daemons. One template serves both roles.
 
 package fleet
 
@@ -13,41 +12,40 @@
 	"github.com/pkg/errors"
 )
 
-// AgentBackend is one back end beside an agent.
+// AgentBackend holds the settings of a back end beside an agent.
 type AgentBackend struct {
 	// Service is the service name in the table.
 	Service string
 	// Name is the row name in the table.
 	Name string
-	// Address is where the real back end listens.
+	// Address is the address on which the back end listens.
 	Address netip.AddrPort
 }
 
 // Balancer holds the settings of the balancer role.
 type Balancer struct {
-	// Listen is where encapsulated packets arrive.
+	// Listen is the address that receives encapsulated packets.
 	Listen netip.AddrPort
-	// Control is where heartbeats arrive.
+	// Control is the address that receives heartbeats.
 	Control netip.AddrPort
 }
 
 // Agent holds the settings of the agent role.
 type Agent struct {
-	// Listen is where encapsulated packets arrive; it equals the agent column
-	// of the rows.
+	// Listen is the address that receives encapsulated packets. The agent column of the
+	// table rows must have the same address.
 	Listen netip.AddrPort
-	// Fabric is where answers go.
+	// Fabric is the address that answers are sent to.
 	Fabric netip.AddrPort
-	// Daemons are the control addresses that get heartbeats.
+	// Daemons are the control addresses that heartbeats are sent to.
 	Daemons []netip.AddrPort
-	// StopTimeout bounds a planned stop.
+	// StopTimeout bounds the duration of a planned stop.
 	StopTimeout time.Duration
 	// Backends are the back ends beside the agent.
 	Backends []AgentBackend
 }
 
-// Settings is what one daemon reads at its start. Exactly one of Balancer and
-// Agent is set.
+// Settings holds the settings of one daemon. Exactly one of Balancer and Agent is set.
 type Settings struct {
 	Name             string
 	Zone             string
@@ -56,8 +54,8 @@
 	ConfigurationURL string
 	MachinesURL      string
 	PollInterval     time.Duration
-	// Baseline names a simpler method that experiments compare with; empty
-	// for the product itself.
+	// Baseline names a simpler method that experiments run for comparison. It is empty for the
+	// product.
 	Baseline string
 	Balancer *Balancer
 	Agent    *Agent
@@ -110,11 +108,11 @@
 
 var settingsTemplate = template.Must(template.New("settings").Parse(settingsText))
 
-// TOML returns the settings file.
+// TOML returns the content of the settings file.
 func (s Settings) TOML() (string, error) {
 	var text bytes.Buffer
 	if err := settingsTemplate.Execute(&text, s); err != nil {
-		return "", errors.Wrap(err, "settings")
+		return "", errors.Wrap(err, "render the settings of a daemon")
 	}
 	return text.String(), nil
 }
@@ -126,5 +124,5 @@
 	if err != nil {
 		return err
 	}
-	return errors.Wrap(os.WriteFile(path, []byte(text), settingsFileMode), "settings file")
+	return errors.Wrap(os.WriteFile(path, []byte(text), settingsFileMode), "write the settings of a daemon")
 }
--- a/bench/fleet/settings_test.go
+++ b/bench/fleet/settings_test.go
@@ -30,7 +30,7 @@
 		return parsed
 	}
 
-	DescribeTable("are accepted by the daemon for a balancer",
+	DescribeTable("of a balancer are parsed by the daemon with the same values",
 		func(baseline string) {
 			written := base
 			written.Baseline = baseline
@@ -46,7 +46,7 @@
 		Entry("baseline", "hash"),
 	)
 
-	DescribeTable("are accepted by the daemon for an agent",
+	DescribeTable("of an agent are parsed by the daemon with the same values",
 		func(baseline string) {
 			written := base
 			written.Baseline = baseline
@@ -70,7 +70,7 @@
 })
 
 var _ = Describe("FreeAddresses", func() {
-	It("returns different loopback addresses", func() {
+	It("returns the requested number of different loopback addresses", func() {
 		addresses, err := fleet.FreeAddresses(100)
 		Expect(err).NotTo(HaveOccurred())
 		seen := make(map[netip.AddrPort]bool)
--- a/bench/timeline/plot.go
+++ b/bench/timeline/plot.go
@@ -14,13 +14,14 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Plot writes to a file, whose name ends in png, svg or pdf, which part of the starts had
-// come to each step by a time after them. It fails if there is nothing to show.
+// Plot writes a chart to a file. For each step, it shows the share of the starts with this step
+// after which the step occurred within a time. The file name must end in png, svg or pdf. Plot fails
+// if no step occurred.
 func Plot(starts []Start, path string) error {
 	chart := plot.New()
 	chart.Title.Text = "Steps after the start of processes"
 	chart.X.Label.Text = "ms after the start"
-	chart.Y.Label.Text = "part of those that came to it"
+	chart.Y.Label.Text = "share of the starts with this step"
 	var curves []any
 	for _, step := range Steps() {
 		if times := StepTimes(starts, step); len(times) > 0 {
@@ -28,15 +29,15 @@
 		}
 	}
 	if len(curves) == 0 {
-		return errors.New("the logs show no step after a start")
+		return errors.New("plot the steps after starts: the logs contain none")
 	}
 	if err := plotutil.AddLines(chart, curves...); err != nil {
-		return errors.Wrap(err, "plot")
+		return errors.Wrap(err, "add the curves to the plot")
 	}
-	return errors.Wrap(chart.Save(plotWidth, plotHeight, path), "plot")
+	return errors.Wrap(chart.Save(plotWidth, plotHeight, path), "save the plot")
 }
 
-// curve is the distribution of sorted times.
+// distribution returns the cumulative distribution of sorted times.
 func distribution(sorted []float64) plotter.XYs {
 	points := make(plotter.XYs, 0, 2*len(sorted))
 	for index, at := range sorted {
--- a/bench/timeline/propagation.go
+++ b/bench/timeline/propagation.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Propagation tells how long after the first process the others knew a change of the directory.
+// Propagation describes how long after the first process the others received a change of the
+// directory.
 type Propagation struct {
-	// Version is that of a configuration, or zero for a change of endpoints, which then is
-	// Revision.
+	// Version is the version of the configuration that changed, or zero if endpoints changed.
+	// Revision identifies a change of endpoints and is zero otherwise.
 	Version  uint64    `json:"version,omitempty"`
 	Revision uint64    `json:"revision,omitempty"`
 	First    time.Time `json:"first"`
-	// Processes is the number of those that came to know it.
+	// Processes is the number of processes that received the change.
 	Processes int `json:"processes"`
 	// The times are in milliseconds.
 	Median  float64 `json:"median_ms"`
@@ -22,8 +23,8 @@
 }
 
 // ReadPropagation returns the changes that a log shows, in the order of time: configurations, and
-// the revisions at which any process had a new directory. Changes that fewer than a part of
-// all processes came to know are left out, as those before a loss of power.
+// the revisions at which any process had a new directory. It omits changes that less than minShare
+// of all processes received, such as those before a loss of power.
 func ReadPropagation(input io.Reader, minShare float64) ([]Propagation, error) {
 	lines, err := readLines(input)
 	if err != nil {
@@ -51,7 +52,8 @@
 	return changes, nil
 }
 
-// reachOf returns how long it took until each process had a line that shows a change.
+// measurePropagation fills in how long it took until each process logged a line that reflects the
+// change.
 func measurePropagation(lines []logLine, change Propagation, reflects func(logLine) bool) Propagation {
 	known := make(map[string]bool)
 	var times []float64
--- a/bench/timeline/propagation_test.go
+++ b/bench/timeline/propagation_test.go
@@ -18,10 +18,10 @@
   3.0 b-3 {"time":"2026-01-01T00:00:03Z","msg":"directory changed","name":"b-3","version":3,"revision":8}
 `
 
-var _ = Describe("ReadReach", func() {
+var _ = Describe("ReadPropagation", func() {
 	first := time.Date(2026, 1, 1, 0, 0, 1, 0, time.UTC)
 
-	It("tells how long after the first others knew a configuration or a revision, or a later one", func() {
+	It("measures the time until each process had a configuration or revision, or a later one", func() {
 		changes, err := timeline.ReadPropagation(strings.NewReader(propagationLog), 1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(changes).To(ConsistOf(
@@ -31,7 +31,7 @@
 		))
 	})
 
-	It("shows changes that only some came to know if that is wanted", func() {
+	It("includes changes that only some processes received when the minimum share is lower", func() {
 		changes, err := timeline.ReadPropagation(strings.NewReader(propagationLog), 0.3)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(changes).To(ContainElement(HaveField("Version", uint64(4))))
--- a/bench/timeline/timeline.go
+++ b/bench/timeline/timeline.go
@@ -1,5 +1,7 @@
-// Package timeline tells from the logs of vanetiller-relay how long processes took after
-// their start until they knew the directory, placed a flow, or gave their endpoint one.
+// Package timeline measures from the logs of vanetiller-relay how long processes take after their
+// start to reach certain steps, such as to receive the directory, place a flow or deliver a
+// request. It also measures how long changes of the directory take to reach all balancers. The
+// results are summaries for the bench and, for starts, a plot.
 package timeline
 
 import (
@@ -14,30 +16,30 @@
 	"github.com/pkg/errors"
 )
 
-// longestLine bounds a line of a log, in bytes.
+// maxLineLength is the longest line of a log, in bytes.
 const maxLineLength = 1 << 20
 
-// startMessage is the message of a process that has been started.
+// startMessage is the log message of a process that has started.
 const startMessage = "daemon started"
 
-// Step is something that a process does for the first time after its start.
+// Step is an action of a process, of which the first after each start is measured.
 type Step string
 
-// The steps, by the message or the event of the log line that shows them.
+// The steps. The value is the message or the event of the log line that shows the step.
 const (
-	// StepDirectory: a balancer knows routes and endpoints.
+	// StepDirectory means that a balancer has routes and endpoints.
 	StepDirectory Step = "directory changed"
-	// StepReleased: a balancer handles a packet that came before that.
+	// StepReleased means that a balancer handles a packet that arrived before StepDirectory.
 	StepReleased Step = "released"
-	// StepPlaced: an endpoint has answered an opening packet of a balancer's.
+	// StepPlaced means that an endpoint has answered an opening packet from a balancer.
 	StepPlaced Step = "placed"
-	// StepDelivered: an agent gives its endpoint a request.
+	// StepDelivered means that an agent delivers a request to its endpoint.
 	StepDelivered Step = "given"
-	// StepAnswered: an agent's endpoint begins to answer one.
+	// StepAnswered means that the endpoint of an agent starts to answer a request.
 	StepAnswered Step = "answered"
 )
 
-// Steps lists all steps in the order in which they follow each other.
+// Steps lists the steps in the order in which they occur.
 func Steps() []Step {
 	return []Step{StepDirectory, StepReleased, StepPlaced, StepDelivered, StepAnswered}
 }
@@ -46,24 +48,25 @@
 type Start struct {
 	Process string
 	At      time.Time
-	// After tells how long after it steps were taken; those that were not are left out.
+	// After is the time from the start to each step. It does not contain steps that did not
+	// occur.
 	After map[Step]time.Duration
 }
 
-// line is what is read of a line of a log.
+// logLine holds the fields of a log line that the package uses.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Name    string    `json:"name"`
 	Message string    `json:"msg"`
 	Event   string    `json:"event"`
-	// Version and Revision are those of the directory, in lines about its change.
+	// Version and Revision identify the directory in lines that report its change.
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
 }
 
-// Read returns the starts that a log shows, of any number of processes, in the order of
-// time. It takes lines that are JSON objects, whatever stands before these. It fails if the
-// input does.
+// Read returns the starts in a log in order of time. The log may contain lines of several processes.
+// It ignores lines without a JSON object, and text before the object. It fails if the input cannot
+// be read.
 func Read(input io.Reader) ([]Start, error) {
 	lines, err := readLines(input)
 	if err != nil {
@@ -72,8 +75,7 @@
 	return startsOf(lines), nil
 }
 
-// readLines returns the lines of a log that are JSON objects of a process, in the order of
-// time.
+// readLines returns the JSON lines of a log that name a process, in order of time.
 func readLines(input io.Reader) ([]logLine, error) {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(nil, maxLineLength)
@@ -89,7 +91,7 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, errors.Wrap(err, "log")
+		return nil, errors.Wrap(err, "read the log")
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.Time.Compare(b.Time) })
 	return lines, nil
@@ -121,7 +123,7 @@
 	return results
 }
 
-// Between returns the starts from one time to another, each since the first start.
+// Between returns the starts whose time since the first start is between from and to.
 func Between(starts []Start, from, to time.Duration) []Start {
 	if len(starts) == 0 {
 		return nil
@@ -133,10 +135,10 @@
 	})
 }
 
-// Summary tells how long a step took after the starts that came to it.
+// Summary describes how long after the start a step occurred.
 type Summary struct {
 	Step Step `json:"step"`
-	// Starts is the number of starts that came to the step.
+	// Starts is the number of starts after which the step occurred.
 	Starts int `json:"starts"`
 	// The times are in milliseconds.
 	Median  float64 `json:"median_ms"`
@@ -144,7 +146,7 @@
 	Longest float64 `json:"longest_ms"`
 }
 
-// Summarize returns a summary for each step that any start came to.
+// Summarize returns a summary for each step that occurred after at least one start.
 func Summarize(starts []Start) []Summary {
 	var summaries []Summary
 	for _, step := range Steps() {
@@ -159,7 +161,7 @@
 	return summaries
 }
 
-// StepTimes returns how long a step took, in milliseconds and in order.
+// StepTimes returns the times from the starts to a step, in milliseconds and ascending order.
 func StepTimes(starts []Start, step Step) []float64 {
 	var times []float64
 	for _, start := range starts {
@@ -171,7 +173,7 @@
 	return times
 }
 
-// quantile returns the least of sorted times that is not below a part of them.
+// quantile returns the element of the sorted times at the given rank, from 0 to 1.
 func quantile(sorted []float64, rank float64) float64 {
 	index := int(rank*float64(len(sorted))+0.5) - 1
 	return sorted[min(max(index, 0), len(sorted)-1)]
--- a/bench/timeline/timeline_test.go
+++ b/bench/timeline/timeline_test.go
@@ -38,7 +38,7 @@
 		return starts
 	}
 
-	It("takes the first of each step after each start of a process", func() {
+	It("returns the first occurrence of each step after each start of a process", func() {
 		starts := read()
 		Expect(starts).To(HaveLen(3))
 		Expect(starts[0].Process).To(Equal("b-1"))
@@ -49,7 +49,7 @@
 		Expect(starts[2].After).To(HaveLen(1))
 	})
 
-	It("sums up the steps, of all starts or of some", func() {
+	It("summarizes the steps of all starts or of those between two times", func() {
 		Expect(timeline.Summarize(read())).To(ContainElement(timeline.Summary{
 			Step: timeline.StepDirectory, Starts: 2, Median: 100, P90: 200, Longest: 200,
 		}))
@@ -60,7 +60,7 @@
 		Expect(timeline.Between(nil, 0, time.Minute)).To(BeEmpty())
 	})
 
-	It("draws them", func() {
+	It("plots the steps, and fails without starts", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "timeline.svg")
 		Expect(timeline.Plot(read(), path)).To(Succeed())
 		drawn, err := os.ReadFile(path)
--- a/bench/timing/timing.go
+++ b/bench/timing/timing.go
@@ -1,4 +1,5 @@
-// Package timing holds the interruptible pause that the stand-ins share.
+// Package timing provides a wait that a context can interrupt. The simulated callers and back ends
+// and the schedules of the bench use it.
 package timing
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// Sleep waits for the duration. It returns false when ctx ends first.
+// Sleep waits for the duration. It returns false if ctx ends first or at the same time.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
