--- a/bench/experiment/report.go
+++ b/bench/experiment/report.go
@@ -79,14 +79,14 @@
 // Guarantees lists the guarantees and how often each was violated.
 func (r Report) Guarantees() []Guarantee {
 	return []Guarantee{
-		{"established flows survive", r.BrokenFlows},
+		{"established flows complete", r.BrokenFlows},
 		{"every flow opens or is refused", r.NotOpened},
 		{"requests reach their own service", r.Misdelivered},
 		{"a flow opens on one back end", r.FlowsOnSeveralBackends},
 		{"a submission runs at most once", r.DuplicateRuns},
 		{"a refused request has not run", r.FalseRefusals},
-		{"a leaving back end gets no new flows", r.LateConnections},
-		{"daemons end only as planned", len(r.Faults)},
+		{"a draining back end gets no new flows", r.LateConnections},
+		{"daemons exit only as expected", len(r.Faults)},
 	}
 }
 
--- a/bench/soak/harness.go
+++ b/bench/soak/harness.go
@@ -293,9 +293,9 @@
 func (h *harness) reserveMachine(random *rand.Rand) *machine {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	reserved := h.chooseMachine(random)
-	reserved.reserved = true
-	return reserved
+	chosen := h.chooseMachine(random)
+	chosen.reserved = true
+	return chosen
 }
 
 // chooseMachine returns a machine that is not reserved, or any machine if all are. The mutex
--- a/cmd/vanetiller-bench/commands.go
+++ b/cmd/vanetiller-bench/commands.go
@@ -31,14 +31,14 @@
 func run(ctx context.Context, arguments []string) int {
 	var values runFlags
 	flags := newFlagSet("run", &values, defaultDuration)
-	flags.BoolVar(&values.json, "json", false, "print only the line of JSON that otherwise follows the summary")
-	flags.StringVar(&values.hash, "hash", string(flownet.HashSteady), "`way` in which the fabric of the experiment platform chooses balancers: steady or modulo")
-	flags.BoolVar(&values.powerLoss, "power-loss", false, "let all machines of the experiment platform lose power once")
-	flags.BoolVar(&values.planned, "planned", false, "play only planned work in the experiment platform")
-	flags.BoolVar(&values.unbounded, "unbounded", false, "let agents of the experiment platform hold nothing back, for comparison")
+	flags.BoolVar(&values.json, "json", false, "print only the JSON line, without the summary before it")
+	flags.StringVar(&values.hash, "hash", string(flownet.HashSteady), "`method` by which the fabric of the experiment platform chooses balancers: steady or modulo")
+	flags.BoolVar(&values.powerLoss, "power-loss", false, "simulate one power loss of all machines of the experiment platform")
+	flags.BoolVar(&values.planned, "planned", false, "schedule only planned operations in the experiment platform")
+	flags.BoolVar(&values.unbounded, "unbounded", false, "make the agents of the experiment platform deliver all packets to their endpoints at once, for comparison")
 	positional, err := parseInterleaved(flags, arguments)
 	if err == nil && len(positional) != 1 {
-		err = errors.New("run needs one experiment; vanetiller-bench list names them")
+		err = errors.New("run needs exactly one experiment; see vanetiller-bench list")
 	}
 	if err != nil {
 		return usageError(err)
@@ -49,7 +49,7 @@
 	return execute(ctx, values, positional[0])
 }
 
-// execute does one run and prints its report.
+// execute runs one experiment, prints its report and returns the exit status.
 func execute(ctx context.Context, values runFlags, experimentName string) int {
 	options, err := values.options(experimentName)
 	if err != nil {
@@ -99,10 +99,10 @@
 	}
 	encoded, err := json.Marshal(report)
 	if err != nil {
-		return errors.Wrap(err, "report")
+		return errors.Wrap(err, "encode the report")
 	}
 	_, err = fmt.Println(string(encoded))
-	return errors.Wrap(err, "report")
+	return errors.Wrap(err, "print the report")
 }
 
 const (
@@ -123,14 +123,14 @@
 	for _, guarantee := range report.Guarantees() {
 		verdict := "kept"
 		if guarantee.Violations > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", guarantee.Violations)
+			verdict = fmt.Sprintf("VIOLATED %d times", guarantee.Violations)
 		}
 		fmt.Fprintf(table, "%s\t%s\n", guarantee.Name, verdict)
 	}
 	for _, cause := range report.Causes {
-		fmt.Fprintf(table, "%s, %s\t%d\tsuch as %s\n", cause.Outcome, cause.Cause, cause.Count, cause.Example)
+		fmt.Fprintf(table, "%s, %s\t%d\tfor example %s\n", cause.Outcome, cause.Cause, cause.Count, cause.Example)
 	}
-	return errors.Wrap(table.Flush(), "summary")
+	return errors.Wrap(table.Flush(), "print the summary")
 }
 
 func list() int {
--- a/cmd/vanetiller-bench/flags.go
+++ b/cmd/vanetiller-bench/flags.go
@@ -1,4 +1,4 @@
-// This file implements the flags of the commands.
+// This file defines the flags of the commands demo and run.
 
 package main
 
@@ -24,7 +24,7 @@
 	baselineHash = "hash"
 )
 
-// parameters are the values of the flags.
+// runFlags holds the values of the flags.
 type runFlags struct {
 	shape     string
 	seed      uint64
@@ -42,15 +42,15 @@
 	flags := flag.NewFlagSet(command, flag.ContinueOnError)
 	flags.SetOutput(os.Stderr)
 	flags.StringVar(&values.shape, "shape", defaultShape, "`name` of the fleet and traffic: casablanca, kolkata or datagrams")
-	flags.Uint64Var(&values.seed, "seed", defaultSeed, "`number` that determines events, spraying and disturbances")
-	flags.DurationVar(&values.duration, "duration", duration, "length of the event `time`, such as 30s or 2m")
-	flags.StringVar(&values.baseline, "baseline", baselineNone, "`method` to run instead of the product's: none (the product) or hash (a stateless hash)")
-	flags.StringVar(&values.directory, "directory", "", "`path` for the daemon binary, settings and logs (default: a temporary directory that is removed when every promise was kept)")
+	flags.Uint64Var(&values.seed, "seed", defaultSeed, "`number` that determines events, packet spraying and network faults")
+	flags.DurationVar(&values.duration, "duration", duration, "`time` in which events happen, such as 30s or 2m")
+	flags.StringVar(&values.baseline, "baseline", baselineNone, "`method` to run for comparison: none (the product) or hash (a stateless hash)")
+	flags.StringVar(&values.directory, "directory", "", "`path` for the daemon binary, settings and logs (default: a temporary directory that is removed if no guarantee was violated)")
 	return flags
 }
 
-// parseInterleaved parses flags before and after the positional arguments and
-// returns the latter. It fails as flag.FlagSet.Parse does.
+// parseInterleaved parses flags before and after the positional arguments and returns the positional
+// arguments. It fails for the same reasons as flag.FlagSet.Parse.
 func parseInterleaved(flags *flag.FlagSet, arguments []string) ([]string, error) {
 	var positional []string
 	for len(arguments) > 0 {
@@ -66,7 +66,7 @@
 	return positional, nil
 }
 
-// options checks the values and turns them into the options of a run.
+// options validates the values and returns the options of a run.
 func (p runFlags) options(experimentName string) (experiment.Options, error) {
 	shape, err := experiment.ShapeByName(p.shape)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return "", errors.Errorf("unknown baseline %q: must be none or hash", name)
 }
 
-// usageError prints the error and returns the exit status.
+// usageError prints the error, unless help was requested, and returns the exit status.
 func usageError(err error) int {
 	if errors.Is(err, flag.ErrHelp) {
 		return exitOK
--- a/cmd/vanetiller-bench/flags_test.go
+++ b/cmd/vanetiller-bench/flags_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("Flags", func() {
-	DescribeTable("may stand before and after the experiment",
+	DescribeTable("are accepted before and after the experiment",
 		func(arguments ...string) {
 			var values runFlags
 			flags := newFlagSet("run", &values, time.Second)
@@ -26,7 +26,7 @@
 		Entry("around", "-seed", "7", "churn", "-shape=kolkata"),
 	)
 
-	DescribeTable("are refused with the status for wrong usage",
+	DescribeTable("exit with the status for wrong usage when the arguments are invalid",
 		func(arguments ...string) {
 			Expect(dispatch(context.Background(), arguments)).To(Equal(exitUsage))
 		},
@@ -42,7 +42,7 @@
 		Entry("argument of demo", "demo", "churn"),
 	)
 
-	DescribeTable("explain themselves",
+	DescribeTable("exit with success when help or a list is requested",
 		func(arguments ...string) {
 			Expect(dispatch(context.Background(), arguments)).To(Equal(exitOK))
 		},
--- a/cmd/vanetiller-bench/main.go
+++ b/cmd/vanetiller-bench/main.go
@@ -1,5 +1,7 @@
-// Command vanetiller-bench runs the whole path from callers to back ends with
-// real daemons on this machine and checks what users were promised.
+// Command vanetiller-bench checks the guarantees that vanetillerd and vanetiller-relay give to their
+// users. It runs real or simulated daemons on this machine with simulated callers and back ends,
+// injects events and faults, and reports violations. It also measures steps and propagation times
+// from logs.
 package main
 
 import (
@@ -10,7 +12,7 @@
 	"syscall"
 )
 
-// Exit statuses.
+// The exit statuses.
 const (
 	exitOK      = 0
 	exitFailure = 1
@@ -20,15 +22,15 @@
 const usage = `vanetiller-bench runs callers, back ends and real daemons on this machine.
 
 Usage:
-  vanetiller-bench demo [flags]             the whole path in less than a minute
-  vanetiller-bench run [flags] EXPERIMENT   one experiment; flags may follow the name
-  vanetiller-bench soak [flags]             real processes under random faults from outside
-  vanetiller-bench timeline [flags] FILE... how long processes took after their starts, from logs
-  vanetiller-bench reach [flags] FILE       how long changes took until all balancers knew them, from logs
-  vanetiller-bench list                     the experiments and shapes
+  vanetiller-bench demo [flags]             run a short experiment, in less than a minute
+  vanetiller-bench run [flags] EXPERIMENT   run one experiment; flags may follow the name
+  vanetiller-bench soak [flags]             run real processes under random external faults
+  vanetiller-bench timeline [flags] FILE... show from logs when processes reached each step after their starts
+  vanetiller-bench reach [flags] FILE       show from logs how long changes took to reach all balancers
+  vanetiller-bench list                     list the experiments and shapes
 
 Run a command with -help for its flags. Progress goes to stderr. The exit status
-is 0 when every promise was kept, 1 when one was broken or the run failed, and 2
+is 0 if no guarantee was violated, 1 if one was violated or the run failed, and 2
 for wrong usage.
 `
 
--- a/cmd/vanetiller-bench/platform.go
+++ b/cmd/vanetiller-bench/platform.go
@@ -1,5 +1,4 @@
-// This file implements the experiments platform and surge, which play the relay
-// in virtual time.
+// This file implements the experiment platform, which simulates the relay in virtual time.
 
 package main
 
@@ -16,12 +15,13 @@
 
 const (
 	platformExperiment  = "platform"
-	platformDescription = "balancers and agents that carry packets whole, in virtual time, under random events"
-	// platformEventRate is the number of events a second of the schedule.
+	platformDescription = "simulated balancers and agents that forward packets under random events, in virtual time"
+	// platformEventRate is the number of events per second of virtual time.
 	platformEventRate = 0.6
 )
 
-// runPlatform plays one run and prints its report.
+// runPlatform executes one run of the experiment platform, prints its report and returns the exit
+// status.
 func runPlatform(values runFlags) int {
 	shape, err := flownet.ShapeNamed(values.shape)
 	if err != nil {
@@ -66,15 +66,15 @@
 	}{
 		{"open flows are not reset", report.ResetOpen},
 		{"packets of open flows reach their endpoint", report.Misrouted},
-		{"requests that must not be repeated run once", report.DoubleRuns},
-		{"endpoints that leave get no new flows", report.LateOpenings},
-		{"configurations are in force in time", report.LateRoutes},
-		{"packets arrive as they were written", report.Forged},
+		{"requests that are not idempotent run at most once", report.DoubleRuns},
+		{"draining endpoints get no new flows", report.LateOpenings},
+		{"configurations take effect in time", report.LateRoutes},
+		{"packets arrive unmodified", report.Forged},
 		{"answers belong to their requests", report.Mixed},
 	} {
 		verdict := "kept"
 		if guarantee.violations > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", guarantee.violations)
+			verdict = fmt.Sprintf("VIOLATED %d times", guarantee.violations)
 		}
 		fmt.Fprintf(table, "%s\t%s\n", guarantee.name, verdict)
 	}
--- a/cmd/vanetiller-bench/reach.go
+++ b/cmd/vanetiller-bench/reach.go
@@ -1,4 +1,5 @@
-// This file implements the command reach.
+// This file implements the command reach, which prints from the logs of balancers how long changes
+// of the directory took to reach them.
 
 package main
 
@@ -14,24 +15,24 @@
 	"github.com/vanetiller/vanetiller/bench/timeline"
 )
 
-// reachParameters are the values of the flags of reach.
+// reachFlags holds the values of the flags of reach.
 type reachFlags struct {
 	minShare float64
 	json     bool
 }
 
-// defaultReachPart leaves out what was lost before nearly all knew it.
+// defaultMinShare omits changes that were lost before nearly all balancers had received them.
 const defaultMinShare = 0.98
 
 func reachCommand(arguments []string) int {
 	var values reachFlags
 	flags := flag.NewFlagSet("reach", flag.ContinueOnError)
 	flags.SetOutput(os.Stderr)
-	flags.Float64Var(&values.minShare, "part", defaultMinShare, "`share` of the balancers that must have come to know a change for it to be shown")
+	flags.Float64Var(&values.minShare, "part", defaultMinShare, "smallest `share` of the balancers that must have received a change for it to be shown")
 	flags.BoolVar(&values.json, "json", false, "print a JSON array")
 	err := flags.Parse(arguments)
 	if err == nil && flags.NArg() != 1 {
-		err = errors.New("reach takes one file with the logs of all balancers")
+		err = errors.New("reach needs exactly one file, with the logs of all balancers")
 	}
 	if err != nil {
 		return usageError(err)
@@ -46,7 +47,7 @@
 func printReach(values reachFlags, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "open the log")
 	}
 	defer file.Close()
 	changes, err := timeline.ReadPropagation(file, values.minShare)
@@ -54,7 +55,7 @@
 		return errors.Wrap(err, path)
 	}
 	if values.json {
-		return errors.Wrap(json.NewEncoder(os.Stdout).Encode(changes), "output")
+		return errors.Wrap(json.NewEncoder(os.Stdout).Encode(changes), "print the changes")
 	}
 	columns := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(columns, "FIRST\tVERSION\tREVISION\tBALANCERS\tMEDIAN MS\tP99 MS\tLONGEST MS")
@@ -62,10 +63,10 @@
 		fmt.Fprintf(columns, "%s\t%s\t%s\t%d\t%.1f\t%.1f\t%.1f\n", each.First.Format("15:04:05.000"),
 			formatNumber(each.Version), formatNumber(each.Revision), each.Processes, each.Median, each.P99, each.Longest)
 	}
-	return errors.Wrap(columns.Flush(), "output")
+	return errors.Wrap(columns.Flush(), "print the changes")
 }
 
-// number is empty for none.
+// formatNumber returns the number in decimal, or an empty string for zero.
 func formatNumber(value uint64) string {
 	if value == 0 {
 		return ""
--- a/cmd/vanetiller-bench/soak.go
+++ b/cmd/vanetiller-bench/soak.go
@@ -19,11 +19,11 @@
 
 const (
 	defaultSoakDuration = 40 * time.Second
-	// soakFaultRate is the number of faults a second of a schedule.
+	// soakFaultRate is the number of faults per second.
 	soakFaultRate = 0.5
 )
 
-// soakParameters are the values of the flags of soak.
+// soakFlags holds the values of the flags of soak.
 type soakFlags struct {
 	seed      uint64
 	runs      int
@@ -36,10 +36,10 @@
 	var values soakFlags
 	flags := flag.NewFlagSet("soak", flag.ContinueOnError)
 	flags.SetOutput(os.Stderr)
-	flags.Uint64Var(&values.seed, "seed", uint64(time.Now().UnixNano())%1_000_000, "`number` that determines the faults of the first run; the next runs take the next numbers")
+	flags.Uint64Var(&values.seed, "seed", uint64(time.Now().UnixNano())%1_000_000, "`number` that determines the faults of the first run; each further run uses the next number")
 	flags.IntVar(&values.runs, "runs", 1, "`number` of runs")
-	flags.DurationVar(&values.duration, "duration", defaultSoakDuration, "`time` in which faults begin")
-	flags.StringVar(&values.directory, "directory", "", "`path` for the program, settings and logs (default: a temporary directory that is removed when every promise was kept)")
+	flags.DurationVar(&values.duration, "duration", defaultSoakDuration, "`time` in which faults start")
+	flags.StringVar(&values.directory, "directory", "", "`path` for the program, settings and logs (default: a temporary directory that is removed if no guarantee was violated)")
 	flags.BoolVar(&values.quiet, "quiet", false, "print no line for each fault")
 	err := flags.Parse(arguments)
 	if err == nil && (flags.NArg() > 0 || values.runs < 1 || values.duration < 0) {
@@ -55,7 +55,7 @@
 	return status
 }
 
-// soakOnce plays one run and prints its report as a line of JSON.
+// runSoak executes one run, prints its report as a line of JSON and returns the exit status.
 func runSoak(ctx context.Context, values soakFlags, seed uint64) int {
 	directory, err := soakDirectory(values, seed)
 	if err != nil {
--- a/cmd/vanetiller-bench/timeline.go
+++ b/cmd/vanetiller-bench/timeline.go
@@ -1,4 +1,5 @@
-// This file implements the command timeline.
+// This file implements the command timeline, which prints from logs when processes reached each step
+// after their starts.
 
 package main
 
@@ -15,7 +16,7 @@
 	"github.com/vanetiller/vanetiller/bench/timeline"
 )
 
-// timelineParameters are the values of the flags of timeline.
+// timelineFlags holds the values of the flags of timeline.
 type timelineFlags struct {
 	from, to time.Duration
 	plot     string
@@ -28,13 +29,13 @@
 	var values timelineFlags
 	flags := flag.NewFlagSet("timeline", flag.ContinueOnError)
 	flags.SetOutput(os.Stderr)
-	flags.DurationVar(&values.from, "from", 0, "`time` since the first start in the logs from which starts count")
-	flags.DurationVar(&values.to, "to", entireLog, "`time` since the first start in the logs until which starts count")
-	flags.StringVar(&values.plot, "plot", "", "`file` for a plot, which ends in png, svg or pdf (default: none)")
+	flags.DurationVar(&values.from, "from", 0, "earliest `time` of a start to include, since the first start in the logs")
+	flags.DurationVar(&values.to, "to", entireLog, "latest `time` of a start to include, since the first start in the logs")
+	flags.StringVar(&values.plot, "plot", "", "`file` for a plot; its name must end in png, svg or pdf (default: no plot)")
 	flags.BoolVar(&values.json, "json", false, "print a JSON array")
 	err := flags.Parse(arguments)
 	if err == nil && flags.NArg() == 0 {
-		err = errors.New("timeline takes files of logs")
+		err = errors.New("timeline needs at least one log file")
 	}
 	if err != nil {
 		return usageError(err)
@@ -63,14 +64,14 @@
 	}
 	summaries := timeline.Summarize(selected)
 	if values.json {
-		return errors.Wrap(json.NewEncoder(os.Stdout).Encode(summaries), "output")
+		return errors.Wrap(json.NewEncoder(os.Stdout).Encode(summaries), "print the summaries")
 	}
 	columns := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(columns, "STEP\tSTARTS\tMEDIAN MS\tP90 MS\tLONGEST MS")
 	for _, each := range summaries {
 		fmt.Fprintf(columns, "%s\t%d\t%.1f\t%.1f\t%.1f\n", each.Step, each.Starts, each.Median, each.P90, each.Longest)
 	}
-	return errors.Wrap(columns.Flush(), "output")
+	return errors.Wrap(columns.Flush(), "print the summaries")
 }
 
 func readTimeline(path string) ([]timeline.Start, error) {
