--- a/bench/experiment/drain.go
+++ b/bench/experiment/drain.go
@@ -45,8 +45,8 @@
 func countLateConnections(connections [][]backend.FirstContact, periods []drainPeriod, grace time.Duration) int {
 	late := 0
 	for _, accepted := range connections {
-		for _, sighting := range accepted {
-			if isLate(sighting, periods, grace) {
+		for _, contact := range accepted {
+			if isLate(contact, periods, grace) {
 				late++
 			}
 		}
@@ -54,9 +54,9 @@
 	return late
 }
 
-func isLate(sighting backend.FirstContact, periods []drainPeriod, grace time.Duration) bool {
+func isLate(contact backend.FirstContact, periods []drainPeriod, grace time.Duration) bool {
 	return slices.ContainsFunc(periods, func(period drainPeriod) bool {
-		ended := !period.until.IsZero() && !sighting.At.Before(period.until)
-		return period.backend == sighting.Backend && sighting.At.After(period.from.Add(grace)) && !ended
+		ended := !period.until.IsZero() && !contact.At.Before(period.until)
+		return period.backend == contact.Backend && contact.At.After(period.from.Add(grace)) && !ended
 	})
 }
--- a/bench/soak/client.go
+++ b/bench/soak/client.go
@@ -142,11 +142,11 @@
 
 // afterFunc calls a function after a delay with the mutex held, unless the flow is closed by
 // then.
-func (c *clientHost) afterFunc(after time.Duration, of *flow, call func()) {
+func (c *clientHost) afterFunc(after time.Duration, f *flow, call func()) {
 	time.AfterFunc(after, func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		if !of.closed {
+		if !f.closed {
 			call()
 		}
 	})
@@ -174,27 +174,27 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	of, exists := c.flows[header.Destination.Port]
-	if !exists || of.closed || header.Source != of.key.Service {
+	f, exists := c.flows[header.Destination.Port]
+	if !exists || f.closed || header.Source != f.key.Service {
 		return
 	}
 	if header.Flags.Has(segment.Reset) {
-		c.receiveReset(of)
+		c.receiveReset(f)
 		return
 	}
 	if !codec.ChecksumValid(packet) {
 		c.harness.checker.invalidPacket("a client")
 		return
 	}
-	of.receive(header, codec.Data(packet))
+	f.receive(header, codec.Data(packet))
 }
 
 // receiveReset handles a reset, which can only come from a daemon: endpoints send none.
-func (c *clientHost) receiveReset(of *flow) {
-	if of.established {
-		c.harness.checker.flowReset(of.key)
+func (c *clientHost) receiveReset(f *flow) {
+	if f.established {
+		c.harness.checker.flowReset(f.key)
 	}
-	c.failAttempt(of, !of.established)
+	c.failAttempt(f, !f.established)
 }
 
 func (f *flow) receive(header segment.Header, data []byte) {
@@ -252,15 +252,15 @@
 }
 
 // closeFlow removes a flow. The mutex must be held.
-func (c *clientHost) closeFlow(of *flow) {
-	of.closed = true
-	delete(c.flows, of.key.Client.Port)
-	c.harness.checker.flowClosed(of.key)
+func (c *clientHost) closeFlow(f *flow) {
+	f.closed = true
+	delete(c.flows, f.key.Client.Port)
+	c.harness.checker.flowClosed(f.key)
 }
 
-func (c *clientHost) succeed(of *flow) {
-	c.closeFlow(of)
-	c.conclude(of.request, true)
+func (c *clientHost) succeed(f *flow) {
+	c.closeFlow(f)
+	c.conclude(f.request, true)
 }
 
 // conclude records the outcome of a request, once. The mutex must be held.
@@ -276,9 +276,9 @@
 
 // failAttempt ends an attempt. The request is retried if it cannot have been executed, or if
 // it is idempotent.
-func (c *clientHost) failAttempt(of *flow, notExecuted bool) {
-	c.closeFlow(of)
-	failed := of.request
+func (c *clientHost) failAttempt(f *flow, notExecuted bool) {
+	c.closeFlow(f)
+	failed := f.request
 	if failed.attempts >= maxAttempts || !notExecuted && !failed.idempotent {
 		c.conclude(failed, false)
 		return
@@ -296,9 +296,9 @@
 func (c *clientHost) expire(expired *request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, each := range c.flows {
-		if each.request == expired {
-			c.closeFlow(each)
+	for _, f := range c.flows {
+		if f.request == expired {
+			c.closeFlow(f)
 		}
 	}
 	c.conclude(expired, false)
--- a/bench/soak/endpoint.go
+++ b/bench/soak/endpoint.go
@@ -170,25 +170,25 @@
 func (e *endpoint) receiveOpening(key segment.FlowKey, header segment.Header, packet []byte) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	known, exists := e.flows[key]
+	f, exists := e.flows[key]
 	if !exists && e.failure == failureRejectsFlows {
 		e.returnPacket(packet)
 		return
 	}
-	if !exists || known.clientSequence != header.Sequence {
-		known = &serverFlow{key: key, clientSequence: header.Sequence, serverSequence: rand.Uint32()}
-		e.flows[key] = known
+	if !exists || f.clientSequence != header.Sequence {
+		f = &serverFlow{key: key, clientSequence: header.Sequence, serverSequence: rand.Uint32()}
+		e.flows[key] = f
 	}
-	e.sendPacket(known, segment.Synchronize|segment.Acknowledge, known.serverSequence, nil)
+	e.sendPacket(f, segment.Synchronize|segment.Acknowledge, f.serverSequence, nil)
 }
 
 func (e *endpoint) receiveSegment(key segment.FlowKey, header segment.Header, packet []byte) {
 	e.mutex.Lock()
-	known, exists := e.flows[key]
-	holds := exists && header.Acknowledgment-known.serverSequence-1 < 1<<20
-	newlyEstablished := holds && !known.established
+	f, exists := e.flows[key]
+	holds := exists && header.Acknowledgment-f.serverSequence-1 < 1<<20
+	newlyEstablished := holds && !f.established
 	if newlyEstablished {
-		known.established = true
+		f.established = true
 	}
 	e.mutex.Unlock()
 	if newlyEstablished {
@@ -202,11 +202,11 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if header.Length >= requestSize {
-		e.receiveRequest(known, e.harness.codec.Data(packet))
+		e.receiveRequest(f, e.harness.codec.Data(packet))
 	}
 	if header.Flags.Has(segment.Finish) {
-		known.closed = true
-		e.sendPacket(known, segment.Acknowledge|segment.Finish, known.serverSequence+1, nil)
+		f.closed = true
+		e.sendPacket(f, segment.Acknowledge|segment.Finish, f.serverSequence+1, nil)
 	}
 }
 
@@ -219,45 +219,45 @@
 }
 
 // receiveRequest handles a request or its retransmission. The mutex must be held.
-func (e *endpoint) receiveRequest(known *serverFlow, data []byte) {
-	if known.answered {
-		e.respond(known)
+func (e *endpoint) receiveRequest(f *serverFlow, data []byte) {
+	if f.answered {
+		e.respond(f)
 	}
-	if known.requested {
+	if f.requested {
 		return
 	}
-	known.requested = true
-	known.request = binary.BigEndian.Uint64(data)
-	known.idempotent = data[8] != 0
+	f.requested = true
+	f.request = binary.BigEndian.Uint64(data)
+	f.idempotent = data[8] != 0
 	switch {
 	case e.failure == failureHangs:
 	case e.active < int(services[e.service].slots):
-		e.process(known)
+		e.process(f)
 	case len(e.queue) < maxQueued:
-		e.queue = append(e.queue, known)
+		e.queue = append(e.queue, f)
 	default:
-		known.refused = true
-		known.answered = true
-		e.respond(known)
+		f.refused = true
+		f.answered = true
+		e.respond(f)
 	}
 }
 
 // process starts to process a request. The mutex must be held.
-func (e *endpoint) process(known *serverFlow) {
+func (e *endpoint) process(f *serverFlow) {
 	e.active++
-	e.harness.checker.requestStarted(known.request, known.idempotent)
+	e.harness.checker.requestStarted(f.request, f.idempotent)
 	serviceTime := minServiceTime + time.Duration(rand.Int64N(int64(maxServiceTime-minServiceTime)))
-	time.AfterFunc(e.slowdown*serviceTime, func() { e.finish(known) })
+	time.AfterFunc(e.slowdown*serviceTime, func() { e.finish(f) })
 }
 
-func (e *endpoint) finish(known *serverFlow) {
+func (e *endpoint) finish(f *serverFlow) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.active--
-	known.answered = true
-	known.failed = e.failure == failureErrors
-	e.respond(known)
-	e.scheduleRetransmit(known, firstRetransmit)
+	f.answered = true
+	f.failed = e.failure == failureErrors
+	e.respond(f)
+	e.scheduleRetransmit(f, firstRetransmit)
 	if len(e.queue) > 0 {
 		next := e.queue[0]
 		e.queue = e.queue[1:]
@@ -266,41 +266,41 @@
 }
 
 // respond sends all packets of the answer. The mutex must be held.
-func (e *endpoint) respond(known *serverFlow) {
+func (e *endpoint) respond(f *serverFlow) {
 	kind, head := answerServed, platformtest.ResponseHead(segment.AnswerSuccess)
 	switch {
-	case known.refused:
+	case f.refused:
 		kind, head = answerRefused, platformtest.ResponseHead(segment.AnswerRefusal)
-	case known.failed:
+	case f.failed:
 		kind, head = answerFailed, platformtest.ResponseHead(segment.AnswerFailure)
 	}
 	for part := range answerParts {
 		data := make([]byte, partSize)
 		copy(data, head)
 		data[offsetKind], data[offsetPart] = kind, byte(part)
-		binary.BigEndian.PutUint64(data[offsetRequest:], known.request)
-		e.sendPacket(known, segment.Acknowledge, known.serverSequence+1+uint32(part*partSize), data)
+		binary.BigEndian.PutUint64(data[offsetRequest:], f.request)
+		e.sendPacket(f, segment.Acknowledge, f.serverSequence+1+uint32(part*partSize), data)
 	}
 }
 
 // scheduleRetransmit retransmits an answer until the client has closed the flow or the wait
 // exceeds maxRetransmit.
-func (e *endpoint) scheduleRetransmit(known *serverFlow, after time.Duration) {
+func (e *endpoint) scheduleRetransmit(f *serverFlow, after time.Duration) {
 	time.AfterFunc(after, func() {
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		if known.closed || !e.alive() || after > maxRetransmit {
+		if f.closed || !e.alive() || after > maxRetransmit {
 			return
 		}
-		e.respond(known)
-		e.scheduleRetransmit(known, 2*after)
+		e.respond(f)
+		e.scheduleRetransmit(f, 2*after)
 	})
 }
 
-func (e *endpoint) sendPacket(known *serverFlow, flags segment.Flags, sequence uint32, data []byte) {
+func (e *endpoint) sendPacket(f *serverFlow, flags segment.Flags, sequence uint32, data []byte) {
 	packet := e.harness.codec.Encode(segment.Header{
-		Source: known.key.Service, Destination: known.key.Client,
-		Flags: flags, Sequence: sequence, Acknowledgment: known.clientSequence + 1 + requestSize,
+		Source: f.key.Service, Destination: f.key.Client,
+		Flags: flags, Sequence: sequence, Acknowledgment: f.clientSequence + 1 + requestSize,
 	}, data)
 	_, _ = e.socket.WriteToUDP(packet, e.agent)
 }
--- a/bench/soak/harness.go
+++ b/bench/soak/harness.go
@@ -273,7 +273,7 @@
 	target.agent.remove()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.machines = slices.DeleteFunc(h.machines, func(each *machine) bool { return each == target })
+	h.machines = slices.DeleteFunc(h.machines, func(m *machine) bool { return m == target })
 }
 
 // randomBalancer returns one of the balancers.
@@ -301,7 +301,7 @@
 // chooseMachine returns a machine that is not reserved, or any machine if all are. The mutex
 // must be held.
 func (h *harness) chooseMachine(random *rand.Rand) *machine {
-	available := slices.DeleteFunc(slices.Clone(h.machines), func(each *machine) bool { return each.reserved })
+	available := slices.DeleteFunc(slices.Clone(h.machines), func(m *machine) bool { return m.reserved })
 	if len(available) == 0 {
 		available = h.machines
 	}
@@ -313,8 +313,8 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	all := slices.Clone(h.balancers)
-	for _, each := range h.machines {
-		all = append(all, each.agent)
+	for _, m := range h.machines {
+		all = append(all, m.agent)
 	}
 	return all
 }
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -137,11 +137,11 @@
 
 // runFaults starts the scheduled faults at their times and returns when all have ended.
 func (h *harness) runFaults(ctx context.Context) {
-	begun := time.Now()
+	started := time.Now()
 	var active sync.WaitGroup
 	defer active.Wait()
 	for _, next := range schedule(h.options.Seed, 0, h.options.Duration, h.options.Faults) {
-		if !sleep(ctx, next.at-time.Since(begun)) {
+		if !sleep(ctx, next.at-time.Since(started)) {
 			return
 		}
 		fmt.Fprintf(h.options.Progress, "%8.3f s  %s\n", h.checker.now().Seconds(), next.fault.name)
@@ -159,10 +159,10 @@
 
 // stop kills all processes and prevents their restart.
 func (h *harness) stop() {
-	for _, each := range h.daemons() {
-		each.mutex.Lock()
-		each.removed = true
-		each.mutex.Unlock()
-		each.kill(0)
+	for _, d := range h.daemons() {
+		d.mutex.Lock()
+		d.removed = true
+		d.mutex.Unlock()
+		d.kill(0)
 	}
 }
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -189,9 +189,9 @@
 		host.mutex.Lock()
 		defer host.mutex.Unlock()
 		numbers := make(map[uint64]bool)
-		for _, each := range host.flows {
-			Expect(each.request.delay).To(Equal(simultaneousDelay))
-			numbers[each.request.id] = true
+		for _, f := range host.flows {
+			Expect(f.request.delay).To(Equal(simultaneousDelay))
+			numbers[f.request.id] = true
 		}
 		Expect(numbers).To(HaveLen(simultaneousRequests))
 	})
--- a/bench/timeline/propagation.go
+++ b/bench/timeline/propagation.go
@@ -30,24 +30,24 @@
 	if err != nil {
 		return nil, err
 	}
-	lines = slices.DeleteFunc(lines, func(each logLine) bool { return Step(each.Message) != StepDirectory })
+	lines = slices.DeleteFunc(lines, func(l logLine) bool { return Step(l.Message) != StepDirectory })
 	processes := make(map[string]bool)
 	versions := make(map[uint64]bool)
 	revisions := make(map[uint64]bool)
-	for _, each := range lines {
-		processes[each.Name] = true
-		versions[each.Version] = true
-		revisions[each.Revision] = true
+	for _, l := range lines {
+		processes[l.Name] = true
+		versions[l.Version] = true
+		revisions[l.Revision] = true
 	}
 	var changes []Propagation
 	for version := range versions {
-		changes = append(changes, measurePropagation(lines, Propagation{Version: version}, func(each logLine) bool { return each.Version >= version }))
+		changes = append(changes, measurePropagation(lines, Propagation{Version: version}, func(l logLine) bool { return l.Version >= version }))
 	}
 	for revision := range revisions {
-		changes = append(changes, measurePropagation(lines, Propagation{Revision: revision}, func(each logLine) bool { return each.Revision >= revision }))
+		changes = append(changes, measurePropagation(lines, Propagation{Revision: revision}, func(l logLine) bool { return l.Revision >= revision }))
 	}
 	minProcesses := minShare * float64(len(processes))
-	changes = slices.DeleteFunc(changes, func(each Propagation) bool { return float64(each.Processes) < minProcesses })
+	changes = slices.DeleteFunc(changes, func(p Propagation) bool { return float64(p.Processes) < minProcesses })
 	slices.SortFunc(changes, func(a, b Propagation) int { return a.First.Compare(b.First) })
 	return changes, nil
 }
@@ -57,15 +57,15 @@
 func measurePropagation(lines []logLine, change Propagation, reflects func(logLine) bool) Propagation {
 	known := make(map[string]bool)
 	var times []float64
-	for _, each := range lines {
-		if known[each.Name] || !reflects(each) {
+	for _, l := range lines {
+		if known[l.Name] || !reflects(l) {
 			continue
 		}
-		known[each.Name] = true
+		known[l.Name] = true
 		if len(times) == 0 {
-			change.First = each.Time
+			change.First = l.Time
 		}
-		times = append(times, float64(each.Time.Sub(change.First).Microseconds())/1000)
+		times = append(times, float64(l.Time.Sub(change.First).Microseconds())/1000)
 	}
 	change.Processes = len(times)
 	if len(times) > 0 {
