--- a/bench/caller/client.go
+++ b/bench/caller/client.go
@@ -241,7 +241,7 @@
 		return &flowFailure{OutcomeBroken, CauseMismatchedAnswer, errors.Errorf("got the answer to request %q, want that to %q", answered, requestID)}
 	}
 	if service := response.Header.Get(exchange.HeaderService); service != f.plan.Service.Name {
-		return &flowFailure{OutcomeBroken, CauseWrongService, errors.Errorf("got an answer of service %q, which is not the flow's", service)}
+		return &flowFailure{OutcomeBroken, CauseWrongService, errors.Errorf("got an answer from service %q instead of the service of the flow", service)}
 	}
 	if failure := f.result.checkBackend(response.Header.Get(exchange.HeaderBackend)); failure != nil {
 		return failure
--- a/bench/caller/datagram.go
+++ b/bench/caller/datagram.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		if answer.Service != f.plan.Service.Name {
-			return &flowFailure{OutcomeBroken, CauseWrongService, errors.Errorf("got an answer of service %q, which is not the flow's", answer.Service)}
+			return &flowFailure{OutcomeBroken, CauseWrongService, errors.Errorf("got an answer from service %q instead of the service of the flow", answer.Service)}
 		}
 		f.result.AnswerTimes = append(f.result.AnswerTimes, time.Since(started))
 		return f.result.checkBackend(answer.Backend)
--- a/bench/caller/stack.go
+++ b/bench/caller/stack.go
@@ -1,5 +1,5 @@
-// Package caller simulates the callers of the services for the bench. A Client runs flows of
-// requests over HTTP or UDP from a plan and checks every answer. A Stack provides the TCP and UDP
+// Package caller simulates the callers of the services for the bench. A Client runs
+// the flow that a Plan describes, over HTTP or UDP, and checks every answer. A Stack provides the TCP and UDP
 // sockets of many caller addresses in user space and sends their packets through the simulated
 // fabric.
 package caller
--- a/bench/experiment/apply.go
+++ b/bench/experiment/apply.go
@@ -34,7 +34,7 @@
 		}
 		c.progress("event %s %s", event.Kind, event.Target)
 		if err := c.apply(ctx, event); err != nil {
-			c.recordFault("%s %s: %v", event.Kind, event.Target, err)
+			c.recordFault("apply event %s to %s: %v", event.Kind, event.Target, err)
 		}
 	}
 }
--- a/bench/experiment/drain.go
+++ b/bench/experiment/drain.go
@@ -10,14 +10,15 @@
 )
 
 // drainGrace is how long after the start of a drain or of a planned stop new flows may still be
-// accepted. The revision skew of the experiment is added to it.
+// accepted. The revision skew of the experiment is added to it, since a table revision may
+// take that long to reach all daemons.
 const drainGrace = 3 * time.Second
 
 // drainPeriod is a period in which a back end must get no new flows.
 type drainPeriod struct {
 	backend string
 	from    time.Time
-	// until is the zero time while the period lasts.
+	// until is the end of the period, or the zero time if it has not ended.
 	until time.Time
 }
 
--- a/bench/experiment/event.go
+++ b/bench/experiment/event.go
@@ -104,7 +104,7 @@
 	}
 	return []Experiment{
 		{Name: "steady", Description: "no events; imbalance and answer times"},
-		{Name: "balancers", Description: "balancers join, leave, die and pause", Kinds: balancerKinds, BatchSize: 1, Spacing: defaultSpacing},
+		{Name: "balancers", Description: "balancers are added, removed, killed and paused", Kinds: balancerKinds, BatchSize: 1, Spacing: defaultSpacing},
 		{Name: "planned", Description: "planned changes of balancers and back ends", Kinds: plannedKinds, BatchSize: 1, Spacing: defaultSpacing},
 		{Name: "revisions", Description: "table changes that reach balancers seconds apart", Kinds: tableKinds, BatchSize: 1, Spacing: defaultSpacing, RevisionSkew: revisionSkew},
 		{Name: "stalls", Description: "paused agents and balancers, the platform down or stale, and table changes", Kinds: stallKinds, BatchSize: 2, Spacing: defaultSpacing, RevisionSkew: revisionSkew},
--- a/bench/experiment/export_test.go
+++ b/bench/experiment/export_test.go
@@ -46,7 +46,7 @@
 // MaxOverMean exports maxOverMean.
 func MaxOverMean(shares []float64) float64 { return maxOverMean(shares) }
 
-// DrainPeriod exports drainPeriod. A period with a zero Until lasts.
+// DrainPeriod exports drainPeriod. A period with a zero Until has no end.
 type DrainPeriod struct {
 	Backend string
 	From    time.Time
--- a/bench/experiment/load.go
+++ b/bench/experiment/load.go
@@ -20,7 +20,7 @@
 	failurePause = 200 * time.Millisecond
 	// meanSubmitPause is the mean wait between two submissions of a caller.
 	meanSubmitPause = 500 * time.Millisecond
-	// lengthSpread is the share by which the number of pieces varies.
+	// lengthSpread is the largest share by which the number of pieces of a flow is reduced.
 	lengthSpread = 0.5
 )
 
--- a/bench/experiment/members.go
+++ b/bench/experiment/members.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// readerURL returns a URL of the platform that identifies the reader. The platform delays
-// revisions by reader.
+// readerURL returns a URL of the platform with the name of the reader. From this name the platform
+// derives how late the reader sees each revision.
 func (c *Cluster) readerURL(path, reader string) string {
 	query := url.Values{}
 	query.Set(platform.QueryReader, reader)
--- a/bench/experiment/report.go
+++ b/bench/experiment/report.go
@@ -39,7 +39,8 @@
 	// BrokenByEndpointKill is the number of broken flows of back ends whose agent the schedule
 	// killed during the flow.
 	BrokenByEndpointKill int `json:"broken_by_endpoint_kill"`
-	// NotOpened is the number of flows whose handshake got no answer.
+	// NotOpened is the number of flows with caller.OutcomeNotOpened, such as those whose
+	// handshake got no answer.
 	NotOpened              int `json:"not_opened"`
 	Misdelivered           int `json:"misdelivered"`
 	FlowsOnSeveralBackends int `json:"double_opened"`
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	// leaseTime is longer than the longest lease. The run waits this long, until the agents
-	// have leases, so that the start of the whole fleet does not affect the results.
-	leaseTime = 5 * time.Second
-	// spreadTime is the wait between the ramp and the measurement of imbalance. The first
+	// leaseWait is the wait between the start of the daemons and the first flow. It is longer
+	// than the longest lease, so that agents have obtained leases and the start of the whole
+	// fleet does not count as an event.
+	leaseWait = 5 * time.Second
+	// spreadWait is the wait between the ramp and the measurement of imbalance. The first
 	// flows end in it, so that the ages of the open flows are spread over their whole length.
-	spreadTime = 6 * time.Second
+	spreadWait = 6 * time.Second
 	// finalWait is the wait after the last event.
 	finalWait = time.Second
 )
@@ -34,7 +35,7 @@
 	if err != nil {
 		return Report{}, err
 	}
-	timing.Sleep(ctx, leaseTime)
+	timing.Sleep(ctx, leaseWait)
 	load := newLoad(cluster.client, options.Seed)
 	imbalance := cluster.openFlows(ctx, load)
 	events := Schedule(options.Shape, options.Experiment, options.Duration, options.Seed)
@@ -57,13 +58,13 @@
 	return report, nil
 }
 
-// openFlows starts the callers and measures the imbalance after the ramp and spreadTime.
+// openFlows starts the callers and measures the imbalance after the ramp and spreadWait.
 func (c *Cluster) openFlows(ctx context.Context, load *load) Imbalance {
 	c.progress("opening flows")
 	for _, service := range c.options.Shape.Services {
 		load.start(ctx, service)
 	}
-	timing.Sleep(ctx, rampTime+spreadTime)
+	timing.Sleep(ctx, rampTime+spreadWait)
 	imbalance := c.measureImbalance(ctx)
 	c.progress("%d flows open, imbalance %.2f", imbalance.Open, imbalance.Mean)
 	return imbalance
--- a/bench/fleet/metrics.go
+++ b/bench/fleet/metrics.go
@@ -23,7 +23,7 @@
 func (f *Fleet) SaveMetrics(ctx context.Context, process *Process, observability netip.AddrPort) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+observability.String()+"/metrics", http.NoBody)
 	if err != nil {
-		return errors.Wrap(err, "create the request for metrics")
+		return errors.Wrap(err, "create the request for the metrics of a daemon")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
--- a/bench/soak/checker.go
+++ b/bench/soak/checker.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// An open flow counts as misrouted when at least misroutedPackets of its packets, over at
-	// least misroutedAfter, reached other endpoints and none reached its own.
+	// misroutedAfter and misroutedPackets define when an open flow counts as misrouted: at least
+	// misroutedPackets of its packets, over at least misroutedAfter, reached other endpoints and
+	// none reached its own.
 	misroutedAfter   = 2 * time.Second
 	misroutedPackets = 3
 	// drainTimeout is the time after which a draining endpoint must get no new flow.
-	// timingSlack is added to such limits, since the timing of real processes varies.
 	drainTimeout = 3 * time.Second
-	timingSlack  = time.Second
+	// timingSlack is added to drainTimeout and closeTimeout, since the timing of real processes
+	// varies.
+	timingSlack = time.Second
 	// closeTimeout is the time after which endpoints of a closed zone must get no new flow.
 	closeTimeout = 3 * time.Second
 	// undisturbedTime is how long no fault may have started or ended for the checks with a
@@ -35,11 +37,14 @@
 	MisroutedFlows int `json:"misrouted"`
 	// DuplicateRuns counts repeated executions of requests that are not idempotent.
 	DuplicateRuns int `json:"double_runs"`
-	// LateDrainFlows counts new flows at endpoints that had been draining for too long.
+	// LateDrainFlows counts new flows at endpoints that had been draining for longer than
+	// drainTimeout plus timingSlack.
 	LateDrainFlows int `json:"late_openings"`
-	// ClosedZoneFlows counts new flows at endpoints of a closed zone.
+	// ClosedZoneFlows counts new flows at endpoints of a zone that had been closed for longer
+	// than closeTimeout plus timingSlack.
 	ClosedZoneFlows int `json:"closed_openings"`
-	// InvalidPackets counts packets that arrived in a form that no simulated peer sends.
+	// InvalidPackets counts packets that arrived forged or modified: their format, checksum or
+	// combination of flags is invalid.
 	InvalidPackets int `json:"forged"`
 	// MismatchedAnswers counts answers that reached the client of another request.
 	MismatchedAnswers int `json:"mixed"`
@@ -50,8 +55,8 @@
 }
 
 // Total returns the number of violations of all guarantees.
-func (b Violations) Total() int {
-	return b.ResetOpenFlows + b.MisroutedFlows + b.DuplicateRuns + b.LateDrainFlows + b.ClosedZoneFlows + b.InvalidPackets + b.MismatchedAnswers + b.UnexpectedExits + b.Unrecovered
+func (v Violations) Total() int {
+	return v.ResetOpenFlows + v.MisroutedFlows + v.DuplicateRuns + v.LateDrainFlows + v.ClosedZoneFlows + v.InvalidPackets + v.MismatchedAnswers + v.UnexpectedExits + v.Unrecovered
 }
 
 // flowRecord is the checker's state of an open flow.
@@ -81,8 +86,8 @@
 	closedSince time.Duration
 	requests    int
 	served      int
-	// The recovery check counts requests that were sent at or after recoveryStart. It is zero
-	// until the check starts.
+	// recoveryStart is the time from which sent requests count for the recovery check. It is
+	// zero until the check starts.
 	recoveryStart    time.Duration
 	recoveryRequests int
 	recoveryFailures int
@@ -121,7 +126,7 @@
 func (c *checker) invalidPacket(where string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.recordViolation(&c.violations.InvalidPackets, "%s received a packet that no simulated peer sends", where)
+	c.recordViolation(&c.violations.InvalidPackets, "%s received a packet with an invalid format, checksum or combination of flags", where)
 }
 
 func (c *checker) mismatchedAnswer(key segment.FlowKey) {
@@ -131,10 +136,10 @@
 }
 
 // flowOpened records that an endpoint has received the last packet of a handshake.
-func (c *checker) flowOpened(key segment.FlowKey, at *endpoint) {
+func (c *checker) flowOpened(key segment.FlowKey, receiver *endpoint) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.flows[key] = &flowRecord{endpoint: at}
+	c.flows[key] = &flowRecord{endpoint: receiver}
 }
 
 // flowClosed records that a client has closed or abandoned a flow.
@@ -145,14 +150,14 @@
 }
 
 // packetArrived records that a packet of a flow has reached an endpoint.
-func (c *checker) packetArrived(key segment.FlowKey, at *endpoint) {
+func (c *checker) packetArrived(key segment.FlowKey, receiver *endpoint) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	record, open := c.flows[key]
-	if !open || !record.endpoint.alive() {
+	if !open || !record.endpoint.isRunning() {
 		return
 	}
-	if record.endpoint == at {
+	if record.endpoint == receiver {
 		record.misroutedAt = nil
 		return
 	}
@@ -161,7 +166,7 @@
 	persistent := len(record.misroutedAt) >= misroutedPackets && c.now()-record.misroutedAt[0] >= misroutedAfter
 	if persistent && !record.misrouted && c.undisturbed() {
 		record.misrouted = true
-		c.recordViolation(&c.violations.MisroutedFlows, "flow %v of %s: packets reached other endpoints since %v", key, record.endpoint.id, record.misroutedAt[first])
+		c.recordViolation(&c.violations.MisroutedFlows, "packets of flow %v of %s have reached other endpoints since %v", key, record.endpoint.id, record.misroutedAt[first])
 	}
 }
 
@@ -173,7 +178,7 @@
 func (c *checker) flowReset(key segment.FlowKey) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if record, open := c.flows[key]; open && record.endpoint.alive() {
+	if record, open := c.flows[key]; open && record.endpoint.isRunning() {
 		c.recordViolation(&c.violations.ResetOpenFlows, "flow %v of %s was reset", key, record.endpoint.id)
 	}
 }
--- a/bench/soak/client.go
+++ b/bench/soak/client.go
@@ -14,7 +14,7 @@
 
 const (
 	// openTimeout is how long a client waits for the answer to an opening packet. It sends the
-	// packet at the times of openTransmissions.
+	// packet several times until then, see openTransmissions.
 	openTimeout = 1400 * time.Millisecond
 	// requestTimeout is how long a client waits for the answer to a request, over all
 	// attempts. delayedTimeout is the same for requests that have a delay.
@@ -33,6 +33,8 @@
 	firstFlowPort = 30000
 )
 
+// openTransmissions are the times since the start of an attempt at which the client sends the
+// opening packet, as long as it has no answer.
 var openTransmissions = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
 // request is a client request. Each attempt uses a flow of its own.
@@ -41,7 +43,8 @@
 	service    int
 	idempotent bool
 	// delay is how long the flow is kept open before the request is sent. The checker does
-	// not count whether a delayed request is served, since endpoints end meanwhile.
+	// not count whether a delayed request is served, since its endpoint may stop during the
+	// delay.
 	delay    time.Duration
 	sent     time.Duration
 	attempts int
--- a/bench/soak/daemon.go
+++ b/bench/soak/daemon.go
@@ -95,7 +95,7 @@
 }
 
 // handleExit records an unexpected exit. It returns the wait before the restart and whether
-// to restart at all.
+// to restart.
 func (d *daemon) handleExit(exit fleet.Exit) (time.Duration, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -107,7 +107,7 @@
 	return downtime, !d.removed
 }
 
-// kill ends the process with SIGKILL. The restart is delayed by downtime.
+// kill ends the process with SIGKILL. The restart follows after restartDelay plus downtime.
 func (d *daemon) kill(downtime time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/bench/soak/endpoint.go
+++ b/bench/soak/endpoint.go
@@ -31,8 +31,8 @@
 	maxRetransmit   = 1600 * time.Millisecond
 )
 
-// slowdowns are the factors by which endpoints are slower than the fastest, by machine number.
-// Endpoints of the same service have different factors.
+// slowdowns are the factors by which endpoints are slower than the fastest, by machine number
+// modulo their count. Each service has endpoints with different factors.
 var slowdowns = []time.Duration{1, 2, 1, 4}
 
 func slowdownOf(machine int) time.Duration { return slowdowns[machine%len(slowdowns)] }
@@ -119,10 +119,11 @@
 	return created, nil
 }
 
-// alive reports whether the endpoint is running. It takes no lock, so callers may hold any.
-func (e *endpoint) alive() bool { return e.running.Load() }
+// isRunning reports whether the endpoint is running. It takes no lock, so callers may hold any.
+func (e *endpoint) isRunning() bool { return e.running.Load() }
 
-// stop ends the endpoint and closes its socket.
+// stop ends the endpoint and closes its socket. Its flows are lost: the next incarnation starts
+// without any.
 func (e *endpoint) stop() {
 	e.running.Store(false)
 	_ = e.socket.Close()
@@ -134,7 +135,7 @@
 	for {
 		count, _, err := e.socket.ReadFromUDP(buffer)
 		if err != nil {
-			if !e.alive() {
+			if !e.isRunning() {
 				return
 			}
 			continue
@@ -289,7 +290,7 @@
 	time.AfterFunc(after, func() {
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		if f.closed || !e.alive() || after > maxRetransmit {
+		if f.closed || !e.isRunning() || after > maxRetransmit {
 			return
 		}
 		e.respond(f)
--- a/bench/soak/fabric.go
+++ b/bench/soak/fabric.go
@@ -79,31 +79,32 @@
 	return count
 }
 
-// route returns the balancer address for a packet of a flow from a zone. It chooses among the
-// ready balancers of the zone. If fewer than half of these are ready, it chooses among all of
-// the zone. If none is ready, it chooses among the ready balancers of all zones.
+// route returns the balancer address for a packet of a flow from a zone. If at least half of the
+// zone's balancers are ready, it chooses among these. If fewer are, it chooses among all balancers
+// of the zone, ready or not. If none is ready, it chooses among the ready balancers of the other
+// zones, if there are any. It returns false if there is no balancer to choose.
 func (f *fabric) route(zone int, key segment.FlowKey) (netip.AddrPort, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	var own, ownIn, in []int
+	var allInZone, readyInZone, ready []int
 	for number, missed := range f.missed {
 		if missed < missedProbes {
-			in = append(in, number)
+			ready = append(ready, number)
 		}
 		if number%zoneCount != zone {
 			continue
 		}
-		own = append(own, number)
+		allInZone = append(allInZone, number)
 		if missed < missedProbes {
-			ownIn = append(ownIn, number)
+			readyInZone = append(readyInZone, number)
 		}
 	}
-	candidates := ownIn
+	candidates := readyInZone
 	switch {
-	case len(ownIn) == 0 && len(in) > 0:
-		candidates = in
-	case 2*len(ownIn) < len(own):
-		candidates = own
+	case len(readyInZone) == 0 && len(ready) > 0:
+		candidates = ready
+	case 2*len(readyInZone) < len(allInZone):
+		candidates = allInZone
 	}
 	chosen, weight := -1, uint64(0)
 	for _, number := range candidates {
--- a/bench/soak/fault.go
+++ b/bench/soak/fault.go
@@ -13,8 +13,8 @@
 // fault is over or ctx ends.
 type fault struct {
 	name string
-	// planned marks routine operations and load. Checks with a time bound stay active during
-	// these; other faults suspend them.
+	// planned marks routine operations and load. The checks with a time bound apply during
+	// these. All other faults suspend those checks, see undisturbedTime.
 	planned bool
 	run     func(ctx context.Context, h *harness, random *rand.Rand)
 }
@@ -113,37 +113,39 @@
 	target.setPaused(false)
 }
 
-// proxyFault sets a mode for a while on the store proxies of one or more balancers.
+// proxyFault returns a fault that sets a mode for 1 to 6 s on the store proxies of one or more
+// balancers.
 func proxyFault(mode ProxyMode) func(context.Context, *harness, *rand.Rand) {
 	return func(ctx context.Context, h *harness, random *rand.Rand) {
-		victims := random.Perm(len(h.proxies))[:1+random.IntN(len(h.proxies))]
-		lasts := randomDuration(random, time.Second, 6*time.Second)
-		for _, victim := range victims {
-			h.proxies[victim].SetMode(mode)
+		targets := random.Perm(len(h.proxies))[:1+random.IntN(len(h.proxies))]
+		duration := randomDuration(random, time.Second, 6*time.Second)
+		for _, target := range targets {
+			h.proxies[target].SetMode(mode)
 		}
-		sleep(ctx, lasts)
-		for _, victim := range victims {
-			h.proxies[victim].SetMode(ProxyForwarding)
+		sleep(ctx, duration)
+		for _, target := range targets {
+			h.proxies[target].SetMode(ProxyForwarding)
 		}
 	}
 }
 
-// endpointFault makes an endpoint fail for a while without a change of its entry in the store.
+// endpointFault returns a fault that makes an endpoint fail for 1 to 6 s. The entry of the
+// endpoint in the store does not change meanwhile.
 func endpointFault(failure failureMode) func(context.Context, *harness, *rand.Rand) {
 	return func(ctx context.Context, h *harness, random *rand.Rand) {
-		victim := h.currentEndpoint(h.randomMachine(random))
-		lasts := randomDuration(random, time.Second, 6*time.Second)
-		victim.setFailure(failure)
-		sleep(ctx, lasts)
-		victim.setFailure(failureNone)
+		target := h.currentEndpoint(h.randomMachine(random))
+		duration := randomDuration(random, time.Second, 6*time.Second)
+		target.setFailure(failure)
+		sleep(ctx, duration)
+		target.setFailure(failureNone)
 	}
 }
 
 func storeFault(mode platformtest.Mode) func(context.Context, *harness, *rand.Rand) {
 	return func(ctx context.Context, h *harness, random *rand.Rand) {
-		lasts := randomDuration(random, time.Second, 6*time.Second)
+		duration := randomDuration(random, time.Second, 6*time.Second)
 		h.store.SetMode(mode)
-		sleep(ctx, lasts)
+		sleep(ctx, duration)
 		h.store.SetMode(platformtest.Serving)
 	}
 }
--- a/bench/soak/harness.go
+++ b/bench/soak/harness.go
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// addMachine starts a machine with an endpoint. Set first when all machines of the run start
-// together: the agent then starts with the setting first_start.
+// addMachine starts a machine with an endpoint. first is set if all machines of the run start
+// together. The agent then has the setting first_start at its first start.
 func (h *harness) addMachine(ctx context.Context, service int, first bool) error {
 	h.mutex.Lock()
 	number := h.nextMachine
@@ -254,7 +254,7 @@
 	h.mutex.Unlock()
 }
 
-// replace starts a new machine, then drains the endpoint of another and removes its machine.
+// replace starts a new machine, then drains the endpoint of the target and removes the target.
 func (h *harness) replace(ctx context.Context, target *machine) {
 	if err := h.addMachine(ctx, target.service, false); err != nil {
 		h.checker.unexpectedExit(err.Error(), -1)
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -95,7 +95,7 @@
 	sleep(ctx, (missedProbes+1)*probeInterval)
 	for h.fabric.ready() < balancerCount {
 		if time.Now().After(deadline) || !sleep(ctx, probeInterval) {
-			return errors.Errorf("waited for the balancers to become ready: %d of %d are", h.fabric.ready(), balancerCount)
+			return errors.Errorf("wait for the balancers: %d of %d are ready", h.fabric.ready(), balancerCount)
 		}
 	}
 	return nil
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -26,10 +26,10 @@
 	RunSpecs(t, "Soak")
 }
 
-// clock is a manual clock.
-type clock struct{ at time.Duration }
+// manualClock is a clock that the test sets.
+type manualClock struct{ elapsed time.Duration }
 
-func (c *clock) now() time.Duration { return c.at }
+func (c *manualClock) now() time.Duration { return c.elapsed }
 
 func runningEndpoint(id string) *endpoint {
 	created := &endpoint{id: directory.NameOnlyID(id)}
@@ -39,7 +39,7 @@
 
 var _ = Describe("checker", func() {
 	var (
-		at      *clock
+		clock   *manualClock
 		checked *checker
 		own     *endpoint
 		other   *endpoint
@@ -47,8 +47,8 @@
 	key := segment.FlowKey{Client: segment.Address{Port: 1}, Service: segment.Address{Port: 2}}
 
 	BeforeEach(func() {
-		at = &clock{at: time.Minute}
-		checked = newChecker(at.now)
+		clock = &manualClock{elapsed: time.Minute}
+		checked = newChecker(clock.now)
 		own, other = runningEndpoint("own"), runningEndpoint("other")
 		checked.flowOpened(key, own)
 	})
@@ -67,7 +67,7 @@
 	It("counts a flow once as misrouted when its packets reach another endpoint for two seconds", func() {
 		for range 5 {
 			checked.packetArrived(key, other)
-			at.at += 700 * time.Millisecond
+			clock.elapsed += 700 * time.Millisecond
 		}
 		Expect(checked.violations).To(Equal(Violations{MisroutedFlows: 1}))
 	})
@@ -76,12 +76,12 @@
 		for range 5 {
 			checked.packetArrived(key, other)
 			checked.packetArrived(key, own)
-			at.at += 700 * time.Millisecond
+			clock.elapsed += 700 * time.Millisecond
 		}
 		checked.faultChanged()
 		for range 5 {
 			checked.packetArrived(key, other)
-			at.at += 700 * time.Millisecond
+			clock.elapsed += 700 * time.Millisecond
 		}
 		Expect(checked.violations).To(Equal(Violations{}))
 	})
@@ -95,12 +95,12 @@
 		Expect(checked.violations).To(Equal(Violations{DuplicateRuns: 1}))
 	})
 
-	It("counts a new flow at a draining endpoint after the drain timeout, unless a fault was active", func() {
+	It("counts a new flow at a draining endpoint after the drain timeout, unless a fault started or ended meanwhile", func() {
 		checked.drainStarted(directory.NameOnlyID("e"))
-		at.at += drainTimeout
+		clock.elapsed += drainTimeout
 		checked.openingReceived(directory.NameOnlyID("e"), "")
 		Expect(checked.violations).To(Equal(Violations{}))
-		at.at += 2 * timingSlack
+		clock.elapsed += 2 * timingSlack
 		checked.openingReceived(directory.NameOnlyID("e"), "")
 		Expect(checked.violations).To(Equal(Violations{LateDrainFlows: 1}))
 		checked.faultChanged()
@@ -112,7 +112,7 @@
 		Expect(checked.zoneClosed("z")).To(BeTrue())
 		Expect(checked.zoneClosed("y")).To(BeFalse(), "a zone is closed already")
 		checked.openingReceived(directory.NameOnlyID("e"), "z")
-		at.at += closeTimeout + 2*timingSlack
+		clock.elapsed += closeTimeout + 2*timingSlack
 		checked.openingReceived(directory.NameOnlyID("e"), "y")
 		Expect(checked.violations).To(Equal(Violations{}))
 		checked.openingReceived(directory.NameOnlyID("e"), "z")
@@ -126,13 +126,13 @@
 		checked.requestEnded(0, false)
 		checked.startRecoveryCheck()
 		for range 99 {
-			checked.requestEnded(at.at, true)
+			checked.requestEnded(clock.elapsed, true)
 		}
-		checked.requestEnded(at.at, false)
+		checked.requestEnded(clock.elapsed, false)
 		var report Result
 		checked.fillResult(&report)
 		Expect(report.Violations.Total()).To(BeZero())
-		checked.requestEnded(at.at, false)
+		checked.requestEnded(clock.elapsed, false)
 		checked.fillResult(&report)
 		Expect(report.Violations).To(Equal(Violations{Unrecovered: 1}))
 		Expect(report.Requests).To(Equal(102))
@@ -149,7 +149,7 @@
 })
 
 var _ = Describe("schedule", func() {
-	It("returns the same faults for the same seed and draws every kind", func() {
+	It("returns the same faults for the same seed, others for another, and every kind in a long schedule", func() {
 		names := func(seed uint64) []string {
 			var drawn []string
 			for _, next := range schedule(seed, 0, time.Minute, 400) {
@@ -341,11 +341,11 @@
 		DeferCleanup(agent.Close)
 		socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		Expect(err).NotTo(HaveOccurred())
-		at := &endpoint{
+		tested := &endpoint{
 			harness: h, id: directory.NameOnlyID("e-1"), socket: socket, agent: agent.LocalAddr().(*net.UDPAddr), flows: make(map[segment.FlowKey]*serverFlow),
 		}
-		at.running.Store(true)
-		DeferCleanup(at.stop)
+		tested.running.Store(true)
+		DeferCleanup(tested.stop)
 		client := segment.Address{IP: [4]byte{127, 0, 0, 2}, Port: 30001}
 		receive := func() (segment.Header, []byte) {
 			buffer := make([]byte, 2048)
@@ -355,7 +355,7 @@
 			return header, h.codec.Data(buffer[:count])
 		}
 		write := func(flags segment.Flags, acknowledgment uint32, data []byte) {
-			at.receive(h.codec.Encode(segment.Header{
+			tested.receive(h.codec.Encode(segment.Header{
 				Source: client, Destination: routeAddress(0), Flags: flags, Sequence: 7, Acknowledgment: acknowledgment,
 			}, data))
 		}
@@ -371,7 +371,7 @@
 		Expect(data[offsetRequest+7]).To(Equal(byte(9)))
 		Expect(h.codec.Answer(h.codec.Encode(segment.Header{}, data)).Kind).To(Equal(segment.AnswerSuccess))
 		Expect(h.checker.runs).To(HaveKeyWithValue(uint64(9), 1))
-		at.receive(append(h.codec.Encode(segment.Header{Source: client, Destination: routeAddress(0)}, nil)[:35], 9))
+		tested.receive(append(h.codec.Encode(segment.Header{Source: client, Destination: routeAddress(0)}, nil)[:35], 9))
 		Expect(h.checker.violations.InvalidPackets).To(Equal(1))
 	})
 })
--- a/bench/timeline/plot.go
+++ b/bench/timeline/plot.go
@@ -14,9 +14,9 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Plot writes a chart to a file. For each step, it shows the share of the starts with this step
-// after which the step occurred within a time. The file name must end in png, svg or pdf. Plot fails
-// if no step occurred.
+// Plot writes a chart to a file. The chart has a curve for each step: the cumulative distribution of
+// the times from the starts to the step. Starts after which the step did not occur do not count. The
+// file name must end in png, svg or pdf. Plot fails if no step occurred.
 func Plot(starts []Start, path string) error {
 	chart := plot.New()
 	chart.Title.Text = "Steps after the start of processes"
--- a/bench/timeline/propagation.go
+++ b/bench/timeline/propagation.go
@@ -11,9 +11,10 @@
 type Propagation struct {
 	// Version is the version of the configuration that changed, or zero if endpoints changed.
 	// Revision identifies a change of endpoints and is zero otherwise.
-	Version  uint64    `json:"version,omitempty"`
-	Revision uint64    `json:"revision,omitempty"`
-	First    time.Time `json:"first"`
+	Version  uint64 `json:"version,omitempty"`
+	Revision uint64 `json:"revision,omitempty"`
+	// First is the time at which the first process had the change.
+	First time.Time `json:"first"`
 	// Processes is the number of processes that received the change.
 	Processes int `json:"processes"`
 	// The times are in milliseconds.
--- a/bench/timeline/timeline.go
+++ b/bench/timeline/timeline.go
@@ -1,7 +1,7 @@
 // Package timeline measures from the logs of vanetiller-relay how long processes take after their
 // start to reach certain steps, such as to receive the directory, place a flow or deliver a
-// request. It also measures how long changes of the directory take to reach all balancers. The
-// results are summaries for the bench and, for starts, a plot.
+// request. It also measures how long changes of the directory take to reach all balancers.
+// Summarize and Plot evaluate the steps of all starts.
 package timeline
 
 import (
@@ -173,7 +173,8 @@
 	return times
 }
 
-// quantile returns the element of the sorted times at the given rank, from 0 to 1.
+// quantile returns the element of the sorted times at the given rank between 0 and 1. It rounds to
+// the nearest element.
 func quantile(sorted []float64, rank float64) float64 {
 	index := int(rank*float64(len(sorted))+0.5) - 1
 	return sorted[min(max(index, 0), len(sorted)-1)]
--- a/cmd/vanetiller-bench/flags.go
+++ b/cmd/vanetiller-bench/flags.go
@@ -67,8 +67,8 @@
 }
 
 // options validates the values and returns the options of a run.
-func (p runFlags) options(experimentName string) (experiment.Options, error) {
-	shape, err := experiment.ShapeByName(p.shape)
+func (f runFlags) options(experimentName string) (experiment.Options, error) {
+	shape, err := experiment.ShapeByName(f.shape)
 	if err != nil {
 		return experiment.Options{}, err
 	}
@@ -76,16 +76,16 @@
 	if err != nil {
 		return experiment.Options{}, err
 	}
-	baseline, err := parseBaseline(p.baseline)
+	baseline, err := parseBaseline(f.baseline)
 	if err != nil {
 		return experiment.Options{}, err
 	}
-	if p.duration < 0 {
+	if f.duration < 0 {
 		return experiment.Options{}, errors.New("-duration must not be negative")
 	}
 	return experiment.Options{
-		Shape: shape, Experiment: chosen, Seed: p.seed, Duration: p.duration,
-		Baseline: baseline, Directory: p.directory, Progress: os.Stderr,
+		Shape: shape, Experiment: chosen, Seed: f.seed, Duration: f.duration,
+		Baseline: baseline, Directory: f.directory, Progress: os.Stderr,
 	}, nil
 }
 
