--- a/bench/caller/client_test.go
+++ b/bench/caller/client_test.go
@@ -87,14 +87,14 @@
 		Entry("submission", caller.KindSubmit, 1),
 	)
 
-	It("reports a refused connection", func() {
+	It("reports a refused flow when the connection is refused", func() {
 		client := newClient(func() netip.AddrPort { return netip.AddrPort{} })
 		result := client.Run(context.Background(), plan(caller.KindPoll))
 		Expect(result.Outcome).To(Equal(caller.OutcomeRefused))
 		Expect(result.Cause).To(Equal(caller.CauseConnectRefused))
 	})
 
-	It("reports a submission that the back end refuses before running it", func() {
+	It("reports a shed submission when the back end refuses it before running it", func() {
 		recorder := backend.NewRecorder()
 		received := make(chan struct{})
 		server := startServer(func(writer http.ResponseWriter, request *http.Request) {
@@ -151,7 +151,7 @@
 		Entry("content of another request", caller.KindDownload, func(writer http.ResponseWriter) {
 			_, _ = writer.Write(exchange.Content("flow-2-0", 12000))
 		}, caller.CauseWrongContent),
-		Entry("status", caller.KindPoll, func(writer http.ResponseWriter) {
+		Entry("status 500", caller.KindPoll, func(writer http.ResponseWriter) {
 			writer.WriteHeader(http.StatusInternalServerError)
 		}, caller.CauseWrongStatus),
 		Entry("truncated answer", caller.KindDownload, func(writer http.ResponseWriter) {
--- a/bench/experiment/apply.go
+++ b/bench/experiment/apply.go
@@ -42,38 +42,38 @@
 func (c *Cluster) apply(ctx context.Context, event Event) error {
 	switch event.Kind {
 	case EventBalancerAdd, EventBalancerStart:
-		return c.addBalancer(ctx, c.balancerNamed(event.Target))
+		return c.addBalancer(ctx, c.balancerByName(event.Target))
 	case EventBalancerRemove:
-		return c.removeBalancer(c.balancerNamed(event.Target))
+		return c.removeBalancer(c.balancerByName(event.Target))
 	case EventBalancerKill:
-		return c.killBalancer(c.balancerNamed(event.Target))
+		return c.killBalancer(c.balancerByName(event.Target))
 	case EventBalancerPause:
-		return c.pauseBalancer(c.balancerNamed(event.Target))
+		return c.pauseBalancer(c.balancerByName(event.Target))
 	case EventBalancerResume:
-		return c.resumeBalancer(c.balancerNamed(event.Target))
+		return c.resumeBalancer(c.balancerByName(event.Target))
 	case EventEndpointAdd:
-		return c.addEndpoint(c.endpointNamed(event.Target))
+		return c.addEndpoint(c.endpointByName(event.Target))
 	case EventEndpointDrain:
-		c.endpointNamed(event.Target).row.Drain = true
+		c.endpointByName(event.Target).row.Drain = true
 		c.publishTable()
 		c.startDrain(event.Target)
 	case EventEndpointUndrain:
 		c.endDrain(event.Target)
-		c.endpointNamed(event.Target).row.Drain = false
+		c.endpointByName(event.Target).row.Drain = false
 		c.publishTable()
 	case EventEndpointReweight:
-		c.endpointNamed(event.Target).row.Weight = event.Weight
+		c.endpointByName(event.Target).row.Weight = event.Weight
 		c.publishTable()
 	case EventAgentStop:
-		return c.stopAgent(c.endpointNamed(event.Target))
+		return c.stopAgent(c.endpointByName(event.Target))
 	case EventAgentKill:
-		return c.killAgent(c.endpointNamed(event.Target))
+		return c.killAgent(c.endpointByName(event.Target))
 	case EventAgentStart:
-		return c.restartAgent(c.endpointNamed(event.Target))
+		return c.restartAgent(c.endpointByName(event.Target))
 	case EventAgentPause:
-		return c.endpointNamed(event.Target).process.Pause()
+		return c.endpointByName(event.Target).process.Pause()
 	case EventAgentResume:
-		return c.endpointNamed(event.Target).process.Resume()
+		return c.endpointByName(event.Target).process.Resume()
 	case EventPlatformDown:
 		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.RevisionSkew, Down: true})
 	case EventPlatformStale:
--- a/bench/experiment/members.go
+++ b/bench/experiment/members.go
@@ -107,22 +107,22 @@
 	return c.platform.URL(path) + "?" + query.Encode()
 }
 
-func (c *Cluster) balancerNamed(name string) *balancerMember {
+func (c *Cluster) balancerByName(name string) *balancerMember {
 	for _, member := range c.balancers {
 		if member.name == name {
 			return member
 		}
 	}
-	panic("experiment: no balancer " + name)
+	panic("experiment: the cluster has no balancer named " + name)
 }
 
-func (c *Cluster) endpointNamed(name string) *endpointMember {
+func (c *Cluster) endpointByName(name string) *endpointMember {
 	for _, member := range c.endpoints {
 		if member.row.Name == name {
 			return member
 		}
 	}
-	panic("experiment: no back end " + name)
+	panic("experiment: the cluster has no back end named " + name)
 }
 
 // currentTable returns the table that the platform should publish now.
--- a/bench/experiment/report.go
+++ b/bench/experiment/report.go
@@ -41,10 +41,14 @@
 	BrokenByEndpointKill int `json:"broken_by_endpoint_kill"`
 	// NotOpened is the number of flows with caller.OutcomeNotOpened, such as those whose
 	// handshake got no answer.
-	NotOpened              int `json:"not_opened"`
-	Misdelivered           int `json:"misdelivered"`
+	NotOpened    int `json:"not_opened"`
+	Misdelivered int `json:"misdelivered"`
+	// FlowsOnSeveralBackends is the larger of two numbers: the flows whose requests reached
+	// several back ends, and the connections that several agents accepted. It excludes those
+	// whose earlier agent was killed in between.
 	FlowsOnSeveralBackends int `json:"double_opened"`
-	DuplicateRuns          int `json:"double_runs"`
+	// DuplicateRuns is the number of submissions that were executed more than once.
+	DuplicateRuns int `json:"double_runs"`
 	// LateConnections is the number of connections accepted by back ends that had been
 	// draining for more than three seconds plus the revision skew of the experiment.
 	LateConnections int `json:"late_admissions"`
@@ -52,6 +56,8 @@
 	// FalseRefusals is the number of refused requests that were executed.
 	FalseRefusals int `json:"false_refusals"`
 	// Imbalance is the mean imbalance of the worst service, measured before the events.
+	// ImbalancePeak is the largest sample, and ImbalanceFlows the smallest number of open flows
+	// in any sample.
 	Imbalance      float64 `json:"imbalance"`
 	ImbalancePeak  float64 `json:"imbalance_peak"`
 	ImbalanceFlows int64   `json:"imbalance_flows"`
--- a/bench/soak/checker.go
+++ b/bench/soak/checker.go
@@ -48,7 +48,8 @@
 	InvalidPackets int `json:"forged"`
 	// MismatchedAnswers counts answers that reached the client of another request.
 	MismatchedAnswers int `json:"mixed"`
-	// UnexpectedExits counts processes that ended although the run did not end them.
+	// UnexpectedExits counts processes that ended although the run did not end them, and
+	// processes, endpoints and machines that could not be started.
 	UnexpectedExits int `json:"own_exits"`
 	// Unrecovered is 1 if too few requests were served after the last fault.
 	Unrecovered int `json:"unrecovered"`
@@ -117,6 +118,8 @@
 	c.lastFault = c.now()
 }
 
+// unexpectedExit records that a process ended although the run did not end it. If something could
+// not be started, name contains the error and the code is -1.
 func (c *checker) unexpectedExit(name string, code int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -188,12 +188,12 @@
 		h.submitSimultaneously(rand.New(rand.NewPCG(1, 2)))
 		host.mutex.Lock()
 		defer host.mutex.Unlock()
-		numbers := make(map[uint64]bool)
+		ids := make(map[uint64]bool)
 		for _, f := range host.flows {
 			Expect(f.request.delay).To(Equal(simultaneousDelay))
-			numbers[f.request.id] = true
+			ids[f.request.id] = true
 		}
-		Expect(numbers).To(HaveLen(simultaneousRequests))
+		Expect(ids).To(HaveLen(simultaneousRequests))
 	})
 })
 
