--- a/bench/backend/handler.go
+++ b/bench/backend/handler.go
@@ -1,4 +1,4 @@
-// This file implements the HTTP requests that a back end serves.
+// This file implements the HTTP handlers of a back end.
 
 package backend
 
@@ -18,32 +18,32 @@
 	Open int64 `json:"open"`
 	// Running is the number of submissions that are running.
 	Running int64 `json:"running"`
-	// Slots is how many submissions may run at a time; zero means no limit.
+	// Slots is the number of submissions that may run at a time. Zero means no limit.
 	Slots int `json:"slots"`
 }
 
 func (b *Backend) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+exchange.PathUpload, b.recorded(b.upload))
-	mux.HandleFunc("GET "+exchange.PathDownload, b.recorded(b.download))
-	mux.HandleFunc("GET "+exchange.PathPoll, b.recorded(b.poll))
-	mux.HandleFunc("POST "+exchange.PathSubmit, b.recorded(b.submit))
+	mux.HandleFunc("POST "+exchange.PathUpload, b.recordRequests(b.upload))
+	mux.HandleFunc("GET "+exchange.PathDownload, b.recordRequests(b.download))
+	mux.HandleFunc("GET "+exchange.PathPoll, b.recordRequests(b.poll))
+	mux.HandleFunc("POST "+exchange.PathSubmit, b.recordRequests(b.submit))
 	mux.HandleFunc("GET "+exchange.PathHealth, b.health)
 	mux.HandleFunc("GET "+exchange.PathLoad, b.load)
 	return mux
 }
 
-// recorded notes flow and service of a request before it is served, and
-// repeats its identifier in the answer.
-func (b *Backend) recorded(serve http.HandlerFunc) http.HandlerFunc {
+// recordRequests returns a handler that records the flow of a request and copies the request ID to
+// the answer. It then serves the request, or refuses it if it is meant for another service.
+func (b *Backend) recordRequests(serve http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		b.settings.Ledger.flowSeen(request.Header.Get(exchange.HeaderFlow), b.settings.Name)
+		b.settings.Recorder.recordContact(request.Header.Get(exchange.HeaderFlow), b.settings.Name)
 		header := writer.Header()
 		header.Set(exchange.HeaderRequest, request.Header.Get(exchange.HeaderRequest))
 		header.Set(exchange.HeaderBackend, b.settings.Name)
 		header.Set(exchange.HeaderService, b.settings.Service)
 		if request.Header.Get(exchange.HeaderService) != b.settings.Service {
-			b.settings.Ledger.requestMisdelivered()
+			b.settings.Recorder.recordMisdelivery()
 			http.Error(writer, "request meant for another service", http.StatusMisdirectedRequest)
 			return
 		}
@@ -54,7 +54,7 @@
 func (b *Backend) upload(writer http.ResponseWriter, request *http.Request) {
 	checksum, err := exchange.ChecksumReader(request.Body)
 	if err != nil {
-		http.Error(writer, "body cut short", http.StatusBadRequest)
+		http.Error(writer, "request body is incomplete", http.StatusBadRequest)
 		return
 	}
 	writer.Header().Set(exchange.HeaderChecksum, checksum)
@@ -88,28 +88,28 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// submit runs a submission once it has a slot. A submission without a slot is
-// refused before anything of it has run.
+// submit executes a submission if a slot is free. Otherwise it refuses the submission before
+// executing any part of it.
 func (b *Backend) submit(writer http.ResponseWriter, request *http.Request) {
 	checksum, err := exchange.ChecksumReader(request.Body)
 	if err != nil {
-		http.Error(writer, "body cut short", http.StatusBadRequest)
+		http.Error(writer, "request body is incomplete", http.StatusBadRequest)
 		return
 	}
-	if !b.takeSlot() {
+	if !b.acquireSlot() {
 		writer.Header().Set("Retry-After", "1")
 		writer.Header().Set(exchange.HeaderNotRun, "true")
-		http.Error(writer, "no slot", http.StatusServiceUnavailable)
+		http.Error(writer, "no slot is free for the submission", http.StatusServiceUnavailable)
 		return
 	}
 	defer b.running.Add(-1)
-	b.settings.Ledger.submissionRan(request.Header.Get(exchange.HeaderRequest))
+	b.settings.Recorder.recordExecution(request.Header.Get(exchange.HeaderRequest))
 	timing.Sleep(request.Context(), b.settings.WorkTime)
 	writer.Header().Set(exchange.HeaderChecksum, checksum)
 	writer.WriteHeader(http.StatusOK)
 }
 
-func (b *Backend) takeSlot() bool {
+func (b *Backend) acquireSlot() bool {
 	running := b.running.Add(1)
 	if b.settings.Slots > 0 && running > int64(b.settings.Slots) {
 		b.running.Add(-1)
--- a/bench/caller/datagram_test.go
+++ b/bench/caller/datagram_test.go
@@ -14,7 +14,7 @@
 	"github.com/vanetiller/vanetiller/bench/exchange"
 )
 
-// directDialer connects to a back end without a network in between.
+// directDialer connects to a back end over kernel sockets.
 type directDialer struct{ target netip.AddrPort }
 
 func (d directDialer) DialTCP(context.Context, netip.AddrPort) (net.Conn, error) {
@@ -30,8 +30,8 @@
 	return client.Run(context.Background(), plan(caller.KindDatagrams))
 }
 
-// answerDatagrams answers the request of each number, counted from 0, with
-// what answer returns; an empty back end means no answer.
+// answerDatagrams starts a server that answers each request with the datagram that answer returns.
+// Requests are numbered from 0. The server sends no answer if the back end is empty.
 func answerDatagrams(answer func(number int, request exchange.Datagram) exchange.Datagram) netip.AddrPort {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(loopback))
 	Expect(err).NotTo(HaveOccurred())
@@ -70,29 +70,29 @@
 }
 
 var _ = Describe("Client with datagrams", func() {
-	whole := func(request exchange.Datagram, name string) exchange.Datagram {
+	answerFrom := func(request exchange.Datagram, name string) exchange.Datagram {
 		return exchange.Datagram{Flow: request.Flow, Request: request.Request, Service: "audio", Backend: name}
 	}
 
-	It("completes on one back end", func() {
-		ledger := backend.NewLedger()
-		server := startDatagramBackend(backend.Settings{Service: "audio", Name: "audio-1", Ledger: ledger})
+	It("completes when a single back end answers", func() {
+		recorder := backend.NewRecorder()
+		server := startDatagramBackend(backend.Settings{Service: "audio", Name: "audio-1", Recorder: recorder})
 		result := runDatagrams(server.Address(), 30*time.Second)
 		Expect(result.Outcome).To(Equal(caller.OutcomeCompleted), result.Detail)
 		Expect(result.Backend).To(Equal("audio-1"))
-		Expect(result.Answers).To(HaveLen(4))
-		Expect(ledger.BackendsOf("flow-1")).To(Equal([]string{"audio-1"}))
+		Expect(result.AnswerTimes).To(HaveLen(4))
+		Expect(recorder.BackendsOf("flow-1")).To(Equal([]string{"audio-1"}))
 		Expect(server.Counters().Accepted).To(BeEquivalentTo(1))
 	})
 
-	It("notices a request that reached another service", func() {
-		ledger := backend.NewLedger()
-		server := startDatagramBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Ledger: ledger})
+	It("reports a wrong service when a request reaches a back end of another service", func() {
+		recorder := backend.NewRecorder()
+		server := startDatagramBackend(backend.Settings{Service: "transcription", Name: "transcription-1", Recorder: recorder})
 		Expect(runDatagrams(server.Address(), 30*time.Second).Cause).To(Equal(caller.CauseWrongService))
-		Expect(ledger.Totals().Misdelivered).To(Equal(1))
+		Expect(recorder.Totals().Misdelivered).To(Equal(1))
 	})
 
-	It("repeats a request without an answer and skips a late one", func() {
+	It("retransmits a request without an answer and skips a late answer to an earlier request", func() {
 		target := answerDatagrams(func(number int, request exchange.Datagram) exchange.Datagram {
 			switch number {
 			case 0:
@@ -100,22 +100,22 @@
 			case 2:
 				request.Request = "flow-1-0"
 			}
-			return whole(request, "audio-1")
+			return answerFrom(request, "audio-1")
 		})
 		Expect(runDatagrams(target, 30*time.Second).Outcome).To(Equal(caller.OutcomeCompleted))
 	})
 
-	It("notices that the back end changes", func() {
+	It("reports a changed back end when another one answers", func() {
 		target := answerDatagrams(func(number int, request exchange.Datagram) exchange.Datagram {
 			if request.Request == "flow-1-2" {
-				return whole(request, "audio-2")
+				return answerFrom(request, "audio-2")
 			}
-			return whole(request, "audio-1")
+			return answerFrom(request, "audio-1")
 		})
 		Expect(runDatagrams(target, 30*time.Second).Cause).To(Equal(caller.CauseBackendChanged))
 	})
 
-	It("gives up after the progress timeout", func() {
+	It("reports a stall when there is no answer within the progress timeout", func() {
 		target := answerDatagrams(func(int, exchange.Datagram) exchange.Datagram { return exchange.Datagram{} })
 		Expect(runDatagrams(target, time.Millisecond).Cause).To(Equal(caller.CauseStalled))
 	})
--- a/bench/fleet/settings_test.go
+++ b/bench/fleet/settings_test.go
@@ -14,7 +14,7 @@
 func address(text string) netip.AddrPort { return netip.MustParseAddrPort(text) }
 
 var _ = Describe("Settings", func() {
-	common := fleet.Settings{
+	base := fleet.Settings{
 		Name: "member-1", Zone: "zone-1", LogLevel: "info",
 		Observability:    address("127.0.0.1:9100"),
 		ConfigurationURL: "http://127.0.0.1:9000/v1/configuration?reader=member-1",
@@ -23,16 +23,16 @@
 	}
 
 	parse := func(written fleet.Settings) *settings.Settings {
-		text, err := written.Text()
+		text, err := written.TOML()
 		Expect(err).NotTo(HaveOccurred())
 		parsed, err := settings.Parse("test.toml", []byte(text))
 		Expect(err).NotTo(HaveOccurred(), text)
 		return parsed
 	}
 
-	DescribeTable("are accepted by the daemon for a balancer",
+	DescribeTable("of a balancer are parsed by the daemon with the same values",
 		func(baseline string) {
-			written := common
+			written := base
 			written.Baseline = baseline
 			written.Balancer = &fleet.Balancer{Listen: address("127.0.0.1:6081"), Control: address("127.0.0.1:7000")}
 			parsed := parse(written)
@@ -46,9 +46,9 @@
 		Entry("baseline", "hash"),
 	)
 
-	DescribeTable("are accepted by the daemon for an agent",
+	DescribeTable("of an agent are parsed by the daemon with the same values",
 		func(baseline string) {
-			written := common
+			written := base
 			written.Baseline = baseline
 			written.Agent = &fleet.Agent{
 				Listen: address("127.0.0.1:6181"), Fabric: address("127.0.0.1:6080"),
@@ -70,7 +70,7 @@
 })
 
 var _ = Describe("FreeAddresses", func() {
-	It("returns different loopback addresses", func() {
+	It("returns the requested number of different loopback addresses", func() {
 		addresses, err := fleet.FreeAddresses(100)
 		Expect(err).NotTo(HaveOccurred())
 		seen := make(map[netip.AddrPort]bool)
--- a/bench/timeline/timeline.go
+++ b/bench/timeline/timeline.go
@@ -1,5 +1,7 @@
-// Package timeline tells from the logs of vanetiller-relay how long processes took after
-// their start until they knew the directory, placed a flow, or gave their endpoint one.
+// Package timeline measures from the logs of vanetiller-relay how long processes take after their
+// start to reach certain steps, such as to receive the directory, place a flow or deliver a
+// request. It also measures how long changes of the directory take to reach all balancers.
+// Summarize and Plot evaluate the steps of all starts.
 package timeline
 
 import (
@@ -14,54 +16,57 @@
 	"github.com/pkg/errors"
 )
 
-// longestLine bounds a line of a log, in bytes.
-const longestLine = 1 << 20
+// maxLineLength is the longest line of a log, in bytes.
+const maxLineLength = 1 << 20
 
-// startMessage is the message of a process that has been started.
+// startMessage is the log message of a process that has started.
 const startMessage = "daemon started"
 
-// Step is something that a process does for the first time after its start.
+// Step is an action of a process, of which the first after each start is measured.
 type Step string
 
-// The steps, by the message or the event of the log line that shows them.
+// The steps. The value is the message or the event of the log line that shows the step.
 const (
-	// StepDirectory: a balancer knows routes and endpoints.
+	// StepDirectory means that a balancer has routes and endpoints.
 	StepDirectory Step = "directory changed"
-	// StepReleased: a balancer handles a packet that came before that.
+	// StepReleased means that a balancer handles a packet that arrived before StepDirectory.
 	StepReleased Step = "released"
-	// StepPlaced: an endpoint has answered an opening packet of a balancer's.
+	// StepPlaced means that an endpoint has answered an opening packet from a balancer.
 	StepPlaced Step = "placed"
-	// StepGiven: an agent gives its endpoint a request.
-	StepGiven Step = "given"
-	// StepAnswered: an agent's endpoint begins to answer one.
+	// StepDelivered means that an agent delivers a request to its endpoint.
+	StepDelivered Step = "given"
+	// StepAnswered means that the endpoint of an agent starts to answer a request.
 	StepAnswered Step = "answered"
 )
 
-// Steps lists all steps in the order in which they follow each other.
-func Steps() []Step { return []Step{StepDirectory, StepReleased, StepPlaced, StepGiven, StepAnswered} }
+// Steps lists the steps in the order in which they occur.
+func Steps() []Step {
+	return []Step{StepDirectory, StepReleased, StepPlaced, StepDelivered, StepAnswered}
+}
 
 // Start is one start of a process.
 type Start struct {
 	Process string
 	At      time.Time
-	// After tells how long after it steps were taken; those that were not are left out.
+	// After is the time from the start to each step. It does not contain steps that did not
+	// occur.
 	After map[Step]time.Duration
 }
 
-// line is what is read of a line of a log.
-type line struct {
+// logLine holds the fields of a log line that the package uses.
+type logLine struct {
 	Time    time.Time `json:"time"`
 	Name    string    `json:"name"`
 	Message string    `json:"msg"`
 	Event   string    `json:"event"`
-	// Version and Revision are those of the directory, in lines about its change.
+	// Version and Revision identify the directory in lines that report its change.
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
 }
 
-// Read returns the starts that a log shows, of any number of processes, in the order of
-// time. It takes lines that are JSON objects, whatever stands before these. It fails if the
-// input does.
+// Read returns the starts in a log in order of time. The log may contain lines of several processes.
+// It ignores lines without a JSON object, and text before the object. It fails if the input cannot
+// be read.
 func Read(input io.Reader) ([]Start, error) {
 	lines, err := readLines(input)
 	if err != nil {
@@ -70,98 +75,97 @@
 	return startsOf(lines), nil
 }
 
-// readLines returns the lines of a log that are JSON objects of a process, in the order of
-// time.
-func readLines(input io.Reader) ([]line, error) {
+// readLines returns the JSON lines of a log that name a process, in order of time.
+func readLines(input io.Reader) ([]logLine, error) {
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(nil, longestLine)
-	var lines []line
+	scanner.Buffer(nil, maxLineLength)
+	var lines []logLine
 	for scanner.Scan() {
-		begin := bytes.IndexByte(scanner.Bytes(), '{')
-		if begin < 0 {
+		start := bytes.IndexByte(scanner.Bytes(), '{')
+		if start < 0 {
 			continue
 		}
-		var read line
-		if json.Unmarshal(scanner.Bytes()[begin:], &read) == nil && read.Name != "" {
-			lines = append(lines, read)
+		var parsed logLine
+		if json.Unmarshal(scanner.Bytes()[start:], &parsed) == nil && parsed.Name != "" {
+			lines = append(lines, parsed)
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, errors.Wrap(err, "log")
+		return nil, errors.Wrap(err, "read the log")
 	}
-	slices.SortStableFunc(lines, func(a, b line) int { return a.Time.Compare(b.Time) })
+	slices.SortStableFunc(lines, func(a, b logLine) int { return a.Time.Compare(b.Time) })
 	return lines, nil
 }
 
-func startsOf(lines []line) []Start {
+func startsOf(lines []logLine) []Start {
 	var starts []*Start
 	latest := make(map[string]*Start)
-	for _, read := range lines {
-		if read.Message == startMessage {
-			begun := &Start{Process: read.Name, At: read.Time, After: make(map[Step]time.Duration)}
-			starts = append(starts, begun)
-			latest[read.Name] = begun
+	for _, parsed := range lines {
+		if parsed.Message == startMessage {
+			start := &Start{Process: parsed.Name, At: parsed.Time, After: make(map[Step]time.Duration)}
+			starts = append(starts, start)
+			latest[parsed.Name] = start
 			continue
 		}
-		begun, known := latest[read.Name]
-		step := Step(cmp.Or(read.Event, read.Message))
+		start, known := latest[parsed.Name]
+		step := Step(cmp.Or(parsed.Event, parsed.Message))
 		if !known || !slices.Contains(Steps(), step) {
 			continue
 		}
-		if _, taken := begun.After[step]; !taken {
-			begun.After[step] = read.Time.Sub(begun.At)
+		if _, taken := start.After[step]; !taken {
+			start.After[step] = parsed.Time.Sub(start.At)
 		}
 	}
-	found := make([]Start, len(starts))
-	for index, begun := range starts {
-		found[index] = *begun
+	results := make([]Start, len(starts))
+	for index, start := range starts {
+		results[index] = *start
 	}
-	return found
+	return results
 }
 
-// Between returns the starts from one time to another, each since the first start.
+// Between returns the starts whose time since the first start is between from and to.
 func Between(starts []Start, from, to time.Duration) []Start {
 	if len(starts) == 0 {
 		return nil
 	}
 	first := slices.MinFunc(starts, func(a, b Start) int { return a.At.Compare(b.At) }).At
-	return slices.DeleteFunc(slices.Clone(starts), func(begun Start) bool {
-		since := begun.At.Sub(first)
+	return slices.DeleteFunc(slices.Clone(starts), func(start Start) bool {
+		since := start.At.Sub(first)
 		return since < from || since > to
 	})
 }
 
-// Summary tells how long a step took after the starts that came to it.
+// Summary describes how long after the start a step occurred.
 type Summary struct {
 	Step Step `json:"step"`
-	// Starts is the number of starts that came to the step.
+	// Starts is the number of starts after which the step occurred.
 	Starts int `json:"starts"`
 	// The times are in milliseconds.
-	Median   float64 `json:"median_ms"`
-	NineOf10 float64 `json:"p90_ms"`
-	Longest  float64 `json:"longest_ms"`
+	Median  float64 `json:"median_ms"`
+	P90     float64 `json:"p90_ms"`
+	Longest float64 `json:"longest_ms"`
 }
 
-// Summarize returns a summary for each step that any start came to.
+// Summarize returns a summary for each step that occurred after at least one start.
 func Summarize(starts []Start) []Summary {
 	var summaries []Summary
 	for _, step := range Steps() {
-		times := TimesOf(starts, step)
+		times := StepTimes(starts, step)
 		if len(times) == 0 {
 			continue
 		}
 		summaries = append(summaries, Summary{
-			Step: step, Starts: len(times), Median: quantile(times, 0.5), NineOf10: quantile(times, 0.9), Longest: quantile(times, 1),
+			Step: step, Starts: len(times), Median: quantile(times, 0.5), P90: quantile(times, 0.9), Longest: quantile(times, 1),
 		})
 	}
 	return summaries
 }
 
-// TimesOf returns how long a step took, in milliseconds and in order.
-func TimesOf(starts []Start, step Step) []float64 {
+// StepTimes returns the times from the starts to a step, in milliseconds and ascending order.
+func StepTimes(starts []Start, step Step) []float64 {
 	var times []float64
-	for _, begun := range starts {
-		if after, taken := begun.After[step]; taken {
+	for _, start := range starts {
+		if after, taken := start.After[step]; taken {
 			times = append(times, float64(after.Microseconds())/1000)
 		}
 	}
@@ -169,8 +173,9 @@
 	return times
 }
 
-// quantile returns the least of sorted times that is not below a part of them.
-func quantile(sorted []float64, part float64) float64 {
-	index := int(part*float64(len(sorted))+0.5) - 1
+// quantile returns the element of the sorted times at the given rank between 0 and 1. It rounds to
+// the nearest element.
+func quantile(sorted []float64, rank float64) float64 {
+	index := int(rank*float64(len(sorted))+0.5) - 1
 	return sorted[min(max(index, 0), len(sorted)-1)]
 }
--- a/bench/timeline/timeline_test.go
+++ b/bench/timeline/timeline_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "Timeline")
 }
 
-const log = `seen: 2 machines
+const startLog = `seen: 2 machines
   1.0 b-1 {"time":"2026-01-01T00:00:01Z","msg":"daemon started","name":"b-1"}
   1.2 b-1 {"time":"2026-01-01T00:00:01.2Z","msg":"directory changed","name":"b-1","version":3}
   1.1 a-1 {"time":"2026-01-01T00:00:01.1Z","msg":"daemon started","name":"a-1"}
@@ -33,34 +33,34 @@
 
 var _ = Describe("Timeline", func() {
 	read := func() []timeline.Start {
-		starts, err := timeline.Read(strings.NewReader(log))
+		starts, err := timeline.Read(strings.NewReader(startLog))
 		Expect(err).NotTo(HaveOccurred())
 		return starts
 	}
 
-	It("takes the first of each step after each start of a process", func() {
+	It("returns the first occurrence of each step after each start of a process", func() {
 		starts := read()
 		Expect(starts).To(HaveLen(3))
 		Expect(starts[0].Process).To(Equal("b-1"))
 		Expect(starts[0].After).To(Equal(map[timeline.Step]time.Duration{
 			timeline.StepDirectory: 200 * time.Millisecond, timeline.StepPlaced: 300 * time.Millisecond,
 		}))
-		Expect(starts[1].After).To(Equal(map[timeline.Step]time.Duration{timeline.StepGiven: 400 * time.Millisecond}))
+		Expect(starts[1].After).To(Equal(map[timeline.Step]time.Duration{timeline.StepDelivered: 400 * time.Millisecond}))
 		Expect(starts[2].After).To(HaveLen(1))
 	})
 
-	It("sums up the steps, of all starts or of some", func() {
+	It("summarizes the steps of all starts or of those between two times", func() {
 		Expect(timeline.Summarize(read())).To(ContainElement(timeline.Summary{
-			Step: timeline.StepDirectory, Starts: 2, Median: 100, NineOf10: 200, Longest: 200,
+			Step: timeline.StepDirectory, Starts: 2, Median: 100, P90: 200, Longest: 200,
 		}))
 		late := timeline.Between(read(), 5*time.Second, time.Minute)
 		Expect(timeline.Summarize(late)).To(Equal([]timeline.Summary{
-			{Step: timeline.StepDirectory, Starts: 1, Median: 100, NineOf10: 100, Longest: 100},
+			{Step: timeline.StepDirectory, Starts: 1, Median: 100, P90: 100, Longest: 100},
 		}))
 		Expect(timeline.Between(nil, 0, time.Minute)).To(BeEmpty())
 	})
 
-	It("draws them", func() {
+	It("plots the steps, and fails without starts", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "timeline.svg")
 		Expect(timeline.Plot(read(), path)).To(Succeed())
 		drawn, err := os.ReadFile(path)
--- a/cmd/vanetiller-bench/commands.go
+++ b/cmd/vanetiller-bench/commands.go
@@ -16,7 +16,7 @@
 )
 
 func demo(ctx context.Context, arguments []string) int {
-	var values parameters
+	var values runFlags
 	flags := newFlagSet("demo", &values, demoDuration)
 	positional, err := parseInterleaved(flags, arguments)
 	if err == nil && len(positional) > 0 {
@@ -29,16 +29,16 @@
 }
 
 func run(ctx context.Context, arguments []string) int {
-	var values parameters
+	var values runFlags
 	flags := newFlagSet("run", &values, defaultDuration)
-	flags.BoolVar(&values.json, "json", false, "print only the line of JSON that otherwise follows the summary")
-	flags.StringVar(&values.hash, "hash", string(flownet.HashSteady), "`way` in which the fabric of the experiment platform chooses balancers: steady or modulo")
-	flags.BoolVar(&values.powerLoss, "power-loss", false, "let all machines of the experiment platform lose power once")
-	flags.BoolVar(&values.planned, "planned", false, "play only planned work in the experiment platform")
-	flags.BoolVar(&values.unbounded, "unbounded", false, "let agents of the experiment platform hold nothing back, for comparison")
+	flags.BoolVar(&values.json, "json", false, "print only the JSON line, without the summary before it")
+	flags.StringVar(&values.hash, "hash", string(flownet.HashSteady), "`method` by which the fabric of the experiment platform chooses balancers: steady or modulo")
+	flags.BoolVar(&values.powerLoss, "power-loss", false, "simulate one power loss of all machines of the experiment platform")
+	flags.BoolVar(&values.planned, "planned", false, "schedule only planned operations in the experiment platform")
+	flags.BoolVar(&values.unbounded, "unbounded", false, "make the agents of the experiment platform deliver all packets to their endpoints at once, for comparison")
 	positional, err := parseInterleaved(flags, arguments)
 	if err == nil && len(positional) != 1 {
-		err = errors.New("run needs one experiment; vanetiller-bench list names them")
+		err = errors.New("run needs exactly one experiment; see vanetiller-bench list")
 	}
 	if err != nil {
 		return usageError(err)
@@ -49,8 +49,8 @@
 	return execute(ctx, values, positional[0])
 }
 
-// execute does one run and prints its report.
-func execute(ctx context.Context, values parameters, experimentName string) int {
+// execute runs one experiment, prints its report and returns the exit status.
+func execute(ctx context.Context, values runFlags, experimentName string) int {
 	options, err := values.options(experimentName)
 	if err != nil {
 		return usageError(err)
@@ -60,35 +60,35 @@
 		options.Directory, err = os.MkdirTemp("", "vanetiller-bench-")
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-			return exitBroken
+			return exitFailure
 		}
 	}
 	report, err := experiment.Run(ctx, options)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
 		fmt.Fprintln(os.Stderr, "logs are in", options.Directory)
-		return exitBroken
+		return exitFailure
 	}
 	if err := printReport(report, values.json); err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
-	if !report.Kept() {
+	if !report.Passed() {
 		fmt.Fprintln(os.Stderr, "logs are in", options.Directory)
-		return exitBroken
+		return exitFailure
 	}
 	if temporary {
 		return removeDirectory(options.Directory)
 	}
-	return exitKept
+	return exitOK
 }
 
 func removeDirectory(directory string) int {
 	if err := os.RemoveAll(directory); err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
-	return exitKept
+	return exitOK
 }
 
 func printReport(report experiment.Report, asJSON bool) error {
@@ -99,10 +99,10 @@
 	}
 	encoded, err := json.Marshal(report)
 	if err != nil {
-		return errors.Wrap(err, "report")
+		return errors.Wrap(err, "encode the report")
 	}
 	_, err = fmt.Println(string(encoded))
-	return errors.Wrap(err, "report")
+	return errors.Wrap(err, "print the report")
 }
 
 const (
@@ -118,19 +118,19 @@
 	fmt.Fprintf(table, "events\t%d\n", report.Events)
 	fmt.Fprintf(table, "imbalance\t%.2f\tpeak %.2f with at least %d flows open\n",
 		report.Imbalance, report.ImbalancePeak, report.ImbalanceFlows)
-	fmt.Fprintf(table, "answers\t%.2f ms\tmedian; %.2f ms for 99 of 100\n", report.P50, report.P99)
-	fmt.Fprintf(table, "handshakes\t%.2f ms\tmedian; %.2f ms for 99 of 100\n\n", report.OpenP50, report.OpenP99)
-	for _, promise := range report.Promises() {
+	fmt.Fprintf(table, "answers\t%.2f ms\tmedian; %.2f ms for 99 of 100\n", report.AnswerP50, report.AnswerP99)
+	fmt.Fprintf(table, "handshakes\t%.2f ms\tmedian; %.2f ms for 99 of 100\n\n", report.HandshakeP50, report.HandshakeP99)
+	for _, guarantee := range report.Guarantees() {
 		verdict := "kept"
-		if promise.Broken > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", promise.Broken)
+		if guarantee.Violations > 0 {
+			verdict = fmt.Sprintf("VIOLATED %d times", guarantee.Violations)
 		}
-		fmt.Fprintf(table, "%s\t%s\n", promise.Name, verdict)
+		fmt.Fprintf(table, "%s\t%s\n", guarantee.Name, verdict)
 	}
 	for _, cause := range report.Causes {
-		fmt.Fprintf(table, "%s, %s\t%d\tsuch as %s\n", cause.Outcome, cause.Cause, cause.Count, cause.Example)
+		fmt.Fprintf(table, "%s, %s\t%d\tfor example %s\n", cause.Outcome, cause.Cause, cause.Count, cause.Example)
 	}
-	return errors.Wrap(table.Flush(), "summary")
+	return errors.Wrap(table.Flush(), "print the summary")
 }
 
 func list() int {
@@ -144,7 +144,7 @@
 			shape.Name, shape.Balancers, len(shape.Services), shape.Zones)
 	}
 	if err := table.Flush(); err != nil {
-		return exitBroken
+		return exitFailure
 	}
-	return exitKept
+	return exitOK
 }
--- a/cmd/vanetiller-bench/flags.go
+++ b/cmd/vanetiller-bench/flags.go
@@ -1,4 +1,4 @@
-// This file implements the flags of the commands.
+// This file defines the flags of the commands demo and run.
 
 package main
 
@@ -24,8 +24,8 @@
 	baselineHash = "hash"
 )
 
-// parameters are the values of the flags.
-type parameters struct {
+// runFlags holds the values of the flags.
+type runFlags struct {
 	shape     string
 	seed      uint64
 	duration  time.Duration
@@ -38,19 +38,19 @@
 	unbounded bool
 }
 
-func newFlagSet(command string, values *parameters, duration time.Duration) *flag.FlagSet {
+func newFlagSet(command string, values *runFlags, duration time.Duration) *flag.FlagSet {
 	flags := flag.NewFlagSet(command, flag.ContinueOnError)
 	flags.SetOutput(os.Stderr)
 	flags.StringVar(&values.shape, "shape", defaultShape, "`name` of the fleet and traffic: casablanca, kolkata or datagrams")
-	flags.Uint64Var(&values.seed, "seed", defaultSeed, "`number` that determines events, spraying and disturbances")
-	flags.DurationVar(&values.duration, "duration", duration, "length of the event `time`, such as 30s or 2m")
-	flags.StringVar(&values.baseline, "baseline", baselineNone, "`method` to run instead of the product's: none (the product) or hash (a stateless hash)")
-	flags.StringVar(&values.directory, "directory", "", "`path` for the daemon binary, settings and logs (default: a temporary directory that is removed when every promise was kept)")
+	flags.Uint64Var(&values.seed, "seed", defaultSeed, "`number` that determines events, packet spraying and network faults")
+	flags.DurationVar(&values.duration, "duration", duration, "`time` in which events happen, such as 30s or 2m")
+	flags.StringVar(&values.baseline, "baseline", baselineNone, "`method` to run for comparison: none (the product) or hash (a stateless hash)")
+	flags.StringVar(&values.directory, "directory", "", "`path` for the daemon binary, settings and logs (default: a temporary directory that is removed if no guarantee was violated)")
 	return flags
 }
 
-// parseInterleaved parses flags before and after the positional arguments and
-// returns the latter. It fails as flag.FlagSet.Parse does.
+// parseInterleaved parses flags before and after the positional arguments and returns the positional
+// arguments. It fails for the same reasons as flag.FlagSet.Parse.
 func parseInterleaved(flags *flag.FlagSet, arguments []string) ([]string, error) {
 	var positional []string
 	for len(arguments) > 0 {
@@ -66,26 +66,26 @@
 	return positional, nil
 }
 
-// options checks the values and turns them into the options of a run.
-func (p parameters) options(experimentName string) (experiment.Options, error) {
-	shape, err := experiment.ShapeNamed(p.shape)
+// options validates the values and returns the options of a run.
+func (f runFlags) options(experimentName string) (experiment.Options, error) {
+	shape, err := experiment.ShapeByName(f.shape)
 	if err != nil {
 		return experiment.Options{}, err
 	}
-	chosen, err := experiment.ExperimentNamed(experimentName)
+	chosen, err := experiment.ExperimentByName(experimentName)
 	if err != nil {
 		return experiment.Options{}, err
 	}
-	baseline, err := parseBaseline(p.baseline)
+	baseline, err := parseBaseline(f.baseline)
 	if err != nil {
 		return experiment.Options{}, err
 	}
-	if p.duration < 0 {
+	if f.duration < 0 {
 		return experiment.Options{}, errors.New("-duration must not be negative")
 	}
 	return experiment.Options{
-		Shape: shape, Experiment: chosen, Seed: p.seed, Duration: p.duration,
-		Baseline: baseline, Directory: p.directory, Progress: os.Stderr,
+		Shape: shape, Experiment: chosen, Seed: f.seed, Duration: f.duration,
+		Baseline: baseline, Directory: f.directory, Progress: os.Stderr,
 	}, nil
 }
 
@@ -99,10 +99,10 @@
 	return "", errors.Errorf("unknown baseline %q: must be none or hash", name)
 }
 
-// usageError prints the error and returns the exit status.
+// usageError prints the error, unless help was requested, and returns the exit status.
 func usageError(err error) int {
 	if errors.Is(err, flag.ErrHelp) {
-		return exitKept
+		return exitOK
 	}
 	fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
 	return exitUsage
--- a/cmd/vanetiller-bench/platform.go
+++ b/cmd/vanetiller-bench/platform.go
@@ -1,5 +1,4 @@
-// This file implements the experiments platform and surge, which play the relay
-// in virtual time.
+// This file implements the experiment platform, which simulates the relay in virtual time.
 
 package main
 
@@ -16,13 +15,14 @@
 
 const (
 	platformExperiment  = "platform"
-	platformDescription = "balancers and agents that carry packets whole, in virtual time, under random events"
-	// platformEventRate is the number of events a second of the schedule.
+	platformDescription = "simulated balancers and agents that forward packets under random events, in virtual time"
+	// platformEventRate is the number of events per second of virtual time.
 	platformEventRate = 0.6
 )
 
-// runPlatform plays one run and prints its report.
-func runPlatform(values parameters) int {
+// runPlatform executes one run of the experiment platform, prints its report and returns the exit
+// status.
+func runPlatform(values runFlags) int {
 	shape, err := flownet.ShapeNamed(values.shape)
 	if err != nil {
 		return usageError(err)
@@ -45,13 +45,13 @@
 	encoded, err := json.Marshal(report)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "vanetiller-bench:", err)
-		return exitBroken
+		return exitFailure
 	}
 	fmt.Println(string(encoded))
 	if report.Broken() > 0 {
-		return exitBroken
+		return exitFailure
 	}
-	return exitKept
+	return exitOK
 }
 
 func printPlatform(report flownet.Report) {
@@ -60,23 +60,23 @@
 	fmt.Fprintf(table, "requests\t%d\t%.2f%% served, %.2f%% within their objective\n",
 		report.Asked, 100*report.Served, 100*report.InTarget)
 	fmt.Fprintf(table, "worst two seconds\t%.2f%%\twithin their objective\n\n", 100*report.WorstWindow)
-	for _, promise := range []struct {
-		name   string
-		broken int
+	for _, guarantee := range []struct {
+		name       string
+		violations int
 	}{
 		{"open flows are not reset", report.ResetOpen},
 		{"packets of open flows reach their endpoint", report.Misrouted},
-		{"requests that must not be repeated run once", report.DoubleRuns},
-		{"endpoints that leave get no new flows", report.LateOpenings},
-		{"configurations are in force in time", report.LateRoutes},
-		{"packets arrive as they were written", report.Forged},
+		{"requests that are not idempotent run at most once", report.DoubleRuns},
+		{"draining endpoints get no new flows", report.LateOpenings},
+		{"configurations take effect in time", report.LateRoutes},
+		{"packets arrive unmodified", report.Forged},
 		{"answers belong to their requests", report.Mixed},
 	} {
 		verdict := "kept"
-		if promise.broken > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", promise.broken)
+		if guarantee.violations > 0 {
+			verdict = fmt.Sprintf("VIOLATED %d times", guarantee.violations)
 		}
-		fmt.Fprintf(table, "%s\t%s\n", promise.name, verdict)
+		fmt.Fprintf(table, "%s\t%s\n", guarantee.name, verdict)
 	}
 	_ = table.Flush()
 }
