--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -160,7 +160,7 @@
 		m.dropPacket(DropNoLease, packet)
 		return
 	}
-	if !m.canTakeFlow() {
+	if !m.canOpenFlow() {
 		m.refuseNewFlow(now, key, packet)
 		return
 	}
--- a/internal/admission/locate.go
+++ b/internal/admission/locate.go
@@ -118,7 +118,7 @@
 		Sequence:  query.Sequence,
 		Purpose:   query.Purpose,
 		Open:      m.openFlows,
-		Available: m.canTakeFlow() && !m.leaseRecentlyResumed(now),
+		Available: m.canOpenFlow() && !m.leaseRecentlyResumed(now),
 	}
 	reply.Answer, reply.Owner = m.lookUpAnswer(now, from, query)
 	if reply.Answer == AnswerUnknown && query.Purpose == PurposeOpen {
--- a/internal/admission/machine.go
+++ b/internal/admission/machine.go
@@ -10,11 +10,11 @@
 type Config struct {
 	// Row is the table row for which the machine decides.
 	Row table.BackendID
-	// LeaseDuration is the longest time for which a row may open flows
-	// without hearing from a daemon.
+	// LeaseDuration is the longest time for which a row may open flows without
+	// a renewal of its lease by a daemon.
 	LeaseDuration time.Duration
-	// LoadTimeout bounds the wait for another row to report its load, and for
-	// any answer of a row that is believed to be down.
+	// LoadTimeout bounds the wait for the load of another row. It also bounds
+	// the wait for any answer from a row that View.Down lists.
 	LoadTimeout time.Duration
 	// ResendInterval is the time after which a query is first repeated. The
 	// interval doubles with each repetition.
@@ -24,16 +24,17 @@
 	// VersionTimeout bounds the wait for a newer table version.
 	VersionTimeout time.Duration
 	// RetransmissionTimeout is how long callers retransmit the first packet
-	// of a flow that is not answered.
+	// of a flow if they receive no answer.
 	RetransmissionTimeout time.Duration
 	// ClosedRetention is how long an ended or refused flow is remembered.
 	ClosedRetention time.Duration
 	// RemoteRetention is how long the owner of a flow of another row is
 	// remembered after the flow's last packet.
 	RemoteRetention time.Duration
-	// HandoverMargin is added to the open flows of another row when its load
-	// is compared with that of this row. A row of the same weight is handed a
-	// new flow only if it has fewer open flows by more than this margin.
+	// HandoverMargin is added to the number of open flows of another row when
+	// the loads of that row and this row are compared. This row hands a new flow
+	// over to a row of the same weight only if it has more open flows than that
+	// row and the difference exceeds HandoverMargin.
 	HandoverMargin uint32
 	// FlowLimit is the largest number of remembered flows, including those
 	// that have ended.
@@ -44,8 +45,8 @@
 	// unknown flows.
 	LocateLimit int
 	// Stateless disables queries: the machine opens every new flow where its
-	// first packet arrives and refuses unknown flows. It is the negative
-	// control of experiments.
+	// first packet arrives and refuses unknown flows. Experiments use it
+	// as the baseline without queries (their negative control).
 	Stateless bool
 }
 
@@ -79,8 +80,8 @@
 	// maximumHeldPackets bounds the packets that are kept for one undecided
 	// flow.
 	maximumHeldPackets = 4
-	// tickInterval is the longest useful interval between calls of Tick. It is
-	// half of the shortest default timeout, ResendInterval.
+	// tickInterval is the longest interval at which Tick should be called. It is
+	// half of ResendInterval, the shortest default timeout.
 	tickInterval = 4 * time.Millisecond
 	// sweepInterval is the time between removals of expired flow records.
 	sweepInterval = time.Second
@@ -95,7 +96,8 @@
 	config     Config
 	history    viewHistory
 	leaseUntil time.Duration
-	// leaseResumedAt is when the lease last began after an interruption.
+	// leaseResumedAt is the time of the latest renewal at which this row held no
+	// lease.
 	leaseResumedAt time.Duration
 	leaving        bool
 	flows          map[FlowKey]flowRecord
@@ -120,8 +122,9 @@
 // OpenFlows returns the number of flows that are open at this row.
 func (m *Machine) OpenFlows() uint32 { return m.openFlows }
 
-// RememberedFlows returns the number of flow records, including those of remote,
-// fenced, refused and ended flows.
+// RememberedFlows returns the number of flow records, including those of flows
+// that another row owns (flowRemote) or is about to open (flowFenced), and of
+// refused and ended flows.
 func (m *Machine) RememberedFlows() int { return len(m.flows) }
 
 // UndecidedFlows returns the number of flows whose owner is being decided or
@@ -177,8 +180,9 @@
 	m.emit(Effect{Kind: Drop, Reason: reason, Packet: packet})
 }
 
-// forwardPacket forwards the packet to another row, with the newer of the
-// packet's and this row's table versions. It drops the packet at the hop limit.
+// forwardPacket forwards the packet to another row. It raises the table version in
+// the packet to the version of this row if that is newer. It drops a packet that has
+// reached hopLimit.
 func (m *Machine) forwardPacket(to table.BackendID, handedOver bool, packet Packet) {
 	if packet.Routing.Hops >= hopLimit {
 		m.dropPacket(DropHopLimit, packet)
@@ -192,8 +196,8 @@
 	m.emit(Effect{Kind: Forward, To: to, Packet: packet})
 }
 
-// canTakeFlow reports whether this row can open another flow.
-func (m *Machine) canTakeFlow() bool {
+// canOpenFlow reports whether this row can open another flow.
+func (m *Machine) canOpenFlow() bool {
 	if m.leaving || m.history.current == nil {
 		return false
 	}
@@ -211,9 +215,10 @@
 	return record.sequence, exists && record.state == flowOpen
 }
 
-// FlowLingering records that the open flow with the given initial sequence number
-// has ended while its transport still answers the caller's last segments. The
-// flow no longer counts against the connection limit.
+// FlowLingering records that an open flow has ended but its transport endpoint still
+// exists, to answer the last segments of the caller. The call has no effect if the
+// initial sequence number of the flow differs. The flow no longer counts against the
+// connection limit.
 func (m *Machine) FlowLingering(now time.Duration, key FlowKey, sequence uint32) {
 	m.endFlow(now, key, sequence, flowLingering)
 }
@@ -245,8 +250,9 @@
 	m.flows[key] = record
 }
 
-// ForgetFlow removes the record of an ended flow that need not be remembered,
-// such as a UDP flow after its idle time.
+// ForgetFlow removes the record of a flow that has ended, without keeping it for
+// ClosedRetention. It is used for UDP flows, for example after their idle timeout. An
+// open flow no longer counts against the connection limit.
 func (m *Machine) ForgetFlow(key FlowKey) {
 	record, exists := m.flows[key]
 	if !exists {
@@ -272,7 +278,7 @@
 	return m.effects
 }
 
-// sweep removes the flow records that have expired.
+// sweep removes the flow records that have expired. Records of open flows do not expire.
 func (m *Machine) sweep(now time.Duration) {
 	for key, record := range m.flows {
 		if record.state != flowOpen && record.expires <= now {
--- a/internal/admission/open.go
+++ b/internal/admission/open.go
@@ -68,7 +68,7 @@
 // this row cannot take the flow.
 func (m *Machine) queryLoad(now time.Duration, pending *pendingFlow) {
 	deadline := now + m.config.LoadTimeout
-	if !m.canTakeFlow() {
+	if !m.canOpenFlow() {
 		m.queryAllCandidates(now, pending)
 		return
 	}
@@ -198,7 +198,7 @@
 	var best table.BackendID
 	var bestLoad uint64
 	var bestWeight uint64
-	if self, exists := view.row(m.config.Row); exists && m.canTakeFlow() {
+	if self, exists := view.row(m.config.Row); exists && m.canOpenFlow() {
 		best = self.ID
 		bestLoad = uint64(m.openFlows) + 1
 		bestWeight = uint64(self.Weight)
--- a/internal/balancer/decision_bench_test.go
+++ b/internal/balancer/decision_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// BenchmarkDecision measures decoding and the selection of the row, without the
-// encapsulation that follows.
+// BenchmarkDecision measures decapsulation and the selection of the target row of one
+// packet. It excludes the encapsulation for that row, which Decide does afterwards.
 func BenchmarkDecision(b *testing.B) {
 	configuration := &table.Table{
 		Version:  1,
@@ -22,7 +22,7 @@
 			{ID: 2, Service: 1, Agent: "192.0.2.2:6081", Weight: 1},
 		},
 	}
-	built := lookup.Build(configuration, lookup.AllAlive)
+	lookupTable := lookup.Build(configuration, lookup.AllAlive)
 	buffer := gopacket.NewSerializeBuffer()
 	err := gopacket.SerializeLayers(buffer, gopacket.SerializeOptions{FixLengths: true},
 		&layers.IPv4{
@@ -39,7 +39,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		content, _ := decider.decapsulate(datagram)
-		if _, reason := decider.findTarget(built, content); reason != Forwarded {
+		if _, reason := decider.findTarget(lookupTable, content); reason != Forwarded {
 			b.Fatal(reason)
 		}
 	}
--- a/internal/changelog/replace_table_test.go
+++ b/internal/changelog/replace_table_test.go
@@ -22,7 +22,7 @@
 		Expect(replaceTable(7, newBackend(2, 1), newBackend(1, 1))).To(Succeed())
 	})
 
-	It("adopts the version of the new table, even if versions were skipped, and records the cells that differ", func() {
+	It("adopts the version of the new table, even after a gap, and records the changed cells", func() {
 		changed := newBackend(1, 1)
 		changed.Weight = 50
 		Expect(replaceTable(12, changed, newBackend(2, 1))).To(Succeed())
@@ -36,17 +36,17 @@
 		Expect(history[1].Cells[0]).To(And(HaveField("Column", "weight"), HaveField("New", "50")))
 	})
 
-	It("drops the versions of rows that are not in the new table", func() {
+	It("removes the row versions of rows that are not in the new table", func() {
 		Expect(replaceTable(8, newBackend(2, 1))).To(Succeed())
 		Expect(state.RowVersion(1)).To(BeZero())
 		Expect(state.Table().Backends).To(Equal([]table.Backend{newBackend(2, 1)}))
 	})
 
-	DescribeTable("rejects a table and keeps the current one",
-		func(version table.Version, spoil func(*table.Backend), column string) {
-			spoiled := newBackend(1, 1)
-			spoil(&spoiled)
-			Expect(replaceTable(version, spoiled)).To(MatchError(ContainSubstring(column)))
+	DescribeTable("keeps the current table and rejects a new one",
+		func(version table.Version, makeInvalid func(*table.Backend), message string) {
+			invalid := newBackend(1, 1)
+			makeInvalid(&invalid)
+			Expect(replaceTable(version, invalid)).To(MatchError(ContainSubstring(message)))
 			Expect(state.Version()).To(Equal(table.Version(7)))
 			Expect(state.Table().Backends).To(Equal([]table.Backend{newBackend(1, 1), newBackend(2, 1)}))
 		},
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -18,9 +18,10 @@
 	started  int64
 	revision Revision
 	endpoint Endpoint
-	warmAt   time.Duration
-	gone     bool
-	goneAt   time.Duration
+	// warmAt is when the cold start that the entry announced ends.
+	warmAt time.Duration
+	gone   bool
+	goneAt time.Duration
 	// refused is set if the endpoint is gone because its entry became unusable.
 	refused bool
 }
@@ -29,7 +30,8 @@
 // other processes. It is not safe for concurrent use.
 type Replica struct {
 	configuration *Item
-	// endpoints holds the latest incarnation by name. Earlier incarnations hold no flows.
+	// endpoints holds the latest incarnation by name. Earlier ones are not kept, because a
+	// restarted endpoint holds none of their flows.
 	endpoints map[string]*endpointRecord
 	refusals  refusals
 	// appliedRevision is the revision up to which all changes are known.
@@ -37,19 +39,20 @@
 	// historyFloor is the revision after which all changes are kept. A process with an older
 	// revision needs a full state.
 	historyFloor Revision
-	// latestSeen is the highest revision received from any source, including revisions above
-	// appliedRevision.
+	// latestSeen is the highest revision received from any source. It is above
+	// appliedRevision while changes between the two may be missing.
 	latestSeen Revision
-	// invalidFrom is the lowest revision that the store has shown to be false, or 0.
-	// invalidations counts how often the store has done so.
-	invalidFrom   Revision
+	// invalidFrom is the lowest revision that was received although the store has not reached
+	// it, or 0. States of peers at this revision or later are ignored.
+	invalidFrom Revision
+	// invalidations counts the calls of Invalidate.
 	invalidations uint64
 	// formerServices holds the services that earlier configurations assigned to addresses.
 	formerServices map[segment.Address][]string
 	// zones holds the zones that are closed or were closed recently.
 	zones map[string]zoneRecord
 	// departuresKnownSince is the start of the period for which all departures of endpoints are
-	// known, or never.
+	// known. Its value is the constant never if there is no such period.
 	departuresKnownSince time.Duration
 	snapshot             *Snapshot
 }
@@ -90,20 +93,19 @@
 // listing.
 func (r *Replica) AppliedRevision() Revision { return r.appliedRevision }
 
-// Loaded reports whether the endpoints are known, from a listing or from another process.
-// During the first start of a fleet there may be no configuration yet. It arrives as an
-// ordinary change, without another listing.
+// Loaded reports whether the endpoints are known, from a listing or from another process. It
+// does not require a configuration: during the first start of a fleet there may be none yet,
+// and it then arrives as an ordinary change, without another listing.
 func (r *Replica) Loaded() bool { return r.appliedRevision > 0 }
 
-// Ready reports whether the replica has a configuration and the endpoints are known, from a
-// listing or from another process.
+// Ready reports whether the replica is loaded, as Loaded reports, and has a configuration.
 func (r *Replica) Ready() bool {
 	return r.configuration != nil && r.appliedRevision > 0
 }
 
-// ApplyListing merges a full listing of the store that began at a revision. Endpoints and zones
-// that were known by then and are not listed count as deleted. It reports whether the snapshot
-// changed.
+// ApplyListing merges a full listing of the store, which began when the store was at the given
+// revision. An entry of an endpoint or zone that is not listed counts as deleted if its known
+// revision is not later than the given one. ApplyListing reports whether the snapshot changed.
 func (r *Replica) ApplyListing(now time.Duration, items []Item, revision Revision) bool {
 	changed := false
 	listed := make(map[string]bool, len(items))
@@ -122,8 +124,8 @@
 	return r.advance(now, revision, changed)
 }
 
-// markUnlistedGone marks endpoints as gone whose entry was not listed at a revision. It reports
-// whether it marked any.
+// markUnlistedGone marks the endpoints as gone that a listing at the given revision does not
+// contain, except those with a later revision. It reports whether it marked any.
 func (r *Replica) markUnlistedGone(now time.Duration, listed map[string]bool, revision Revision) bool {
 	marked := false
 	for name, record := range r.endpoints {
@@ -135,12 +137,13 @@
 	return marked
 }
 
-// ApplyChanges merges all changes up to a revision. The replica must know all changes before
-// them. It reports whether the snapshot changed.
+// ApplyChanges merges changes of the store. The items must contain all changes after
+// AppliedRevision, up to and including through. It reports whether the snapshot changed.
 func (r *Replica) ApplyChanges(now time.Duration, items []Item, through Revision) bool {
 	r.noteStoreRevision(through)
 	if r.needsFullState() {
-		// The call began before the directory was invalidated, so its changes may not connect.
+		// The call to the store began before the directory was invalidated, so changes before
+		// these items may be missing.
 		return false
 	}
 	changed := false
@@ -150,6 +153,9 @@
 	return r.advance(now, through, changed)
 }
 
+// advance records that all changes up to a revision are known, removes expired records, and
+// rebuilds the snapshot if the merged items or the removals changed it. It reports whether the
+// snapshot was rebuilt.
 func (r *Replica) advance(now time.Duration, through Revision, changed bool) bool {
 	r.appliedRevision = max(r.appliedRevision, through)
 	r.latestSeen = max(r.latestSeen, r.appliedRevision)
@@ -160,6 +166,8 @@
 	return false
 }
 
+// merge applies an item of the store according to its kind. It reports whether the snapshot has
+// to be rebuilt.
 func (r *Replica) merge(now time.Duration, item Item) bool {
 	r.refusals.note(item)
 	if item.Configuration != nil {
@@ -187,8 +195,9 @@
 	return true
 }
 
-// recordFormerServices keeps the services of addresses that a configuration changes or drops,
-// so that their open flows can still be found. It replaces the map, because snapshots share it.
+// recordFormerServices records the previous services of each address whose route the new
+// configuration changes or removes, so that the open flows of the address can still be found.
+// It replaces the map, because snapshots share it.
 func (r *Replica) recordFormerServices(before, after *Configuration) {
 	present := make(map[segment.Address][]WeightedService, len(after.Routes))
 	for index := range after.Routes {
@@ -216,7 +225,8 @@
 	return services
 }
 
-// appendServices returns the services with the later ones moved to the end.
+// appendServices returns the services with the later ones moved to the end. It keeps the last
+// maxFormerServices of them.
 func appendServices(services, later []string) []string {
 	merged := slices.Clone(services)
 	for _, service := range later {
@@ -227,7 +237,8 @@
 }
 
 // mergeEndpoint accepts the higher revision and ignores the start times, because an endpoint's
-// clock may step back. An entry of another incarnation replaces the record.
+// clock may step back. An item with an endpoint replaces the whole record, even if the record
+// belongs to another incarnation.
 func (r *Replica) mergeEndpoint(now time.Duration, item Item) bool {
 	record, exists := r.endpoints[item.EndpointID.Name]
 	if exists && item.Revision <= record.revision {
@@ -250,12 +261,16 @@
 	return true
 }
 
+// markGone marks the endpoint as gone since now. It raises the revision of the record to the
+// given one if that is later.
 func (r *endpointRecord) markGone(now time.Duration, revision Revision) {
 	r.gone = true
 	r.goneAt = now
 	r.revision = max(r.revision, revision)
 }
 
+// expireRecords removes zones and endpoints that have been open or gone for longer than
+// Retention. It reports whether it removed an endpoint, which changes the snapshot.
 func (r *Replica) expireRecords(now time.Duration) bool {
 	r.expireZones(now)
 	removed := false
@@ -269,6 +284,8 @@
 	return removed
 }
 
+// rebuildSnapshot builds the snapshot from the configuration and the records. It omits
+// endpoints of unknown services and records a refusal for those that are not gone.
 func (r *Replica) rebuildSnapshot() {
 	data := snapshotData{formerServices: r.formerServices, departuresKnownSince: r.departuresKnownSince, closedZones: r.closedZones()}
 	if r.configuration != nil {
@@ -305,15 +322,16 @@
 	r.snapshot = newSnapshot(data)
 }
 
-// latestByIP returns, for each IP address, the most recently written entry among the existing
-// entries of known services. A restarted endpoint has a new entry while the entry of its
-// predecessor, which is no longer renewed, takes time to expire.
+// latestByIP returns, for each IP address, the record with the highest revision among those
+// that are not gone and belong to a known service. A restarted endpoint writes a new entry
+// before the entry of its predecessor, which is no longer renewed, has expired. The snapshot
+// shows the predecessor as gone.
 func (r *Replica) latestByIP(services serviceSet) map[[4]byte]*endpointRecord {
 	latest := make(map[[4]byte]*endpointRecord, len(r.endpoints))
 	for _, record := range r.endpoints {
-		other := latest[record.endpoint.IP]
+		newest := latest[record.endpoint.IP]
 		usable := !record.gone && services.has(record.endpoint.Service)
-		if usable && (other == nil || other.revision < record.revision) {
+		if usable && (newest == nil || newest.revision < record.revision) {
 			latest[record.endpoint.IP] = record
 		}
 	}
--- a/internal/directory/store.go
+++ b/internal/directory/store.go
@@ -10,14 +10,16 @@
 // Page is one response to a listing.
 type Page struct {
 	Items []Item
-	// LastKey is the last key of the page. More is set if further keys follow it.
+	// LastKey is the last key of the page.
 	LastKey string
-	More    bool
+	// More is set if the store has keys after LastKey.
+	More bool
 	// Revision is the revision of the store when it responded.
 	Revision Revision
 }
 
-// Changes is one response to a watch: all changes after the requested revision, up to Through.
+// Changes is one response to a watch. It contains all changes after the requested revision, up
+// to and including the revision Through.
 type Changes struct {
 	Items   []Item
 	Through Revision
@@ -25,17 +27,17 @@
 
 // Store is the platform's metadata store. Both methods return a *StoreError on failure.
 type Store interface {
-	// List returns a page of items whose keys sort after a key.
+	// List returns a page of the items whose keys sort after the given key.
 	List(ctx context.Context, after string) (Page, error)
-	// Watch waits up to the given time for changes after a revision. The result is empty if
-	// there were none.
+	// Watch waits up to the given time for changes after the given revision. The result has no
+	// items if nothing changed.
 	Watch(ctx context.Context, after Revision, wait time.Duration) (Changes, error)
 }
 
-// StoreFailure is the reason for which a call to the store failed.
+// StoreFailure is the reason why a call to the store failed.
 type StoreFailure uint8
 
-// The reasons for which a call fails.
+// The reasons are in the order of storeFailureNames.
 const (
 	// StoreUnreachable means that no complete response arrived in time.
 	StoreUnreachable StoreFailure = iota
@@ -43,7 +45,8 @@
 	StoreUnavailable
 	// StoreThrottled means that the store rejected the call because of its rate limit.
 	StoreThrottled
-	// StoreCompacted means that the store no longer keeps the requested changes.
+	// StoreCompacted means that the store no longer keeps the requested changes, so the caller
+	// has to list all items again.
 	StoreCompacted
 	// StoreBadContent means that the response could not be decoded.
 	StoreBadContent
--- a/internal/lookup/slots_test.go
+++ b/internal/lookup/slots_test.go
@@ -10,7 +10,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// equalRows returns rows of equal weight.
+// equalRows returns rows of service 1 with equal weights and the IDs from 1 to count.
 func equalRows(count int) []table.Backend {
 	rows := make([]table.Backend, count)
 	for index := range rows {
@@ -20,7 +20,7 @@
 }
 
 var _ = Describe("Slots", func() {
-	DescribeTable("move only to a row that is added",
+	DescribeTable("are reassigned only to the new row when a row is added",
 		func(before int) {
 			smaller := lookup.AssignSlots(1, equalRows(before), lookup.AllAlive)
 			larger := lookup.AssignSlots(1, equalRows(before+1), lookup.AllAlive)
@@ -31,14 +31,15 @@
 				}
 			}
 		},
-		Entry("to 2 rows", 2),
-		Entry("to 4 rows", 4),
-		Entry("to 8 rows", 8),
-		Entry("to 16 rows", 16),
-		Entry("to 64 rows", 64),
+		Entry("to 2 existing rows", 2),
+		Entry("to 4 existing rows", 4),
+		Entry("to 8 existing rows", 8),
+		Entry("to 16 existing rows", 16),
+		Entry("to 64 existing rows", 64),
 	)
 
-	It("are at least eight per row for fewer than 512 rows", func() {
+	It("number at least eight per row for up to 511 rows", func() {
+		// Above 512 rows, the maximum of 4096 slots leaves fewer than eight per row.
 		for rows := range 512 {
 			Expect(lookup.SlotCount(rows)).To(BeNumerically(">=", 8*rows))
 		}
--- a/internal/requestqueue/choice.go
+++ b/internal/requestqueue/choice.go
@@ -2,29 +2,30 @@
 
 import "github.com/vanetiller/vanetiller/internal/label"
 
-// Choice is the request that is served next.
+// Choice is the decision of a scheduler about the request to serve next.
 type Choice struct {
-	// Index is the position of the request among the waiting ones.
+	// Index is the position of the request in the list of waiting requests.
 	Index  int
 	Reason Reason
 }
 
-// Reason is the rule by which a request is served next.
+// Reason is the scheduling rule that selected a request.
 type Reason uint8
 
-// The reasons.
+// The reasons are in the order of reasonNames.
 const (
 	// ReasonNewest: the request is the newest of its priority that can be in time.
 	ReasonNewest Reason = iota
-	// ReasonEarliestDue: the request is due first among those of its priority that can be in
-	// time, and the others can still be in time after it.
+	// ReasonEarliestDue: the request has the earliest due time of the requests of its priority
+	// that can be in time, and all of these can be in time if they are served in the order of
+	// their due times.
 	ReasonEarliestDue
 	// ReasonLastChance: the request is late and its client is about to give up.
 	ReasonLastChance
 	// ReasonLate: the request is late.
 	ReasonLate
-	// ReasonFairShare: the priority of the request is owed a slot of its fair share, and the
-	// wrapped scheduler would have chosen another request.
+	// ReasonFairShare: FairShare selected the request because its priority had credit for a
+	// slot. The scheduler that FairShare wraps would have selected another request.
 	ReasonFairShare
 	reasonCount
 )
