--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -68,7 +68,7 @@
 // restarted and lost its flows.
 func (m *Machine) ownerIsObsolete(record flowRecord, packet Packet) bool {
 	passedBack := packet.opensFlow() && packet.Routing.Hops >= roundTripHops
-	return passedBack || !m.history.current.view.believedAlive(record.owner)
+	return passedBack || !m.history.current.view.consideredAlive(record.owner)
 }
 
 // handleClosed handles a packet of a flow that has ended. It returns false if the
@@ -113,7 +113,7 @@
 		m.dropPacket(DropDuplicate, packet)
 		return true
 	}
-	if len(pending.heldPackets) >= maximumHeldPackets {
+	if len(pending.heldPackets) >= maxHeldPackets {
 		m.dropPacket(DropDuplicate, packet)
 		return true
 	}
@@ -128,8 +128,9 @@
 	return packet.Routing.Hops == 0 || now >= pending.started+m.config.LeaseDuration
 }
 
-// handleNew handles the first packet of a flow that this row does not know. The
-// row needs a lease and a table at least as new as the one used for the packet.
+// handleNew handles the first packet of a flow that this row has no record of.
+// The row needs a lease and a table at least as new as the one used for the
+// packet.
 func (m *Machine) handleNew(now time.Duration, key FlowKey, packet Packet) {
 	if m.config.Stateless {
 		m.openLocally(key, packet.sequence(), packet)
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -9,11 +9,12 @@
 // Balancers keep no flow state. The packets of one flow may therefore arrive
 // through any balancer, which may have used any table version. A machine
 // delivers packets of its own flows and forwards packets of flows whose owner
-// it knows. For a packet of an unknown flow it queries the rows that could own
-// the flow. This is the daisy chaining of Beamer (Olteanu et al., "Stateless
-// Datacenter Load-balancing with Beamer", NSDI 2018) with one difference: a row
-// queries the possible owners once for each flow and keeps the answer, so the
-// number of table changes since the flow was opened is not limited.
+// it has recorded. For a packet of an unknown flow it queries the rows that
+// could own the flow. This is the daisy chaining of Beamer (Olteanu et al.,
+// "Stateless Datacenter Load-balancing with Beamer", NSDI 2018) with one
+// difference: a row queries the possible owners once for each flow and keeps
+// the answer, so the number of table changes since the flow was opened is not
+// limited.
 //
 // The primary row of a flow's hash slot opens a new flow, or hands it over to a
 // less loaded row (the power of two choices: Mitzenmacher, IEEE TPDS 2001). A
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -6,7 +6,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// flowState is what a row knows about a flow.
+// flowState is what a row has recorded about a flow.
 type flowState uint8
 
 const (
--- a/internal/admission/locate.go
+++ b/internal/admission/locate.go
@@ -11,7 +11,7 @@
 // primary of the slot.
 const queryAllRowsLimit = 16
 
-// locate starts a search for the owner of a flow that this row does not know.
+// locate starts a search for the owner of a flow that this row has no record of.
 func (m *Machine) locate(now time.Duration, key FlowKey, packet Packet) {
 	switch {
 	case m.config.Stateless:
@@ -95,7 +95,7 @@
 // until the next call.
 func (m *Machine) HandleMessage(now time.Duration, message Message) []Effect {
 	m.effects = m.effects[:0]
-	if !m.knowsRow(message.From) {
+	if !m.hasRow(message.From) {
 		// The table in use is old or the message is forged. This row must not
 		// promise anything to a row that is not in its table.
 		m.emit(Effect{Kind: RefreshTable})
@@ -127,7 +127,7 @@
 	m.emit(Effect{Kind: SendMessage, To: from, Message: Message{From: m.config.Row, To: from, Reply: &reply}})
 }
 
-// lookUpAnswer returns what this row knows about the flow in a query.
+// lookUpAnswer returns what this row has recorded about the flow in a query.
 func (m *Machine) lookUpAnswer(now time.Duration, from table.BackendID, query Query) (Answer, table.BackendID) {
 	record, exists := m.flows[query.Flow]
 	if exists {
@@ -153,7 +153,7 @@
 	case flowOpen, flowLingering:
 		return AnswerOwned, m.config.Row
 	case flowRemote:
-		if record.owner == from || !m.history.current.view.believedAlive(record.owner) {
+		if record.owner == from || !m.history.current.view.consideredAlive(record.owner) {
 			return AnswerUnknown, 0
 		}
 		if !same || query.Purpose == PurposeOpen && m.isStaleRemote(now, record) {
@@ -253,11 +253,11 @@
 	if reply.Answer != AnswerOwned && reply.Answer != AnswerReferred {
 		return false
 	}
-	return !m.knowsRow(reply.Owner)
+	return !m.hasRow(reply.Owner)
 }
 
-// knowsRow reports whether the row is in the table in use.
-func (m *Machine) knowsRow(id table.BackendID) bool {
+// hasRow reports whether the row is in the table in use.
+func (m *Machine) hasRow(id table.BackendID) bool {
 	if m.history.current == nil {
 		return false
 	}
--- a/internal/admission/machine.go
+++ b/internal/admission/machine.go
@@ -11,10 +11,10 @@
 	// Row is the table row for which the machine decides.
 	Row table.BackendID
 	// LeaseDuration is the longest time for which a row may open flows
-	// without hearing from a daemon.
+	// without a heartbeat reply from a daemon.
 	LeaseDuration time.Duration
 	// LoadTimeout bounds the wait for another row to report its load, and for
-	// any answer of a row that is believed to be down.
+	// any answer of a row that is considered down.
 	LoadTimeout time.Duration
 	// ResendInterval is the time after which a query is first repeated. The
 	// interval doubles with each repetition.
@@ -74,11 +74,11 @@
 	// roundTripHops is the number of hops of a packet that was forwarded to
 	// another row and came back.
 	roundTripHops = 2
-	// maximumResendInterval bounds the doubled interval between queries.
-	maximumResendInterval = 256 * time.Millisecond
-	// maximumHeldPackets bounds the packets that are kept for one undecided
+	// maxResendInterval bounds the doubled interval between queries.
+	maxResendInterval = 256 * time.Millisecond
+	// maxHeldPackets bounds the packets that are kept for one undecided
 	// flow.
-	maximumHeldPackets = 4
+	maxHeldPackets = 4
 	// tickInterval is the longest useful interval between calls of Tick. It is
 	// half of the shortest default timeout, ResendInterval.
 	tickInterval = 4 * time.Millisecond
--- a/internal/admission/machine_test.go
+++ b/internal/admission/machine_test.go
@@ -122,7 +122,7 @@
 			s.sendPacket(view, 1000+port, 5, true)
 		}
 		s.run(s.now + time.Second)
-		for change := range 2 * maximumPastViews {
+		for change := range 2 * maxPastViews {
 			view = withRows(view, func(rows []table.Backend) {
 				rows[change%len(rows)].Drain = !rows[change%len(rows)].Drain
 			})
@@ -271,7 +271,7 @@
 		Entry("removed", func(s *simulation, view View) View {
 			return withRows(view, func(rows []table.Backend) { rows[0].Removed = true })
 		}),
-		Entry("planned stop that only its own agent knows about", func(s *simulation, view View) View {
+		Entry("planned stop that only its own agent has recorded", func(s *simulation, view View) View {
 			s.machines[1].Leave()
 			return view
 		}),
@@ -428,8 +428,8 @@
 	}
 }
 
-// skipQueriesAfterViewChange makes a machine believe that its view and its lease
-// are an hour old, so that it does not query possible earlier openers.
+// skipQueriesAfterViewChange makes a machine's view and its lease
+// an hour old, so that it does not query possible earlier openers.
 func skipQueriesAfterViewChange(machine *Machine) {
 	machine.history.changedAt = -time.Hour
 	machine.leaseResumedAt = -time.Hour
--- a/internal/admission/message.go
+++ b/internal/admission/message.go
@@ -15,17 +15,17 @@
 const (
 	// PurposeOpen: the querying row is about to open the flow.
 	PurposeOpen Purpose = iota
-	// PurposeLocate: the querying row received a packet of a flow that it does
-	// not know.
+	// PurposeLocate: the querying row received a packet of a flow that it
+	// has no record of.
 	PurposeLocate
 )
 
-// Answer is what the queried row knows about a flow.
+// Answer is what the queried row has recorded about a flow.
 type Answer uint8
 
 // The answers to a query.
 const (
-	// AnswerUnknown: the row does not know the flow. If the purpose is
+	// AnswerUnknown: the row has no record of the flow. If the purpose is
 	// PurposeOpen, the row promises not to open the flow unless the flow is
 	// handed over to it.
 	AnswerUnknown Answer = iota
@@ -41,7 +41,7 @@
 	AnswerRefused
 )
 
-// Query asks another row what it knows about a flow.
+// Query asks another row what it has recorded about a flow.
 type Query struct {
 	Flow     FlowKey `msg:"f"`
 	Sequence uint32  `msg:"s"`
--- a/internal/admission/open.go
+++ b/internal/admission/open.go
@@ -59,7 +59,7 @@
 // The caller may be reusing a port whose earlier flow is still open there.
 func (m *Machine) queryRememberedOwner(now time.Duration, key FlowKey, pending *pendingFlow) {
 	record, exists := m.flows[key]
-	if exists && record.state == flowRemote && m.history.current.view.believedAlive(record.owner) {
+	if exists && record.state == flowRemote && m.history.current.view.consideredAlive(record.owner) {
 		m.addQuery(now, pending, record.owner, true, now+m.config.LeaseDuration)
 	}
 }
@@ -98,10 +98,10 @@
 	for _, pending := range m.pending {
 		for index := range pending.queries {
 			query := &pending.queries[index]
-			if view.believedAlive(query.row) || query.believedDown {
+			if view.consideredAlive(query.row) || query.consideredDown {
 				continue
 			}
-			query.believedDown = true
+			query.consideredDown = true
 			query.deadline = min(query.deadline, now+m.config.LoadTimeout)
 		}
 		if pending.awaitsRetransmission && !pending.requiredRowSilent() {
@@ -128,23 +128,23 @@
 }
 
 // addQuery adds a query to a row, unless it is this row or is queried already. The
-// wait for a row that is believed to be down is short.
+// wait for a row that is considered down is short.
 func (m *Machine) addQuery(now time.Duration, pending *pendingFlow, row table.BackendID, required bool, deadline time.Duration) {
 	if row == m.config.Row || pending.queryTo(row) != nil {
 		return
 	}
-	down := !m.history.current.view.believedAlive(row)
+	down := !m.history.current.view.consideredAlive(row)
 	if down {
 		deadline = min(deadline, now+m.config.LoadTimeout)
 	}
-	pending.queries = append(pending.queries, peerQuery{row: row, required: required, believedDown: down, deadline: deadline})
+	pending.queries = append(pending.queries, peerQuery{row: row, required: required, consideredDown: down, deadline: deadline})
 }
 
 // sendQueries sends every query that is neither answered nor expired, and sets the
 // time of the next repetition. The interval doubles each time, because rows may be
 // in another region.
 func (m *Machine) sendQueries(now time.Duration, key FlowKey, pending *pendingFlow) {
-	pending.resendInterval = min(max(2*pending.resendInterval, m.config.ResendInterval), maximumResendInterval)
+	pending.resendInterval = min(max(2*pending.resendInterval, m.config.ResendInterval), maxResendInterval)
 	pending.resendAt = now + pending.resendInterval
 	for index := range pending.queries {
 		if pending.queries[index].done() {
--- a/internal/admission/pending.go
+++ b/internal/admission/pending.go
@@ -13,14 +13,14 @@
 	// answered or its lease must have ended. Other rows are queried only for
 	// their load.
 	required bool
-	// believedDown is set if the lease of the row's agent was known to have
+	// consideredDown is set if the lease of the row's agent was known to have
 	// ended when the query was added or later.
-	believedDown bool
-	deadline     time.Duration
-	answered     bool
-	expired      bool
-	openFlows    uint32
-	available    bool
+	consideredDown bool
+	deadline       time.Duration
+	answered       bool
+	expired        bool
+	openFlows      uint32
+	available      bool
 }
 
 // done reports whether no answer to the query is awaited any more.
@@ -61,12 +61,12 @@
 	return nil
 }
 
-// requiredRowSilent reports whether a required row that was believed to be alive
+// requiredRowSilent reports whether a required row that was considered alive
 // has not answered.
 func (p *pendingFlow) requiredRowSilent() bool {
 	for index := range p.queries {
 		query := &p.queries[index]
-		if query.required && !query.believedDown && !query.answered {
+		if query.required && !query.consideredDown && !query.answered {
 			return true
 		}
 	}
@@ -83,11 +83,11 @@
 	return true
 }
 
-// liveRowUnanswered reports whether any row that was believed to be alive,
+// liveRowUnanswered reports whether any row that was considered alive,
 // required or not, has not answered.
 func (p *pendingFlow) liveRowUnanswered() bool {
 	for index := range p.queries {
-		if !p.queries[index].answered && !p.queries[index].believedDown {
+		if !p.queries[index].answered && !p.queries[index].consideredDown {
 			return true
 		}
 	}
--- a/internal/admission/view.go
+++ b/internal/admission/view.go
@@ -8,7 +8,7 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// View is what a row knows about its service: the rows at one table version, and
+// View is the state of a row's service: the rows at one table version, and
 // the state of their agents as reported by the daemons.
 type View struct {
 	Version table.Version
@@ -20,14 +20,14 @@
 	Leaving []table.BackendID
 }
 
-// believedAlive reports whether the lease of the row's agent is not known to have
+// consideredAlive reports whether the lease of the row's agent is not known to have
 // ended.
-func (v *View) believedAlive(id table.BackendID) bool { return !slices.Contains(v.Down, id) }
+func (v *View) consideredAlive(id table.BackendID) bool { return !slices.Contains(v.Down, id) }
 
 // mayTakeNewFlows reports whether the row's agent is neither down nor stopping.
 // It ignores the drain state and weight of the row.
 func (v *View) mayTakeNewFlows(id table.BackendID) bool {
-	return v.believedAlive(id) && !slices.Contains(v.Leaving, id)
+	return v.consideredAlive(id) && !slices.Contains(v.Leaving, id)
 }
 
 func (v *View) row(id table.BackendID) (table.Backend, bool) {
@@ -98,8 +98,8 @@
 	changedAt time.Duration
 }
 
-// maximumPastViews bounds the number of replaced views that are kept.
-const maximumPastViews = 16
+// maxPastViews bounds the number of replaced views that are kept.
+const maxPastViews = 16
 
 // install makes view the current one. A view with the same routing only updates
 // the version of the current view.
@@ -111,8 +111,8 @@
 	if h.current != nil {
 		h.past = append(h.past, h.current)
 	}
-	if len(h.past) > maximumPastViews {
-		h.past = slices.Delete(h.past, 0, len(h.past)-maximumPastViews)
+	if len(h.past) > maxPastViews {
+		h.past = slices.Delete(h.past, 0, len(h.past)-maxPastViews)
 	}
 	h.current = newAssignedView(view)
 	h.changedAt = now
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -237,7 +237,7 @@
 )
 
 // stop performs a planned stop: it waits until open flows have ended, or for the stop
-// timeout, and tells the daemons that the agent has stopped.
+// timeout, and notifies the daemons that the agent has stopped.
 func (a *Agent) stop() {
 	a.mutex.Lock()
 	a.stopping = true
@@ -256,7 +256,7 @@
 	a.config.Logger.Info("stopped", "cut_flows", remaining)
 }
 
-// announceStopped tells the daemons that this agent has stopped, so that no other
+// announceStopped notifies the daemons that this agent has stopped, so that no other
 // row waits for its lease to end. It repeats the heartbeat because a datagram may
 // be lost.
 func (a *Agent) announceStopped() {
@@ -353,7 +353,7 @@
 
 func (a *Agent) machineConfig(id table.BackendID) admission.Config {
 	config := admission.DefaultConfig(id)
-	config.LeaseDuration = control.MaximumLease
+	config.LeaseDuration = control.MaxLease
 	config.FlowLimit = a.config.FlowLimit
 	config.Stateless = a.config.Stateless
 	return config
--- a/internal/agent/daemon_test.go
+++ b/internal/agent/daemon_test.go
@@ -68,7 +68,7 @@
 }
 
 func (d *testDaemon) run() {
-	buffer := make([]byte, maximumDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		count, from, err := d.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -123,9 +123,9 @@
 	return d.held[agent]
 }
 
-// knowsLeaving reports whether the agent's latest heartbeat said that it is
+// reportedLeaving reports whether the agent's latest heartbeat said that it is
 // stopping.
-func (d *testDaemon) knowsLeaving(agent table.Endpoint) bool {
+func (d *testDaemon) reportedLeaving(agent table.Endpoint) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.leaving[agent]
--- a/internal/agent/datagram_test.go
+++ b/internal/agent/datagram_test.go
@@ -17,7 +17,7 @@
 func expectDatagram(socket net.PacketConn, content string) net.Addr {
 	GinkgoHelper()
 	Expect(socket.SetReadDeadline(time.Now().Add(waitTimeout))).To(Succeed())
-	buffer := make([]byte, maximumDatagram)
+	buffer := make([]byte, maxDatagram)
 	count, from, err := socket.ReadFrom(buffer)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(string(buffer[:count])).To(Equal(content))
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -25,9 +25,9 @@
 const (
 	// waitTimeout bounds the wait for an expected event. It is long because no
 	// test depends on how soon the event happens.
-	waitTimeout     = time.Minute
-	maximumDatagram = 64 << 10
-	flowLimit       = 1000
+	waitTimeout = time.Minute
+	maxDatagram = 64 << 10
+	flowLimit   = 1000
 	// immediateStopTimeout is the stop timeout of agents in tests that do not
 	// test the stop.
 	immediateStopTimeout = time.Millisecond
--- a/internal/agent/network_test.go
+++ b/internal/agent/network_test.go
@@ -117,7 +117,7 @@
 func (n *testNetwork) receiveResponses() {
 	decoder := encap.NewDecoder()
 	packets := packet.NewDecoder()
-	buffer := make([]byte, maximumDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		count, from, err := n.fabric.ReadFromUDPAddrPort(buffer)
 		if err != nil {
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -81,7 +81,7 @@
 		flow := startCaller(env.network).open(lookupAddress)
 		served := service.nextConnection()
 		stopped.stop()
-		Eventually(func() bool { return env.daemon.knowsLeaving(env.endpoint) }, waitTimeout).Should(BeTrue())
+		Eventually(func() bool { return env.daemon.reportedLeaving(env.endpoint) }, waitTimeout).Should(BeTrue())
 		env.network.send(openingSegment(craftedCaller(2000), lookupAddress, 1))
 		// This is longer than a stopping agent without flows would continue.
 		for end := time.Now().Add(flowDurationAfterStop); time.Now().Before(end); time.Sleep(messageInterval) {
@@ -115,7 +115,7 @@
 		awaitVersion(twoRows.daemon, twoRows.first, 2)
 		awaitVersion(twoRows.daemon, twoRows.second, 2)
 		twoRows.agents[0].stop()
-		Eventually(func() bool { return twoRows.daemon.knowsLeaving(twoRows.first) }, waitTimeout).Should(BeTrue())
+		Eventually(func() bool { return twoRows.daemon.reportedLeaving(twoRows.first) }, waitTimeout).Should(BeTrue())
 		// The balancer still uses table version 1 and the first row.
 		later := caller.open(lookupAddress)
 		handedOver := twoRows.backends[1].nextConnection()
--- a/internal/agent/udp_restart_test.go
+++ b/internal/agent/udp_restart_test.go
@@ -11,7 +11,7 @@
 
 // echo returns every datagram to its sender until the socket is closed.
 func echo(socket *net.UDPConn) {
-	buffer := make([]byte, maximumDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		count, from, err := socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -44,7 +44,7 @@
 			if err := flow.SetReadDeadline(time.Now().Add(answerWait)); err != nil {
 				return err
 			}
-			_, err := flow.Read(make([]byte, maximumDatagram))
+			_, err := flow.Read(make([]byte, maxDatagram))
 			return err
 		}, waitTimeout).Should(Succeed())
 	})
--- a/internal/balancer/udpfront/coalesce.go
+++ b/internal/balancer/udpfront/coalesce.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maximumSegments is the number of datagrams in one UDP_SEGMENT message
+	// maxSegmentsPerMessage is the number of datagrams in one UDP_SEGMENT message
 	// that every Linux version with this option accepts.
-	maximumSegments = 64
-	// maximumMessage is the largest payload of one message in bytes. The kernel
+	maxSegmentsPerMessage = 64
+	// maxMessageSize is the largest payload of one message in bytes. The kernel
 	// builds one IPv4 packet from it before splitting it into datagrams, so
 	// the IPv4 and UDP headers count.
-	maximumMessage    = 65535 - 20 - 8
+	maxMessageSize    = 65535 - 20 - 8
 	segmentOptionSize = 2 // bytes of the UDP_SEGMENT option
 )
 
@@ -48,7 +48,7 @@
 		size > 0 &&
 		g.lastSize == g.size &&
 		len(g.buffers) < maxSegments &&
-		g.total+size <= maximumMessage
+		g.total+size <= maxMessageSize
 }
 
 func (g *segmentGroup) add(payload []byte) {
@@ -73,7 +73,7 @@
 		keys:        make([]destinationKey, capacity),
 		groups:      make([]segmentGroup, capacity),
 		messages:    make([]ipv4.Message, capacity),
-		maxSegments: maximumSegments,
+		maxSegments: maxSegmentsPerMessage,
 	}
 	for i := range created.groups {
 		fresh := &created.groups[i]
--- a/internal/balancer/udpfront/coalesce_test.go
+++ b/internal/balancer/udpfront/coalesce_test.go
@@ -94,7 +94,7 @@
 		}
 	}
 	size := len(message.Buffers[last])
-	if size == 0 || size > len(message.Buffers[0]) || last >= maximumSegments || total > maximumMessage {
+	if size == 0 || size > len(message.Buffers[0]) || last >= maxSegmentsPerMessage || total > maxMessageSize {
 		t.Fatalf("invalid message: %d segments, %d bytes, last segment %d bytes", last+1, total, size)
 	}
 	parsed, err := unix.ParseSocketControlMessage(message.OOB)
@@ -128,7 +128,7 @@
 // kernel would refuse a larger one.
 func TestCoalescerFillsMessages(t *testing.T) {
 	const size = 9000
-	const perMessage = maximumMessage / size
+	const perMessage = maxMessageSize / size
 	coalescer := newCoalescer(BatchSize)
 	for range BatchSize {
 		coalescer.add(Datagram{Destination: netip.MustParseAddrPort("192.0.2.1:6081"), Payload: make([]byte, size)})
--- a/internal/balancer/udpfront/worker_test.go
+++ b/internal/balancer/udpfront/worker_test.go
@@ -63,7 +63,7 @@
 		handleBatch(worker)
 		expectAllReceived(sink)
 		Expect(handler.failed).To(BeZero())
-		Expect(worker.coalescer.maxSegments).To(Equal(maximumSegments))
+		Expect(worker.coalescer.maxSegments).To(Equal(maxSegmentsPerMessage))
 	})
 
 	It("sends datagrams individually when the kernel refuses a coalesced message", func() {
@@ -75,7 +75,7 @@
 		handleBatch(worker)
 		expectAllReceived(sink)
 		Expect(handler.failed).To(BeZero())
-		Expect(worker.coalescer.maxSegments).To(Equal(maximumSegments), "other paths may accept coalesced messages")
+		Expect(worker.coalescer.maxSegments).To(Equal(maxSegmentsPerMessage), "other paths may accept coalesced messages")
 	})
 
 	It("disables coalescing when the path has no checksum offload", func() {
--- a/internal/cluster/agents.go
+++ b/internal/cluster/agents.go
@@ -9,8 +9,8 @@
 	"github.com/vanetiller/vanetiller/internal/membership"
 )
 
-// ReportAgents tells other daemons the conditions of the agents that report to this one.
-// Claims that have not changed are not sent.
+// ReportAgents reports to other daemons the conditions of the agents that report to this
+// one. Claims that have not changed are not sent.
 func (n *Node) ReportAgents(claims []liveness.Claim) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/cluster/dispatch.go
+++ b/internal/cluster/dispatch.go
@@ -25,7 +25,7 @@
 	var datagram Datagram
 	rest, err := datagram.UnmarshalMsg(encoded)
 	// All daemons of a fleet use the same port.
-	if !isIPv4 || from.Port() != portOf(n.address) || err != nil || len(rest) > 0 || len(encoded) > maximumDatagramSize {
+	if !isIPv4 || from.Port() != portOf(n.address) || err != nil || len(rest) > 0 || len(encoded) > maxDatagramSize {
 		n.config.Metrics.Malformed.Add(1)
 		return
 	}
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -32,7 +32,7 @@
 	return updated, err
 }
 
-// announceInstalled tells the other daemons that this process holds a version.
+// announceInstalled notifies the other daemons that this process holds a version.
 func (n *Node) announceInstalled(version table.Version) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/cluster/liveness/claims.go
+++ b/internal/cluster/liveness/claims.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// maximumClaims limits the claims kept of one daemon.
-	maximumClaims = 4096
-	// maximumReporters limits the daemons whose claims are kept.
-	maximumReporters = 4096
+	// maxClaims limits the claims kept of one daemon.
+	maxClaims = 4096
+	// maxReporters limits the daemons whose claims are kept.
+	maxReporters = 4096
 )
 
 // reporter holds the claims of one process.
@@ -33,7 +33,7 @@
 // put stores a record. It reports whether the record was new.
 func (r *reporter) put(record Record) bool {
 	known, exists := r.records[record.Claim.Agent]
-	if exists && known.Sequence >= record.Sequence || !exists && len(r.records) >= maximumClaims {
+	if exists && known.Sequence >= record.Sequence || !exists && len(r.records) >= maxClaims {
 		return false
 	}
 	if exists {
@@ -98,7 +98,7 @@
 	switch {
 	case known && record.Incarnation < origin.incarnation:
 		return false
-	case !known && len(c.reporters) >= maximumReporters:
+	case !known && len(c.reporters) >= maxReporters:
 		return false
 	case !known || record.Incarnation > origin.incarnation:
 		c.drop(record.Reporter)
--- a/internal/cluster/liveness/digest.go
+++ b/internal/cluster/liveness/digest.go
@@ -21,11 +21,11 @@
 	// settleTime is how long the own digest of a zone must not have changed before the zone
 	// is compared. Digests differ for a moment while records spread.
 	settleTime = 3 * time.Second
-	// maximumDigests limits the daemons in one comparison, so that it fits in a datagram.
-	maximumDigests = 40
-	// maximumAnswers limits the messages that answer one comparison. The next comparison
+	// maxDigests limits the daemons in one comparison, so that it fits in a datagram.
+	maxDigests = 40
+	// maxAnswers limits the messages that answer one comparison. The next comparison
 	// finds the remaining differences.
-	maximumAnswers = 8
+	maxAnswers = 8
 )
 
 // zoneChange is the last digest of a zone and when it was first seen.
@@ -38,9 +38,9 @@
 type comparisonState struct {
 	next      time.Duration
 	exchanges int
-	changes   [membership.MaximumZones]zoneChange
+	changes   [membership.MaxZones]zoneChange
 	// offset is where the next comparison of each zone starts in the list of its daemons.
-	offset [membership.MaximumZones]int
+	offset [membership.MaxZones]int
 }
 
 // exchangeDigests sends the own digests to a random member, which answers with its own.
@@ -66,8 +66,8 @@
 
 // digests returns the digests of the zones that have live members.
 func (m *Machine) digests() []ZoneDigest {
-	var hashes [membership.MaximumZones]uint64
-	var present [membership.MaximumZones]bool
+	var hashes [membership.MaxZones]uint64
+	var present [membership.MaxZones]bool
 	for _, known := range m.reporterDigests(func(membership.Zone) bool { return true }) {
 		zone := m.zoneOf(known.Reporter)
 		hashes[zone] ^= known.Hash
@@ -157,7 +157,7 @@
 	if begin >= len(known) {
 		begin = 0
 	}
-	end := min(begin+maximumDigests, len(known))
+	end := min(begin+maxDigests, len(known))
 	m.comparison.offset[zone] = end
 	m.send(to, Message{Kind: KindCompare, Zone: zone, Reporters: known[begin:end]})
 }
@@ -169,11 +169,11 @@
 	for _, theirs := range message.Reporters {
 		origin, known := m.claims.reporters[theirs.Reporter]
 		if known && origin.hash != theirs.Hash {
-			answers = slices.AppendSeq(answers, slices.Chunk(origin.sorted(), maximumRecords))
+			answers = slices.AppendSeq(answers, slices.Chunk(origin.sorted(), maxRecords))
 		}
 	}
 	m.config.Random.Shuffle(len(answers), func(i, j int) { answers[i], answers[j] = answers[j], answers[i] })
-	for _, records := range answers[:min(maximumAnswers, len(answers))] {
+	for _, records := range answers[:min(maxAnswers, len(answers))] {
 		m.send(to, Message{Kind: KindRecords, Records: records})
 	}
 }
--- a/internal/cluster/liveness/effect.go
+++ b/internal/cluster/liveness/effect.go
@@ -14,7 +14,7 @@
 	// EffectConditionChanged: the condition of an agent, as claimed by the other daemons, has
 	// changed to Claim. If none claims a condition any more, it is Down and Start is zero.
 	EffectConditionChanged
-	// EffectReady: this process knows the claims of the others. It is emitted once.
+	// EffectReady: this process has received the claims of the others. It is emitted once.
 	EffectReady
 )
 
--- a/internal/cluster/liveness/machine.go
+++ b/internal/cluster/liveness/machine.go
@@ -22,13 +22,13 @@
 	// remoteFanout is the number of members of another zone or region to which a member
 	// pushes.
 	remoteFanout = 2
-	// maximumRecords limits the records of one message, so that it fits in a datagram.
-	maximumRecords = 16
+	// maxRecords limits the records of one message, so that it fits in a datagram.
+	maxRecords = 16
 	// readyTimeout is the time after which a process that finds no member with the same
 	// claims relies on the claims it has.
 	readyTimeout = 20 * time.Second
 	// nonMemberRetention is how long the claims of a daemon that is not a member are kept,
-	// since its claims may arrive before membership knows of it.
+	// since its claims may arrive before membership lists it.
 	nonMemberRetention = time.Minute
 )
 
@@ -47,7 +47,8 @@
 	Random *rand.Rand
 }
 
-// Machine holds what one process knows of the agents. It is not safe for concurrent use.
+// Machine holds the claims that one process has recorded about agents. It is not safe for
+// concurrent use.
 type Machine struct {
 	config Config
 	peers  []Peer
@@ -68,10 +69,10 @@
 	affected []table.Endpoint
 }
 
-// New returns the machine of a process that knows no agents. It returns an error if the
+// New returns the machine of a process without agents. It returns an error if the
 // configuration is invalid.
 func New(config Config) (*Machine, error) {
-	if config.Self.Address == 0 || config.Self.Zone >= membership.MaximumZones {
+	if config.Self.Address == 0 || config.Self.Zone >= membership.MaxZones {
 		return nil, errors.New("liveness: the identity of this process has no address or an invalid zone")
 	}
 	if config.Random == nil {
@@ -105,7 +106,7 @@
 func (m *Machine) SetPeers(now time.Duration, peers []Peer) []Effect {
 	m.resetEffects()
 	m.peers = slices.DeleteFunc(slices.Clone(peers), func(peer Peer) bool {
-		return peer.Identity.Address == m.config.Self.Address || peer.Identity.Zone >= membership.MaximumZones
+		return peer.Identity.Address == m.config.Self.Address || peer.Identity.Zone >= membership.MaxZones
 	})
 	slices.SortFunc(m.peers, comparePeers)
 	m.expireNonMembers(now)
@@ -165,7 +166,7 @@
 // next call.
 func (m *Machine) Receive(now time.Duration, from membership.Address, message Message) []Effect {
 	m.resetEffects()
-	if from == m.config.Self.Address || message.Scope > ScopeFleet || message.Zone >= membership.MaximumZones {
+	if from == m.config.Self.Address || message.Scope > ScopeFleet || message.Zone >= membership.MaxZones {
 		return nil
 	}
 	switch message.Kind {
--- a/internal/cluster/liveness/machine_test.go
+++ b/internal/cluster/liveness/machine_test.go
@@ -109,7 +109,7 @@
 func (f *fleet) transmit(p *process, effect Effect) {
 	encoded, err := effect.Message.MarshalMsg(nil)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(len(encoded)).To(BeNumerically("<=", membership.MaximumDatagramSize))
+	Expect(len(encoded)).To(BeNumerically("<=", membership.MaxDatagramSize))
 	var decoded Message
 	_, err = decoded.UnmarshalMsg(encoded)
 	Expect(err).NotTo(HaveOccurred())
@@ -302,6 +302,6 @@
 		} {
 			Expect(machine.Receive(0, 2, Message{Kind: KindPush, Records: []Record{record}})).To(BeEmpty())
 		}
-		Expect(machine.Receive(0, 2, Message{Kind: KindCompare, Zone: membership.MaximumZones})).To(BeEmpty())
+		Expect(machine.Receive(0, 2, Message{Kind: KindCompare, Zone: membership.MaxZones})).To(BeEmpty())
 	})
 })
--- a/internal/cluster/liveness/push.go
+++ b/internal/cluster/liveness/push.go
@@ -12,7 +12,7 @@
 // when a rack fails, share messages.
 func (m *Machine) flush() {
 	for scope := range m.pending {
-		for records := range slices.Chunk(m.pending[scope], maximumRecords) {
+		for records := range slices.Chunk(m.pending[scope], maxRecords) {
 			m.push(slices.Clone(records), Scope(scope))
 		}
 		m.pending[scope] = nil
@@ -31,7 +31,7 @@
 		}
 	}
 	if scope >= ScopeRegion {
-		for zone := range membership.Zone(membership.MaximumZones) {
+		for zone := range membership.Zone(membership.MaxZones) {
 			if zone != own.Zone {
 				m.pushTo(records, ScopeZone, remoteFanout, func(peer Peer) bool {
 					return peer.Identity.Zone == zone && peer.Identity.Region == own.Region
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -140,7 +140,7 @@
 // Address returns the address of the node.
 func (n *Node) Address() netip.AddrPort { return n.config.Listen }
 
-// Applied tells the node that this process forwards packets according to a version of the
+// Applied records that this process forwards packets according to a version of the
 // table.
 func (n *Node) Applied(version table.Version) {
 	n.mutex.Lock()
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -80,7 +80,7 @@
 		Expect(alone.Store().Table().Table).To(Equal(tableOf(4, 1)))
 	})
 
-	It("tells all daemons the condition of an agent that reports to one of them", func() {
+	It("reports to all daemons the condition of an agent that reports to one of them", func() {
 		started := newFleet(3)
 		nodes := started.startAll(3)
 		const agent = table.Endpoint("192.0.2.1:6081")
--- a/internal/cluster/socket.go
+++ b/internal/cluster/socket.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// maximumDatagramSize limits a datagram in bytes. Longer messages are sent over a
+	// maxDatagramSize limits a datagram in bytes. Longer messages are sent over a
 	// connection.
-	maximumDatagramSize = membership.MaximumDatagramSize + 16
-	// maximumStreamSize limits the bytes read from a connection.
-	maximumStreamSize = 64 << 20
+	maxDatagramSize = membership.MaxDatagramSize + 16
+	// maxStreamSize limits the bytes read from a connection.
+	maxStreamSize = 64 << 20
 	// streamTimeout limits the duration of a connection.
 	streamTimeout = 10 * time.Second
-	// maximumStreams limits the connections served at a time.
-	maximumStreams = 32
+	// maxStreams limits the connections served at a time.
+	maxStreams = 32
 )
 
 // socket holds the UDP socket and the TCP listener of a Node. It is safe for concurrent
@@ -57,7 +57,7 @@
 		listener:        listener,
 		logger:          logger,
 		metrics:         metrics,
-		connectionSlots: make(chan struct{}, maximumStreams),
+		connectionSlots: make(chan struct{}, maxStreams),
 	}, nil
 }
 
@@ -77,7 +77,7 @@
 
 // receive passes datagrams to accept until the socket is closed.
 func (s *socket) receive(accept func(from netip.AddrPort, datagram []byte)) error {
-	buffer := make([]byte, 2*maximumDatagramSize)
+	buffer := make([]byte, 2*maxDatagramSize)
 	for {
 		count, from, err := s.datagrams.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -120,12 +120,12 @@
 }
 
 func readAll(connection net.Conn) ([]byte, error) {
-	read, err := io.ReadAll(io.LimitReader(connection, maximumStreamSize+1))
+	read, err := io.ReadAll(io.LimitReader(connection, maxStreamSize+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "cluster: read from a connection")
 	}
-	if len(read) > maximumStreamSize {
-		return nil, errors.Errorf("cluster: the peer sent more than the maximum of %d bytes over a connection", maximumStreamSize)
+	if len(read) > maxStreamSize {
+		return nil, errors.Errorf("cluster: the peer sent more than the maximum of %d bytes over a connection", maxStreamSize)
 	}
 	return read, nil
 }
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -58,7 +58,7 @@
 }
 
 // Members implements adminapi.Store. It runs a survey, since this process may not have
-// heard from every daemon recently.
+// received a status from every daemon recently.
 func (s *Store) Members() []adminapi.Member { return s.node.surveyedMembers() }
 
 // Reached implements adminapi.Store by a survey of the running daemons. If many members of
--- a/internal/cluster/zones.go
+++ b/internal/cluster/zones.go
@@ -21,8 +21,8 @@
 }
 
 func newZones(names []string) (zones, error) {
-	if len(names) == 0 || len(names) > membership.MaximumZones {
-		return zones{}, errors.Errorf("cluster: the list has %d zones, but the number must be from 1 to %d", len(names), membership.MaximumZones)
+	if len(names) == 0 || len(names) > membership.MaxZones {
+		return zones{}, errors.Errorf("cluster: the list has %d zones, but the number must be from 1 to %d", len(names), membership.MaxZones)
 	}
 	created := zones{names: slices.Clone(names)}
 	for _, name := range names {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -8,9 +8,9 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// maximumOutstanding is the number of unanswered heartbeats remembered for each daemon.
+// maxOutstanding is the number of unanswered heartbeats remembered for each daemon.
 // Their sending times are needed because a lease counts from then.
-const maximumOutstanding = 8
+const maxOutstanding = 8
 
 // minimumHeartbeatSpacing is the minimum time between two heartbeats to one daemon, even if
 // Renew is called.
@@ -113,7 +113,7 @@
 		daemon.due = now + daemon.interval
 		daemon.lastSent = now
 		daemon.sent = append(daemon.sent, sentHeartbeat{sequence: c.sequence, at: now})
-		if len(daemon.sent) > maximumOutstanding {
+		if len(daemon.sent) > maxOutstanding {
 			daemon.sent = slices.Delete(daemon.sent, 0, 1)
 		}
 		outgoing = append(outgoing, OutgoingHeartbeat{Daemon: daemon.address, Heartbeat: c.heartbeat()})
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -179,7 +179,7 @@
 			agent := table.Endpoint(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port+1).String())
 			sendHeartbeat(registry, 0, agent)
 		}
-		Expect(registry.interval()).To(Equal(maximumInterval))
+		Expect(registry.interval()).To(Equal(maxInterval))
 	})
 })
 
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -55,8 +55,8 @@
 	Down []table.BackendID `msg:"x"`
 	// Leaving lists the rows of these services whose agent is stopping.
 	Leaving []table.BackendID `msg:"g"`
-	// Unknown lists the rows of these services whose agent the daemon has not heard from,
-	// because it started or was resumed a moment ago.
+	// Unknown lists the rows of these services whose agent has sent the daemon no
+	// heartbeat yet, because the daemon started or was resumed a moment ago.
 	Unknown []table.BackendID `msg:"u"`
 }
 
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -10,12 +10,12 @@
 const (
 	// minimumInterval is the heartbeat interval of agents in a small fleet.
 	minimumInterval = 100 * time.Millisecond
-	// maximumInterval is the longest heartbeat interval.
-	maximumInterval = time.Second
+	// maxInterval is the longest heartbeat interval.
+	maxInterval = time.Second
 	// leaseIntervals is the duration of a lease in heartbeat intervals.
 	leaseIntervals = 3
-	// MaximumLease is the longest lease that a daemon grants.
-	MaximumLease = leaseIntervals * maximumInterval
+	// MaxLease is the longest lease that a daemon grants.
+	MaxLease = leaseIntervals * maxInterval
 	// leaseMargin is added to the lease before a row counts as down, so that the lease has
 	// ended by the agent's own clock first.
 	leaseMargin = 200 * time.Millisecond
@@ -31,8 +31,8 @@
 	// its table.
 	pauseGrace = 3 * time.Second
 	// WarmupPeriod is how long a daemon receives heartbeats after its start or a pause
-	// before it considers an agent down that it has not heard from.
-	WarmupPeriod = maximumInterval + leaseMargin
+	// before it considers an agent down that has sent no heartbeat.
+	WarmupPeriod = maxInterval + leaseMargin
 	// agentRetention is how long the state of an agent without rows is kept after its last
 	// heartbeat.
 	agentRetention = time.Minute
@@ -84,7 +84,7 @@
 	}
 }
 
-// ConfirmTable tells the registry that its table is the newest available. A daemon resumed
+// ConfirmTable records that the registry's table is the newest available. A daemon resumed
 // after a pause grants leases again.
 func (r *Registry) ConfirmTable() { r.suspended = false }
 
@@ -106,8 +106,8 @@
 	}
 }
 
-// WarmedUp reports whether the daemon has received heartbeats for long enough to know which
-// agents are down.
+// WarmedUp reports whether the daemon has received heartbeats for long enough to decide
+// which agents are down.
 func (r *Registry) WarmedUp(now time.Duration) bool {
 	return r.everTicked && now >= r.warmupStart+WarmupPeriod
 }
@@ -161,7 +161,7 @@
 // heartbeatBudget.
 func (r *Registry) interval() time.Duration {
 	needed := time.Duration(len(r.agents)) * heartbeatCost * time.Second / heartbeatBudget
-	return min(max(needed, minimumInterval), maximumInterval)
+	return min(max(needed, minimumInterval), maxInterval)
 }
 
 func (r *Registry) addConditions(now time.Duration, services []table.ServiceID, grant *Grant) {
@@ -240,7 +240,7 @@
 
 // nextExpiry returns the next time at which a condition can change without a heartbeat.
 func (r *Registry) nextExpiry(now time.Duration) time.Duration {
-	next := now + MaximumLease
+	next := now + MaxLease
 	if !r.WarmedUp(now) {
 		next = min(next, r.warmupStart+WarmupPeriod)
 	}
--- a/internal/control/remote.go
+++ b/internal/control/remote.go
@@ -39,14 +39,14 @@
 	agents   map[table.Endpoint]Observation
 }
 
-// AwaitRemote tells the registry that agents may report to other daemons. Until RemoteReady
+// AwaitRemote records that agents may report to other daemons. Until RemoteReady
 // is called, an agent that no daemon has reported is not considered down.
 func (r *Registry) AwaitRemote() {
 	r.remote.awaiting = true
 	r.invalidate()
 }
 
-// RemoteReady tells the registry that ApplyRemote has been called for all agents that
+// RemoteReady records that ApplyRemote has been called for all agents that
 // report to other daemons.
 func (r *Registry) RemoteReady() {
 	r.remote.awaiting = false
@@ -107,7 +107,7 @@
 }
 
 // aliveCondition returns the condition of an agent that is alive according to its
-// heartbeats. If other daemons have heard the same process announce that it stops, it is
+// heartbeats. If the same process has announced to other daemons that it stops, it is
 // leaving, since a process does not revoke that.
 func (r *Registry) aliveCondition(agent table.Endpoint, remote Observation) condition {
 	if remote.Condition == AgentLeaving && remote.Start == r.agents[agent].start {
@@ -126,7 +126,7 @@
 	s.reportUnavailable()
 }
 
-// RemoteReady tells the server that ApplyRemote has been called for all agents that report
+// RemoteReady records that ApplyRemote has been called for all agents that report
 // to other daemons.
 func (s *Server) RemoteReady() {
 	s.mutex.Lock()
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -79,7 +79,7 @@
 	s.reportUnavailable()
 }
 
-// ConfirmTable tells the server that its table is the newest available.
+// ConfirmTable records that the server's table is the newest available.
 func (s *Server) ConfirmTable() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/directory/delta_test.go
+++ b/internal/directory/delta_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("StateAfter", func() {
-	It("omits what the peer knows but includes endpoints that are gone", func() {
+	It("omits what the peer has but includes endpoints that are gone", func() {
 		informed := directory.NewReplica()
 		informed.ApplyChanges(0, []directory.Item{
 			configurationItem(4, 2), endpointItem("old", 3, endpoint("s", false)),
@@ -60,7 +60,7 @@
 }
 
 // TestDelta checks that applying the difference to a digest leads to the same directory as
-// applying the full state, for any changes that each side knows.
+// applying the full state, for any changes that each side has applied.
 func TestDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		items := history(t)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -28,7 +28,7 @@
 type Revision uint64
 
 // EndpointID identifies one incarnation of an endpoint. A process that restarts under the same
-// name holds none of the flows of its predecessor, and nothing learned about the predecessor
+// name holds none of the flows of its predecessor, and nothing recorded about the predecessor
 // applies to it.
 type EndpointID struct {
 	// Name is the name under which the endpoint announces itself.
--- a/internal/directory/disseminator.go
+++ b/internal/directory/disseminator.go
@@ -91,7 +91,7 @@
 // SetSeeds replaces the seeds.
 func (d *Disseminator) SetSeeds(seeds []Peer) { d.seeds = seeds }
 
-// Watching reports whether this process watches the store. While it knows no other balancer, it
+// Watching reports whether this process watches the store. While it lists no other balancer, it
 // watches if it has listed the store itself or if no other process has a directory.
 func (d *Disseminator) Watching() bool {
 	if d.alone {
@@ -101,9 +101,9 @@
 }
 
 const (
-	// minMembershipShare is the part of the advertised members that a process must know to be a
+	// minMembershipShare is the part of the advertised members that a process must list to be a
 	// watcher. While the membership spreads, every process ranks among the first of the few
-	// members that it knows.
+	// members that it lists.
 	minMembershipShare = 0.5
 	// advertisedMembersLifetime is how long an advertised number of members counts. A process
 	// without confirmations polls the store before that time ends.
--- a/internal/directory/disseminator_test.go
+++ b/internal/directory/disseminator_test.go
@@ -61,7 +61,7 @@
 }
 
 var _ = Describe("Disseminator", func() {
-	// fleet returns balancers that know each other and the store at revision 5.
+	// fleet returns balancers that list each other and the store at revision 5.
 	fleet := func(count, zones int) map[directory.Peer]*testBalancer {
 		members := fleetOf(count, zones)
 		all := make(map[directory.Peer]*testBalancer)
@@ -122,7 +122,7 @@
 		Expect(receiver.disseminator.Watching()).To(BeTrue())
 	})
 
-	It("does not watch while others know far more balancers, until their advertisement expires", func() {
+	It("does not watch while others list far more balancers, until their advertisement expires", func() {
 		few := fleetOf(3, 1)
 		reduced := newTestBalancer(few[0])
 		reduced.list(0, 5)
@@ -144,7 +144,7 @@
 		Expect(reduced.disseminator.Watching()).To(BeTrue(), "the fleet has shrunk")
 	})
 
-	It("watches while it knows no other balancer, unless another has announced a directory", func() {
+	It("watches while it lists no other balancer, unless another has announced a directory", func() {
 		alone, receiver, listed := newTestBalancer(directory.Member{Peer: 1}), newTestBalancer(directory.Member{Peer: 2}), newTestBalancer(directory.Member{Peer: 3})
 		listed.list(0, 5)
 		for _, each := range []*testBalancer{receiver, listed} {
@@ -351,7 +351,7 @@
 		Expect(requests).NotTo(HaveKey(unresponsive))
 	})
 
-	It("does not confirm itself while others know many more balancers", func() {
+	It("does not confirm itself while others list many more balancers", func() {
 		starting := newTestBalancer(directory.Member{Peer: 1})
 		starting.disseminator.SetMembers([]directory.Member{{Peer: 1}, {Peer: 2}})
 		other := newTestBalancer(directory.Member{Peer: 2})
--- a/internal/directory/incarnation_test.go
+++ b/internal/directory/incarnation_test.go
@@ -62,7 +62,7 @@
 		Expect(existingIDs(replica)).To(ConsistOf(directory.EndpointID{Name: "a", Started: before - 500}))
 	})
 
-	It("is learned from another balancer while the store is unavailable, and is not reverted by an older state", func() {
+	It("is received from another balancer while the store is unavailable, and is not reverted by an older state", func() {
 		other := directory.NewReplica()
 		other.ApplyState(0, replica.FullState(0))
 		old := replica.FullState(0)
--- a/internal/directory/membership.go
+++ b/internal/directory/membership.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a balancer that is running as far as this process knows.
+// Member is a balancer that is running according to the membership of this process.
 type Member struct {
 	Peer Peer
 	Zone int
--- a/internal/directory/model_test.go
+++ b/internal/directory/model_test.go
@@ -281,7 +281,7 @@
 }
 
 // zoneMismatch describes a zone whose state in a balancer's directory is wrong. The balancer
-// may know changes after the revision that it claims.
+// may have applied changes after the revision that it claims.
 func (m *disseminationModel) zoneMismatch(each *testBalancer, applied directory.Revision) string {
 	closedInReplica := make(map[string]bool)
 	for _, zone := range each.replica.Snapshot().ClosedZones() {
@@ -326,8 +326,8 @@
 	}
 }
 
-// TestDisseminationModel checks that a balancer knows the store as of the revision that it
-// claims, whichever updates are lost, duplicated or reordered.
+// TestDisseminationModel checks that a balancer's directory matches the store as of the
+// revision that it claims, whichever updates are lost, duplicated or reordered.
 func TestDisseminationModel(t *testing.T) {
 	setSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/directory/peer_fetcher.go
+++ b/internal/directory/peer_fetcher.go
@@ -19,7 +19,7 @@
 )
 
 // PeerFetcher decides when a balancer fetches the directory from another balancer. It fetches
-// once after the start, because peers know of endpoints that have left but still hold flows. It
+// once after the start, because peers list endpoints that are gone but still hold flows. It
 // fetches when the local directory stays behind, for example because no updates arrive, and at
 // once when an update was incomplete. It is deterministic.
 type PeerFetcher[Peer comparable] struct {
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -48,8 +48,8 @@
 	formerServices map[segment.Address][]string
 	// zones holds the zones that are closed or were closed recently.
 	zones map[string]zoneRecord
-	// departuresKnownSince is the start of the period for which all departures of endpoints are
-	// known, or never.
+	// A departure is the change of an endpoint to gone. departuresKnownSince is the start of
+	// the period for which all departures of endpoints are known, or never.
 	departuresKnownSince time.Duration
 	snapshot             *Snapshot
 }
@@ -135,7 +135,7 @@
 	return marked
 }
 
-// ApplyChanges merges all changes up to a revision. The replica must know all changes before
+// ApplyChanges merges all changes up to a revision. The replica must contain all changes before
 // them. It reports whether the snapshot changed.
 func (r *Replica) ApplyChanges(now time.Duration, items []Item, through Revision) bool {
 	r.noteStoreRevision(through)
--- a/internal/directory/replica_test.go
+++ b/internal/directory/replica_test.go
@@ -149,7 +149,7 @@
 		Expect(leaving("a")).To(BeTrue(), "its flows can be found but it receives no new ones")
 	})
 
-	It("learns an endpoint from a peer that is ahead", func() {
+	It("receives an endpoint from a peer that is ahead", func() {
 		informed := directory.NewReplica()
 		informed.ApplyChanges(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 120, endpoint("s", false))}, 120)
 		replica.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
@@ -157,7 +157,7 @@
 		Expect(leaving("a")).To(BeFalse())
 	})
 
-	It("knows departures since its first listing, or since that of a peer whose state it applied", func() {
+	It("records all departures since its first listing, or since that of a peer whose state it applied", func() {
 		Expect(replica.Snapshot().DeparturesKnownSince()).To(BeNumerically(">", time.Hour))
 		older := directory.NewReplica()
 		older.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 10)
@@ -168,7 +168,7 @@
 		Expect(older.FullState(time.Hour).DepartureHistory).To(Equal(directory.Retention), "older departures are dropped")
 	})
 
-	It("learns from a stale peer which endpoints have left since", func() {
+	It("receives from a stale peer which endpoints are gone since", func() {
 		stale := directory.NewReplica()
 		stale.ApplyListing(0, []directory.Item{configurationItem(4, 2), endpointItem("a", 5, endpoint("s", false))}, 10)
 		replica.ApplyListing(0, []directory.Item{configurationItem(4, 2)}, 100)
@@ -176,7 +176,7 @@
 		Expect(leaving("a")).To(BeTrue(), "its flows can be found")
 	})
 
-	It("learns the former services of addresses from a peer", func() {
+	It("receives the former services of addresses from a peer", func() {
 		route := directory.Route{IP: [4]byte{198, 51, 100, 1}, Port: 443, WeightedServices: []directory.WeightedService{{Service: "before", Weight: 1}}}
 		older := directory.NewReplica()
 		older.ApplyChanges(0, []directory.Item{{Revision: 1, Configuration: &directory.Configuration{Version: 1, Routes: []directory.Route{route}}}}, 1)
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -116,7 +116,7 @@
 	return state
 }
 
-// stateHeader returns a state without content for a process that knows all changes up to a
+// stateHeader returns a state without content for a process that has all changes up to a
 // revision.
 func (r *Replica) stateHeader(after Revision) State {
 	return State{
@@ -187,7 +187,7 @@
 	return r.advance(now, state.Through, changed)
 }
 
-// CompletesWith reports whether the replica knows all changes up to state.Through once it has
+// CompletesWith reports whether the replica has all changes up to state.Through once it has
 // applied the state.
 func (r *Replica) CompletesWith(state State) bool {
 	version := uint64(0)
@@ -240,7 +240,7 @@
 }
 
 // applyEndpointState accepts a newer state of an endpoint's entry. If this process already
-// knows all changes up to that revision, an entry that it lacks has since been deleted and the
+// has all changes up to that revision, an entry that it lacks has since been deleted and the
 // sender is stale. That also holds if an older entry of the endpoint is recorded. Invalid
 // states, which a faulty sender may produce, are skipped.
 func (r *Replica) applyEndpointState(now time.Duration, received EndpointState) bool {
--- a/internal/directory/zone.go
+++ b/internal/directory/zone.go
@@ -11,7 +11,7 @@
 type zoneRecord struct {
 	revision Revision
 	closed   bool
-	// since is when this process learned that the zone was closed or opened.
+	// since is when this process recorded that the zone was closed or opened.
 	since time.Duration
 }
 
@@ -20,7 +20,7 @@
 	Zone string
 	// Revision is the revision of the entry that closes the zone.
 	Revision Revision
-	// Since is when this process learned of the closing.
+	// Since is when this process recorded the closing.
 	Since time.Duration
 }
 
@@ -75,7 +75,7 @@
 	return zones
 }
 
-// applyZoneState accepts a newer state of a zone's entry. If this process already knows all
+// applyZoneState accepts a newer state of a zone's entry. If this process already has all
 // changes up to that revision, a closing entry that it lacks has since been deleted.
 func (r *Replica) applyZoneState(now time.Duration, received ZoneState) bool {
 	record, exists := r.zones[received.Zone]
--- a/internal/directory/zone_test.go
+++ b/internal/directory/zone_test.go
@@ -82,7 +82,7 @@
 		Expect(closedZones(replica)).To(BeEmpty())
 	})
 
-	It("does not close a zone by the state of a stale peer if it knows of the opening", func() {
+	It("does not close a zone by the state of a stale peer if it has recorded the opening", func() {
 		replica.ApplyChanges(0, []directory.Item{zoneItem(closedZone, 3, true)}, 3)
 		stale := replica.FullState(0)
 		late := directory.NewReplica()
--- a/internal/dissemination/config.go
+++ b/internal/dissemination/config.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// MaximumDatagramSize is the largest encoded message in bytes, without IP and UDP
+	// MaxDatagramSize is the largest encoded message in bytes, without IP and UDP
 	// headers.
-	MaximumDatagramSize = membership.MaximumDatagramSize
+	MaxDatagramSize = membership.MaxDatagramSize
 	// messageOverhead is an upper bound of the encoding of a message without deltas and
 	// members.
 	messageOverhead = 64
 	// deltaOverhead is an upper bound of the encoding of a delta without its payload.
 	deltaOverhead = 15
-	// maximumBehindMembers limits the members listed in one zone report. An address takes
+	// maxBehindMembers limits the members listed in one zone report. An address takes
 	// nine bytes.
-	maximumBehindMembers = 100
+	maxBehindMembers = 100
 )
 
 // Config holds the settings of a Machine.
@@ -77,7 +77,7 @@
 // Validate returns an error that names the first invalid setting.
 func (c Config) Validate() error {
 	switch {
-	case c.Self.Address == 0 || c.Self.Zone >= membership.MaximumZones:
+	case c.Self.Address == 0 || c.Self.Zone >= membership.MaxZones:
 		return errors.New("dissemination: the identity of this process has no address or an invalid zone")
 	case c.Random == nil:
 		return errors.New("dissemination: the source of randomness is missing")
--- a/internal/dissemination/fleet_bench_test.go
+++ b/internal/dissemination/fleet_bench_test.go
@@ -45,7 +45,7 @@
 	measured.startAll(30*time.Second, time.Minute)
 	for !measured.settled() {
 		if measured.network.Now() > settleLimit {
-			b.Fatal("not every daemon knew every other one in time")
+			b.Fatal("not every daemon listed every other one in time")
 		}
 		measured.network.Run(time.Second)
 	}
@@ -59,7 +59,7 @@
 	measureSurvey(b, measured)
 }
 
-// settled reports whether every daemon knows every other one.
+// settled reports whether every daemon lists every other one.
 func (f *fleet) settled() bool {
 	return !slices.ContainsFunc(f.running(), func(observed *daemon) bool {
 		return observed.members.LiveCount() != len(f.addresses)
--- a/internal/dissemination/fleet_test.go
+++ b/internal/dissemination/fleet_test.go
@@ -278,7 +278,7 @@
 	}
 	encoded, err := message.MarshalMsg(nil)
 	must(err)
-	if len(encoded) > dissemination.MaximumDatagramSize {
+	if len(encoded) > dissemination.MaxDatagramSize {
 		panic(fmt.Sprintf("a message of %d bytes exceeds the maximum datagram size", len(encoded)))
 	}
 	if len(message.Deltas) > 0 && d.fleet.regionOf(effect.To) != d.identity.Region {
--- a/internal/dissemination/history.go
+++ b/internal/dissemination/history.go
@@ -41,7 +41,7 @@
 
 // deltasThatFit returns as many of the deltas, from the first on, as fit in a message.
 func deltasThatFit(deltas []Delta) []Delta {
-	available := MaximumDatagramSize - messageOverhead
+	available := MaxDatagramSize - messageOverhead
 	for index, delta := range deltas {
 		available -= len(delta.Payload) + deltaOverhead
 		if available < 0 {
--- a/internal/dissemination/machine.go
+++ b/internal/dissemination/machine.go
@@ -65,7 +65,7 @@
 	return m.effects
 }
 
-// Installed tells the machine that a full table, or the deltas up to a version, are held
+// Installed records that a full table, or the deltas up to a version, are held
 // now. It changes nothing if the version is not newer.
 func (m *Machine) Installed(now time.Duration, version table.Version) []Effect {
 	m.resetEffects()
@@ -78,14 +78,14 @@
 	return m.effects
 }
 
-// FetchFailed tells the machine that a fetch failed. Another peer is asked next.
+// FetchFailed records that a fetch failed. Another peer is asked next.
 func (m *Machine) FetchFailed(now time.Duration, from membership.Address) {
 	m.pull.fetching = false
 	m.pull.next = now + m.config.PullTimeout
 	delete(m.peers.status, from)
 }
 
-// Applied tells the machine that this process has applied a version.
+// Applied records that this process has applied a version.
 func (m *Machine) Applied(version table.Version) {
 	m.status.Applied = max(m.status.Applied, version)
 }
--- a/internal/dissemination/message_test.go
+++ b/internal/dissemination/message_test.go
@@ -20,7 +20,7 @@
 		}
 		encoded, err := sent.MarshalMsg(nil)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
-		gomega.Expect(len(encoded)).To(gomega.BeNumerically("<=", dissemination.MaximumDatagramSize))
+		gomega.Expect(len(encoded)).To(gomega.BeNumerically("<=", dissemination.MaxDatagramSize))
 		var received dissemination.Message
 		rest, err := received.UnmarshalMsg(encoded)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -18,7 +18,7 @@
 
 // peerList holds the peers and the last status received from each.
 type peerList struct {
-	zones     [membership.MaximumZones][]Peer
+	zones     [membership.MaxZones][]Peer
 	byAddress map[membership.Address]Peer
 	status    map[membership.Address]Status
 }
@@ -35,10 +35,10 @@
 func (p *peerList) set(peers []Peer, self membership.Address) {
 	before := p.byAddress
 	p.byAddress = make(map[membership.Address]Peer, len(peers))
-	p.zones = [membership.MaximumZones][]Peer{}
+	p.zones = [membership.MaxZones][]Peer{}
 	for _, peer := range peers {
 		address := peer.Identity.Address
-		if address == self || peer.Identity.Zone >= membership.MaximumZones {
+		if address == self || peer.Identity.Zone >= membership.MaxZones {
 			continue
 		}
 		p.zones[peer.Identity.Zone] = append(p.zones[peer.Identity.Zone], peer)
--- a/internal/dissemination/push.go
+++ b/internal/dissemination/push.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if scope >= ScopeRegion {
-		for zone := range membership.Zone(membership.MaximumZones) {
+		for zone := range membership.Zone(membership.MaxZones) {
 			if zone != own.Zone {
 				m.pushTo(deltas, ScopeZone, m.config.RemoteFanout, func(peer Peer) bool {
 					return peer.Identity.Zone == zone && peer.Identity.Region == own.Region
--- a/internal/dissemination/survey.go
+++ b/internal/dissemination/survey.go
@@ -12,10 +12,10 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// maximumSurveys limits the surveys that one process runs at a time.
-const maximumSurveys = 8
+// maxSurveys limits the surveys that one process runs at a time.
+const maxSurveys = 8
 
-// ErrTooManySurveys is returned by Survey while maximumSurveys are running.
+// ErrTooManySurveys is returned by Survey while maxSurveys are running.
 var ErrTooManySurveys = errors.New("dissemination: the maximum number of surveys is already running")
 
 // survey is one running survey.
@@ -40,11 +40,11 @@
 // are running.
 func (m *Machine) Survey(now time.Duration, version table.Version) ([]Effect, error) {
 	m.resetEffects()
-	if len(m.surveys) >= maximumSurveys {
+	if len(m.surveys) >= maxSurveys {
 		return nil, ErrTooManySurveys
 	}
 	started := &survey{sequence: m.nextSequence(), version: version}
-	for zone := range membership.Zone(membership.MaximumZones) {
+	for zone := range membership.Zone(membership.MaxZones) {
 		if zone == m.config.Self.Zone || len(m.peers.zones[zone]) > 0 {
 			started.zones = append(started.zones, &zoneRequest{result: ZoneSurvey{Zone: zone}, deadline: now})
 		}
@@ -92,7 +92,7 @@
 	request.done = true
 	for _, peer := range m.peers.zones[request.result.Zone] {
 		request.result.BehindCount++
-		if len(request.result.BehindMembers) < maximumBehindMembers {
+		if len(request.result.BehindMembers) < maxBehindMembers {
 			request.result.BehindMembers = append(request.result.BehindMembers, peer.Identity.Address)
 		}
 	}
--- a/internal/dissemination/zonepoll.go
+++ b/internal/dissemination/zonepoll.go
@@ -10,8 +10,8 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// maximumZonePolls limits the zone polls that one process runs at a time.
-const maximumZonePolls = 16
+// maxZonePolls limits the zone polls that one process runs at a time.
+const maxZonePolls = 16
 
 // zonePoll asks the members of the own zone for their status on behalf of a survey.
 type zonePoll struct {
@@ -31,7 +31,7 @@
 	repeated := slices.ContainsFunc(m.zonePolls, func(running *zonePoll) bool {
 		return running.requester == from && running.sequence == message.Sequence
 	})
-	if repeated || len(m.zonePolls) >= maximumZonePolls {
+	if repeated || len(m.zonePolls) >= maxZonePolls {
 		return
 	}
 	m.startZonePoll(now, &zonePoll{requester: from, sequence: message.Sequence, version: message.Version})
@@ -96,7 +96,7 @@
 		Version:       ended.version,
 		AppliedCount:  uint32(members - len(behindMembers)),
 		BehindCount:   uint32(len(behindMembers)),
-		BehindMembers: behindMembers[:min(len(behindMembers), maximumBehindMembers)],
+		BehindMembers: behindMembers[:min(len(behindMembers), maxBehindMembers)],
 	}
 	if ended.requester != 0 {
 		m.send(ended.requester, report)
--- a/internal/encap/encap.go
+++ b/internal/encap/encap.go
@@ -112,7 +112,7 @@
 	return append(destination, packet...)
 }
 
-// Outcome tells whether a datagram could be decoded and, if not, why.
+// Outcome says whether a datagram could be decoded and, if not, why.
 type Outcome uint8
 
 // The outcomes of Decode.
--- a/internal/lookup/lookup.go
+++ b/internal/lookup/lookup.go
@@ -31,7 +31,7 @@
 	Agent       netip.AddrPort
 }
 
-// Outcome tells whether a flow has a target and, if not, why.
+// Outcome says whether a flow has a target and, if not, why.
 type Outcome uint8
 
 // The outcomes of Route.
--- a/internal/lookup/slots.go
+++ b/internal/lookup/slots.go
@@ -20,7 +20,7 @@
 
 const (
 	minimumSlots = 256
-	maximumSlots = 4096
+	maxSlots     = 4096
 	// slotGrowth is the factor between consecutive slot counts.
 	slotGrowth = 4
 	// minimumSlotsPerRow is the number of slots per row below which the next larger count
@@ -33,7 +33,7 @@
 // only three counts: up to 32 rows, up to 128 rows, and beyond.
 func SlotCount(rows int) int {
 	count := minimumSlots
-	for count < rows*minimumSlotsPerRow && count < maximumSlots {
+	for count < rows*minimumSlotsPerRow && count < maxSlots {
 		count *= slotGrowth
 	}
 	return count
--- a/internal/membership/bloomfilter.go
+++ b/internal/membership/bloomfilter.go
@@ -1,13 +1,13 @@
 // This file implements the Bloom filter in a sync request. It holds the members that the
-// requester knows, so that the response can omit them.
+// requester already lists, so that the response can omit them.
 
 package membership
 
 const (
-	// filterBitsPerMember is the number of filter bits for each member. maximumFilterSize
+	// filterBitsPerMember is the number of filter bits for each member. maxFilterSize
 	// limits the filter in bytes, so that it fits in a request.
 	filterBitsPerMember = 8
-	maximumFilterSize   = 800
+	maxFilterSize       = 800
 	// filterHashes is the number of bits that a member sets. About one in twenty missing
 	// members is a false positive. The next request has another salt and thus other false
 	// positives.
@@ -25,7 +25,7 @@
 	for _, record := range l.zoneStates(zone) {
 		live += record.live
 	}
-	created := make(bloomFilter, min((live*filterBitsPerMember+7)/8, maximumFilterSize))
+	created := make(bloomFilter, min((live*filterBitsPerMember+7)/8, maxFilterSize))
 	for _, record := range l.zoneStates(zone) {
 		for _, known := range record.members {
 			if known.update.State.live() {
--- a/internal/membership/coldstart_test.go
+++ b/internal/membership/coldstart_test.go
@@ -1,5 +1,5 @@
-// This file measures how long the members of a fleet that starts all at once take to learn
-// of each other, and how many bytes they spend on it.
+// This file measures how long the members of a fleet that starts all at once take to list
+// each other, and how many bytes they spend on it.
 
 package membership_test
 
@@ -27,7 +27,7 @@
 
 // startResult is the result of the start of a whole fleet.
 type startResult struct {
-	// median and last are the times until half of the members, and all of them, knew all
+	// median and last are the times until half of the members, and all of them, listed all
 	// members.
 	median, last time.Duration
 	// mean, worst and worstNonSeed are bytes a second of a member over startPeriod.
@@ -72,7 +72,7 @@
 var _ = Describe("A fleet whose members all start at once", func() {
 	// Seeds are asked by all others. Three seeds of 1,000 members exceed the budget (design
 	// 0025, limits), so only the other members are checked in that case.
-	DescribeTable("learns of all members in time and within the byte budget", func(members, seeds int, within time.Duration, checksSeeds bool) {
+	DescribeTable("lists all members in time and within the byte budget", func(members, seeds int, within time.Duration, checksSeeds bool) {
 		measured := measureStart(members, seeds, startLoss, 5*time.Minute)
 		GinkgoWriter.Printf("%d members, %d seeds: half after %v, all after %v; bytes a second and member %.0f, %.0f of the busiest\n",
 			members, seeds, measured.median, measured.last, measured.mean, measured.worst)
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// MaximumDatagramSize is the largest encoded message in bytes, without IP and UDP
+	// MaxDatagramSize is the largest encoded message in bytes, without IP and UDP
 	// headers.
-	MaximumDatagramSize = 1200
-	// MaximumAttachmentSize is the largest attachment in bytes.
-	MaximumAttachmentSize = 64
-	// maximumUpdateSize is the longest msgp encoding of an update in bytes.
-	maximumUpdateSize = 31
+	MaxDatagramSize = 1200
+	// MaxAttachmentSize is the largest attachment in bytes.
+	MaxAttachmentSize = 64
+	// maxUpdateSize is the longest msgp encoding of an update in bytes.
+	maxUpdateSize = 31
 	// updatesPerSyncResponse is the number of updates that fit in a sync response beside
 	// the sender, the digests of all zones and the attachment.
-	updatesPerSyncResponse = (MaximumDatagramSize - 64 - MaximumZones*8 - MaximumAttachmentSize) / maximumUpdateSize
-	// maximumUpdatesPerMessage limits the updates accepted in one message.
-	maximumUpdatesPerMessage = MaximumDatagramSize / 20
-	// maximumSeeds limits the seeds that are kept.
-	maximumSeeds = 64
+	updatesPerSyncResponse = (MaxDatagramSize - 64 - MaxZones*8 - MaxAttachmentSize) / maxUpdateSize
+	// maxUpdatesPerMessage limits the updates accepted in one message.
+	maxUpdatesPerMessage = MaxDatagramSize / 20
+	// maxSeeds limits the seeds that are kept.
+	maxSeeds = 64
 )
 
 // Config holds the settings of a Machine.
@@ -101,14 +101,14 @@
 	switch {
 	case c.Self.Address == 0:
 		return errors.New("membership: the address of this process is missing")
-	case c.Self.Zone >= MaximumZones:
-		return errors.Errorf("membership: zone number %d must be below %d", c.Self.Zone, MaximumZones)
+	case c.Self.Zone >= MaxZones:
+		return errors.Errorf("membership: zone number %d must be below %d", c.Self.Zone, MaxZones)
 	case c.Random == nil:
 		return errors.New("membership: the source of randomness is missing")
 	case c.ProbeTimeout >= c.ProbeInterval:
 		return errors.New("membership: probe timeout must be below the probe interval")
-	case c.GossipBytes < maximumUpdateSize || c.GossipBytes > MaximumDatagramSize/2:
-		return errors.Errorf("membership: gossip bytes must be from %d to %d", maximumUpdateSize, MaximumDatagramSize/2)
+	case c.GossipBytes < maxUpdateSize || c.GossipBytes > MaxDatagramSize/2:
+		return errors.Errorf("membership: gossip bytes must be from %d to %d", maxUpdateSize, MaxDatagramSize/2)
 	case c.MemberLimit < 1:
 		return errors.New("membership: member limit must be positive")
 	}
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,6 +1,7 @@
-// Package membership lets each daemon of a fleet know which other daemons run. From the
-// messages of the others and the time, it decides which daemons have joined, failed or
-// left, and which zones are reachable. Its callers use the result to choose peers.
+// Package membership maintains, in each daemon of a fleet, the list of the running daemons.
+// From the messages of the others and the time, it decides which daemons have joined,
+// failed or left, and which zones are reachable. Its callers use the result to choose
+// peers.
 //
 // Machine is a deterministic state machine. It probes the members of its own zone as SWIM
 // does (ping, indirect ping, suspicion, refutation) and pings a random member of each other
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// detectionLimit is the time within which all members must know of a failure.
+	// detectionLimit is the time within which all members must have recorded a failure.
 	detectionLimit = 30 * time.Second
 	// partitionMergeLimit is the time within which views must agree after a partition.
 	partitionMergeLimit = 90 * time.Second
@@ -195,7 +195,7 @@
 })
 
 var _ = ginkgo.Describe("Two separate fleets", func() {
-	ginkgo.It("merge when one process learns of a seed on the other side", func() {
+	ginkgo.It("merge when one process is given a seed on the other side", func() {
 		cluster := newFleet(3, layout{members: 12, zones: 3, zonesInRegion: 2}, virtualnet.Config{Loss: 0.02})
 		cluster.seedCount = 12
 		cluster.network.SetPartition(func(from, to virtualnet.NodeID) bool {
@@ -248,16 +248,16 @@
 		},
 		ginkgo.Entry("from an address other than the sender's", func(m *membership.Message) { m.Sender = alive(2) }),
 		ginkgo.Entry("of an unknown kind", func(m *membership.Message) { m.Kind = membership.KindLeave + 1 }),
-		ginkgo.Entry("with a zone out of range", func(m *membership.Message) { m.Sender.Member.Zone = membership.MaximumZones }),
-		ginkgo.Entry("with a digest out of range", func(m *membership.Message) { m.Digest.Zone = membership.MaximumZones }),
+		ginkgo.Entry("with a zone out of range", func(m *membership.Message) { m.Sender.Member.Zone = membership.MaxZones }),
+		ginkgo.Entry("with a digest out of range", func(m *membership.Message) { m.Digest.Zone = membership.MaxZones }),
 		ginkgo.Entry("with an update of an unknown state", func(m *membership.Message) {
 			m.Updates = []membership.Update{{Member: identity(3), State: membership.StateLeft + 1}}
 		}),
 		ginkgo.Entry("with a request for a zone out of range", func(m *membership.Message) {
-			m.Kind, m.Digest.Zone = membership.KindSyncRequest, membership.MaximumZones+1
+			m.Kind, m.Digest.Zone = membership.KindSyncRequest, membership.MaxZones+1
 		}),
 		ginkgo.Entry("with a filter that is too long", func(m *membership.Message) { m.KnownFilter = make([]byte, 801) }),
-		ginkgo.Entry("with too many ages", func(m *membership.Message) { m.ZoneAges = make([]byte, membership.MaximumZones+1) }),
+		ginkgo.Entry("with too many ages", func(m *membership.Message) { m.ZoneAges = make([]byte, membership.MaxZones+1) }),
 	)
 
 	ginkgo.It("raises its refutation count only once when the same failure update about it arrives twice", func() {
@@ -289,7 +289,7 @@
 			}
 			return bytes
 		}
-		// While this process catches up, one that knows hardly any member is only sent a few, and
+		// While this process catches up, one that lists hardly any member is only sent a few, and
 		// a part of the tokens is reserved for longer responses.
 		few, most := []byte(nil), make([]byte, 60)
 		shortResponses := answered(0, few)
--- a/internal/membership/fleet_bench_test.go
+++ b/internal/membership/fleet_bench_test.go
@@ -100,7 +100,7 @@
 }
 
 // measureDetection kills members one after the other. It returns, in ascending order, the
-// times until all other members knew.
+// times until all other members had marked the member as failed.
 func measureDetection(b *testing.B, measured *fleet) []time.Duration {
 	var times []time.Duration
 	for number := range killedMembers {
@@ -161,7 +161,7 @@
 }
 
 // measureRackLoss stops two fifths of a zone at once and measures the time until all other
-// members know.
+// members have marked them as failed.
 func measureRackLoss(b *testing.B, measured *fleet) {
 	const zone = membership.Zone(4)
 	var members []membership.Address
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -255,7 +255,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("encode a membership message: %v", err))
 	}
-	if len(encoded) > membership.MaximumDatagramSize {
+	if len(encoded) > membership.MaxDatagramSize {
 		panic(fmt.Sprintf("a message of %d bytes exceeds the maximum datagram size", len(encoded)))
 	}
 	p.fleet.messages++
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -27,7 +27,7 @@
 	expires  time.Duration
 }
 
-// audience tells which members need an update.
+// audience says which members need an update.
 type audience uint8
 
 const (
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -13,7 +13,7 @@
 
 const (
 	// leaveFanout is the number of members, in the own zone and in other zones each, that
-	// are told of a planned stop.
+	// are notified of a planned stop.
 	leaveFanout = 5
 	// expiryInterval is the time between two searches for members whose retention has
 	// ended.
@@ -48,7 +48,7 @@
 	lastDigestZone Zone
 }
 
-// New returns the machine of a process that knows no other member. It returns an error if
+// New returns the machine of a process that lists no other member. It returns an error if
 // the configuration is invalid.
 func New(config Config) (*Machine, error) {
 	if err := config.Validate(); err != nil {
@@ -78,13 +78,13 @@
 		return seed == 0 || seed == m.self.Member.Address
 	})
 	m.random.Shuffle(len(kept), func(i, j int) { kept[i], kept[j] = kept[j], kept[i] })
-	m.seeds = kept[:min(len(kept), maximumSeeds)]
+	m.seeds = kept[:min(len(kept), maxSeeds)]
 }
 
 // SetAttachment sets the data of another protocol that every message carries. It panics if
-// the attachment is longer than MaximumAttachmentSize.
+// the attachment is longer than MaxAttachmentSize.
 func (m *Machine) SetAttachment(attachment []byte) {
-	if len(attachment) > MaximumAttachmentSize {
+	if len(attachment) > MaxAttachmentSize {
 		panic("membership: the attachment exceeds the maximum size")
 	}
 	m.attachment = slices.Clone(attachment)
@@ -118,7 +118,7 @@
 		return nil
 	}
 	m.detectPause(now)
-	// Members that this process learns of while it catches up are not new to the others. It
+	// Members that this process adds while it catches up are not new to the others. It
 	// does not gossip the members in sync responses then, nor the senders of messages during
 	// simultaneousStartWindow.
 	catchingUp := m.inQuickSync(now)
@@ -159,16 +159,16 @@
 	if !m.Sender.valid() || m.Sender.Member.Address != from || m.Kind > KindLeave {
 		return false
 	}
-	if len(m.KnownFilter) > maximumFilterSize || len(m.Updates) > maximumUpdatesPerMessage || len(m.ZoneAges) > MaximumZones || len(m.Digests) > MaximumZones {
+	if len(m.KnownFilter) > maxFilterSize || len(m.Updates) > maxUpdatesPerMessage || len(m.ZoneAges) > MaxZones || len(m.Digests) > MaxZones {
 		return false
 	}
 	for _, digest := range m.Digests {
-		if digest.Zone >= MaximumZones {
+		if digest.Zone >= MaxZones {
 			return false
 		}
 	}
 	isSync := m.Kind == KindSyncRequest || m.Kind == KindSyncResponse
-	if m.Digest.Zone >= MaximumZones && !(isSync && m.Digest.Zone == allZones) {
+	if m.Digest.Zone >= MaxZones && !(isSync && m.Digest.Zone == allZones) {
 		return false
 	}
 	return !slices.ContainsFunc(m.Updates, func(update Update) bool {
@@ -201,8 +201,8 @@
 	message.Sender = m.self
 	message.Attachment = m.attachment
 	message.CatchingUp = m.inQuickSync(now)
-	knowsFewMembers := message.Kind == KindSyncRequest && m.memberList.live < bootstrapMembers
-	if message.Kind != KindSyncResponse && !knowsFewMembers {
+	hasFewMembers := message.Kind == KindSyncRequest && m.memberList.live < bootstrapMembers
+	if message.Kind != KindSyncResponse && !hasFewMembers {
 		message.Updates = m.updatesFor(now, to)
 	}
 	if message.Kind == KindPing || message.Kind == KindAck {
@@ -217,7 +217,7 @@
 // updatesFor returns the updates to attach to a message. If the receiver is suspected or
 // declared failed, that update comes first, so that the receiver can refute it.
 func (m *Machine) updatesFor(now time.Duration, to Address) []Update {
-	count := m.config.GossipBytes / maximumUpdateSize
+	count := m.config.GossipBytes / maxUpdateSize
 	var updates []Update
 	known, exists := m.memberList.byAddress[to]
 	if exists && known.update.State != StateAlive {
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -31,10 +31,10 @@
 	digest uint32
 	// lastChanged is when a member of the zone last changed.
 	lastChanged time.Duration
-	// lastHeard is when the zone was last heard from. reachable is set if that was recent
-	// enough.
-	lastHeard time.Duration
-	reachable bool
+	// lastMessageAt is when the last message came from the zone. reachable is set if that
+	// was recent enough.
+	lastMessageAt time.Duration
+	reachable     bool
 	// unreachableSince is when the zone was first seen or became unreachable.
 	unreachableSince time.Duration
 }
@@ -43,7 +43,7 @@
 // and removals, so that runs are reproducible.
 type memberList struct {
 	byAddress map[Address]*member
-	zones     [MaximumZones]zoneState
+	zones     [MaxZones]zoneState
 	live      int
 }
 
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -42,17 +42,17 @@
 // Region is the number of a region of the fleet.
 type Region uint8
 
-// Zone is the number of a zone, unique across all regions and below MaximumZones.
+// Zone is the number of a zone, unique across all regions and below MaxZones.
 type Zone uint8
 
-// MaximumZones is the largest supported number of zones.
-const MaximumZones = 32
+// MaxZones is the largest supported number of zones.
+const MaxZones = 32
 
 // allZones means every zone in a sync request and its response.
-const allZones Zone = MaximumZones
+const allZones Zone = MaxZones
 
 // Incarnation distinguishes successive processes at one address. It is the start time of
-// the process in milliseconds since 1970. A process that learns of a higher incarnation at
+// the process in milliseconds since 1970. A process that receives a higher incarnation at
 // its own address takes the next higher one, so that a clock that was set back does no
 // harm.
 type Incarnation uint64
@@ -114,7 +114,7 @@
 
 // valid reports whether an update received from the network is well formed.
 func (u Update) valid() bool {
-	return u.Member.Address != 0 && u.Member.Zone < MaximumZones && u.State <= StateLeft
+	return u.Member.Address != 0 && u.Member.Zone < MaxZones && u.State <= StateLeft
 }
 
 // Kind is the type of a message.
@@ -159,12 +159,12 @@
 	// ignore its digests then, unless they catch up themselves.
 	CatchingUp bool
 	// ZoneAges, sent between members of one zone, lists for each zone number how long ago
-	// the sender's zone last heard from that zone, in units of ageUnit. ageUnknown means
-	// too long ago or never.
+	// the sender's zone last received a message from that zone, in units of ageUnit.
+	// ageUnknown means too long ago or never.
 	ZoneAges []byte
 	// Digests are the sender's digests of all zones, only in sync responses.
 	Digests []ZoneDigest
-	// KnownFilter is a Bloom filter of the members that the sender of a sync request knows,
+	// KnownFilter is a Bloom filter of the members that the sender of a sync request lists,
 	// salted by Sequence.
 	KnownFilter []byte
 	// Attachment is opaque data that the sender set by SetAttachment.
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -12,13 +12,13 @@
 	// minimumProbeGroup is the number of live members from which the members of a zone, or
 	// else of a region, probe only each other.
 	minimumProbeGroup = 5
-	// maximumRelayedPings limits the pings sent on behalf of other members at a time.
-	maximumRelayedPings = 64
-	// maximumHealthScore limits the local health score.
-	maximumHealthScore = 8
-	// maximumSuspectPings is how often each prober pings a suspect before it declares it
+	// maxRelayedPings limits the pings sent on behalf of other members at a time.
+	maxRelayedPings = 64
+	// maxHealthScore limits the local health score.
+	maxHealthScore = 8
+	// maxSuspectPings is how often each prober pings a suspect before it declares it
 	// failed. The answer carries a refutation that the prober may have missed.
-	maximumSuspectPings = 3
+	maxSuspectPings = 3
 )
 
 // probeState is the current probe and the order of the next ones.
@@ -47,12 +47,12 @@
 // own.
 type localHealth struct{ score int }
 
-func (h *localHealth) failed()    { h.score = min(h.score+1, maximumHealthScore) }
+func (h *localHealth) failed()    { h.score = min(h.score+1, maxHealthScore) }
 func (h *localHealth) succeeded() { h.score = max(h.score-1, 0) }
 
 // scale extends a duration in proportion to the score, at most to twice its length.
 func (h *localHealth) scale(duration time.Duration) time.Duration {
-	return duration + duration*time.Duration(h.score)/maximumHealthScore
+	return duration + duration*time.Duration(h.score)/maxHealthScore
 }
 
 // shouldProbe reports whether this process probes the member. It probes its own zone, the
@@ -80,7 +80,7 @@
 }
 
 // advanceProbe advances the current probe and starts the next one when it is due. While the
-// process catches up it does not probe: it must not suspect any member then, and may know
+// process catches up it does not probe: it must not suspect any member then, and may list
 // only the seeds.
 func (m *Machine) advanceProbe(now time.Duration) {
 	if m.recovery.active {
@@ -180,7 +180,7 @@
 
 // relayPing pings a target on behalf of another member.
 func (m *Machine) relayPing(now time.Duration, from Address, message Message) {
-	if len(m.relayedPings) >= maximumRelayedPings || message.Target == 0 || message.Target == m.self.Member.Address {
+	if len(m.relayedPings) >= maxRelayedPings || message.Target == 0 || message.Target == m.self.Member.Address {
 		return
 	}
 	added := relayedPing{
@@ -232,7 +232,7 @@
 	suspicion := known.update
 	suspicion.State = StateSuspect
 	m.merge(now, suspicion, true)
-	// Pings the suspect, so that it learns of the suspicion at once and can refute it.
+	// Pings the suspect, so that it receives the suspicion at once and can refute it.
 	m.send(now, suspicion.Member.Address, Message{Kind: KindPing, Sequence: m.nextSequence()})
 }
 
@@ -276,9 +276,9 @@
 // pingSuspect pings a suspect in the second half of its timeout. If this process missed the
 // refutation, it arrives with the answer.
 func (m *Machine) pingSuspect(now time.Duration, suspect *member, timeout time.Duration) {
-	spacing := timeout / (2 * (maximumSuspectPings + 1))
+	spacing := timeout / (2 * (maxSuspectPings + 1))
 	due := suspect.since + timeout/2 + spacing*time.Duration(suspect.suspectPings)
-	if suspect.suspectPings >= maximumSuspectPings || now < due {
+	if suspect.suspectPings >= maxSuspectPings || now < due {
 		return
 	}
 	suspect.suspectPings++
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -10,9 +10,9 @@
 	ageUnit = 250 * time.Millisecond
 	// ageUnknown stands for an age that is unknown or too long to be encoded.
 	ageUnknown = 255
-	// maximumMissedMessages is the number of expected messages of a zone that may be
+	// maxMissedMessages is the number of expected messages of a zone that may be
 	// missing before it counts as unreachable.
-	maximumMissedMessages = 4
+	maxMissedMessages = 4
 )
 
 // remotePingState is the state of pinging other zones.
@@ -24,7 +24,7 @@
 
 // pingRemote pings a random member of the next other zone, whether reachable or not.
 func (m *Machine) pingRemote(now time.Duration) {
-	// A process that knows few members would ping the seeds, to which it sends requests anyway.
+	// A process with few members would ping the seeds, to which it sends requests anyway.
 	if m.recovery.active && m.memberList.live < bootstrapMembers {
 		return
 	}
@@ -39,8 +39,8 @@
 
 // nextRemoteMember returns a random matching member of the next other zone that has one.
 func (m *Machine) nextRemoteMember(matches func(*member) bool) (*member, bool) {
-	for range MaximumZones {
-		m.remote.lastZone = (m.remote.lastZone + 1) % MaximumZones
+	for range MaxZones {
+		m.remote.lastZone = (m.remote.lastZone + 1) % MaxZones
 		if m.remote.lastZone == m.self.Member.Zone {
 			continue
 		}
@@ -52,10 +52,10 @@
 }
 
 // recordContact records that the sender's zone is reachable. If the sender is in the own
-// zone, it also records when the sender last heard from other zones.
+// zone, it also records when the sender last received a message from other zones.
 func (m *Machine) recordContact(now time.Duration, message Message) {
 	zone := message.Sender.Member.Zone
-	m.markZoneHeard(now, zone, now)
+	m.recordZoneMessage(now, zone, now)
 	if zone != m.self.Member.Zone {
 		return
 	}
@@ -63,21 +63,21 @@
 		if age != ageUnknown && Zone(other) != zone {
 			// One unit is added, so that the transmission time cannot make an old
 			// message look recent again.
-			m.markZoneHeard(now, Zone(other), now-time.Duration(age+1)*ageUnit)
+			m.recordZoneMessage(now, Zone(other), now-time.Duration(age+1)*ageUnit)
 		}
 	}
 }
 
-func (m *Machine) markZoneHeard(now time.Duration, zone Zone, heard time.Duration) {
+func (m *Machine) recordZoneMessage(now time.Duration, zone Zone, at time.Duration) {
 	record := &m.memberList.zones[zone]
-	record.lastHeard = max(record.lastHeard, heard)
-	if !record.reachable && now < record.lastHeard+m.unreachableAfter() {
+	record.lastMessageAt = max(record.lastMessageAt, at)
+	if !record.reachable && now < record.lastMessageAt+m.unreachableAfter() {
 		record.reachable = true
 		m.emit(Effect{Kind: EffectZoneReachable, Zone: zone})
 	}
 }
 
-// zoneAges returns how long ago each zone was heard from.
+// zoneAges returns how long ago each zone last sent a message.
 func (m *Machine) zoneAges(now time.Duration) []byte {
 	length := 0
 	for zone := range m.memberList.zones {
@@ -94,7 +94,7 @@
 
 func (m *Machine) zoneAge(now time.Duration, zone Zone) byte {
 	record := &m.memberList.zones[zone]
-	units := (now - record.lastHeard + ageUnit - 1) / ageUnit
+	units := (now - record.lastMessageAt + ageUnit - 1) / ageUnit
 	if !record.reachable || units >= ageUnknown {
 		return ageUnknown
 	}
@@ -113,7 +113,7 @@
 	}
 	own := max(m.memberList.zones[m.self.Member.Zone].live, 1)
 	expected := m.config.RemoteInterval * time.Duration(others) / time.Duration(own)
-	return m.config.UnreachableTimeout + maximumMissedMessages*expected
+	return m.config.UnreachableTimeout + maxMissedMessages*expected
 }
 
 // detectUnreachableZones marks the zones that have been silent for too long.
@@ -124,7 +124,7 @@
 	limit := m.unreachableAfter()
 	for zone := range m.memberList.zones {
 		record := &m.memberList.zones[zone]
-		if !record.reachable || Zone(zone) == m.self.Member.Zone || now < record.lastHeard+limit {
+		if !record.reachable || Zone(zone) == m.self.Member.Zone || now < record.lastMessageAt+limit {
 			continue
 		}
 		record.reachable = false
--- a/internal/membership/recovery.go
+++ b/internal/membership/recovery.go
@@ -28,18 +28,18 @@
 	// seed send requests to processes that did not, and these can then ask them instead.
 	seedInterval = 1200 * time.Millisecond
 	// bootstrapMembers is the number of known members from which a process treats seeds
-	// like other members. A process that knows fewer avoids asking seeds again.
+	// like other members. A process with fewer avoids asking seeds again.
 	bootstrapMembers = 32
 	// simultaneousStartWindow is how long after its start a process assumes that the
-	// members it hears from started at the same time. It does not gossip them, since the
-	// others learn of them directly.
+	// members it receives messages from started at the same time. It does not gossip them,
+	// since the others receive messages from them directly.
 	simultaneousStartWindow = 3 * time.Second
-	// maximumQuickSyncInterval limits the interval while no member answers. It is also the
+	// maxQuickSyncInterval limits the interval while no member answers. It is also the
 	// time to the next request if the other member had nothing new.
-	maximumQuickSyncInterval = 2400 * time.Millisecond
-	// maximumDoublings is how often quickSyncInterval is doubled up to
-	// maximumQuickSyncInterval.
-	maximumDoublings = 3
+	maxQuickSyncInterval = 2400 * time.Millisecond
+	// maxDoublings is how often quickSyncInterval is doubled up to
+	// maxQuickSyncInterval.
+	maxDoublings = 3
 )
 
 // recovery is the state of catching up.
@@ -81,7 +81,7 @@
 	}
 	for zone := range m.memberList.zones {
 		if m.memberList.zones[zone].reachable {
-			m.memberList.zones[zone].lastHeard = now
+			m.memberList.zones[zone].lastMessageAt = now
 		}
 	}
 }
@@ -125,12 +125,12 @@
 func (m *Machine) randomInAnyZone(matches func(*member) bool) (*member, bool) {
 	position := m.random.IntN(max(len(m.memberList.byAddress), 1))
 	first := Zone(0)
-	for first < MaximumZones-1 && position >= len(m.memberList.zones[first].members) {
+	for first < MaxZones-1 && position >= len(m.memberList.zones[first].members) {
 		position -= len(m.memberList.zones[first].members)
 		first++
 	}
-	for offset := range Zone(MaximumZones) {
-		zone := (first + offset) % MaximumZones
+	for offset := range Zone(MaxZones) {
+		zone := (first + offset) % MaxZones
 		if found, exists := m.memberList.randomMember(m.random, zone, matches); exists {
 			return found, true
 		}
@@ -139,9 +139,9 @@
 }
 
 // isNonSeedPeer reports whether a member is another live process and not a seed, since all
-// processes ask the seeds. Once this process knows bootstrapMembers members, seeds are
-// accepted too: they are then chosen no more often than any other member, and what only a
-// seed knows must spread.
+// processes ask the seeds. Once this process lists bootstrapMembers members, seeds are
+// accepted too: they are then chosen no more often than any other member, and members
+// that only a seed lists must spread.
 func (m *Machine) isNonSeedPeer(candidate *member) bool {
 	avoided := m.memberList.live < bootstrapMembers && slices.Contains(m.seeds, candidate.update.Member.Address)
 	return m.isLivePeer(candidate) && !avoided
--- a/internal/membership/synchronize.go
+++ b/internal/membership/synchronize.go
@@ -12,9 +12,9 @@
 // Digests differ for a moment while an update spreads.
 const settleTime = 5 * time.Second
 
-// maximumDifferenceAge is how long a zone may differ before it is fetched even if it keeps
+// maxDifferenceAge is how long a zone may differ before it is fetched even if it keeps
 // changing.
-const maximumDifferenceAge = 10 * time.Second
+const maxDifferenceAge = 10 * time.Second
 
 const (
 	// responseRate is how many bytes a second a member spends on sync responses, and
@@ -28,8 +28,8 @@
 	estimatedUpdateSize = 24
 	estimatedDigestSize = 8
 	estimatedOverhead   = 100
-	// bootstrapUpdates is the number of updates in the response to a process that knows
-	// hardly any member, while the responder catches up itself. It tells that process of
+	// bootstrapUpdates is the number of updates in the response to a process that lists
+	// hardly any member, while the responder catches up itself. They give that process
 	// other members to ask.
 	bootstrapUpdates = 4
 	// bootstrapReserve is the number of tokens that these short responses leave for longer
@@ -53,7 +53,7 @@
 
 // syncState is the state of the synchronization.
 type syncState struct {
-	differences [MaximumZones]zoneDifference
+	differences [MaxZones]zoneDifference
 	// next is the earliest time of the next request.
 	next time.Duration
 	// quickUntil is the end of the period in which differences are fetched without delay.
@@ -75,8 +75,8 @@
 
 // nextDigest returns the digests of the zones that have members, one after the other.
 func (m *Machine) nextDigest() ZoneDigest {
-	for range MaximumZones {
-		m.lastDigestZone = (m.lastDigestZone + 1) % MaximumZones
+	for range MaxZones {
+		m.lastDigestZone = (m.lastDigestZone + 1) % MaxZones
 		if len(m.memberList.zones[m.lastDigestZone].members) > 0 {
 			break
 		}
@@ -86,7 +86,8 @@
 
 // compareDigests records the zones for which the sender of a message has another digest.
 func (m *Machine) compareDigests(now time.Duration, from Address, message Message) {
-	// A process that catches up lacks members, so only another such process learns from it.
+	// A process that catches up lacks members, so its members are news only to another such
+	// process.
 	if message.CatchingUp && !m.inQuickSync(now) {
 		return
 	}
@@ -102,7 +103,8 @@
 
 // compareDigest records a difference. It remains until the zone is fetched, even if other
 // members agree in the meantime: a whole zone may have missed a change in another zone.
-// Members of the zone concerned are preferred as the source, since they know it best.
+// Members of the zone concerned are preferred as the source, since their lists of it are
+// the newest.
 func (m *Machine) compareDigest(now time.Duration, from Address, digest ZoneDigest) {
 	if m.memberList.zones[digest.Zone].digest == digest.Hash {
 		return
@@ -128,8 +130,8 @@
 		m.synchronizeAllZones(now)
 		return
 	}
-	for range MaximumZones {
-		m.sync.lastZone = (m.sync.lastZone + 1) % MaximumZones
+	for range MaxZones {
+		m.sync.lastZone = (m.sync.lastZone + 1) % MaxZones
 		difference := &m.sync.differences[m.sync.lastZone]
 		if !difference.pending || !m.settled(now, m.sync.lastZone, difference) {
 			continue
@@ -160,12 +162,12 @@
 		m.sync.differences[zone].pending = false
 	}
 	m.requestSync(now, to, allZones)
-	bytes := min(m.memberList.live*filterBitsPerMember/8, maximumFilterSize)
-	interval := min(quickSyncInterval<<min(m.sync.unanswered, maximumDoublings), maximumQuickSyncInterval)
+	bytes := min(m.memberList.live*filterBitsPerMember/8, maxFilterSize)
+	interval := min(quickSyncInterval<<min(m.sync.unanswered, maxDoublings), maxQuickSyncInterval)
 	m.sync.askedSeed = slices.Contains(m.seeds, to) && m.memberList.live < bootstrapMembers
 	switch {
 	case agreed:
-		interval = maximumQuickSyncInterval
+		interval = maxQuickSyncInterval
 	case m.sync.askedSeed:
 		interval = max(interval, seedInterval)
 	}
@@ -204,7 +206,7 @@
 }
 
 func (m *Machine) settled(now time.Duration, zone Zone, difference *zoneDifference) bool {
-	if now >= difference.since+maximumDifferenceAge {
+	if now >= difference.since+maxDifferenceAge {
 		return true
 	}
 	changed := m.memberList.zones[zone].lastChanged
@@ -273,7 +275,7 @@
 
 // allowance returns how many updates a response may hold. It is zero once earlier responses
 // have used up the tokens. If all processes start at once and ask the seeds, many of them
-// get a few updates and learn of other members to ask.
+// get a few updates, which name other members to ask.
 func (m *Machine) allowance(now time.Duration, request Message) int {
 	earned := int((now - m.sync.tokensUpdated) * responseRate / time.Second)
 	if earned > 0 {
--- a/internal/membership/transport/endpoint.go
+++ b/internal/membership/transport/endpoint.go
@@ -23,7 +23,7 @@
 
 // receiveBuffer is larger than any message, so that longer datagrams are detected rather
 // than truncated.
-const receiveBuffer = 2 * membership.MaximumDatagramSize
+const receiveBuffer = 2 * membership.MaxDatagramSize
 
 // Config holds the settings of an Endpoint.
 type Config struct {
@@ -44,8 +44,8 @@
 	config  Config
 	socket  *net.UDPConn
 	started time.Time
-	// wake signals that events are waiting for delivery.
-	wake chan struct{}
+	// eventsPending signals that events are waiting for delivery.
+	eventsPending chan struct{}
 
 	mutex   sync.Mutex
 	machine *membership.Machine
@@ -71,11 +71,11 @@
 		return nil, err
 	}
 	return &Endpoint{
-		config:  config,
-		socket:  socket,
-		started: time.Now(),
-		wake:    make(chan struct{}, 1),
-		machine: machine,
+		config:        config,
+		socket:        socket,
+		started:       time.Now(),
+		eventsPending: make(chan struct{}, 1),
+		machine:       machine,
 	}, nil
 }
 
@@ -94,7 +94,7 @@
 }
 
 // SetAttachment sets the data that every message carries, at most
-// membership.MaximumAttachmentSize bytes.
+// membership.MaxAttachmentSize bytes.
 func (e *Endpoint) SetAttachment(attachment []byte) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -173,7 +173,7 @@
 	sender, isIPv4 := membership.AddressOf(from)
 	var message membership.Message
 	rest, err := message.UnmarshalMsg(datagram)
-	if !isIPv4 || err != nil || len(rest) > 0 || len(datagram) > membership.MaximumDatagramSize {
+	if !isIPv4 || err != nil || len(rest) > 0 || len(datagram) > membership.MaxDatagramSize {
 		e.config.Metrics.Malformed.Add(1)
 		return
 	}
@@ -196,7 +196,7 @@
 		return
 	}
 	select {
-	case e.wake <- struct{}{}:
+	case e.eventsPending <- struct{}{}:
 	default:
 	}
 }
@@ -221,7 +221,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-e.wake:
+		case <-e.eventsPending:
 		}
 		e.mutex.Lock()
 		events := slices.Clone(e.events)
--- a/internal/netstack/netstack.go
+++ b/internal/netstack/netstack.go
@@ -32,8 +32,8 @@
 	// maximumTransmissionUnit leaves room for Geneve, UDP and IP headers on a network with an
 	// MTU of 1,500 bytes.
 	maximumTransmissionUnit = 1400
-	// maximumHandshakes bounds the number of TCP handshakes in progress.
-	maximumHandshakes = 1024
+	// maxHandshakes bounds the number of TCP handshakes in progress.
+	maxHandshakes = 1024
 	// timeWait is the duration of the TIME-WAIT state, in which a closed connection still
 	// answers the caller.
 	timeWait = time.Second
@@ -101,7 +101,7 @@
 }
 
 func (s *Stack) handle(handler Handler) {
-	tcpForwarder := tcp.NewForwarder(s.stack, 0, maximumHandshakes, func(request *tcp.ForwarderRequest) {
+	tcpForwarder := tcp.NewForwarder(s.stack, 0, maxHandshakes, func(request *tcp.ForwarderRequest) {
 		handler.OpenTCP(&Request{forwarded: request})
 	})
 	s.stack.SetTransportProtocolHandler(tcp.ProtocolNumber, tcpForwarder.HandlePacket)
--- a/internal/outlier/outcome.go
+++ b/internal/outlier/outcome.go
@@ -42,7 +42,7 @@
 // evidence against one endpoint only if the others have it less often.
 func (o Outcome) needsComparison() bool { return o == Failure || o == ConnectionReset }
 
-// State tells which new flows an endpoint gets.
+// State says which new flows an endpoint gets.
 type State uint8
 
 // The states.
--- a/internal/outlier/report.go
+++ b/internal/outlier/report.go
@@ -7,8 +7,8 @@
 //msgp:shim Outcome as:uint8 using:uint8/Outcome
 //msgp:ignore Config StateChange Detector ServiceHealth
 
-// Report is what a detector tells a balancer about its endpoint, from the outcomes of clients
-// in the balancer's zone or of all clients.
+// Report is what a detector reports to a balancer about its endpoint, from the outcomes of
+// clients in the balancer's zone or of all clients.
 type Report struct {
 	// Outcomes is the number of latest outcomes, and Failures the number of bad ones.
 	Outcomes uint8
@@ -48,7 +48,7 @@
 	outcomes, failures int
 }
 
-// Add adds an endpoint with its report; ejected tells whether its detector ejects it.
+// Add adds an endpoint with its report; ejected says whether its detector ejects it.
 func (h *ServiceHealth) Add(report Report, ejected bool) {
 	switch {
 	case ejected && report.Reason.unreachable():
--- a/internal/outlier/tracker.go
+++ b/internal/outlier/tracker.go
@@ -84,7 +84,7 @@
 	return true
 }
 
-// update changes the state after an outcome; ejects tells whether a healthy endpoint is to be
+// update changes the state after an outcome; ejects says whether a healthy endpoint is to be
 // ejected. It reports whether the state has changed.
 func (t *tracker) update(now time.Duration, outcome Outcome, retryAfter time.Duration, ejects bool) bool {
 	switch {
--- a/internal/packet/packet.go
+++ b/internal/packet/packet.go
@@ -45,7 +45,7 @@
 	return binary.BigEndian.Uint32(address[:])
 }
 
-// Outcome tells whether a packet could be decoded and, if not, why.
+// Outcome says whether a packet could be decoded and, if not, why.
 type Outcome uint8
 
 // The outcomes of Decode. Every value but Decoded is a reason to drop the packet.
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -24,7 +24,7 @@
 	localSampleSize = 4
 )
 
-// Candidate is an endpoint that may get a new flow, as the chooser knows it.
+// Candidate is an endpoint that may get a new flow, as recorded by the chooser.
 type Candidate struct {
 	// Slots is the number of requests that the endpoint processes concurrently; 0 means
 	// unknown.
@@ -101,7 +101,7 @@
 // Choosers with the same information draw different samples, so that no endpoint gets more
 // than a few times its share (the power of two choices: Mitzenmacher, 2001). If each chooser
 // compared all candidates, one endpoint would get the flows of all choosers until they
-// learned of its load.
+// received its load.
 func Sample(local []bool, random *rand.Rand) []int {
 	sample := make([]int, 0, sampleSize)
 	sample = appendSample(sample, local, true, localSampleSize, random)
--- a/internal/placement/choosers_test.go
+++ b/internal/placement/choosers_test.go
@@ -65,7 +65,7 @@
 	groups map[groupKey]*placement.GroupUtilization
 }
 
-// groupKey identifies a group of endpoints as one balancer knows it.
+// groupKey identifies a group of endpoints as seen by one balancer.
 type groupKey struct {
 	balancer int
 	zone     int
@@ -110,6 +110,6 @@
 
 func (s *shortestTime) observe(now time.Duration, reporting *view, ownFlows int, views []*view) {
 	others := float64(max(reporting.used-ownFlows, 0))
-	reporting.report = placement.LoadReport{UsedByOthers: others, ReceivedAt: now, Known: true}
+	reporting.report = placement.LoadReport{SlotsUsedByOthers: others, ReceivedAt: now, Received: true}
 	s.groupOf(reporting, reporting.slowness(typicalProcessingTime(views))).Observe(now, others/slotsEach)
 }
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -70,7 +70,7 @@
 		Expect(float64(lateImproved)).To(BeNumerically("<=", 1.05*float64(lateBaseline)))
 	})
 
-	It("spreads the flows of 300 choosers that know of the same idle endpoint", func() {
+	It("spreads the flows of 300 choosers with the same idle endpoint as a candidate", func() {
 		const endpoints, choosers = 100, 300
 		random := newRandom()
 		local := make([]bool, endpoints)
--- a/internal/placement/loadreport.go
+++ b/internal/placement/loadreport.go
@@ -25,11 +25,12 @@
 
 // LoadReport is the latest load that an agent has reported for its endpoint.
 type LoadReport struct {
-	// UsedByOthers is the number of slots that flows of other choosers occupied at ReceivedAt.
-	UsedByOthers float64
-	ReceivedAt   time.Duration
-	// Known is set once a report has been received.
-	Known bool
+	// SlotsUsedByOthers is the number of slots that flows of other choosers occupied at
+	// ReceivedAt.
+	SlotsUsedByOthers float64
+	ReceivedAt        time.Duration
+	// Received is set once a report has been received.
+	Received bool
 }
 
 // Estimate returns how many slots flows of other choosers occupy now. The report decays
@@ -37,14 +38,14 @@
 // requests that it counted have been answered, and the endpoint is then used about as much as
 // the others of its group.
 func (r LoadReport) Estimate(now, processingTime time.Duration, groupMean float64) float64 {
-	if !r.Known {
+	if !r.Received {
 		return groupMean
 	}
 	decay := defaultReportDecay
 	if processingTime > 0 {
 		decay = max(processingTime, minReportDecay)
 	}
-	return groupMean + (r.UsedByOthers-groupMean)*math.Exp(-float64(now-r.ReceivedAt)/float64(decay))
+	return groupMean + (r.SlotsUsedByOthers-groupMean)*math.Exp(-float64(now-r.ReceivedAt)/float64(decay))
 }
 
 // GroupUtilization is the mean utilization of a group of endpoints by other choosers: the
--- a/internal/placement/loadreport_test.go
+++ b/internal/placement/loadreport_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("LoadReport", func() {
 	const processingTime = 50 * time.Millisecond
-	report := placement.LoadReport{UsedByOthers: 4, ReceivedAt: time.Second, Known: true}
+	report := placement.LoadReport{SlotsUsedByOthers: 4, ReceivedAt: time.Second, Received: true}
 
 	It("is the estimate when it is received, and decays towards the mean of the group", func() {
 		Expect(report.Estimate(time.Second, processingTime, 1)).To(Equal(4.0))
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// view is what one balancer knows about one endpoint.
+// view is what one balancer has recorded about one endpoint.
 type view struct {
 	balancer       int
 	endpoint       *endpoint
--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -16,7 +16,7 @@
 	Service string
 	Codec   segment.Codec
 	// StartedWithEndpoint is set if the agent starts together with its endpoint, so that the
-	// endpoint holds no flow that the agent does not know.
+	// endpoint holds no flow that the agent has not recorded.
 	StartedWithEndpoint bool
 	// FlowLifetime is the longest time that a flow may last.
 	FlowLifetime time.Duration
@@ -42,14 +42,14 @@
 	stateOpen
 	// stateEnded: one end has closed the flow, or reset it.
 	stateEnded
-	// stateProbed: the agent does not know the flow and gave the endpoint one packet of it to find
-	// out whether the endpoint holds it.
+	// stateProbed: the agent has no record of the flow and gave the endpoint one packet of it to
+	// find out whether the endpoint holds it.
 	stateProbed
 	// stateDenied: the endpoint does not hold the flow.
 	stateDenied
 )
 
-// agentFlow is what an agent knows of a flow.
+// agentFlow is an agent's record of a flow.
 type agentFlow struct {
 	state agentFlowState
 	// clientISN is the initial sequence number of the client. ackBase is that of the endpoint or,
@@ -104,7 +104,7 @@
 	// sweepInterval is the time between removals of old flows.
 	sweepInterval = time.Second
 	// drainRetention is how long the endpoint counts as draining after the last notice. By the end
-	// of that time every balancer has learned of the drain from the directory. The time is finite
+	// of that time every balancer has received the drain from the directory. The time is finite
 	// because another endpoint may take over the agent's address.
 	drainRetention = 30 * time.Second
 )
@@ -140,7 +140,7 @@
 	effects       []Effect
 }
 
-// NewAgent returns an agent that knows no flows.
+// NewAgent returns an agent without flows.
 func NewAgent(config AgentConfig) *Agent {
 	return &Agent{
 		config:    config,
@@ -187,12 +187,12 @@
 	}
 }
 
-// knowsAllFlows reports whether the agent knows all flows that its endpoint holds.
-func (a *Agent) knowsAllFlows(now time.Duration) bool {
+// flowsComplete reports whether the agent has recorded all flows that its endpoint holds.
+func (a *Agent) flowsComplete(now time.Duration) bool {
 	return a.config.StartedWithEndpoint || now-a.startedAt > a.config.FlowLifetime
 }
 
-// Stop makes the agent refuse new flows and notifies the balancers that it knows. The returned
+// Stop makes the agent refuse new flows and notifies the balancers on its list. The returned
 // effects are valid until the next call.
 func (a *Agent) Stop(now time.Duration) []Effect {
 	a.beginCall(now)
@@ -291,7 +291,7 @@
 const reasonCold = "cold"
 
 func (a *Agent) receiveOpening(now time.Duration, from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
-	a.learnColdStart(now, message.Parameters.ColdStart)
+	a.recordColdStart(now, message.Parameters.ColdStart)
 	flow, exists := a.flows[key]
 	if exists && flow.clientISN == header.Sequence && flow.state <= stateOpen {
 		a.receiveOpeningCopy(now, from, key, flow, header, message)
@@ -334,10 +334,10 @@
 	a.deliver(message.Packet)
 }
 
-// learnColdStart records what a balancer reports about the start of the endpoint. If the balancer
+// recordColdStart records what a balancer reports about the start of the endpoint. If the balancer
 // reports no start, an agent without StartedWithEndpoint treats its endpoint as cold from its own
-// start, because it cannot tell whether the endpoint has started too.
-func (a *Agent) learnColdStart(now time.Duration, coldStart ColdStart) {
+// start, because it cannot determine whether the endpoint has started too.
+func (a *Agent) recordColdStart(now time.Duration, coldStart ColdStart) {
 	first := a.coldStart.rate == 0
 	a.coldStart.update(now, coldStart)
 	if first && !a.config.StartedWithEndpoint && a.coldStart.revision == 0 {
@@ -440,7 +440,7 @@
 		}
 	}
 	for balancer, record := range a.balancers {
-		if now-record.heardAt > a.config.FlowLifetime {
+		if now-record.receivedAt > a.config.FlowLifetime {
 			delete(a.balancers, balancer)
 		}
 	}
--- a/internal/relay/agent_coldstart.go
+++ b/internal/relay/agent_coldstart.go
@@ -10,14 +10,15 @@
 	// milliseconds.
 	restartSilence = 300 * time.Millisecond
 	// coldBurstShare is the share of the headroom above the rate that one burst may use. A restarted
-	// agent does not know what its predecessor let through, so two bursts may come within a second.
+	// agent has no record of what its predecessor let through, so two bursts may come within a
+	// second.
 	coldBurstShare = 0.25
 	// maxLowPriorityWait is the maximum time that requests of lower priority wait for one of them
 	// to be admitted, so that they do not starve. urgentRetention is how long a request determines
 	// the most urgent priority.
 	maxLowPriorityWait = time.Second
 	urgentRetention    = time.Second
-	// maxColdWait limits the time for which balancers are told to avoid an endpoint. Its permitted
+	// maxColdWait limits the time for which balancers are asked to avoid an endpoint. Its permitted
 	// rate may grow in the meantime.
 	maxColdWait = 250 * time.Millisecond
 )
@@ -95,9 +96,9 @@
 	return c.crashLoop.noteFailure(at)
 }
 
-// noteLostFlow records that the endpoint no longer knows a flow that it held. That is a failure
-// unless the flow was opened before a known start. It reports whether the failure came soon after a
-// start.
+// noteLostFlow records that the endpoint no longer holds a flow that it held before. That is a
+// failure unless the flow was opened before a known start. It reports whether the failure came soon
+// after a start.
 func (c *coldStartLimiter) noteLostFlow(now, openedAt time.Duration) (crashLooping bool) {
 	if c.crashLoop.lastStart != never && openedAt <= c.crashLoop.lastStart {
 		return false
--- a/internal/relay/agent_survey.go
+++ b/internal/relay/agent_survey.go
@@ -27,7 +27,7 @@
 	balancer segment.Address
 	number   uint32
 	// pending holds the agents that have not replied, with the service that each was asked about.
-	// uncertain holds those that do not know whether they own the flow.
+	// uncertain holds those that are uncertain whether they own the flow.
 	pending   map[segment.Address]string
 	uncertain []AgentGroup
 	// maxUptime is the longest uptime of the agents that have replied.
@@ -69,7 +69,7 @@
 	}
 }
 
-// receiveSurveyReply records that another agent does not own a flow, or does not know. It reports
+// receiveSurveyReply records that another agent does not own a flow, or is uncertain. It reports
 // to the balancer once all agents have replied.
 func (a *Agent) receiveSurveyReply(from segment.Address, message Message) {
 	survey, exists := a.surveys[message.Flow.Key()]
--- a/internal/relay/agent_test.go
+++ b/internal/relay/agent_test.go
@@ -122,7 +122,7 @@
 		Expect(deliveredPackets(agent.forward(millisecond, relay.KindForward, clientPacket(1, segment.Acknowledge, 108, 501, "x")))).To(HaveLen(1))
 	})
 
-	It("resets a flow that its endpoint has lost, but not a flow that it does not know", func() {
+	It("resets a flow that its endpoint has lost, but not a flow that it has not recorded", func() {
 		agent.open(0, 1)
 		unownedPacket := clientPacket(2, segment.Acknowledge, 101, 501, "x")
 		Expect(resetHeaders(agent.HandleEndpointPacket(0, returnedCopy(unownedPacket)))).To(BeEmpty())
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -71,7 +71,7 @@
 	flowOwnerless
 )
 
-// balancerFlow is what a balancer knows of a flow. It is a cache; the agent of the owning endpoint
+// balancerFlow is a balancer's record of a flow. It is a cache; the agent of the owning endpoint
 // is authoritative.
 type balancerFlow struct {
 	state balancerFlowState
@@ -172,9 +172,9 @@
 	return b.effects
 }
 
-// notifyDraining tells agents whose endpoint began to drain that it must not get new flows, because
-// a balancer that has not learned of the change may still offer some. It skips an endpoint that is
-// gone or whose address belongs to another endpoint now.
+// notifyDraining notifies agents whose endpoint began to drain that it must not get new flows,
+// because a balancer that has not received the change may still offer some. It skips an endpoint
+// that is gone or whose address belongs to another endpoint now.
 func (b *Balancer) notifyDraining(previous, current *directory.Snapshot) {
 	for _, candidate := range current.All() {
 		before, existedBefore := previous.Candidate(candidate.ID)
@@ -266,7 +266,7 @@
 		b.recordEvent(Event{Kind: EventForged, Peer: from, Reason: "not_an_agent"})
 		return b.effects
 	}
-	b.noteAgentHeard()
+	b.recordAgentReachable()
 	b.noteProcessingTime(now, from, message.Load)
 	b.noteUtilization(now, from, message)
 	b.noteReport(now, from, message)
--- a/internal/relay/balancer_coldstart.go
+++ b/internal/relay/balancer_coldstart.go
@@ -8,7 +8,7 @@
 	"github.com/vanetiller/vanetiller/internal/directory"
 )
 
-// coldStartOf returns what the agent of an endpoint needs to know about its start.
+// coldStartOf returns what the agent of an endpoint needs for its cold start limit.
 func (b *Balancer) coldStartOf(now time.Duration, candidate directory.Candidate) ColdStart {
 	start, limited := b.snapshot.ColdStart(candidate.Endpoint.Service)
 	if !limited {
--- a/internal/relay/balancer_survey.go
+++ b/internal/relay/balancer_survey.go
@@ -38,7 +38,7 @@
 
 // splitSurvey splits the agents to ask into parts of one zone each that fit into one message beside
 // a packet of the given size. Agents of a zone are near to each other, so two messages between
-// zones are enough to learn the replies of all agents of another zone.
+// zones are enough to collect the replies of all agents of another zone.
 func splitSurvey(agents []directory.Candidate, packetSize int) [][]directory.Candidate {
 	sorted := slices.Clone(agents)
 	slices.SortStableFunc(sorted, func(a, b directory.Candidate) int {
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -95,7 +95,7 @@
 		Expect(offeredTo(time.Second)).To(HaveKey(agentAddress(0)))
 	})
 
-	It("tells agents how long the client has tried, counting earlier copies of its packet and earlier offers", func() {
+	It("reports to agents how long the client has tried, counting earlier copies of its packet and earlier offers", func() {
 		offer := onlyMessage(balancer.HandleClientPacket(0, clientPacket(1, segment.Synchronize, 100, 600, "")))
 		Expect(offer.Message.Parameters.Waited).To(Equal(uint32(600)))
 		Expect(onlyMessage(balancer.Tick(50 * millisecond)).Message.Parameters.Waited).To(Equal(uint32(650)))
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -60,8 +60,9 @@
 }
 
 // busy reports whether a new request would have to wait. The flow may then go to an endpoint that
-// is not busy. Its balancer cannot tell which endpoints are busy, because it knows only the flows
-// that it has placed itself, which are very few of all flows if there are hundreds of balancers.
+// is not busy. Its balancer cannot determine which endpoints are busy, because it tracks only the
+// flows that it has placed itself, which are very few of all flows if there are hundreds of
+// balancers.
 func (a *Agent) busy(parameters FlowParameters) bool {
 	return parameters.Slots > 0 && a.pending() >= a.usage.limit()
 }
--- a/internal/relay/coldstart_test.go
+++ b/internal/relay/coldstart_test.go
@@ -123,7 +123,7 @@
 		Entry("slack only", relay.ColdStartLimit{Overrun: 1, Slack: 3}, 30.0),
 	)
 
-	It("keeps to the limit when it is restarted and does not know what it has admitted", func() {
+	It("keeps to the limit when it is restarted and has no record of what it has admitted", func() {
 		endpoint := &coldEndpoint{agent: newColdAgent(true, coldStartLimit), coldStart: coldStart(warmupTime, 7)}
 		endpoint.offerContinuously(0, 500*millisecond)
 		endpoint.agent = newColdAgent(false, coldStartLimit)
@@ -340,7 +340,7 @@
 		balancer.Install(0, builder.replica.Snapshot())
 	})
 
-	It("tells agents the rate of a cold endpoint, the remaining time and the revision of its entry", func() {
+	It("reports to agents the rate of a cold endpoint, the remaining time and the revision of its entry", func() {
 		offer := onlyMessage(balancer.HandleClientPacket(500*millisecond, openingPacket(1, 100)))
 		Expect(offer.Message.Parameters.ColdStart.Rate).To(Equal(uint32(12000)))
 		Expect(offer.Message.Parameters.ColdStart.WarmupTime).To(Equal(uint32(2000)))
--- a/internal/relay/effect.go
+++ b/internal/relay/effect.go
@@ -70,7 +70,7 @@
 	EventSuspected
 	// EventRecovered: a suspected agent responds again.
 	EventRecovered
-	// EventEndpointLostFlow: the endpoint no longer knows a flow that it held.
+	// EventEndpointLostFlow: the endpoint no longer holds a flow that it held before.
 	EventEndpointLostFlow
 	// EventNotOwned: a packet was sent back because this agent does not own its flow.
 	EventNotOwned
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -51,7 +51,7 @@
 }
 
 // reportStateChanges records changes in the health of the endpoint and notifies the balancers
-// concerned. They would learn of a change too late by themselves: with 16 balancers each exchanges
+// concerned. They would receive a change too late otherwise: with 16 balancers each exchanges
 // messages with an endpoint only every other second.
 func (a *Agent) reportStateChanges() {
 	for _, change := range a.detector.TakeChanges() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// returnsFlowTo reports whether a balancer learns of a change from a flow that is returned to it in
+// returnsFlowTo reports whether a balancer receives a change with a flow that is returned to it in
 // the same call.
 func (a *Agent) returnsFlowTo(balancer segment.Address) bool {
 	return slices.ContainsFunc(a.effects, func(effect Effect) bool {
--- a/internal/relay/endpointpacket.go
+++ b/internal/relay/endpointpacket.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// reportNotHeld tells the prober of a flow that the endpoint does not hold it.
+// reportNotHeld reports to the prober of a flow that the endpoint does not hold it.
 func (a *Agent) reportNotHeld(now time.Duration, key segment.FlowKey, flow *agentFlow, header segment.Header, packet []byte) {
 	if flow.probedByForward {
 		a.returnPacket(flow.prober, key, header, packet, "not_held")
@@ -109,7 +109,7 @@
 	a.effects = append(a.effects, Effect{Kind: EffectSendToClient, To: key.Client, Packet: packet})
 }
 
-// adoptFlow records a flow that the endpoint holds and the agent did not know.
+// adoptFlow records a flow that the endpoint holds and the agent had not recorded.
 func (a *Agent) adoptFlow(now time.Duration, key segment.FlowKey, header segment.Header) *agentFlow {
 	flow := &agentFlow{state: stateOpen, lastActivity: now, request: requestState{sentEnd: header.Acknowledgment}}
 	if previous := a.flows[key]; previous != nil {
--- a/internal/relay/knownbalancers.go
+++ b/internal/relay/knownbalancers.go
@@ -13,7 +13,7 @@
 
 // knownBalancer is a balancer that has sent this agent a message.
 type knownBalancer struct {
-	heardAt time.Duration
+	receivedAt time.Duration
 	// zone is empty until the balancer has offered a flow.
 	zone string
 }
@@ -42,6 +42,6 @@
 	if zone != "" {
 		record.zone = zone
 	}
-	record.heardAt = now
+	record.receivedAt = now
 	a.balancers[balancer] = record
 }
--- a/internal/relay/loadstats.go
+++ b/internal/relay/loadstats.go
@@ -14,7 +14,7 @@
 type TrafficClass struct {
 	Service string
 	// Priority is valid only if PriorityKnown is set. An agent that was started after its endpoint
-	// does not know the routes of all flows.
+	// has no record of the routes of all flows.
 	Priority      uint8
 	PriorityKnown bool
 }
--- a/internal/relay/locate_test.go
+++ b/internal/relay/locate_test.go
@@ -22,7 +22,7 @@
 
 	BeforeEach(func() { balancer, builder = newBalancerWithThreeEndpoints() })
 
-	Describe("with a flow that it does not know", func() {
+	Describe("with a flow that it has not recorded", func() {
 		request := clientPacket(1, segment.Acknowledge, 101, 501, "request")
 
 		// reportOwned delivers the reply of an agent that it owns the flow.
@@ -104,7 +104,7 @@
 			Expect(sentMessages(balancer.HandleClientPacket(200*millisecond, request))).To(HaveLen(4))
 		})
 
-		It("searches again if the presumed owner does not know the flow", func() {
+		It("searches again if the presumed owner has not recorded the flow", func() {
 			offer := onlyMessage(balancer.HandleClientPacket(0, openingPacket(1, 100)))
 			reportPlaced(balancer, 0, offer.To, 1, 100)
 			balancer.HandleClientPacket(millisecond, request)
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -38,7 +38,7 @@
 	KindReturned
 	// KindOwned reports that the agent owns a flow.
 	KindOwned
-	// KindUncertain reports that the agent has restarted and does not know whether its endpoint
+	// KindUncertain reports that the agent has restarted and is uncertain whether its endpoint
 	// holds a flow.
 	KindUncertain
 	// KindNotOwned sends back a packet of a flow that the agent does not own.
@@ -49,7 +49,7 @@
 	KindPong
 	// KindLeaving reports that the agent is about to stop.
 	KindLeaving
-	// KindDrain tells the agent that its endpoint must not get new flows.
+	// KindDrain notifies the agent that its endpoint must not get new flows.
 	KindDrain
 	// KindVerify asks the same as KindLocate, but every agent replies.
 	KindVerify
@@ -165,7 +165,7 @@
 	Pending uint32
 }
 
-// FlowParameters tell an agent what a flow requires and what its endpoint can do.
+// FlowParameters say what a flow requires and what its endpoint can do.
 type FlowParameters struct {
 	// Slots is the number of requests that the endpoint can work on at the same time, 0 if unknown.
 	Slots uint32
@@ -181,7 +181,7 @@
 	ColdStart ColdStart
 }
 
-// ColdStart tells an agent how many requests its endpoint can serve after a start, and how long the
+// ColdStart says how many requests its endpoint can serve after a start, and how long the
 // effect of the latest start lasts.
 type ColdStart struct {
 	// Rate is the number of requests per 1000 s that the cold endpoint can serve, 0 for no limit.
@@ -222,11 +222,11 @@
 	// balancer, other agents reply to the sender.
 	ReplyTo EncodedAddress
 	// Targets are the agents to ask in KindSurvey. In KindSurveyResult, Uncertain are the agents
-	// that do not know whether they own the flow, and Unresponsive those that have not replied.
+	// that are uncertain whether they own the flow, and Unresponsive those that have not replied.
 	Targets      []AgentGroup
 	Uncertain    []AgentGroup
 	Unresponsive []AgentGroup
-	// Parameters are set in offers and, as far as the balancer knows them, in messages about an
+	// Parameters are set in offers and, as far as the balancer has them, in messages about an
 	// open flow whose agent may have restarted.
 	Parameters FlowParameters
 	// Load is set in messages from agents.
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -17,7 +17,7 @@
 // certainlyNotHeld reports whether the endpoint certainly does not hold a flow, given that a packet
 // of it is not owned.
 func (a *Agent) certainlyNotHeld(now time.Duration, flow *agentFlow) bool {
-	return a.knowsAllFlows(now) || flow != nil && flow.state != stateProbed
+	return a.flowsComplete(now) || flow != nil && flow.state != stateProbed
 }
 
 // deny replies that the endpoint does not hold a flow.
@@ -25,10 +25,10 @@
 	a.send(to, Message{Kind: KindDenied, Service: a.config.Service, Flow: EncodeFlow(key), Uptime: now - a.startedAt})
 }
 
-// mayOwn reports whether the endpoint may hold a flow that this agent does not know, because the
+// mayOwn reports whether the endpoint may hold a flow that this agent has not recorded, because the
 // agent has restarted.
 func (a *Agent) mayOwn(now time.Duration, flow *agentFlow) bool {
-	return flow == nil && !a.knowsAllFlows(now) && len(a.flows) < a.config.FlowLimit
+	return flow == nil && !a.flowsComplete(now) && len(a.flows) < a.config.FlowLimit
 }
 
 // receiveLocate replies if this agent owns a flow or may own it. It does not reply otherwise,
@@ -107,9 +107,9 @@
 	a.deliver(message.Packet)
 }
 
-// probe gives the endpoint a packet of a flow that this restarted agent does not know, to find out
-// whether the endpoint holds the flow. It runs once for each flow, if a balancer takes this agent
-// for the owner or has found no other.
+// probe gives the endpoint a packet of a flow that this restarted agent has not recorded, to find
+// out whether the endpoint holds the flow. It runs once for each flow, if a balancer takes this
+// agent for the owner or has found no other.
 func (a *Agent) probe(now time.Duration, from segment.Address, key segment.FlowKey, header segment.Header, message Message) {
 	a.flows[key] = &agentFlow{
 		state: stateProbed, balancer: originBalancer(from, message), prober: from,
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -20,7 +20,7 @@
 	maxSuspicion = 2400 * time.Millisecond
 )
 
-// endpointHealth is what a balancer knows of the health and load of one endpoint.
+// endpointHealth is a balancer's record of the health and load of one endpoint.
 type endpointHealth struct {
 	// outstanding is the number of flows that this balancer gave the endpoint and whose clients
 	// have not closed them.
@@ -182,7 +182,7 @@
 
 const (
 	// expiryTolerance is the share of DrainTimeout during which an endpoint whose entry expired
-	// without notice may still get new flows. The rest is for the time until the balancer learns of
+	// without notice may still get new flows. The rest is for the time until the balancer receives
 	// the expiry.
 	expiryTolerance = 0.5
 	// massExpiryRatio is the ratio of expired to present entries above which the store rather than
--- a/internal/relay/reachability.go
+++ b/internal/relay/reachability.go
@@ -36,8 +36,8 @@
 // Isolated reports whether the balancer cannot reach any agent.
 func (b *Balancer) Isolated() bool { return b.reachability.isolated }
 
-// noteAgentHeard records that an agent can be reached.
-func (b *Balancer) noteAgentHeard() {
+// recordAgentReachable records that an agent can be reached.
+func (b *Balancer) recordAgentReachable() {
 	if b.reachability.isolated {
 		b.recordEvent(Event{Kind: EventReconnected})
 	}
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -41,7 +41,7 @@
 	return flows[:min(len(flows), maxRestartProbes)]
 }
 
-// resetLostFlow resets a flow that the endpoint held and no longer knows because it has restarted.
+// resetLostFlow resets a flow that the endpoint held and has lost because it has restarted.
 func (a *Agent) resetLostFlow(now time.Duration, key segment.FlowKey, flow *agentFlow, header segment.Header) {
 	a.reportCrashLoop(a.coldStart.noteLostFlow(now, flow.openedAt))
 	a.recordEvent(Event{Kind: EventEndpointLostFlow, Flow: key, Request: flow.request.id})
--- a/internal/relay/startupbuffer_test.go
+++ b/internal/relay/startupbuffer_test.go
@@ -61,7 +61,7 @@
 		Expect(offeredPackets(install(300 * millisecond))).To(HaveLen(1))
 	})
 
-	It("tells agents how long clients have waited", func() {
+	It("reports to agents how long clients have waited", func() {
 		balancer.HandleClientPacket(0, clientPacket(1, segment.Synchronize, 100, 200, ""))
 		offer := sentMessages(install(100 * millisecond))[0]
 		Expect(offer.Message.Parameters.Waited).To(Equal(uint32(300)))
--- a/internal/relay/utilization.go
+++ b/internal/relay/utilization.go
@@ -42,6 +42,6 @@
 	if message.Kind == KindReturned {
 		ownRequests--
 	}
-	health.utilization = placement.LoadReport{UsedByOthers: max(float64(message.Load.Pending)-max(ownRequests, 0), 0), ReceivedAt: now, Known: true}
-	b.utilizationOf(candidate, health.slowness(now, medianProcessingTime)).Observe(now, health.utilization.UsedByOthers/float64(candidate.Endpoint.Slots))
+	health.utilization = placement.LoadReport{SlotsUsedByOthers: max(float64(message.Load.Pending)-max(ownRequests, 0), 0), ReceivedAt: now, Received: true}
+	b.utilizationOf(candidate, health.slowness(now, medianProcessingTime)).Observe(now, health.utilization.SlotsUsedByOthers/float64(candidate.Endpoint.Slots))
 }
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -16,8 +16,8 @@
 	// number; an agent that starts together with others needs some of them.
 	verifyInterval = 100 * time.Millisecond
 	verifyRounds   = 16
-	// recheckRounds is the interval, in rounds, at which agents that replied that they do not know
-	// are asked again. Their endpoint may have written in the flow since.
+	// recheckRounds is the interval, in rounds, at which agents that replied that they are
+	// uncertain are asked again. Their endpoint may have written in the flow since.
 	recheckRounds = 4
 	// inconclusivePause is the first pause of a search in which all agents have replied without a
 	// proof. They are asked again after it. The pause doubles each time. Without it 900 flows whose
@@ -31,8 +31,8 @@
 
 // searchReply is the reply of an agent to a search.
 type searchReply struct {
-	// denied is set if the agent's endpoint does not hold the flow. Otherwise the agent does not
-	// know. probed is set once the agent was made to probe its endpoint.
+	// denied is set if the agent's endpoint does not hold the flow. Otherwise the agent is
+	// uncertain. probed is set once the agent was made to probe its endpoint.
 	denied bool
 	probed bool
 	// agentStartedAt is when the agent was started.
@@ -161,7 +161,7 @@
 }
 
 // conclude resets a flow that no endpoint holds. Once all possible owners have replied, it makes
-// those that do not know probe their endpoints.
+// those that are uncertain probe their endpoints.
 func (b *Balancer) conclude(now time.Duration, flow *balancerFlow) {
 	search := flow.search
 	if search.verifications == 0 {
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -185,7 +185,7 @@
 		Expect(resetHeaders(balancer.MarkCurrentThrough(start+210*millisecond, start+200*millisecond))).To(HaveLen(1))
 	})
 
-	It("does not reset the flow if it knows no endpoint, or more endpoints than it can ask", func() {
+	It("does not reset the flow if it lists no endpoint, or more endpoints than it can ask", func() {
 		for _, count := range []int{0, 2100} {
 			builder = newDirectoryBuilder()
 			builder.configure(directory.WeightedService{Service: service, Weight: 1})
@@ -217,7 +217,7 @@
 		Expect(kindsByEndpoint(effects)).To(Equal(map[byte]relay.MessageKind{0: relay.KindProbe, 2: relay.KindProbe}))
 		for _, each := range sentMessages(effects) {
 			Expect(each.Message.Packet).To(Equal(request))
-			Expect(each.Message.Parameters.Timeout).To(Equal(uint32(2000)), "the agent may not know the parameters")
+			Expect(each.Message.Parameters.Timeout).To(Equal(uint32(2000)), "the agent may not have the parameters")
 		}
 		Expect(resetHeaders(answer(relay.KindDenied, start+16*millisecond, 0))).To(BeEmpty())
 		Expect(resetHeaders(answer(relay.KindDenied, start+16*millisecond, 2))).To(HaveLen(1))
--- a/internal/relaydaemon/balancer.go
+++ b/internal/relaydaemon/balancer.go
@@ -30,13 +30,13 @@
 	follower     *directory.Follower
 	confirmer    *directory.Confirmer
 	disseminator *directory.Disseminator
-	// followerWake wakes runFollower when another store call may be due, or the same one at
-	// another time.
-	followerWake chan struct{}
-	// confirmerWake wakes runConfirmer after a request for a confirmation. The request
+	// followerSignal resumes runFollower when another store call may be due, or the same
+	// one at another time.
+	followerSignal chan struct{}
+	// confirmerSignal resumes runConfirmer after a request for a confirmation. The request
 	// itself is kept by confirmer.
-	confirmerWake chan struct{}
-	store         directory.Store
+	confirmerSignal chan struct{}
+	store           directory.Store
 	// storeGeneration is incremented when store is replaced. An answer to a call with a
 	// lower generation comes from an earlier store.
 	storeGeneration  int
@@ -77,13 +77,13 @@
 		follower:         directory.NewFollower(replica, timing, disseminator),
 		confirmer:        directory.NewConfirmer(replica),
 		disseminator:     disseminator,
-		followerWake:     make(chan struct{}, 1),
+		followerSignal:   make(chan struct{}, 1),
 		store:            dependencies.NewStore(balancerConfig.Store),
 		directoryMetrics: newDirectoryMetrics(reg),
 		serviceMetrics:   newServiceMetrics(reg),
 		refusals:         newRefusalLog(recorder.logger, reg),
 
-		confirmerWake: make(chan struct{}, 1),
+		confirmerSignal: make(chan struct{}, 1),
 	}
 	created.executor.requestConfirmation = created.requestConfirmation
 	created.executor.afterInput = created.updateMetrics
@@ -202,7 +202,7 @@
 		}
 		return nil
 	})
-	r.wakeFollower()
+	r.signalFollower()
 	applied := *r.settings.Balancer
 	applied.Store, applied.Seeds = changed.Balancer.Store, changed.Balancer.Seeds
 	r.settings.Balancer, r.settings.StopTimeout = &applied, changed.StopTimeout
@@ -220,7 +220,7 @@
 		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
-		case <-r.followerWake:
+		case <-r.followerSignal:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -228,10 +228,10 @@
 	return nil
 }
 
-// wakeFollower makes runFollower stop waiting and determine the next store call again.
-func (r *balancerRole) wakeFollower() {
+// signalFollower makes runFollower stop waiting and determine the next store call again.
+func (r *balancerRole) signalFollower() {
 	select {
-	case r.followerWake <- struct{}{}:
+	case r.followerSignal <- struct{}{}:
 	default:
 	}
 }
--- a/internal/relaydaemon/confirm.go
+++ b/internal/relaydaemon/confirm.go
@@ -25,7 +25,7 @@
 func (r *balancerRole) requestConfirmation() {
 	r.confirmer.Request()
 	select {
-	case r.confirmerWake <- struct{}{}:
+	case r.confirmerSignal <- struct{}{}:
 	default:
 	}
 }
@@ -36,7 +36,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.confirmerWake:
+		case <-r.confirmerSignal:
 		}
 		for r.confirmIfRequested(ctx) && sleep(ctx, confirmRetryInterval) {
 		}
--- a/internal/relaydaemon/loadmetrics.go
+++ b/internal/relaydaemon/loadmetrics.go
@@ -75,8 +75,8 @@
 	m.longest.With(labels...).Set(waiting.LongestWait.Seconds())
 }
 
-// serviceMetrics export the capacity of the endpoints of each service, as far as a balancer
-// knows it.
+// serviceMetrics export the capacity of the endpoints of each service, as reported to
+// a balancer.
 type serviceMetrics struct {
 	throttle
 	endpoints metrics.Gauge
--- a/internal/relaydaemon/peerfetch.go
+++ b/internal/relaydaemon/peerfetch.go
@@ -39,7 +39,7 @@
 func (p *peerExchange) fetchMissing(now time.Duration, from membership.Address) {
 	p.fetcher.UpdateIncomplete(now, from)
 	select {
-	case p.wake <- struct{}{}:
+	case p.fetcherSignal <- struct{}{}:
 	default:
 	}
 }
@@ -57,7 +57,7 @@
 		timer := time.NewTimer(p.checkInterval())
 		select {
 		case <-timer.C:
-		case <-p.wake:
+		case <-p.fetcherSignal:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// checkInterval returns the time until runFetcher checks again if nothing wakes it.
+// checkInterval returns the time until runFetcher checks again if it gets no signal.
 func (p *peerExchange) checkInterval() time.Duration {
 	hasDirectory, queryingSeeds := false, false
 	p.role.executor.do(func(now time.Duration) []relay.Effect {
--- a/internal/relaydaemon/peermembership.go
+++ b/internal/relaydaemon/peermembership.go
@@ -44,7 +44,7 @@
 }
 
 // updateMembers passes the reachable members to the disseminator if the membership has
-// changed, and wakes the follower, whose next store call depends on them.
+// changed, and signals the follower, whose next store call depends on them.
 func (p *peerExchange) updateMembers() {
 	if !p.membersChanged.Swap(false) {
 		return
@@ -61,5 +61,5 @@
 		p.role.disseminator.SetMembers(members)
 		return nil
 	})
-	p.role.wakeFollower()
+	p.role.signalFollower()
 }
--- a/internal/relaydaemon/peers.go
+++ b/internal/relaydaemon/peers.go
@@ -34,9 +34,9 @@
 	storeRate float64
 	// confirmLimiter bounds the confirmations on behalf of other balancers.
 	confirmLimiter *rate.Limiter
-	// wake wakes runFetcher. membersChanged is set when the membership has changed since
-	// the last call of updateMembers.
-	wake           chan struct{}
+	// fetcherSignal makes runFetcher check for due fetches. membersChanged is set when the
+	// membership has changed since the last call of updateMembers.
+	fetcherSignal  chan struct{}
 	membersChanged atomic.Bool
 	stateCache     stateCache
 }
@@ -46,7 +46,7 @@
 	created := &peerExchange{
 		role:           role,
 		storeRate:      float64(balancerConfig.StoreRate),
-		wake:           make(chan struct{}, 1),
+		fetcherSignal:  make(chan struct{}, 1),
 		confirmLimiter: rate.NewLimiter(peerConfirmRate, peerConfirmBurst),
 		client: &http.Client{Timeout: fetchTimeout, Transport: &http.Transport{
 			DisableKeepAlives: true,
--- a/internal/relaydaemon/updates.go
+++ b/internal/relaydaemon/updates.go
@@ -27,7 +27,7 @@
 	pendingConfirmations directory.ConfirmationQueue
 	// outstanding is the request of this balancer that waits for a reply.
 	outstanding confirmationRequest
-	// replied wakes confirmByWatcher when outstanding is confirmed.
+	// replied resumes confirmByWatcher when outstanding is confirmed.
 	replied       chan struct{}
 	lastRequestID uint32
 }
--- a/internal/requestqueue/request.go
+++ b/internal/requestqueue/request.go
@@ -28,7 +28,7 @@
 	return r.StartedAt + r.Timeout
 }
 
-// Timeliness tells how timely the answer to a request can still be.
+// Timeliness says how timely the answer to a request can still be.
 type Timeliness uint8
 
 // The degrees of timeliness, best first.
--- a/internal/requestqueue/simulation_test.go
+++ b/internal/requestqueue/simulation_test.go
@@ -27,7 +27,7 @@
 type arrival struct {
 	requestqueue.Request
 	// at is when the request reaches the agent. actualStart is when its client started it,
-	// which the agent may not know.
+	// which the agent may not have.
 	at          time.Duration
 	actualStart time.Duration
 	// number identifies the arrival within its workload.
@@ -57,8 +57,8 @@
 	return requestqueue.Request{Priority: 2, Objective: 300 * ms, Timeout: 2500 * ms}
 }
 
-// randomArrival returns an arrival of random priority; two thirds are less urgent. known tells
-// whether the agent knows when the client started.
+// randomArrival returns an arrival of random priority; two thirds are less urgent. known says
+// whether the agent is given when the client started.
 func randomArrival(random *rand.Rand, at, actualStart time.Duration, known bool) arrival {
 	request := requestOf(2)
 	if random.IntN(3) == 0 {
@@ -84,7 +84,7 @@
 }
 
 // backlog returns requests that arrive within 50 ms of the start and were started at most age
-// before it. The agent knows the age of every other one.
+// before it. The agent is given the age of every other one.
 func backlog(random *rand.Rand, share float64, age time.Duration) []arrival {
 	count := int(share * simulatedRate * age.Seconds())
 	arrivals := make([]arrival, count)
--- a/internal/segment/segment.go
+++ b/internal/segment/segment.go
@@ -1,4 +1,4 @@
-// Package segment defines what the daemons need to know of a packet to route its flow,
+// Package segment defines what the daemons need of a packet to route its flow,
 // independent of the encoding of packets on the network. A Codec reads that from the packets
 // of one encoding.
 //
@@ -113,7 +113,7 @@
 	return h.Flags.Has(Synchronize) && !h.Flags.Has(Acknowledge)
 }
 
-// Outcome tells whether a packet could be decoded and, if not, why.
+// Outcome says whether a packet could be decoded and, if not, why.
 type Outcome uint8
 
 // The outcomes of decoding. Every value but Decoded is a reason to drop the packet.
--- a/internal/segment/segmenttest/codec.go
+++ b/internal/segment/segmenttest/codec.go
@@ -22,7 +22,7 @@
 	offsetSequence       = 22
 	offsetAcknowledgment = 26
 	headerSize           = 30
-	maximumSize          = headerSize + 1200
+	maxSize              = headerSize + 1200
 	// protectedFlags masks out Returned, which the checksum does not cover.
 	protectedFlags = ^byte(segment.Returned)
 )
@@ -71,7 +71,7 @@
 	switch {
 	case len(packet) < headerSize:
 		return segment.Header{}, segment.Truncated
-	case len(packet) > maximumSize:
+	case len(packet) > maxSize:
 		return segment.Header{}, segment.Oversized
 	}
 	header := segment.Header{
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -118,8 +118,8 @@
 }
 
 // typeMismatchPrefix begins the decoder's messages about a value of the wrong
-// type. The rest of such a message names Go types of this package, which an
-// operator does not know.
+// type. The rest of such a message names Go types of this package, which mean
+// nothing to an operator.
 const typeMismatchPrefix = "cannot "
 
 // syntaxErrorRule returns the decoder's message, or a text without Go types if
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -199,7 +199,7 @@
 		Exchange: c.address("relay.balancer.exchange", raw.Exchange, remoteAddress),
 		Updates:  netip.AddrPortFrom(peers.Addr(), peers.Port()+1),
 		Seeds:    c.seeds("relay.balancer.seeds", raw.Seeds),
-		Zones:    c.names("relay.balancer.zones", raw.Zones, membership.MaximumZones),
+		Zones:    c.names("relay.balancer.zones", raw.Zones, membership.MaxZones),
 
 		FirstStart: c.boolean("relay.balancer.first_start", withDefault(raw.FirstStart, false)),
 	}
--- a/internal/table/diff.go
+++ b/internal/table/diff.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// DifferenceKind tells whether the row of a CellDifference was added, changed or deleted.
+// DifferenceKind says whether the row of a CellDifference was added, changed or deleted.
 type DifferenceKind string
 
 // The kinds of differences.
