--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -231,13 +231,13 @@
 	// stopLingerTimeout bounds the wait of a planned stop for callers to
 	// acknowledge the last bytes of ended flows.
 	stopLingerTimeout = 3 * time.Second
-	// stoppedAnnouncements is the number of times that a stopped agent
+	// leftAnnouncements is the number of times that an agent that has left
 	// announces its stop to the daemons.
-	stoppedAnnouncements = 3
+	leftAnnouncements = 3
 )
 
 // stop performs a planned stop: it waits until open flows have ended, or for the stop
-// timeout, and notifies the daemons that the agent has stopped.
+// timeout, and notifies the daemons that the agent has left.
 func (a *Agent) stop() {
 	a.mutex.Lock()
 	a.stopping = true
@@ -252,15 +252,15 @@
 	a.mutex.Lock()
 	remaining := a.openFlows()
 	a.mutex.Unlock()
-	a.announceStopped()
+	a.announceLeft()
 	a.config.Logger.Info("stopped", "cut_flows", remaining)
 }
 
-// announceStopped notifies the daemons that this agent has stopped, so that no other
+// announceLeft notifies the daemons that this agent has left, so that no other
 // row waits for its lease to end. It repeats the heartbeat because a datagram may
 // be lost.
-func (a *Agent) announceStopped() {
-	for range stoppedAnnouncements {
+func (a *Agent) announceLeft() {
+	for range leftAnnouncements {
 		a.mutex.Lock()
 		a.controlClient.Left()
 		a.sendHeartbeats(a.now())
--- a/internal/cluster/fetch.go
+++ b/internal/cluster/fetch.go
@@ -85,7 +85,7 @@
 	return n.store.version(), nil
 }
 
-// serveFetch answers the fetch request of a connection.
+// serveFetch responds to the fetch request of a connection.
 func (n *Node) serveFetch(from netip.AddrPort, encoded []byte) []byte {
 	var request FetchRequest
 	if _, err := request.UnmarshalMsg(encoded); err != nil {
--- a/internal/cluster/liveness/digest.go
+++ b/internal/cluster/liveness/digest.go
@@ -23,9 +23,9 @@
 	settleTime = 3 * time.Second
 	// maxDigests limits the daemons in one comparison, so that it fits in a datagram.
 	maxDigests = 40
-	// maxAnswers limits the messages that answer one comparison. The next comparison
-	// finds the remaining differences.
-	maxAnswers = 8
+	// maxReplyMessages limits the messages of the reply to one comparison. The next
+	// comparison finds the remaining differences.
+	maxReplyMessages = 8
 )
 
 // zoneChange is the last digest of a zone and when it was first seen.
@@ -43,7 +43,7 @@
 	offset [membership.MaxZones]int
 }
 
-// exchangeDigests sends the own digests to a random member, which answers with its own.
+// exchangeDigests sends the own digests to a random member, which replies with its own.
 func (m *Machine) exchangeDigests(now time.Duration) {
 	if now < m.comparison.next || len(m.peers) == 0 {
 		return
@@ -162,18 +162,18 @@
 	m.send(to, Message{Kind: KindCompare, Zone: zone, Reporters: known[begin:end]})
 }
 
-// answerComparison sends the records of the daemons whose digests differ. If there are
+// replyToComparison sends the records of the daemons whose digests differ. If there are
 // many, it sends a random part of them, so that repeated requests make progress.
-func (m *Machine) answerComparison(to membership.Address, message Message) {
-	var answers [][]Record
+func (m *Machine) replyToComparison(to membership.Address, message Message) {
+	var replies [][]Record
 	for _, theirs := range message.Reporters {
 		origin, known := m.claims.reporters[theirs.Reporter]
 		if known && origin.hash != theirs.Hash {
-			answers = slices.AppendSeq(answers, slices.Chunk(origin.sorted(), maxRecords))
+			replies = slices.AppendSeq(replies, slices.Chunk(origin.sorted(), maxRecords))
 		}
 	}
-	m.config.Random.Shuffle(len(answers), func(i, j int) { answers[i], answers[j] = answers[j], answers[i] })
-	for _, records := range answers[:min(maxAnswers, len(answers))] {
+	m.config.Random.Shuffle(len(replies), func(i, j int) { replies[i], replies[j] = replies[j], replies[i] })
+	for _, records := range replies[:min(maxReplyMessages, len(replies))] {
 		m.send(to, Message{Kind: KindRecords, Records: records})
 	}
 }
--- a/internal/cluster/liveness/machine.go
+++ b/internal/cluster/liveness/machine.go
@@ -180,7 +180,7 @@
 	case KindDigestReply:
 		m.compareDigests(now, from, message.Zones)
 	case KindCompare:
-		m.answerComparison(from, message)
+		m.replyToComparison(from, message)
 	}
 	m.emitChanges()
 	return m.effects
--- a/internal/cluster/liveness/message.go
+++ b/internal/cluster/liveness/message.go
@@ -62,7 +62,7 @@
 	KindPush Kind = iota
 	// KindDigest carries the sender's digests and asks for the receiver's.
 	KindDigest
-	// KindDigestReply answers KindDigest with the digests of its sender.
+	// KindDigestReply replies to KindDigest with the digests of its sender.
 	KindDigestReply
 	// KindCompare carries the digests of daemons of Zone. It asks for the records of those
 	// whose digests differ at the receiver.
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -26,8 +26,8 @@
 	Version table.Version `msg:"v"`
 }
 
-// FetchResponse answers a FetchRequest with an encoded snapshot, which is empty if the
-// table is not newer.
+// FetchResponse responds to a FetchRequest with an encoded snapshot, which is empty if
+// the table is not newer.
 type FetchResponse struct {
 	State []byte `msg:"s"`
 }
--- a/internal/cluster/socket.go
+++ b/internal/cluster/socket.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// exchange sends a request over a connection and returns the answer. The connection
+// exchange sends a request over a connection and returns the response. The connection
 // originates from the own address, by which the receiver identifies this daemon.
 func (s *socket) exchange(ctx context.Context, to netip.AddrPort, request []byte) ([]byte, error) {
 	dialer := net.Dialer{
@@ -114,9 +114,9 @@
 		return nil, errors.Wrap(err, "cluster: close the sending side of a connection")
 	}
 	s.metrics.countStream(directionSent, len(request))
-	answer, err := readAll(connection)
-	s.metrics.countStream(directionReceived, len(answer))
-	return answer, err
+	response, err := readAll(connection)
+	s.metrics.countStream(directionReceived, len(response))
+	return response, err
 }
 
 func readAll(connection net.Conn) ([]byte, error) {
@@ -130,8 +130,8 @@
 	return read, nil
 }
 
-// serve accepts connections until the listener is closed. An answer may be empty.
-func (s *socket) serve(ctx context.Context, answer func(from netip.AddrPort, request []byte) []byte) error {
+// serve accepts connections until the listener is closed. A response may be empty.
+func (s *socket) serve(ctx context.Context, respond func(from netip.AddrPort, request []byte) []byte) error {
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	for {
@@ -146,7 +146,7 @@
 		select {
 		case s.connectionSlots <- struct{}{}:
 			serving.Go(func() {
-				s.serveConnection(ctx, connection, answer)
+				s.serveConnection(ctx, connection, respond)
 				<-s.connectionSlots
 			})
 		default:
@@ -155,7 +155,7 @@
 	}
 }
 
-func (s *socket) serveConnection(ctx context.Context, connection *net.TCPConn, answer func(netip.AddrPort, []byte) []byte) {
+func (s *socket) serveConnection(ctx context.Context, connection *net.TCPConn, respond func(netip.AddrPort, []byte) []byte) {
 	defer func() { _ = connection.Close() }()
 	release := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer release()
@@ -167,10 +167,10 @@
 	}
 	s.metrics.countStream(directionReceived, len(request))
 	from := connection.RemoteAddr().(*net.TCPAddr).AddrPort()
-	answered := answer(from, request)
-	if _, err := connection.Write(answered); err != nil {
+	response := respond(from, request)
+	if _, err := connection.Write(response); err != nil {
 		s.logger.Debug("cannot send the answer on a cluster connection", "error", err)
 		return
 	}
-	s.metrics.countStream(directionSent, len(answered))
+	s.metrics.countStream(directionSent, len(response))
 }
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -12,9 +12,9 @@
 // Their sending times are needed because a lease counts from then.
 const maxOutstanding = 8
 
-// minimumHeartbeatSpacing is the minimum time between two heartbeats to one daemon, even if
+// minHeartbeatSpacing is the minimum time between two heartbeats to one daemon, even if
 // Renew is called.
-const minimumHeartbeatSpacing = 20 * time.Millisecond
+const minHeartbeatSpacing = 20 * time.Millisecond
 
 type sentHeartbeat struct {
 	sequence uint64
@@ -77,7 +77,7 @@
 func NewClient(agent table.Endpoint, start uint64, daemons []netip.AddrPort) *Client {
 	client := &Client{agent: agent, start: start}
 	for _, address := range daemons {
-		client.daemons = append(client.daemons, &daemonState{address: address, interval: minimumInterval})
+		client.daemons = append(client.daemons, &daemonState{address: address, interval: minInterval})
 	}
 	return client
 }
@@ -88,17 +88,17 @@
 	c.Renew()
 }
 
-// Left marks the agent as stopped and makes all heartbeats due.
+// Left marks the agent as having left and makes all heartbeats due.
 func (c *Client) Left() {
 	c.left = true
 	c.Renew()
 }
 
-// Renew makes all heartbeats due, each no earlier than minimumHeartbeatSpacing after the
+// Renew makes all heartbeats due, each no earlier than minHeartbeatSpacing after the
 // last heartbeat to the same daemon.
 func (c *Client) Renew() {
 	for _, daemon := range c.daemons {
-		daemon.due = min(daemon.due, daemon.lastSent+minimumHeartbeatSpacing)
+		daemon.due = min(daemon.due, daemon.lastSent+minHeartbeatSpacing)
 	}
 }
 
@@ -135,7 +135,8 @@
 	return heartbeat
 }
 
-// Receive handles a grant. It returns false if the grant answers no outstanding heartbeat.
+// Receive handles a grant. It returns false if the grant replies to no outstanding
+// heartbeat.
 func (c *Client) Receive(now time.Duration, from netip.AddrPort, grant Grant) bool {
 	daemon := c.daemon(from)
 	if daemon == nil {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -174,7 +174,7 @@
 	})
 
 	It("extends the heartbeat interval from minimum to maximum as the number of agents grows", func() {
-		Expect(registry.interval()).To(Equal(minimumInterval))
+		Expect(registry.interval()).To(Equal(minInterval))
 		for port := range uint16(200) {
 			agent := table.Endpoint(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port+1).String())
 			sendHeartbeat(registry, 0, agent)
@@ -209,7 +209,7 @@
 		Expect(client.State(time.Second / 2).LeaseUntil).To(Equal(time.Second))
 	})
 
-	It("ignores a grant that answers no heartbeat or one that was already granted", func() {
+	It("ignores a grant that replies to no heartbeat or one that was already granted", func() {
 		Expect(client.Receive(0, daemons[0], Grant{Sequence: 77, LeaseMillis: 1000})).To(BeFalse())
 		Expect(answer(0, 0, Grant{})).To(BeTrue())
 		Expect(client.Receive(0, daemons[0], Grant{Sequence: 1, LeaseMillis: 1000})).To(BeFalse())
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -1,5 +1,5 @@
 // Package control implements the leases between agents and daemons. An agent sends
-// heartbeats to its daemons. A daemon answers each with a lease, the agent's part of the
+// heartbeats to its daemons. A daemon replies to each with a lease, the agent's part of the
 // table and the conditions of the other agents of its services. From the heartbeats, and
 // from what other daemons report, a daemon decides which rows of the table must not be
 // given new flows.
@@ -38,7 +38,7 @@
 	Left bool `msg:"e"`
 }
 
-// Grant is the answer of a daemon to a heartbeat. It renews the lease of the agent, counted
+// Grant is the reply of a daemon to a heartbeat. It renews the lease of the agent, counted
 // from the time the heartbeat was sent.
 type Grant struct {
 	Sequence uint64        `msg:"s"`
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// minimumInterval is the heartbeat interval of agents in a small fleet.
-	minimumInterval = 100 * time.Millisecond
+	// minInterval is the heartbeat interval of agents in a small fleet.
+	minInterval = 100 * time.Millisecond
 	// maxInterval is the longest heartbeat interval.
 	maxInterval = time.Second
 	// leaseIntervals is the duration of a lease in heartbeat intervals.
@@ -46,8 +46,8 @@
 	left          bool
 }
 
-// Registry holds the state of the agents known to a daemon and answers their heartbeats. It
-// is not safe for concurrent use.
+// Registry holds the state of the agents known to a daemon and replies to their heartbeats.
+// It is not safe for concurrent use.
 type Registry struct {
 	configuration *table.Table
 	agents        map[table.Endpoint]*agentState
@@ -161,7 +161,7 @@
 // heartbeatBudget.
 func (r *Registry) interval() time.Duration {
 	needed := time.Duration(len(r.agents)) * heartbeatCost * time.Second / heartbeatBudget
-	return min(max(needed, minimumInterval), maxInterval)
+	return min(max(needed, minInterval), maxInterval)
 }
 
 func (r *Registry) addConditions(now time.Duration, services []table.ServiceID, grant *Grant) {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -32,7 +32,7 @@
 	OnObservations func([]Observation)
 }
 
-// Server answers the heartbeats of agents over UDP.
+// Server replies to the heartbeats of agents over UDP.
 type Server struct {
 	config  ServerConfig
 	socket  *net.UDPConn
@@ -86,7 +86,7 @@
 	s.registry.ConfirmTable()
 }
 
-// Run answers heartbeats until ctx ends. It then returns nil.
+// Run replies to heartbeats until ctx ends. It then returns nil.
 func (s *Server) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -151,11 +151,11 @@
 		if _, err := datagram.UnmarshalMsg(buffer[:count]); err != nil || datagram.Heartbeat == nil {
 			continue
 		}
-		s.answer(from, *datagram.Heartbeat)
+		s.reply(from, *datagram.Heartbeat)
 	}
 }
 
-func (s *Server) answer(to netip.AddrPort, heartbeat Heartbeat) {
+func (s *Server) reply(to netip.AddrPort, heartbeat Heartbeat) {
 	s.mutex.Lock()
 	now := s.now()
 	s.registry.Tick(now)
--- a/internal/directory/disseminator.go
+++ b/internal/directory/disseminator.go
@@ -133,7 +133,7 @@
 	// fewer watchers confirm, the more requests one call to the store serves.
 	balancersPerConfirmer = 50
 	// watcherAvoidanceTime is how long a balancer asks any other watcher after one did not
-	// reply. By then the membership has noticed a failed watcher.
+	// reply. By then the membership has detected a failed watcher.
 	watcherAvoidanceTime = 2 * time.Second
 )
 
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -20,7 +20,7 @@
 	Gone bool
 	// Refused is set if the endpoint is gone because its entry became unusable.
 	Refused bool
-	// GoneAt is when this process noticed that the entry was gone.
+	// GoneAt is when this process recorded the endpoint as gone.
 	GoneAt time.Duration
 	// WarmAt is when the endpoint stops being cold.
 	WarmAt time.Duration
--- a/internal/dissemination/effect.go
+++ b/internal/dissemination/effect.go
@@ -43,11 +43,11 @@
 // ZoneSurvey is the part of a survey for one zone.
 type ZoneSurvey struct {
 	Zone membership.Zone
-	// Answered is false if no member of the zone answered. Its members then count as
+	// Replied is false if no member of the zone replied. Its members then count as
 	// behind.
-	Answered     bool
+	Replied      bool
 	AppliedCount int
-	// BehindCount counts the members that have not applied the version or did not answer.
+	// BehindCount counts the members that have not applied the version or did not reply.
 	// BehindMembers lists them, as many as fit in a message.
 	BehindCount   int
 	BehindMembers []membership.Address
--- a/internal/dissemination/faults_test.go
+++ b/internal/dissemination/faults_test.go
@@ -115,19 +115,19 @@
 		for _, zone := range survey.Zones {
 			behindMembers = append(behindMembers, zone.BehindMembers...)
 			appliedCount += zone.AppliedCount
-			gomega.Expect(zone.Answered).To(gomega.BeTrue())
+			gomega.Expect(zone.Replied).To(gomega.BeTrue())
 			gomega.Expect(zone.BehindCount).To(gomega.Equal(len(zone.BehindMembers)))
 		}
 		gomega.Expect(behindMembers).To(gomega.ConsistOf(paused))
 		gomega.Expect(appliedCount).To(gomega.Equal(33))
 	})
 
-	ginkgo.It("counts the members of a zone that does not answer as behind", func() {
+	ginkgo.It("counts the members of a zone that does not reply as behind", func() {
 		partitionZone(2)
 		version := cluster.publish(cluster.addresses[0])
 		survey := surveyFrom(cluster.addresses[1], version)
 		for _, zone := range survey.Zones {
-			gomega.Expect(zone.Answered).To(gomega.Equal(zone.Zone != 2))
+			gomega.Expect(zone.Replied).To(gomega.Equal(zone.Zone != 2))
 			if zone.Zone == 2 {
 				gomega.Expect(zone.BehindMembers).To(gomega.HaveLen(6))
 			}
@@ -182,7 +182,7 @@
 		gomega.Expect(applied).To(gomega.Equal([]table.Version{3}))
 	})
 
-	ginkgo.It("repeats a pull until it is answered", func() {
+	ginkgo.It("repeats a pull until a reply arrives", func() {
 		push(1)
 		_, sent := kinds(machine.Tick(time.Second))
 		gomega.Expect(sent).To(gomega.Equal([]dissemination.Kind{dissemination.KindPull}))
@@ -211,7 +211,7 @@
 		gomega.Expect(machine.Tick(time.Minute)).To(gomega.HaveLen(1))
 	})
 
-	ginkgo.It("answers a pull with the deltas it keeps, and otherwise requires a fetch", func() {
+	ginkgo.It("replies to a pull with the deltas it keeps, and otherwise requires a fetch", func() {
 		for version := table.Version(1); version <= 5; version++ {
 			push(version, delta(version))
 		}
--- a/internal/dissemination/machine.go
+++ b/internal/dissemination/machine.go
@@ -127,7 +127,7 @@
 	case KindPush, KindDeltas:
 		m.receiveDeltas(now, message)
 	case KindPull:
-		m.answerPull(from, message)
+		m.replyToPull(from, message)
 	case KindFetchRequired:
 		m.requestFetch(now, from, message)
 	case KindStatusRequest:
--- a/internal/dissemination/message.go
+++ b/internal/dissemination/message.go
@@ -35,18 +35,18 @@
 	KindPush Kind = iota
 	// KindPull asks for the deltas after Status.Held.
 	KindPull
-	// KindDeltas answers a pull.
+	// KindDeltas replies to a pull.
 	KindDeltas
-	// KindFetchRequired answers a pull whose deltas do not fit in a datagram or are no
+	// KindFetchRequired replies to a pull whose deltas do not fit in a datagram or are no
 	// longer kept. The requester must fetch over a connection.
 	KindFetchRequired
 	// KindStatusRequest asks for the receiver's status.
 	KindStatusRequest
-	// KindStatus answers a status request.
+	// KindStatus replies to a status request.
 	KindStatus
 	// KindZoneRequest asks which members of the receiver's zone have not applied Version.
 	KindZoneRequest
-	// KindZoneReport answers a zone request.
+	// KindZoneReport replies to a zone request.
 	KindZoneReport
 )
 
@@ -69,7 +69,7 @@
 	Status Status
 	Scope  Scope
 	Deltas []Delta
-	// Sequence matches an answer to a status request or zone request.
+	// Sequence matches a reply to a status request or zone request.
 	Sequence uint32
 	// Version is the version that a zone request or report concerns.
 	Version table.Version
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -78,8 +78,8 @@
 	return 0, false
 }
 
-// answerPull sends the deltas that the requester lacks.
-func (m *Machine) answerPull(to membership.Address, request Message) {
+// replyToPull sends the deltas that the requester lacks.
+func (m *Machine) replyToPull(to membership.Address, request Message) {
 	if request.Status.Held >= m.status.Held {
 		return
 	}
--- a/internal/dissemination/survey.go
+++ b/internal/dissemination/survey.go
@@ -64,8 +64,8 @@
 	m.surveys = slices.DeleteFunc(m.surveys, m.finishSurvey)
 }
 
-// advanceRequest asks further members of a zone if the previous ones did not answer. Asking
-// ReportFanout members at a time compensates for lost datagrams, and the first answer
+// advanceRequest asks further members of a zone if the previous ones did not reply. Asking
+// ReportFanout members at a time compensates for lost datagrams, and the first reply
 // counts. The own zone is not asked, since this process polls it itself.
 func (m *Machine) advanceRequest(now time.Duration, running *survey, request *zoneRequest) {
 	zone := request.result.Zone
@@ -76,7 +76,7 @@
 		return peer.Identity.Zone == zone && !slices.Contains(request.asked, peer.Identity.Address)
 	})
 	if request.attempts >= m.config.ReportAttempts || len(found) == 0 {
-		m.endUnanswered(request)
+		m.endWithoutReply(request)
 		return
 	}
 	request.attempts++
@@ -87,8 +87,8 @@
 	}
 }
 
-// endUnanswered counts all members of a zone as behind, since none of them answered.
-func (m *Machine) endUnanswered(request *zoneRequest) {
+// endWithoutReply counts all members of a zone as behind, since none of them replied.
+func (m *Machine) endWithoutReply(request *zoneRequest) {
 	request.done = true
 	for _, peer := range m.peers.zones[request.result.Zone] {
 		request.result.BehindCount++
@@ -106,16 +106,16 @@
 		}
 		for _, request := range running.zones {
 			if !request.done && slices.Contains(request.asked, from) {
-				m.endAnswered(request, message)
+				m.endReplied(request, message)
 			}
 		}
 	}
 	m.surveys = slices.DeleteFunc(m.surveys, m.finishSurvey)
 }
 
-func (m *Machine) endAnswered(request *zoneRequest, report Message) {
+func (m *Machine) endReplied(request *zoneRequest, report Message) {
 	request.done = true
-	request.result.Answered = true
+	request.result.Replied = true
 	request.result.AppliedCount = int(report.AppliedCount)
 	request.result.BehindCount = int(report.BehindCount)
 	request.result.BehindMembers = report.BehindMembers
--- a/internal/dissemination/zonepoll.go
+++ b/internal/dissemination/zonepoll.go
@@ -112,7 +112,7 @@
 func (m *Machine) endOwnZone(running *survey, report Message) {
 	for _, request := range running.zones {
 		if request.result.Zone == m.config.Self.Zone {
-			m.endAnswered(request, report)
+			m.endReplied(request, report)
 		}
 	}
 }
--- a/internal/lookup/rebuild_test.go
+++ b/internal/lookup/rebuild_test.go
@@ -42,7 +42,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		service := table.ServiceID(rapid.Uint32().Draw(t, "service"))
 		candidates := drawCandidates(t)
-		for slot := range minimumSlots {
+		for slot := range minSlots {
 			if got, want := Primary(service, slot, candidates), referencePrimary(service, slot, candidates); got != want {
 				t.Fatalf("slot %d: got candidate %d, want %d", slot, got, want)
 			}
--- a/internal/lookup/slots.go
+++ b/internal/lookup/slots.go
@@ -19,21 +19,21 @@
 const NoCandidate = -1
 
 const (
-	minimumSlots = 256
-	maxSlots     = 4096
+	minSlots = 256
+	maxSlots = 4096
 	// slotGrowth is the factor between consecutive slot counts.
 	slotGrowth = 4
-	// minimumSlotsPerRow is the number of slots per row below which the next larger count
+	// minSlotsPerRow is the number of slots per row below which the next larger count
 	// is used.
-	minimumSlotsPerRow = 8
+	minSlotsPerRow = 8
 )
 
 // SlotCount returns the number of hash slots of a service with the given number of rows.
 // It is a power of two. A change of the count moves most slots to other rows, so there are
 // only three counts: up to 32 rows, up to 128 rows, and beyond.
 func SlotCount(rows int) int {
-	count := minimumSlots
-	for count < rows*minimumSlotsPerRow && count < maxSlots {
+	count := minSlots
+	for count < rows*minSlotsPerRow && count < maxSlots {
 		count *= slotGrowth
 	}
 	return count
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -34,7 +34,7 @@
 	Random *rand.Rand
 	// ProbeInterval is the time between two probes of members of the own zone.
 	ProbeInterval time.Duration
-	// ProbeTimeout is the time to wait for the answer to a direct ping before other members
+	// ProbeTimeout is the time to wait for the ack of a direct ping before other members
 	// are asked to ping the target.
 	ProbeTimeout time.Duration
 	// IndirectProbes is the number of members that are asked.
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -270,15 +270,15 @@
 		}
 	})
 
-	ginkgo.It("stops answering sync requests when its byte budget is used up", func() {
+	ginkgo.It("stops responding to sync requests when its byte budget is used up", func() {
 		machine := create(200)
 		for number := 1; number <= 100; number++ {
 			sender := alive(number)
 			machine.Receive(0, sender.Member.Address, membership.Message{Kind: membership.KindPing, Sender: sender})
 		}
-		// answered returns the bytes of the answers, counted as whole datagrams with
+		// respondedBytes returns the bytes of the responses, counted as whole datagrams with
 		// headers.
-		answered := func(now time.Duration, known []byte) (bytes int) {
+		respondedBytes := func(now time.Duration, known []byte) (bytes int) {
 			request := membership.Message{Kind: membership.KindSyncRequest, Sender: alive(1), KnownFilter: known}
 			for range 2000 {
 				for _, effect := range machine.Receive(now, request.Sender.Member.Address, request) {
@@ -292,18 +292,18 @@
 		// While this process catches up, one that lists hardly any member is only sent a few, and
 		// a part of the tokens is reserved for longer responses.
 		few, most := []byte(nil), make([]byte, 60)
-		shortResponses := answered(0, few)
+		shortResponses := respondedBytes(0, few)
 		gomega.Expect(shortResponses).To(gomega.BeNumerically("~", 19000, 4000))
-		gomega.Expect(answered(0, few)).To(gomega.BeZero())
+		gomega.Expect(respondedBytes(0, few)).To(gomega.BeZero())
 		// A member may send 3 KB/s on average over a minute.
 		const budget = 3000 * 60
-		burst := shortResponses + answered(0, most)
+		burst := shortResponses + respondedBytes(0, most)
 		gomega.Expect(burst).To(gomega.BeNumerically("<=", budget))
 		gomega.Expect(burst).To(gomega.BeNumerically("~", 56000, 6000))
-		gomega.Expect(answered(0, most)).To(gomega.BeZero())
-		gomega.Expect(answered(10*time.Second, most)).To(gomega.BeNumerically("<=", 5000))
-		gomega.Expect(answered(70*time.Second, few)).To(gomega.BeZero(), "the remaining tokens are reserved for longer responses")
-		gomega.Expect(answered(70*time.Second, most)).To(gomega.BeNumerically("~", 30000, 3000))
+		gomega.Expect(respondedBytes(0, most)).To(gomega.BeZero())
+		gomega.Expect(respondedBytes(10*time.Second, most)).To(gomega.BeNumerically("<=", 5000))
+		gomega.Expect(respondedBytes(70*time.Second, few)).To(gomega.BeZero(), "the remaining tokens are reserved for longer responses")
+		gomega.Expect(respondedBytes(70*time.Second, most)).To(gomega.BeNumerically("~", 30000, 3000))
 	})
 
 	ginkgo.It("ends catching up only after the last part of a response from a caught-up member", func() {
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -33,7 +33,7 @@
 	seeds      []Address
 	lastCall   time.Duration
 	started    bool
-	stopped    bool
+	left       bool
 	sequence   uint32
 	nextExpiry time.Duration
 
@@ -94,7 +94,7 @@
 // call.
 func (m *Machine) Tick(now time.Duration) []Effect {
 	m.effects = m.effects[:0]
-	if m.stopped {
+	if m.left {
 		return nil
 	}
 	m.detectPause(now)
@@ -114,7 +114,7 @@
 // next call.
 func (m *Machine) Receive(now time.Duration, from Address, message Message) []Effect {
 	m.effects = m.effects[:0]
-	if m.stopped || !message.validFrom(from) || from == m.self.Member.Address {
+	if m.left || !message.validFrom(from) || from == m.self.Member.Address {
 		return nil
 	}
 	m.detectPause(now)
@@ -147,7 +147,7 @@
 	case KindPingRequest:
 		m.relayPing(now, from, message)
 	case KindSyncRequest:
-		m.answerSync(now, from, message)
+		m.respondToSync(now, from, message)
 	case KindSyncResponse:
 		m.receiveSync(message)
 	}
@@ -180,7 +180,7 @@
 // afterwards.
 func (m *Machine) Leave(now time.Duration) []Effect {
 	m.effects = m.effects[:0]
-	if m.stopped {
+	if m.left {
 		return nil
 	}
 	m.self.State = StateLeft
@@ -192,7 +192,7 @@
 			m.send(now, receiver.update.Member.Address, Message{Kind: KindLeave})
 		}
 	}
-	m.stopped = true
+	m.left = true
 	return m.effects
 }
 
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -63,9 +63,9 @@
 // The states of a member. With the same incarnation and number of refutations, the later
 // state supersedes the earlier one.
 const (
-	// StateAlive: the member answers.
+	// StateAlive: the member replies to pings.
 	StateAlive State = iota
-	// StateSuspect: the member did not answer and has not yet refuted the suspicion.
+	// StateSuspect: the member did not reply and has not yet refuted the suspicion.
 	StateSuspect
 	// StateFailed: the member did not refute the suspicion in time.
 	StateFailed
@@ -124,7 +124,7 @@
 const (
 	// KindPing asks for a KindAck with the same sequence.
 	KindPing Kind = iota
-	// KindAck answers a ping, or forwards the answer of Target.
+	// KindAck replies to a ping, or forwards the ack of Target.
 	KindAck
 	// KindPingRequest asks the receiver to ping Target.
 	KindPingRequest
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// minimumProbeGroup is the number of live members from which the members of a zone, or
+	// minProbeGroup is the number of live members from which the members of a zone, or
 	// else of a region, probe only each other.
-	minimumProbeGroup = 5
+	minProbeGroup = 5
 	// maxRelayedPings limits the pings sent on behalf of other members at a time.
 	maxRelayedPings = 64
 	// maxHealthScore limits the local health score.
 	maxHealthScore = 8
 	// maxSuspectPings is how often each prober pings a suspect before it declares it
-	// failed. The answer carries a refutation that the prober may have missed.
+	// failed. The ack carries a refutation that the prober may have missed.
 	maxSuspectPings = 3
 )
 
@@ -42,8 +42,8 @@
 	expires         time.Duration
 }
 
-// localHealth counts recent probes without an answer, after Lifeguard (Dadgar et al. 2018).
-// A process whose probes fail gives others more time to answer, since the fault may be its
+// localHealth counts recent probes without an ack, after Lifeguard (Dadgar et al. 2018).
+// A process whose probes fail gives others more time to reply, since the fault may be its
 // own.
 type localHealth struct{ score int }
 
@@ -59,10 +59,10 @@
 // whole region if the zone is small, and all members if the region is small as well.
 func (m *Machine) shouldProbe(candidate Identity) bool {
 	own := m.self.Member
-	if m.memberList.zones[own.Zone].live >= minimumProbeGroup {
+	if m.memberList.zones[own.Zone].live >= minProbeGroup {
 		return candidate.Zone == own.Zone
 	}
-	if m.liveInRegion(own.Region) >= minimumProbeGroup {
+	if m.liveInRegion(own.Region) >= minProbeGroup {
 		return candidate.Region == own.Region
 	}
 	return true
@@ -198,14 +198,14 @@
 	m.relayedPings = slices.DeleteFunc(m.relayedPings, func(waiting relayedPing) bool { return now >= waiting.expires })
 }
 
-// receiveAck completes the current probe or forwards the answer to the member that
+// receiveAck completes the current probe or forwards the ack to the member that
 // requested the ping.
 func (m *Machine) receiveAck(now time.Duration, from Address, message Message) {
-	answering := from
+	replying := from
 	if message.Target != 0 {
-		answering = message.Target
+		replying = message.Target
 	}
-	if m.probe.pending && message.Sequence == m.probe.sequence && answering == m.probe.target.Address {
+	if m.probe.pending && message.Sequence == m.probe.sequence && replying == m.probe.target.Address {
 		m.probe.pending = false
 		m.health.succeeded()
 	}
@@ -274,7 +274,7 @@
 }
 
 // pingSuspect pings a suspect in the second half of its timeout. If this process missed the
-// refutation, it arrives with the answer.
+// refutation, it arrives with the ack.
 func (m *Machine) pingSuspect(now time.Duration, suspect *member, timeout time.Duration) {
 	spacing := timeout / (2 * (maxSuspectPings + 1))
 	due := suspect.since + timeout/2 + spacing*time.Duration(suspect.suspectPings)
--- a/internal/membership/recovery.go
+++ b/internal/membership/recovery.go
@@ -12,7 +12,7 @@
 	// pauseThreshold is the time between calls above which the process is considered to
 	// have been paused.
 	pauseThreshold = time.Second
-	// recoveryTimeout ends catching up if no member answers, since the process may be the
+	// recoveryTimeout ends catching up if no member responds, since the process may be the
 	// only one.
 	recoveryTimeout = 10 * time.Second
 	// quickSyncDuration is how long after the start or a pause differences are fetched
@@ -34,7 +34,7 @@
 	// members it receives messages from started at the same time. It does not gossip them,
 	// since the others receive messages from them directly.
 	simultaneousStartWindow = 3 * time.Second
-	// maxQuickSyncInterval limits the interval while no member answers. It is also the
+	// maxQuickSyncInterval limits the interval while no member responds. It is also the
 	// time to the next request if the other member had nothing new.
 	maxQuickSyncInterval = 2400 * time.Millisecond
 	// maxDoublings is how often quickSyncInterval is doubled up to
--- a/internal/membership/synchronize.go
+++ b/internal/membership/synchronize.go
@@ -66,8 +66,8 @@
 	// askedSeed is set if the last request went to a seed, which all other processes may be
 	// asking as well.
 	askedSeed bool
-	// answered is set once the last request has been answered in full.
-	answered bool
+	// responded is set once the last request has had its whole response.
+	responded bool
 	// tokens is the number of bytes that may be spent on responses, as of tokensUpdated.
 	tokens        int
 	tokensUpdated time.Duration
@@ -156,8 +156,8 @@
 // requestAllZones asks another member for all zones. The longer this request is, the later
 // the next one is sent.
 func (m *Machine) requestAllZones(now time.Duration, to Address) {
-	agreed := m.sync.answered && !m.hasDifferences()
-	m.sync.answered = false
+	agreed := m.sync.responded && !m.hasDifferences()
+	m.sync.responded = false
 	for zone := range m.sync.differences {
 		m.sync.differences[zone].pending = false
 	}
@@ -225,9 +225,9 @@
 	})
 }
 
-// answerSync sends the members that the requester lacks, in as many messages as needed and
-// allowed by the tokens.
-func (m *Machine) answerSync(now time.Duration, from Address, request Message) {
+// respondToSync sends the members that the requester lacks, in as many messages as needed
+// and allowed by the tokens.
+func (m *Machine) respondToSync(now time.Duration, from Address, request Message) {
 	allowance := m.allowance(now, request)
 	if allowance == 0 {
 		return
@@ -306,7 +306,7 @@
 func (m *Machine) receiveSync(message Message) {
 	m.sync.unanswered = 0
 	last := len(message.Digests) > 0
-	m.sync.answered = m.sync.answered || last
+	m.sync.responded = m.sync.responded || last
 	if last && !message.CatchingUp {
 		m.recovery.active = false
 	}
--- a/internal/netstack/netstack.go
+++ b/internal/netstack/netstack.go
@@ -37,11 +37,11 @@
 	// timeWait is the duration of the TIME-WAIT state, in which a closed connection still
 	// answers the caller.
 	timeWait = time.Second
-	// minimumRetransmission is the smallest retransmission timeout.
-	minimumRetransmission = 200 * time.Millisecond
-	keepaliveIdle         = time.Minute
-	keepaliveInterval     = 15 * time.Second
-	keepaliveCount        = 4
+	// minRetransmission is the smallest retransmission timeout.
+	minRetransmission = 200 * time.Millisecond
+	keepaliveIdle     = time.Minute
+	keepaliveInterval = 15 * time.Second
+	keepaliveCount    = 4
 )
 
 // Handler is called for each flow that a caller opens. Each call runs on its own goroutine
@@ -90,7 +90,7 @@
 	}
 	s.stack.SetRouteTable([]tcpip.Route{{Destination: header.IPv4EmptySubnet, NIC: interfaceID}})
 	selectiveAcknowledgment := tcpip.TCPSACKEnabled(true)
-	retransmission := tcpip.TCPMinRTOOption(minimumRetransmission)
+	retransmission := tcpip.TCPMinRTOOption(minRetransmission)
 	timeWaitOption := tcpip.TCPTimeWaitTimeoutOption(timeWait)
 	for _, option := range []tcpip.SettableTransportProtocolOption{&selectiveAcknowledgment, &retransmission, &timeWaitOption} {
 		if err := s.stack.SetTransportProtocolOption(tcp.ProtocolNumber, option); err != nil {
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -210,7 +210,7 @@
 }
 
 // markInconclusive ends the rounds of a search in which all agents have replied but nothing is
-// proved, because an endpoint may have left before the directory's history begins. The owner may
+// proved, because an endpoint may have gone before the directory's history begins. The owner may
 // still reply when the client repeats its packet.
 func (s *ownerSearch) markInconclusive(now time.Duration) {
 	if s.inconclusive {
@@ -222,7 +222,7 @@
 }
 
 // directoryCovers reports whether the directory's history is long enough to contain every endpoint
-// that may hold a flow, including one that has left and still serves. The history is long enough if
+// that may hold a flow, including one that is gone and still serves. The history is long enough if
 // it spans the lifetime of a flow, or if it goes back to the start of the agents, before which
 // nothing was running. If all agents are as young as the directory, everything was started anew.
 func (b *Balancer) directoryCovers(now, agentStartedAt time.Duration) bool {
--- a/internal/relaydaemon/balancer.go
+++ b/internal/relaydaemon/balancer.go
@@ -37,7 +37,7 @@
 	// itself is kept by confirmer.
 	confirmerSignal chan struct{}
 	store           directory.Store
-	// storeGeneration is incremented when store is replaced. An answer to a call with a
+	// storeGeneration is incremented when store is replaced. A response to a call with a
 	// lower generation comes from an earlier store.
 	storeGeneration  int
 	peers            *peerExchange
@@ -273,7 +273,7 @@
 }
 
 // finishStoreCall passes the outcome of a call to the follower and installs the snapshot if
-// it has changed. It drops an answer of a store that was replaced during the call. A call
+// it has changed. It drops a response of a store that was replaced during the call. A call
 // that fails because the process is stopping is not logged as a loss of the store.
 func (r *balancerRole) finishStoreCall(parent context.Context, generation int, err error, apply func(now time.Duration) bool) {
 	stopped := parent.Err() != nil
--- a/internal/relaydaemon/confirm.go
+++ b/internal/relaydaemon/confirm.go
@@ -136,7 +136,7 @@
 	return through, complete, err
 }
 
-// finishConfirmationCall passes the outcome of a call to the confirmer. It drops an answer
+// finishConfirmationCall passes the outcome of a call to the confirmer. It drops a response
 // of a store that was replaced during the call.
 func (r *balancerRole) finishConfirmationCall(confirmer *directory.Confirmer, generation int, err error, apply func(now time.Duration) []relay.Effect) error {
 	r.executor.do(func(now time.Duration) []relay.Effect {
@@ -152,7 +152,7 @@
 	return err
 }
 
-// confirmForPeer confirms the directory on behalf of another balancer, which gets no answer
+// confirmForPeer confirms the directory on behalf of another balancer, which gets no reply
 // from the store itself.
 func (r *balancerRole) confirmForPeer(ctx context.Context) error {
 	confirmer := directory.NewConfirmer(r.replica)
--- a/internal/relaydaemon/daemon_test.go
+++ b/internal/relaydaemon/daemon_test.go
@@ -269,7 +269,7 @@
 		Expect(log.String()).To(ContainSubstring(`"msg":"directory fetched"`))
 	})
 
-	It("receives changes from another balancer if the store does not answer", func() {
+	It("receives changes from another balancer if the store does not respond", func() {
 		addedEndpoint := directory.Item{Revision: 6, EndpointID: directory.NameOnlyID("e-2"), Endpoint: &directory.Endpoint{
 			Service: "lookup", IP: [4]byte{127, 0, 1, 9}, Port: uint16(network.endpointPort), Slots: 3,
 		}}
@@ -358,7 +358,7 @@
 			ContainSubstring("vanetiller_relay_endpoints 1")))
 	})
 
-	It("resets a flow that no endpoint holds, also if only a peer can confirm the directory because the store does not answer", func() {
+	It("resets a flow that no endpoint holds, also if only a peer can confirm the directory because the store does not respond", func() {
 		client := listenUDP(clientIP, network.packetPort)
 		start(network.agentSettings(agentIP), nil, log)
 		start(network.balancerSettings(balancerIP, ""), fakeStore{page: network.storeListing()}, log)
--- a/internal/relaydaemon/peers.go
+++ b/internal/relaydaemon/peers.go
@@ -30,7 +30,7 @@
 	server     *http.Server
 	client     *http.Client
 	fetcher    *directory.PeerFetcher[membership.Address]
-	// storeRate is how many calls per second the store answers of all balancers together.
+	// storeRate is how many calls per second the store accepts from all balancers together.
 	storeRate float64
 	// confirmLimiter bounds the confirmations on behalf of other balancers.
 	confirmLimiter *rate.Limiter
