--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -82,13 +82,13 @@
 	return client
 }
 
-// Leave marks the agent as stopping and makes all heartbeats due.
+// Leave records that the agent is leaving and makes all heartbeats due.
 func (c *Client) Leave() {
 	c.leaving = true
 	c.Renew()
 }
 
-// Left marks the agent as having left and makes all heartbeats due.
+// Left records that the agent has left and makes all heartbeats due.
 func (c *Client) Left() {
 	c.left = true
 	c.Renew()
--- a/internal/directory/disseminator.go
+++ b/internal/directory/disseminator.go
@@ -110,8 +110,8 @@
 	advertisedMembersLifetime = 5 * time.Second
 )
 
-// noteMembers records the number of members that another process advertises.
-func (d *Disseminator) noteMembers(now time.Duration, count uint32) {
+// recordMembers records the number of members that another process advertises.
+func (d *Disseminator) recordMembers(now time.Duration, count uint32) {
 	if count >= d.advertisedMembers || now-d.advertisedAt > advertisedMembersLifetime {
 		d.advertisedMembers, d.advertisedAt = count, now
 	}
@@ -194,13 +194,13 @@
 	if update.RequestsChanges && update.State.Through > 0 {
 		d.subscribe(now, from)
 	}
-	d.noteMembers(now, update.State.MemberCount)
+	d.recordMembers(now, update.State.MemberCount)
 	changed = d.replica.ApplyState(now, update.State)
 	digest := Digest{update.State.ConfigurationVersion, update.State.Through}
 	incomplete = d.replica.isBehind(digest) || update.Source != 0 && !d.replica.Loaded()
-	replies = d.noteSources(now, from, update)
+	replies = d.recordSources(now, from, update)
 	if !incomplete {
-		d.noteConfirmation(now, update.State)
+		d.recordConfirmation(now, update.State)
 	}
 	if update.RequestsChanges && !update.Confirmation {
 		replies = append(replies, d.reply(now, from, update)...)
@@ -211,9 +211,9 @@
 	return changed, incomplete, replies
 }
 
-// noteConfirmation applies the confirmation in a state that was sent, or requested, at sentAt.
+// recordConfirmation applies the confirmation in a state that was sent, or requested, at sentAt.
 // A state that is behind this directory does not confirm it.
-func (d *Disseminator) noteConfirmation(sentAt time.Duration, state State) {
+func (d *Disseminator) recordConfirmation(sentAt time.Duration, state State) {
 	if state.Confirmed && state.Through >= d.replica.AppliedRevision() {
 		d.confirmedAt = max(d.confirmedAt, sentAt-max(state.Age, 0))
 	}
@@ -272,7 +272,7 @@
 		return nil
 	}
 	if !d.replica.isBehind(Digest{state.ConfigurationVersion, state.Through}) {
-		d.noteConfirmation(requestedAt, state)
+		d.recordConfirmation(requestedAt, state)
 	}
 	var outgoing []Outgoing
 	if d.referrer != 0 {
--- a/internal/directory/fleet_start_test.go
+++ b/internal/directory/fleet_start_test.go
@@ -181,7 +181,7 @@
 		b.disseminator.StoreListed()
 		f.send(b, b.disseminator.StoreAnswered(f.now))
 	}
-	f.noteReady(b)
+	f.recordReady(b)
 	f.follow(b)
 }
 
@@ -203,7 +203,7 @@
 		f.schedule(source.link.transmit(f.now, stateSize)-f.now, func() {
 			b.fetcher.Fetched(f.now, state)
 			f.send(b, b.disseminator.StateFetched(f.now, f.now, from, state))
-			f.noteReady(b)
+			f.recordReady(b)
 		})
 	})
 }
@@ -221,13 +221,13 @@
 				to.fetcher.UpdateIncomplete(f.now, each.Update.SourceOrSender(from.peer))
 				f.fetch(to)
 			}
-			f.noteReady(to)
+			f.recordReady(to)
 			f.follow(to)
 		})
 	}
 }
 
-func (f *startingFleet) noteReady(b *startingBalancer) {
+func (f *startingFleet) recordReady(b *startingBalancer) {
 	if b.readyAt == 0 && b.replica.AppliedRevision() > 0 {
 		b.readyAt = f.now
 	}
--- a/internal/directory/invalidation.go
+++ b/internal/directory/invalidation.go
@@ -42,8 +42,8 @@
 	return r.invalidFrom > 0 && announced >= r.invalidFrom
 }
 
-// noteStoreRevision records that the store has reached a revision.
-func (r *Replica) noteStoreRevision(revision Revision) {
+// recordStoreRevision records that the store has reached a revision.
+func (r *Replica) recordStoreRevision(revision Revision) {
 	if revision >= r.invalidFrom {
 		r.invalidFrom = 0
 	}
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -118,7 +118,7 @@
 	changed = r.openUnlistedZones(now, closed, revision) || changed
 	changed = r.extendDepartureHistory(now) || changed
 	r.historyFloor = max(r.historyFloor, revision)
-	r.noteStoreRevision(revision)
+	r.recordStoreRevision(revision)
 	return r.advance(now, revision, changed)
 }
 
@@ -138,7 +138,7 @@
 // ApplyChanges merges all changes up to a revision. The replica must contain all changes before
 // them. It reports whether the snapshot changed.
 func (r *Replica) ApplyChanges(now time.Duration, items []Item, through Revision) bool {
-	r.noteStoreRevision(through)
+	r.recordStoreRevision(through)
 	if r.needsFullState() {
 		// The call began before the directory was invalidated, so its changes may not connect.
 		return false
--- a/internal/directory/startup.go
+++ b/internal/directory/startup.go
@@ -49,9 +49,9 @@
 	return outgoing
 }
 
-// noteSources records which processes have a directory, or are about to have one, according to
+// recordSources records which processes have a directory, or are about to have one, according to
 // an update. It returns the messages for processes that waited for a source.
-func (d *Disseminator) noteSources(now time.Duration, from Peer, update Update) []Outgoing {
+func (d *Disseminator) recordSources(now time.Duration, from Peer, update Update) []Outgoing {
 	isSeed := slices.Contains(d.seeds, from)
 	if update.ListingStore && d.seedWaitDeadline == 0 && isSeed {
 		d.seedWaitDeadline = now + snapshotWait + ListingDelay(d.random.Float64())
@@ -62,20 +62,20 @@
 	if !d.sources.hasOthers() {
 		d.snapshotDeadline = now + snapshotWait
 	}
-	d.noteSource(now, update.SourceOrSender(from))
-	d.noteReferrer(from)
+	d.recordSource(now, update.SourceOrSender(from))
+	d.recordReferrer(from)
 	d.seedHasDirectory = d.seedHasDirectory || isSeed
 	return d.assignSources(now)
 }
 
-// noteReferrer records the first seed that named a source.
-func (d *Disseminator) noteReferrer(from Peer) {
+// recordReferrer records the first seed that named a source.
+func (d *Disseminator) recordReferrer(from Peer) {
 	if d.referrer == 0 && slices.Contains(d.seeds, from) {
 		d.referrer = from
 	}
 }
 
-func (d *Disseminator) noteSource(now time.Duration, peer Peer) {
+func (d *Disseminator) recordSource(now time.Duration, peer Peer) {
 	if peer != d.self.Peer {
 		d.sources.record(now, peer)
 	}
--- a/internal/membership/synchronize.go
+++ b/internal/membership/synchronize.go
@@ -86,8 +86,7 @@
 
 // compareDigests records the zones for which the sender of a message has another digest.
 func (m *Machine) compareDigests(now time.Duration, from Address, message Message) {
-	// A process that catches up lacks members, so its members are news only to another such
-	// process.
+	// A process that catches up lacks members, so its digests help only another such process.
 	if message.CatchingUp && !m.inQuickSync(now) {
 		return
 	}
--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -182,7 +182,7 @@
 		a.initialized = true
 		a.startedAt = now
 		if !a.config.StartedWithEndpoint {
-			a.coldStart.noteAgentStart(now)
+			a.coldStart.recordAgentStart(now)
 		}
 	}
 }
@@ -322,7 +322,7 @@
 		return
 	}
 	a.forgetFlow(now, key)
-	a.coldStart.noteOpening(now)
+	a.coldStart.recordOpening(now)
 	newFlow := &agentFlow{
 		state: stateOffered, clientISN: header.Sequence, balancer: from, zone: message.Zone, openedAt: now, lastActivity: now, endpointIncarnation: a.endpointIncarnation,
 		request: requestState{parameters: message.Parameters, askedAt: now - milliseconds(message.Parameters.Waited), sentEnd: header.Sequence + 1},
@@ -355,7 +355,7 @@
 		return
 	}
 	flow.balancer = from
-	a.coldStart.noteOpening(now)
+	a.coldStart.recordOpening(now)
 	a.deliver(message.Packet)
 }
 
--- a/internal/relay/agent_coldstart.go
+++ b/internal/relay/agent_coldstart.go
@@ -83,54 +83,54 @@
 	}
 }
 
-// noteAgentStart records the start of the agent, which may be that of its endpoint too.
-func (c *coldStartLimiter) noteAgentStart(now time.Duration) { c.crashLoop.lastStart = now }
+// recordAgentStart records the start of the agent, which may be that of its endpoint too.
+func (c *coldStartLimiter) recordAgentStart(now time.Duration) { c.crashLoop.lastStart = now }
 
-// noteFailure records a failure of the endpoint, unless it is known to be down. It reports whether
+// recordFailure records a failure of the endpoint, unless it is known to be down. It reports whether
 // the failure came soon after a start.
-func (c *coldStartLimiter) noteFailure(at time.Duration) bool {
+func (c *coldStartLimiter) recordFailure(at time.Duration) bool {
 	if c.down {
 		return false
 	}
 	c.down = true
-	return c.crashLoop.noteFailure(at)
+	return c.crashLoop.recordFailure(at)
 }
 
-// noteLostFlow records that the endpoint no longer holds a flow that it held before. That is a
+// recordLostFlow records that the endpoint no longer holds a flow that it held before. That is a
 // failure unless the flow was opened before a known start. It reports whether the failure came soon
 // after a start.
-func (c *coldStartLimiter) noteLostFlow(now, openedAt time.Duration) (crashLooping bool) {
+func (c *coldStartLimiter) recordLostFlow(now, openedAt time.Duration) (crashLooping bool) {
 	if c.crashLoop.lastStart != never && openedAt <= c.crashLoop.lastStart {
 		return false
 	}
-	return c.noteFailure(now)
+	return c.recordFailure(now)
 }
 
-// noteOpening records that the endpoint was given an opening packet.
-func (c *coldStartLimiter) noteOpening(now time.Duration) {
-	c.crashLoop.noteRequest(now)
+// recordOpening records that the endpoint was given an opening packet.
+func (c *coldStartLimiter) recordOpening(now time.Duration) {
+	c.crashLoop.recordRequest(now)
 	c.unansweredSince = min(c.unansweredSince, now)
 }
 
-// noteOutput records that the endpoint wrote a packet. A long silence before it counts as a
-// failure. noteOutput reports whether the failure came soon after a start.
-func (c *coldStartLimiter) noteOutput(now time.Duration) (crashLooping bool) {
+// recordOutput records that the endpoint wrote a packet. A long silence before it counts as a
+// failure. recordOutput reports whether the failure came soon after a start.
+func (c *coldStartLimiter) recordOutput(now time.Duration) (crashLooping bool) {
 	if c.unansweredSince != never && now-c.unansweredSince >= restartSilence {
-		crashLooping = c.noteFailure(c.unansweredSince)
+		crashLooping = c.recordFailure(c.unansweredSince)
 	}
 	c.unansweredSince = never
 	return crashLooping
 }
 
-// noteAccepted records that the endpoint accepted a flow. It reports whether the endpoint has
+// recordAccepted records that the endpoint accepted a flow. It reports whether the endpoint has
 // restarted, which its entry in the store may not show yet.
-func (c *coldStartLimiter) noteAccepted(now time.Duration) bool {
+func (c *coldStartLimiter) recordAccepted(now time.Duration) bool {
 	if !c.down {
 		return false
 	}
 	c.down = false
 	c.coldUntil = max(c.coldUntil, now+c.warmupTime)
-	c.crashLoop.noteRestart(now)
+	c.crashLoop.recordRestart(now)
 	return true
 }
 
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -42,9 +42,9 @@
 	// offerLifetime is how long an opening packet is offered to further endpoints. Clients give up
 	// after that time.
 	offerLifetime = 1400 * time.Millisecond
-	// maxUntrustedOffers limits the offers of a flow to endpoints that are suspected or ejected.
+	// maxFallbackOffers limits the offers of a flow to endpoints that are suspected or ejected.
 	// All healthy endpoints have been asked before.
-	maxUntrustedOffers = 3
+	maxFallbackOffers = 3
 	// confirmationMargin is added to ApplyTimeout. Their sum is how long after the last reply of
 	// the store the balancer still relies on the absence of a route.
 	confirmationMargin = time.Second
@@ -243,7 +243,7 @@
 	case flowOwnerless:
 		b.resetFlow(key, header)
 	default:
-		b.noteRequest(now, flow, header)
+		b.recordRequest(now, flow, header)
 		b.send(flow.agent, Message{Kind: KindForward, Service: flow.service, Packet: packet})
 		b.markClosing(flow, header)
 	}
@@ -267,9 +267,9 @@
 		return b.effects
 	}
 	b.recordAgentReachable()
-	b.noteProcessingTime(now, from, message.Load)
-	b.noteUtilization(now, from, message)
-	b.noteReport(now, from, message)
+	b.recordProcessingTime(now, from, message.Load)
+	b.recordUtilization(now, from, message)
+	b.recordReport(now, from, message)
 	switch message.Kind {
 	case KindPlaced:
 		b.receivePlaced(now, from, message)
--- a/internal/relay/balancer_coldstart.go
+++ b/internal/relay/balancer_coldstart.go
@@ -25,8 +25,8 @@
 // inColdWait reports whether a cold endpoint accepts no request now, according to its agent.
 func (h *endpointHealth) inColdWait(now time.Duration) bool { return now < h.coldWaitUntil }
 
-// noteColdWait records until when a cold endpoint accepts no further request.
-func (b *Balancer) noteColdWait(now time.Duration, id directory.EndpointID, load Load) {
+// recordColdWait records until when a cold endpoint accepts no further request.
+func (b *Balancer) recordColdWait(now time.Duration, id directory.EndpointID, load Load) {
 	b.healthOf(id).coldWaitUntil = now + milliseconds(load.ColdWait)
 }
 
--- a/internal/relay/crashloop.go
+++ b/internal/relay/crashloop.go
@@ -38,17 +38,17 @@
 
 func newCrashLoopLimiter() crashLoopLimiter { return crashLoopLimiter{lastStart: never} }
 
-// noteRequest records that the endpoint was given a request.
-func (c *crashLoopLimiter) noteRequest(now time.Duration) {
+// recordRequest records that the endpoint was given a request.
+func (c *crashLoopLimiter) recordRequest(now time.Duration) {
 	c.recentRequests = slices.DeleteFunc(c.recentRequests, func(at time.Duration) bool { return now-at > time.Second })
 	if len(c.recentRequests) < maxRecentRequests {
 		c.recentRequests = append(c.recentRequests, now)
 	}
 }
 
-// noteFailure records a failure of the endpoint. It reports whether the failure came soon after a
+// recordFailure records a failure of the endpoint. It reports whether the failure came soon after a
 // start.
-func (c *crashLoopLimiter) noteFailure(at time.Duration) bool {
+func (c *crashLoopLimiter) recordFailure(at time.Duration) bool {
 	if c.lastStart == never || at-c.lastStart >= crashLoopWindow {
 		c.initialRate = 0
 		return false
@@ -67,8 +67,8 @@
 	return true
 }
 
-// noteRestart records a restart of the endpoint.
-func (c *crashLoopLimiter) noteRestart(now time.Duration) { c.lastStart, c.restartedAt = now, now }
+// recordRestart records a restart of the endpoint.
+func (c *crashLoopLimiter) recordRestart(now time.Duration) { c.lastStart, c.restartedAt = now, now }
 
 // limited reports whether the requests for the endpoint are limited.
 func (c *crashLoopLimiter) limited(now time.Duration) bool {
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -17,10 +17,10 @@
 	return a.detector.Admit(now, zone)
 }
 
-// noteWritten records how far the endpoint has written, and reads the outcome from the first packet
+// recordWritten records how far the endpoint has written, and reads the outcome from the first packet
 // of an answer. An answer begins at the sequence number that the endpoint had reached when it was
 // given the request, so copies and later packets that arrive first are not mistaken for it.
-func (a *Agent) noteWritten(now time.Duration, flow *agentFlow, header segment.Header, packet []byte) {
+func (a *Agent) recordWritten(now time.Duration, flow *agentFlow, header segment.Header, packet []byte) {
 	if header.Flags.Has(segment.Reset) && flow.request.occupiesSlot {
 		a.detector.RecordOutcome(now, flow.zone, outlier.ConnectionReset, 0)
 	}
@@ -95,9 +95,9 @@
 	return EventRestored
 }
 
-// noteReport records the health that an agent reports for its endpoint. It ignores a report for
+// recordReport records the health that an agent reports for its endpoint. It ignores a report for
 // another service, since another endpoint may have taken over the address.
-func (b *Balancer) noteReport(now time.Duration, from segment.Address, message Message) {
+func (b *Balancer) recordReport(now time.Duration, from segment.Address, message Message) {
 	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service {
 		return
--- a/internal/relay/endpointpacket.go
+++ b/internal/relay/endpointpacket.go
@@ -15,7 +15,7 @@
 		a.recordEvent(Event{Kind: EventMalformed, Reason: outcome.String()})
 		return a.effects
 	}
-	a.reportCrashLoop(a.coldStart.noteOutput(now))
+	a.reportCrashLoop(a.coldStart.recordOutput(now))
 	if header.Flags.Has(segment.Returned) {
 		a.detector.RecordPacket(now, false)
 		a.handleReturned(now, header, packet)
@@ -87,7 +87,7 @@
 	}
 	flow.lastActivity = now
 	if header.Flags.Has(segment.Synchronize) {
-		if a.coldStart.noteAccepted(now) {
+		if a.coldStart.recordAccepted(now) {
 			a.detector.Reset()
 			a.recordEvent(Event{Kind: EventRestarted})
 			a.probeAfterRestart()
@@ -96,12 +96,12 @@
 	}
 	flow.endpointIncarnation = a.endpointIncarnation
 	flow.advanceAckBase(header.Sequence)
-	a.noteWritten(now, flow, header, packet)
+	a.recordWritten(now, flow, header, packet)
 	// An endpoint may close its side of the flow together with the answer or, in a packet of its
 	// own, before the answer.
 	if header.Length > 0 || header.Flags.Has(segment.Finish) {
 		a.measureProcessingTime(now, key, flow)
-		a.noteResponse(now, key, flow)
+		a.recordResponse(now, key, flow)
 	}
 	if header.Flags.Has(segment.Finish) || header.Flags.Has(segment.Reset) {
 		a.endFlow(now, flow)
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -28,9 +28,9 @@
 	// number of agents that have returned the packet because others may be less busy.
 	lastResortPending uint32
 	busyReturns       int
-	// untrustedOffers is the number of offers to suspected or ejected endpoints.
-	untrustedOffers int
-	done            bool
+	// fallbackOffers is the number of offers to suspected or ejected endpoints.
+	fallbackOffers int
+	done           bool
 }
 
 // routeOpening handles a packet that opens a flow, or a copy of it.
@@ -126,11 +126,11 @@
 // reports whether there is one.
 func (b *Balancer) offerNext(now time.Duration, flow *balancerFlow) bool {
 	chosen, exists := b.chooseEndpoint(now, flow.service, flow.offer.tried)
-	if !exists || chosen.untrusted && flow.offer.untrustedOffers >= maxUntrustedOffers {
+	if !exists || chosen.fallback && flow.offer.fallbackOffers >= maxFallbackOffers {
 		return false
 	}
-	if chosen.untrusted {
-		flow.offer.untrustedOffers++
+	if chosen.fallback {
+		flow.offer.fallbackOffers++
 	}
 	b.uncountFlow(flow)
 	flow.agent = b.agentAddress(chosen.Candidate)
@@ -177,7 +177,7 @@
 	if !exists || flow.clientISN != message.Sequence {
 		return
 	}
-	b.noteAgentReply(now, flow, from, message.Load)
+	b.recordAgentReply(now, flow, from, message.Load)
 	if flow.state != flowOffering {
 		return
 	}
@@ -216,10 +216,10 @@
 	if !exists || flow.state != flowOffering || flow.clientISN != header.Sequence || flow.agent != from {
 		return
 	}
-	b.noteAgentReply(now, flow, from, message.Load)
+	b.recordAgentReply(now, flow, from, message.Load)
 	switch {
 	case message.LastResort:
-		flow.offer.noteLastResort(from, message.Load)
+		flow.offer.recordLastResort(from, message.Load)
 	case message.Load.ColdWait == 0:
 		b.healthOf(flow.endpoint).avoid(now)
 	}
@@ -229,10 +229,10 @@
 	b.offerAgain(now, key, flow, "returned")
 }
 
-// noteLastResort records an agent that would take the flow if no other does. The agent with the
+// recordLastResort records an agent that would take the flow if no other does. The agent with the
 // fewest pending requests is asked in the end even if it is slow: where the newest requests go
 // first, a new one does not wait for late ones.
-func (o *offer) noteLastResort(agent segment.Address, load Load) {
+func (o *offer) recordLastResort(agent segment.Address, load Load) {
 	if load.Report.HoldMilliseconds > 0 {
 		// An ejected endpoint is unhealthy, so any busy one is preferred to it.
 		if o.lastResortAgent.IsZero() {
@@ -293,7 +293,7 @@
 		offer.done = true
 		return
 	}
-	b.noteSilence(now, flow)
+	b.recordSilence(now, flow)
 	if b.retryBudget.spend() && (b.offerToAnother(now, flow, "silence") || b.offerLastResort(now, flow)) {
 		return
 	}
--- a/internal/relay/persistentflow.go
+++ b/internal/relay/persistentflow.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// noteRequest counts a request of a persistent flow.
-func (b *Balancer) noteRequest(now time.Duration, flow *balancerFlow, header segment.Header) {
+// recordRequest counts a request of a persistent flow.
+func (b *Balancer) recordRequest(now time.Duration, flow *balancerFlow, header segment.Header) {
 	if header.Length == 0 {
 		return
 	}
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// noteAgentReply records that an agent has replied about a flow.
-func (b *Balancer) noteAgentReply(now time.Duration, flow *balancerFlow, from segment.Address, load Load) {
+// recordAgentReply records that an agent has replied about a flow.
+func (b *Balancer) recordAgentReply(now time.Duration, flow *balancerFlow, from segment.Address, load Load) {
 	if flow.agent != from {
 		return
 	}
@@ -115,7 +115,7 @@
 	if occupant, exists := b.snapshot.CandidateAt(from.IP); exists {
 		id = occupant.ID
 	}
-	b.noteColdWait(now, id, load)
+	b.recordColdWait(now, id, load)
 	health := b.healthOf(id)
 	if health.suspicion > 0 {
 		b.recordEvent(Event{Kind: EventRecovered, Peer: from})
@@ -126,9 +126,9 @@
 	}
 }
 
-// noteSilence records that an agent has not answered an offer. It ignores an endpoint that has
+// recordSilence records that an agent has not replied to an offer. It ignores an endpoint that has
 // restarted since.
-func (b *Balancer) noteSilence(now time.Duration, flow *balancerFlow) {
+func (b *Balancer) recordSilence(now time.Duration, flow *balancerFlow) {
 	if _, exists := b.snapshot.Candidate(flow.endpoint); !exists {
 		return
 	}
@@ -147,10 +147,10 @@
 // choice is the endpoint chosen for a flow.
 type choice struct {
 	directory.Candidate
-	// untrusted is set if the endpoint is suspected or ejected and there is no better one.
+	// fallback is set if the endpoint is suspected or ejected and there is no better one.
 	// ignoreEjection is set if its agent has ejected it, but the other endpoints of its service do
 	// no better.
-	untrusted      bool
+	fallback       bool
 	ignoreEjection bool
 }
 
@@ -164,17 +164,17 @@
 	usable := func(c directory.Candidate) bool {
 		return open(c) && (!c.Leaving || massExpiry && b.mayStillServe(now, c))
 	}
-	trusted := func(c directory.Candidate) bool {
+	preferred := func(c directory.Candidate) bool {
 		health := b.healthOf(c.ID)
 		return usable(c) && !health.suspected(now) && !health.excluded(now, serviceHealth)
 	}
 	expired := func(c directory.Candidate) bool { return open(c) && b.mayStillServe(now, c) }
-	for tier, accepts := range []func(directory.Candidate) bool{trusted, usable, expired} {
+	for tier, accepts := range []func(directory.Candidate) bool{preferred, usable, expired} {
 		chosen, exists := b.bestCandidate(now, service, tried, accepts)
 		if exists {
-			untrusted := tier > 0
-			ignoreEjection := !untrusted && b.healthOf(chosen.ID).ejected(now)
-			return choice{chosen, untrusted, ignoreEjection}, true
+			fallback := tier > 0
+			ignoreEjection := !fallback && b.healthOf(chosen.ID).ejected(now)
+			return choice{chosen, fallback, ignoreEjection}, true
 		}
 	}
 	return choice{}, false
--- a/internal/relay/processingtime.go
+++ b/internal/relay/processingtime.go
@@ -23,9 +23,9 @@
 	slowRetention = 2 * time.Second
 )
 
-// noteProcessingTime records the processing time that an agent reports. The number of flows at an
+// recordProcessingTime records the processing time that an agent reports. The number of flows at an
 // endpoint says little about its processing time if many of them are persistent.
-func (b *Balancer) noteProcessingTime(now time.Duration, from segment.Address, load Load) {
+func (b *Balancer) recordProcessingTime(now time.Duration, from segment.Address, load Load) {
 	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || load.ProcessingTime == 0 {
 		return
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -193,8 +193,8 @@
 	}
 }
 
-// noteResponse records that the endpoint has begun to answer.
-func (a *Agent) noteResponse(now time.Duration, key segment.FlowKey, flow *agentFlow) {
+// recordResponse records that the endpoint has begun to answer.
+func (a *Agent) recordResponse(now time.Duration, key segment.FlowKey, flow *agentFlow) {
 	if flow.request.occupiesSlot {
 		a.usage.addResponse(now - flow.request.admittedAt)
 		a.recordEvent(Event{Kind: EventAnswered, Flow: key, Request: flow.request.id, Elapsed: now - flow.request.admittedAt})
--- a/internal/relay/restart.go
+++ b/internal/relay/restart.go
@@ -43,7 +43,7 @@
 
 // resetLostFlow resets a flow that the endpoint held and has lost because it has restarted.
 func (a *Agent) resetLostFlow(now time.Duration, key segment.FlowKey, flow *agentFlow, header segment.Header) {
-	a.reportCrashLoop(a.coldStart.noteLostFlow(now, flow.openedAt))
+	a.reportCrashLoop(a.coldStart.recordLostFlow(now, flow.openedAt))
 	a.recordEvent(Event{Kind: EventEndpointLostFlow, Flow: key, Request: flow.request.id})
 	sequence := header.Acknowledgment
 	if flow.writtenKnown {
--- a/internal/relay/utilization.go
+++ b/internal/relay/utilization.go
@@ -28,10 +28,10 @@
 	return utilization
 }
 
-// noteUtilization records how many requests an endpoint works on according to its agent. A flow
+// recordUtilization records how many requests an endpoint works on according to its agent. A flow
 // that the agent returns is not included, but is still counted among the flows that this balancer
 // gave the endpoint.
-func (b *Balancer) noteUtilization(now time.Duration, from segment.Address, message Message) {
+func (b *Balancer) recordUtilization(now time.Duration, from segment.Address, message Message) {
 	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service || candidate.Endpoint.Slots == 0 {
 		return
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -149,12 +149,12 @@
 // receiveDenied handles a reply that an agent's endpoint does not hold a flow.
 func (b *Balancer) receiveDenied(now time.Duration, from segment.Address, message Message) {
 	if flow, exists := b.searchedFlow(message); exists {
-		b.noteReply(now, flow, from, searchReply{denied: true, agentStartedAt: now - message.Uptime})
+		b.recordReply(now, flow, from, searchReply{denied: true, agentStartedAt: now - message.Uptime})
 	}
 }
 
-// noteReply records the reply of an agent to a search.
-func (b *Balancer) noteReply(now time.Duration, flow *balancerFlow, from segment.Address, reply searchReply) {
+// recordReply records the reply of an agent to a search.
+func (b *Balancer) recordReply(now time.Duration, flow *balancerFlow, from segment.Address, reply searchReply) {
 	reply.probed = flow.search.replies[from].probed
 	flow.search.replies[from] = reply
 	b.conclude(now, flow)
