--- a/internal/admission/machine.go
+++ b/internal/admission/machine.go
@@ -75,11 +75,11 @@
 	// roundTripHops is the number of hops of a packet that was forwarded to
 	// another row and came back.
 	roundTripHops = 2
-	// maximumResendInterval bounds the doubled interval between queries.
-	maximumResendInterval = 256 * time.Millisecond
-	// maximumHeldPackets bounds the packets that are kept for one undecided
+	// maxResendInterval bounds the doubled interval between queries.
+	maxResendInterval = 256 * time.Millisecond
+	// maxHeldPackets bounds the packets that are kept for one undecided
 	// flow.
-	maximumHeldPackets = 4
+	maxHeldPackets = 4
 	// tickInterval is the longest interval at which Tick should be called. It is
 	// half of ResendInterval, the shortest default timeout.
 	tickInterval = 4 * time.Millisecond
--- a/internal/cluster/socket.go
+++ b/internal/cluster/socket.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// maximumDatagramSize limits a datagram in bytes. Longer messages are sent over a
+	// maxDatagramSize limits a datagram in bytes. Longer messages are sent over a
 	// connection.
-	maximumDatagramSize = membership.MaximumDatagramSize + 16
-	// maximumStreamSize limits the bytes read from a connection.
-	maximumStreamSize = 64 << 20
+	maxDatagramSize = membership.MaxDatagramSize + 16
+	// maxStreamSize limits the bytes read from a connection.
+	maxStreamSize = 64 << 20
 	// streamTimeout limits the duration of a connection.
 	streamTimeout = 10 * time.Second
-	// maximumStreams limits the connections served at a time.
-	maximumStreams = 32
+	// maxStreams limits the connections served at a time.
+	maxStreams = 32
 )
 
 // socket holds the UDP socket and the TCP listener of a Node. It is safe for concurrent
@@ -57,7 +57,7 @@
 		listener:        listener,
 		logger:          logger,
 		metrics:         metrics,
-		connectionSlots: make(chan struct{}, maximumStreams),
+		connectionSlots: make(chan struct{}, maxStreams),
 	}, nil
 }
 
@@ -77,7 +77,7 @@
 
 // receive passes datagrams to accept until the socket is closed.
 func (s *socket) receive(accept func(from netip.AddrPort, datagram []byte)) error {
-	buffer := make([]byte, 2*maximumDatagramSize)
+	buffer := make([]byte, 2*maxDatagramSize)
 	for {
 		count, from, err := s.datagrams.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// exchange sends a request over a connection and returns the answer. The connection
+// exchange sends a request over a connection and returns the response. The connection
 // originates from the own address, by which the receiver identifies this daemon.
 func (s *socket) exchange(ctx context.Context, to netip.AddrPort, request []byte) ([]byte, error) {
 	dialer := net.Dialer{
@@ -114,24 +114,24 @@
 		return nil, errors.Wrap(err, "cluster: close the sending side of a connection")
 	}
 	s.metrics.countStream(directionSent, len(request))
-	answer, err := readAll(connection)
-	s.metrics.countStream(directionReceived, len(answer))
-	return answer, err
+	response, err := readAll(connection)
+	s.metrics.countStream(directionReceived, len(response))
+	return response, err
 }
 
 func readAll(connection net.Conn) ([]byte, error) {
-	read, err := io.ReadAll(io.LimitReader(connection, maximumStreamSize+1))
+	read, err := io.ReadAll(io.LimitReader(connection, maxStreamSize+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "cluster: read from a connection")
 	}
-	if len(read) > maximumStreamSize {
-		return nil, errors.Errorf("cluster: the peer sent more than the maximum of %d bytes over a connection", maximumStreamSize)
+	if len(read) > maxStreamSize {
+		return nil, errors.Errorf("cluster: the peer sent more than the maximum of %d bytes over a connection", maxStreamSize)
 	}
 	return read, nil
 }
 
-// serve accepts connections until the listener is closed. An answer may be empty.
-func (s *socket) serve(ctx context.Context, answer func(from netip.AddrPort, request []byte) []byte) error {
+// serve accepts connections until the listener is closed. A response may be empty.
+func (s *socket) serve(ctx context.Context, respond func(from netip.AddrPort, request []byte) []byte) error {
 	var serving sync.WaitGroup
 	defer serving.Wait()
 	for {
@@ -146,7 +146,7 @@
 		select {
 		case s.connectionSlots <- struct{}{}:
 			serving.Go(func() {
-				s.serveConnection(ctx, connection, answer)
+				s.serveConnection(ctx, connection, respond)
 				<-s.connectionSlots
 			})
 		default:
@@ -155,7 +155,7 @@
 	}
 }
 
-func (s *socket) serveConnection(ctx context.Context, connection *net.TCPConn, answer func(netip.AddrPort, []byte) []byte) {
+func (s *socket) serveConnection(ctx context.Context, connection *net.TCPConn, respond func(netip.AddrPort, []byte) []byte) {
 	defer func() { _ = connection.Close() }()
 	release := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer release()
@@ -167,10 +167,10 @@
 	}
 	s.metrics.countStream(directionReceived, len(request))
 	from := connection.RemoteAddr().(*net.TCPAddr).AddrPort()
-	answered := answer(from, request)
-	if _, err := connection.Write(answered); err != nil {
+	response := respond(from, request)
+	if _, err := connection.Write(response); err != nil {
 		s.logger.Debug("cannot send the answer on a cluster connection", "error", err)
 		return
 	}
-	s.metrics.countStream(directionSent, len(answered))
+	s.metrics.countStream(directionSent, len(response))
 }
--- a/internal/control/message.go
+++ b/internal/control/message.go
@@ -1,5 +1,5 @@
 // Package control implements the leases between agents and daemons. An agent sends
-// heartbeats to its daemons. A daemon answers each with a lease, the agent's part of the
+// heartbeats to its daemons. A daemon replies to each with a lease, the agent's part of the
 // table and the conditions of the other agents of its services. From the heartbeats, and
 // from what other daemons report, a daemon decides which rows of the table must not be
 // given new flows.
@@ -38,7 +38,7 @@
 	Left bool `msg:"e"`
 }
 
-// Grant is the answer of a daemon to a heartbeat. It renews the lease of the agent, counted
+// Grant is the reply of a daemon to a heartbeat. It renews the lease of the agent, counted
 // from the time the heartbeat was sent.
 type Grant struct {
 	Sequence uint64        `msg:"s"`
@@ -55,8 +55,8 @@
 	Down []table.BackendID `msg:"x"`
 	// Leaving lists the rows of these services whose agent is stopping.
 	Leaving []table.BackendID `msg:"g"`
-	// Unknown lists the rows of these services whose agent the daemon has not heard from,
-	// because it started or was resumed a moment ago.
+	// Unknown lists the rows of these services whose agent has sent the daemon no
+	// heartbeat yet, because the daemon started or was resumed a moment ago.
 	Unknown []table.BackendID `msg:"u"`
 }
 
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -52,7 +52,7 @@
 	// zones holds the zones that are closed or were closed recently.
 	zones map[string]zoneRecord
 	// departuresKnownSince is the start of the period for which all departures of endpoints are
-	// known. Its value is the constant never if there is no such period.
+	// known. A departure is the change of an endpoint to gone. The value is the constant never if there is no such period.
 	departuresKnownSince time.Duration
 	snapshot             *Snapshot
 }
@@ -120,7 +120,7 @@
 	changed = r.openUnlistedZones(now, closed, revision) || changed
 	changed = r.extendDepartureHistory(now) || changed
 	r.historyFloor = max(r.historyFloor, revision)
-	r.noteStoreRevision(revision)
+	r.recordStoreRevision(revision)
 	return r.advance(now, revision, changed)
 }
 
@@ -140,7 +140,7 @@
 // ApplyChanges merges changes of the store. The items must contain all changes after
 // AppliedRevision, up to and including through. It reports whether the snapshot changed.
 func (r *Replica) ApplyChanges(now time.Duration, items []Item, through Revision) bool {
-	r.noteStoreRevision(through)
+	r.recordStoreRevision(through)
 	if r.needsFullState() {
 		// The call to the store began before the directory was invalidated, so changes before
 		// these items may be missing.
--- a/internal/dissemination/survey.go
+++ b/internal/dissemination/survey.go
@@ -12,10 +12,10 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// maximumSurveys limits the surveys that one process runs at a time.
-const maximumSurveys = 8
+// maxSurveys limits the surveys that one process runs at a time.
+const maxSurveys = 8
 
-// ErrTooManySurveys is returned by Survey while maximumSurveys are running.
+// ErrTooManySurveys is returned by Survey while maxSurveys are running.
 var ErrTooManySurveys = errors.New("dissemination: the maximum number of surveys is already running")
 
 // survey is one running survey.
@@ -40,11 +40,11 @@
 // are running.
 func (m *Machine) Survey(now time.Duration, version table.Version) ([]Effect, error) {
 	m.resetEffects()
-	if len(m.surveys) >= maximumSurveys {
+	if len(m.surveys) >= maxSurveys {
 		return nil, ErrTooManySurveys
 	}
 	started := &survey{sequence: m.nextSequence(), version: version}
-	for zone := range membership.Zone(membership.MaximumZones) {
+	for zone := range membership.Zone(membership.MaxZones) {
 		if zone == m.config.Self.Zone || len(m.peers.zones[zone]) > 0 {
 			started.zones = append(started.zones, &zoneRequest{result: ZoneSurvey{Zone: zone}, deadline: now})
 		}
@@ -64,8 +64,8 @@
 	m.surveys = slices.DeleteFunc(m.surveys, m.finishSurvey)
 }
 
-// advanceRequest asks further members of a zone if the previous ones did not answer. Asking
-// ReportFanout members at a time compensates for lost datagrams, and the first answer
+// advanceRequest asks further members of a zone if the previous ones did not reply. Asking
+// ReportFanout members at a time compensates for lost datagrams, and the first reply
 // counts. The own zone is not asked, since this process polls it itself.
 func (m *Machine) advanceRequest(now time.Duration, running *survey, request *zoneRequest) {
 	zone := request.result.Zone
@@ -76,7 +76,7 @@
 		return peer.Identity.Zone == zone && !slices.Contains(request.asked, peer.Identity.Address)
 	})
 	if request.attempts >= m.config.ReportAttempts || len(found) == 0 {
-		m.endUnanswered(request)
+		m.endWithoutReply(request)
 		return
 	}
 	request.attempts++
@@ -87,12 +87,12 @@
 	}
 }
 
-// endUnanswered counts all members of a zone as behind, since none of them answered.
-func (m *Machine) endUnanswered(request *zoneRequest) {
+// endWithoutReply counts all members of a zone as behind, since none of them replied.
+func (m *Machine) endWithoutReply(request *zoneRequest) {
 	request.done = true
 	for _, peer := range m.peers.zones[request.result.Zone] {
 		request.result.BehindCount++
-		if len(request.result.BehindMembers) < maximumBehindMembers {
+		if len(request.result.BehindMembers) < maxBehindMembers {
 			request.result.BehindMembers = append(request.result.BehindMembers, peer.Identity.Address)
 		}
 	}
@@ -106,16 +106,16 @@
 		}
 		for _, request := range running.zones {
 			if !request.done && slices.Contains(request.asked, from) {
-				m.endAnswered(request, message)
+				m.endReplied(request, message)
 			}
 		}
 	}
 	m.surveys = slices.DeleteFunc(m.surveys, m.finishSurvey)
 }
 
-func (m *Machine) endAnswered(request *zoneRequest, report Message) {
+func (m *Machine) endReplied(request *zoneRequest, report Message) {
 	request.done = true
-	request.result.Answered = true
+	request.result.Replied = true
 	request.result.AppliedCount = int(report.AppliedCount)
 	request.result.BehindCount = int(report.BehindCount)
 	request.result.BehindMembers = report.BehindMembers
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// minimumProbeGroup is the number of live members from which the members of a zone, or
+	// minProbeGroup is the number of live members from which the members of a zone, or
 	// else of a region, probe only each other.
-	minimumProbeGroup = 5
-	// maximumRelayedPings limits the pings sent on behalf of other members at a time.
-	maximumRelayedPings = 64
-	// maximumHealthScore limits the local health score.
-	maximumHealthScore = 8
-	// maximumSuspectPings is how often each prober pings a suspect before it declares it
-	// failed. The answer carries a refutation that the prober may have missed.
-	maximumSuspectPings = 3
+	minProbeGroup = 5
+	// maxRelayedPings limits the pings sent on behalf of other members at a time.
+	maxRelayedPings = 64
+	// maxHealthScore limits the local health score.
+	maxHealthScore = 8
+	// maxSuspectPings is how often each prober pings a suspect before it declares it
+	// failed. The ack carries a refutation that the prober may have missed.
+	maxSuspectPings = 3
 )
 
 // probeState is the current probe and the order of the next ones.
@@ -42,27 +42,27 @@
 	expires         time.Duration
 }
 
-// localHealth counts recent probes without an answer, after Lifeguard (Dadgar et al. 2018).
-// A process whose probes fail gives others more time to answer, since the fault may be its
+// localHealth counts recent probes without an ack, after Lifeguard (Dadgar et al. 2018).
+// A process whose probes fail gives others more time to reply, since the fault may be its
 // own.
 type localHealth struct{ score int }
 
-func (h *localHealth) failed()    { h.score = min(h.score+1, maximumHealthScore) }
+func (h *localHealth) failed()    { h.score = min(h.score+1, maxHealthScore) }
 func (h *localHealth) succeeded() { h.score = max(h.score-1, 0) }
 
 // scale extends a duration in proportion to the score, at most to twice its length.
 func (h *localHealth) scale(duration time.Duration) time.Duration {
-	return duration + duration*time.Duration(h.score)/maximumHealthScore
+	return duration + duration*time.Duration(h.score)/maxHealthScore
 }
 
 // shouldProbe reports whether this process probes the member. It probes its own zone, the
 // whole region if the zone is small, and all members if the region is small as well.
 func (m *Machine) shouldProbe(candidate Identity) bool {
 	own := m.self.Member
-	if m.memberList.zones[own.Zone].live >= minimumProbeGroup {
+	if m.memberList.zones[own.Zone].live >= minProbeGroup {
 		return candidate.Zone == own.Zone
 	}
-	if m.liveInRegion(own.Region) >= minimumProbeGroup {
+	if m.liveInRegion(own.Region) >= minProbeGroup {
 		return candidate.Region == own.Region
 	}
 	return true
@@ -80,7 +80,7 @@
 }
 
 // advanceProbe advances the current probe and starts the next one when it is due. While the
-// process catches up it does not probe: it must not suspect any member then, and may know
+// process catches up it does not probe: it must not suspect any member then, and may list
 // only the seeds.
 func (m *Machine) advanceProbe(now time.Duration) {
 	if m.recovery.active {
@@ -180,7 +180,7 @@
 
 // relayPing pings a target on behalf of another member.
 func (m *Machine) relayPing(now time.Duration, from Address, message Message) {
-	if len(m.relayedPings) >= maximumRelayedPings || message.Target == 0 || message.Target == m.self.Member.Address {
+	if len(m.relayedPings) >= maxRelayedPings || message.Target == 0 || message.Target == m.self.Member.Address {
 		return
 	}
 	added := relayedPing{
@@ -198,14 +198,14 @@
 	m.relayedPings = slices.DeleteFunc(m.relayedPings, func(waiting relayedPing) bool { return now >= waiting.expires })
 }
 
-// receiveAck completes the current probe or forwards the answer to the member that
+// receiveAck completes the current probe or forwards the ack to the member that
 // requested the ping.
 func (m *Machine) receiveAck(now time.Duration, from Address, message Message) {
-	answering := from
+	replying := from
 	if message.Target != 0 {
-		answering = message.Target
+		replying = message.Target
 	}
-	if m.probe.pending && message.Sequence == m.probe.sequence && answering == m.probe.target.Address {
+	if m.probe.pending && message.Sequence == m.probe.sequence && replying == m.probe.target.Address {
 		m.probe.pending = false
 		m.health.succeeded()
 	}
@@ -232,7 +232,7 @@
 	suspicion := known.update
 	suspicion.State = StateSuspect
 	m.merge(now, suspicion, true)
-	// Pings the suspect, so that it learns of the suspicion at once and can refute it.
+	// Pings the suspect, so that it receives the suspicion at once and can refute it.
 	m.send(now, suspicion.Member.Address, Message{Kind: KindPing, Sequence: m.nextSequence()})
 }
 
@@ -274,11 +274,11 @@
 }
 
 // pingSuspect pings a suspect in the second half of its timeout. If this process missed the
-// refutation, it arrives with the answer.
+// refutation, it arrives with the ack.
 func (m *Machine) pingSuspect(now time.Duration, suspect *member, timeout time.Duration) {
-	spacing := timeout / (2 * (maximumSuspectPings + 1))
+	spacing := timeout / (2 * (maxSuspectPings + 1))
 	due := suspect.since + timeout/2 + spacing*time.Duration(suspect.suspectPings)
-	if suspect.suspectPings >= maximumSuspectPings || now < due {
+	if suspect.suspectPings >= maxSuspectPings || now < due {
 		return
 	}
 	suspect.suspectPings++
--- a/internal/netstack/netstack.go
+++ b/internal/netstack/netstack.go
@@ -32,16 +32,16 @@
 	// maximumTransmissionUnit leaves room for Geneve, UDP and IP headers on a network with an
 	// MTU of 1,500 bytes.
 	maximumTransmissionUnit = 1400
-	// maximumHandshakes bounds the number of TCP handshakes in progress.
-	maximumHandshakes = 1024
+	// maxHandshakes bounds the number of TCP handshakes in progress.
+	maxHandshakes = 1024
 	// timeWait is the duration of the TIME-WAIT state, in which a closed connection still
 	// answers the caller.
 	timeWait = time.Second
-	// minimumRetransmission is the smallest retransmission timeout.
-	minimumRetransmission = 200 * time.Millisecond
-	keepaliveIdle         = time.Minute
-	keepaliveInterval     = 15 * time.Second
-	keepaliveCount        = 4
+	// minRetransmission is the smallest retransmission timeout.
+	minRetransmission = 200 * time.Millisecond
+	keepaliveIdle     = time.Minute
+	keepaliveInterval = 15 * time.Second
+	keepaliveCount    = 4
 )
 
 // Handler is called for each flow that a caller opens. Each call runs on its own goroutine
@@ -90,7 +90,7 @@
 	}
 	s.stack.SetRouteTable([]tcpip.Route{{Destination: header.IPv4EmptySubnet, NIC: interfaceID}})
 	selectiveAcknowledgment := tcpip.TCPSACKEnabled(true)
-	retransmission := tcpip.TCPMinRTOOption(minimumRetransmission)
+	retransmission := tcpip.TCPMinRTOOption(minRetransmission)
 	timeWaitOption := tcpip.TCPTimeWaitTimeoutOption(timeWait)
 	for _, option := range []tcpip.SettableTransportProtocolOption{&selectiveAcknowledgment, &retransmission, &timeWaitOption} {
 		if err := s.stack.SetTransportProtocolOption(tcp.ProtocolNumber, option); err != nil {
@@ -101,7 +101,7 @@
 }
 
 func (s *Stack) handle(handler Handler) {
-	tcpForwarder := tcp.NewForwarder(s.stack, 0, maximumHandshakes, func(request *tcp.ForwarderRequest) {
+	tcpForwarder := tcp.NewForwarder(s.stack, 0, maxHandshakes, func(request *tcp.ForwarderRequest) {
 		handler.OpenTCP(&Request{forwarded: request})
 	})
 	s.stack.SetTransportProtocolHandler(tcp.ProtocolNumber, tcpForwarder.HandlePacket)
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -42,9 +42,9 @@
 	// offerLifetime is how long an opening packet is offered to further endpoints. Clients give up
 	// after that time.
 	offerLifetime = 1400 * time.Millisecond
-	// maxUntrustedOffers limits the offers of a flow to endpoints that are suspected or ejected.
+	// maxFallbackOffers limits the offers of a flow to endpoints that are suspected or ejected.
 	// All healthy endpoints have been asked before.
-	maxUntrustedOffers = 3
+	maxFallbackOffers = 3
 	// confirmationMargin is added to ApplyTimeout. Their sum is how long after the last reply of
 	// the store the balancer still relies on the absence of a route.
 	confirmationMargin = time.Second
@@ -71,7 +71,7 @@
 	flowOwnerless
 )
 
-// balancerFlow is what a balancer knows of a flow. It is a cache; the agent of the owning endpoint
+// balancerFlow is a balancer's record of a flow. It is a cache; the agent of the owning endpoint
 // is authoritative.
 type balancerFlow struct {
 	state balancerFlowState
@@ -172,9 +172,9 @@
 	return b.effects
 }
 
-// notifyDraining tells agents whose endpoint began to drain that it must not get new flows, because
-// a balancer that has not learned of the change may still offer some. It skips an endpoint that is
-// gone or whose address belongs to another endpoint now.
+// notifyDraining notifies agents whose endpoint began to drain that it must not get new flows,
+// because a balancer that has not received the change may still offer some. It skips an endpoint
+// that is gone or whose address belongs to another endpoint now.
 func (b *Balancer) notifyDraining(previous, current *directory.Snapshot) {
 	for _, candidate := range current.All() {
 		before, existedBefore := previous.Candidate(candidate.ID)
@@ -243,7 +243,7 @@
 	case flowOwnerless:
 		b.resetFlow(key, header)
 	default:
-		b.noteRequest(now, flow, header)
+		b.recordRequest(now, flow, header)
 		b.send(flow.agent, Message{Kind: KindForward, Service: flow.service, Packet: packet})
 		b.markClosing(flow, header)
 	}
@@ -266,10 +266,10 @@
 		b.recordEvent(Event{Kind: EventForged, Peer: from, Reason: "not_an_agent"})
 		return b.effects
 	}
-	b.noteAgentHeard()
-	b.noteProcessingTime(now, from, message.Load)
-	b.noteUtilization(now, from, message)
-	b.noteReport(now, from, message)
+	b.recordAgentReachable()
+	b.recordProcessingTime(now, from, message.Load)
+	b.recordUtilization(now, from, message)
+	b.recordReport(now, from, message)
 	switch message.Kind {
 	case KindPlaced:
 		b.receivePlaced(now, from, message)
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -17,10 +17,10 @@
 	return a.detector.Admit(now, zone)
 }
 
-// noteWritten records how far the endpoint has written, and reads the outcome from the first packet
+// recordWritten records how far the endpoint has written, and reads the outcome from the first packet
 // of an answer. An answer begins at the sequence number that the endpoint had reached when it was
 // given the request, so copies and later packets that arrive first are not mistaken for it.
-func (a *Agent) noteWritten(now time.Duration, flow *agentFlow, header segment.Header, packet []byte) {
+func (a *Agent) recordWritten(now time.Duration, flow *agentFlow, header segment.Header, packet []byte) {
 	if header.Flags.Has(segment.Reset) && flow.request.occupiesSlot {
 		a.detector.RecordOutcome(now, flow.zone, outlier.ConnectionReset, 0)
 	}
@@ -51,7 +51,7 @@
 }
 
 // reportStateChanges records changes in the health of the endpoint and notifies the balancers
-// concerned. They would learn of a change too late by themselves: with 16 balancers each exchanges
+// concerned. They would receive a change too late otherwise: with 16 balancers each exchanges
 // messages with an endpoint only every other second.
 func (a *Agent) reportStateChanges() {
 	for _, change := range a.detector.TakeChanges() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// returnsFlowTo reports whether a balancer learns of a change from a flow that is returned to it in
+// returnsFlowTo reports whether a balancer receives a change with a flow that is returned to it in
 // the same call.
 func (a *Agent) returnsFlowTo(balancer segment.Address) bool {
 	return slices.ContainsFunc(a.effects, func(effect Effect) bool {
@@ -95,9 +95,9 @@
 	return EventRestored
 }
 
-// noteReport records the health that an agent reports for its endpoint. It ignores a report for
+// recordReport records the health that an agent reports for its endpoint. It ignores a report for
 // another service, since another endpoint may have taken over the address.
-func (b *Balancer) noteReport(now time.Duration, from segment.Address, message Message) {
+func (b *Balancer) recordReport(now time.Duration, from segment.Address, message Message) {
 	candidate, exists := b.snapshot.CandidateAt(from.IP)
 	if !exists || candidate.Endpoint.Service != message.Service {
 		return
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -16,8 +16,8 @@
 	// number; an agent that starts together with others needs some of them.
 	verifyInterval = 100 * time.Millisecond
 	verifyRounds   = 16
-	// recheckRounds is the interval, in rounds, at which agents that replied that they do not know
-	// are asked again. Their endpoint may have written in the flow since.
+	// recheckRounds is the interval, in rounds, at which agents that replied that they are
+	// uncertain are asked again. Their endpoint may have written in the flow since.
 	recheckRounds = 4
 	// inconclusivePause is the first pause of a search in which all agents have replied without a
 	// proof. They are asked again after it. The pause doubles each time. Without it 900 flows whose
@@ -31,8 +31,8 @@
 
 // searchReply is the reply of an agent to a search.
 type searchReply struct {
-	// denied is set if the agent's endpoint does not hold the flow. Otherwise the agent does not
-	// know. probed is set once the agent was made to probe its endpoint.
+	// denied is set if the agent's endpoint does not hold the flow. Otherwise the agent is
+	// uncertain. probed is set once the agent was made to probe its endpoint.
 	denied bool
 	probed bool
 	// agentStartedAt is when the agent was started.
@@ -149,19 +149,19 @@
 // receiveDenied handles a reply that an agent's endpoint does not hold a flow.
 func (b *Balancer) receiveDenied(now time.Duration, from segment.Address, message Message) {
 	if flow, exists := b.searchedFlow(message); exists {
-		b.noteReply(now, flow, from, searchReply{denied: true, agentStartedAt: now - message.Uptime})
+		b.recordReply(now, flow, from, searchReply{denied: true, agentStartedAt: now - message.Uptime})
 	}
 }
 
-// noteReply records the reply of an agent to a search.
-func (b *Balancer) noteReply(now time.Duration, flow *balancerFlow, from segment.Address, reply searchReply) {
+// recordReply records the reply of an agent to a search.
+func (b *Balancer) recordReply(now time.Duration, flow *balancerFlow, from segment.Address, reply searchReply) {
 	reply.probed = flow.search.replies[from].probed
 	flow.search.replies[from] = reply
 	b.conclude(now, flow)
 }
 
 // conclude resets a flow that no endpoint holds. Once all possible owners have replied, it makes
-// those that do not know probe their endpoints.
+// those that are uncertain probe their endpoints.
 func (b *Balancer) conclude(now time.Duration, flow *balancerFlow) {
 	search := flow.search
 	if search.verifications == 0 {
@@ -210,7 +210,7 @@
 }
 
 // markInconclusive ends the rounds of a search in which all agents have replied but nothing is
-// proved, because an endpoint may have left before the directory's history begins. The owner may
+// proved, because an endpoint may have gone before the directory's history begins. The owner may
 // still reply when the client repeats its packet.
 func (s *ownerSearch) markInconclusive(now time.Duration) {
 	if s.inconclusive {
@@ -222,7 +222,7 @@
 }
 
 // directoryCovers reports whether the directory's history is long enough to contain every endpoint
-// that may hold a flow, including one that has left and still serves. The history is long enough if
+// that may hold a flow, including one that is gone and still serves. The history is long enough if
 // it spans the lifetime of a flow, or if it goes back to the start of the agents, before which
 // nothing was running. If all agents are as young as the directory, everything was started anew.
 func (b *Balancer) directoryCovers(now, agentStartedAt time.Duration) bool {
