--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -52,7 +52,8 @@
 	// zones holds the zones that are closed or were closed recently.
 	zones map[string]zoneRecord
 	// departuresKnownSince is the start of the period for which all departures of endpoints are
-	// known. A departure is the change of an endpoint to gone. The value is the constant never if there is no such period.
+	// known. A departure is the change of an endpoint to gone. The value is the constant never if
+	// there is no such period.
 	departuresKnownSince time.Duration
 	snapshot             *Snapshot
 }
