--- a/bench/experiment/apply.go
+++ b/bench/experiment/apply.go
@@ -75,11 +75,11 @@
 	case EventAgentResume:
 		return c.endpointNamed(event.Target).process.Resume()
 	case EventPlatformDown:
-		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.Skew, Down: true})
+		c.platform.SetFaults(platform.Faults{MaxReaderLag: c.options.Experiment.Skew, Down: true})
 	case EventPlatformStale:
-		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.Skew, Stale: true})
+		c.platform.SetFaults(platform.Faults{MaxReaderLag: c.options.Experiment.Skew, Stale: true})
 	case EventPlatformRecover:
-		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.Skew})
+		c.platform.SetFaults(platform.Faults{MaxReaderLag: c.options.Experiment.Skew})
 	}
 	return nil
 }
--- a/bench/experiment/cluster.go
+++ b/bench/experiment/cluster.go
@@ -126,7 +126,7 @@
 		Requests: c.options.Experiment.Network,
 		Answers:  c.options.Experiment.Network,
 		Seed:     c.options.Seed,
-		Observe:  func(opening fabric.Opening) { c.openings.observe(time.Now(), opening) },
+		OnAccept: func(opening fabric.AcceptedConnection) { c.openings.observe(time.Now(), opening) },
 	})
 	if err != nil {
 		return err
@@ -227,7 +227,7 @@
 		}
 	}
 	c.publishMachines()
-	c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.Skew})
+	c.platform.SetFaults(platform.Faults{MaxReaderLag: c.options.Experiment.Skew})
 	if err := c.waitHealthy(ctx); err != nil {
 		return err
 	}
--- a/bench/experiment/export_test.go
+++ b/bench/experiment/export_test.go
@@ -33,7 +33,7 @@
 	for _, exported := range acceptances {
 		agent := netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(len(backendOf)+1))
 		backendOf[agent] = exported.Backend
-		seen.openings.observe(exported.At, fabric.Opening{
+		seen.openings.observe(exported.At, fabric.AcceptedConnection{
 			Agent: agent, Caller: exported.Caller, Acknowledged: exported.Acknowledged,
 		})
 	}
--- a/bench/experiment/members.go
+++ b/bench/experiment/members.go
@@ -102,7 +102,7 @@
 // readerURL names the reader, so that the platform keeps its lag.
 func (c *Cluster) readerURL(path, reader string) string {
 	query := url.Values{}
-	query.Set(platform.QueryReader, reader)
+	query.Set(platform.ReaderParameter, reader)
 	return c.platform.URL(path) + "?" + query.Encode()
 }
 
--- a/bench/experiment/openings.go
+++ b/bench/experiment/openings.go
@@ -39,7 +39,7 @@
 }
 
 // observe records an acceptance. Repetitions by the same agent count once.
-func (o *openings) observe(at time.Time, opening fabric.Opening) {
+func (o *openings) observe(at time.Time, opening fabric.AcceptedConnection) {
 	key := connection{opening.Caller, opening.Service, opening.Acknowledged}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/bench/fabric/opening.go
+++ b/bench/fabric/accept.go
@@ -9,8 +9,8 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Opening is the acceptance of a TCP connection by an agent.
-type Opening struct {
+// AcceptedConnection is the acceptance of a TCP connection by an agent.
+type AcceptedConnection struct {
 	// Agent is the UDP address that the answer came from.
 	Agent netip.AddrPort
 	// Caller and Service are the ends of the connection.
@@ -36,19 +36,19 @@
 
 // openingOf reads an answer whose IPv4 header has been checked. It returns
 // false for anything but a segment with SYN and ACK.
-func openingOf(agent netip.AddrPort, packet []byte) (Opening, bool) {
+func openingOf(agent netip.AddrPort, packet []byte) (AcceptedConnection, bool) {
 	header := int(packet[0]&ipv4HeaderLengthMask) * ipv4HeaderLengthUnit
 	if table.Protocol(packet[ipv4ProtocolOffset]) != table.ProtocolTCP || len(packet) < header+tcpMinimumHeader {
-		return Opening{}, false
+		return AcceptedConnection{}, false
 	}
 	segment := packet[header:]
 	const examined = tcpFlagSYN | tcpFlagACK | tcpFlagRST
 	if segment[tcpFlagsOffset]&examined != tcpFlagSYN|tcpFlagACK {
-		return Opening{}, false
+		return AcceptedConnection{}, false
 	}
 	source := netip.AddrFrom4([4]byte(packet[ipv4SourceOffset:ipv4DestinationOffset]))
 	destination := netip.AddrFrom4([4]byte(packet[ipv4DestinationOffset:ipv4HeaderSize]))
-	return Opening{
+	return AcceptedConnection{
 		Agent:        agent,
 		Caller:       netip.AddrPortFrom(destination, binary.BigEndian.Uint16(segment[tcpDestinationPortOffset:])),
 		Service:      netip.AddrPortFrom(source, binary.BigEndian.Uint16(segment)),
--- a/bench/fabric/fabric.go
+++ b/bench/fabric/fabric.go
@@ -31,9 +31,9 @@
 	// Seed determines which balancer each packet goes to and which packets
 	// are disturbed.
 	Seed uint64
-	// Observe, if set, is told of every acceptance of a TCP connection,
+	// OnAccept, if set, is told of every acceptance of a TCP connection,
 	// before the answer is disturbed. It must not block.
-	Observe func(Opening)
+	OnAccept func(AcceptedConnection)
 }
 
 // Receiver takes an answer packet. It must not keep the slice.
@@ -63,7 +63,7 @@
 type Fabric struct {
 	socket   *net.UDPConn
 	counters counters
-	observe  func(Opening)
+	observe  func(AcceptedConnection)
 
 	mutex     sync.Mutex
 	balancers []netip.AddrPort
@@ -93,7 +93,7 @@
 	}
 	return &Fabric{
 		socket:    socket,
-		observe:   settings.Observe,
+		observe:   settings.OnAccept,
 		random:    rand.New(rand.NewPCG(settings.Seed, 0)),
 		requests:  NewImpairer(settings.Requests, settings.Seed),
 		answers:   NewImpairer(settings.Answers, settings.Seed+answerSeedOffset),
@@ -148,7 +148,7 @@
 }
 
 // prepare decides what happens to a packet and which balancer gets each copy.
-func (f *Fabric) prepare(packet []byte) (Fate, []byte, []netip.AddrPort) {
+func (f *Fabric) prepare(packet []byte) (Decision, []byte, []netip.AddrPort) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	fate := f.requests.Next()
@@ -163,7 +163,7 @@
 	return fate, f.encoder.AppendPlain(nil, packet), targets
 }
 
-func (f *Fabric) count(fate Fate) {
+func (f *Fabric) count(fate Decision) {
 	switch {
 	case fate.Copies == 0:
 		f.counters.lost.Add(1)
--- a/bench/fabric/fabric_test.go
+++ b/bench/fabric/fabric_test.go
@@ -55,16 +55,16 @@
 
 	type fates struct{ lost, duplicated, delayed int }
 
-	sequence := func(settings fabric.Impairment, seed uint64) []fabric.Fate {
+	sequence := func(settings fabric.Impairment, seed uint64) []fabric.Decision {
 		impairer := fabric.NewImpairer(settings, seed)
-		sequence := make([]fabric.Fate, packets)
+		sequence := make([]fabric.Decision, packets)
 		for i := range sequence {
 			sequence[i] = impairer.Next()
 		}
 		return sequence
 	}
 
-	count := func(sequence []fabric.Fate) fates {
+	count := func(sequence []fabric.Decision) fates {
 		var counted fates
 		for _, fate := range sequence {
 			switch fate.Copies {
@@ -146,8 +146,8 @@
 
 	DescribeTable("observes the acceptance of connections",
 		func(protocol, flags byte, expected int) {
-			observed := make(chan fabric.Opening, 1)
-			created := startFabric(fabric.Settings{Observe: func(opening fabric.Opening) { observed <- opening }})
+			observed := make(chan fabric.AcceptedConnection, 1)
+			created := startFabric(fabric.Settings{OnAccept: func(opening fabric.AcceptedConnection) { observed <- opening }})
 			agent := listen()
 			packet := append(ipv4Packet(caller), make([]byte, 20)...)
 			packet[9] = protocol
@@ -159,7 +159,7 @@
 			Eventually(created.Counters, "30s").Should(HaveField("UnknownCaller", uint64(1)))
 			Expect(observed).To(HaveLen(expected))
 			if expected == 1 {
-				Expect(<-observed).To(Equal(fabric.Opening{
+				Expect(<-observed).To(Equal(fabric.AcceptedConnection{
 					Agent:        addressOf(agent),
 					Caller:       netip.AddrPortFrom(caller, 4000),
 					Service:      netip.MustParseAddrPort("198.51.100.1:80"),
--- a/bench/fabric/impairment.go
+++ b/bench/fabric/impairment.go
@@ -21,8 +21,8 @@
 	ReorderingDelay time.Duration
 }
 
-// Fate is what happens to one packet.
-type Fate struct {
+// Decision is what happens to one packet.
+type Decision struct {
 	// Copies is how many times the packet is sent; zero means lost.
 	Copies int
 	// Delay is how long the packet is held back before it is sent.
@@ -43,14 +43,14 @@
 
 // Next decides the fate of the next packet. It always draws the same number
 // of random values, so that one probability does not shift the others.
-func (i *Impairer) Next() Fate {
+func (i *Impairer) Next() Decision {
 	loss := i.random.Float64()
 	duplication := i.random.Float64()
 	reordering := i.random.Float64()
 	if loss < i.settings.Loss {
-		return Fate{}
+		return Decision{}
 	}
-	fate := Fate{Copies: 1}
+	fate := Decision{Copies: 1}
 	if duplication < i.settings.Duplication {
 		fate.Copies = 2
 	}
--- a/bench/flownet/side.go
+++ b/bench/flownet/agent.go
@@ -72,8 +72,8 @@
 	n.begin(false)
 }
 
-// Wake implements simnet.Handler.
-func (n *agentNode) Wake(now time.Duration, _ uint32) {
+// HandleTimer implements simnet.Handler.
+func (n *agentNode) HandleTimer(now time.Duration, _ uint32) {
 	n.execute(n.part.Tick(now))
 	n.side.world.net.Schedule(n.id, tickInterval, tickTimer)
 }
--- a/bench/flownet/balancer.go
+++ b/bench/flownet/balancer.go
@@ -153,8 +153,8 @@
 	n.world.net.Schedule(n.id, call.Timeout, timeoutTimer+uint32(n.number))
 }
 
-// Wake implements simnet.Handler.
-func (n *balancerNode) Wake(now time.Duration, timer uint32) {
+// HandleTimer implements simnet.Handler.
+func (n *balancerNode) HandleTimer(now time.Duration, timer uint32) {
 	switch timer {
 	case tickTimer:
 		n.execute(n.part.Tick(now))
@@ -210,7 +210,7 @@
 	}
 	n.calling = false
 	changed := false
-	planted := n.world.options.Planted
+	planted := n.world.options.Defect
 	reply.page.Items = planted.filter(reply.page.Items)
 	reply.changes.Items = planted.filter(reply.changes.Items)
 	switch {
@@ -254,7 +254,7 @@
 	digest := n.directory.Digest()
 	for range digestFanout {
 		other, _ := pick(n.world, n.world.balancers)
-		if other != n && !n.world.cutOff[n.ip] && n.world.options.Planted != PlantedEmptyUpdates {
+		if other != n && !n.world.cutOff[n.ip] && n.world.options.Defect != DefectEmptyUpdates {
 			n.world.net.Send(n.id, other.id, simnet.Control, 60, datagram{port: peerPort, digest: &digest})
 		}
 	}
--- a/bench/flownet/ledger.go
+++ b/bench/flownet/checker.go
@@ -22,7 +22,7 @@
 // request is what a client wants.
 type request struct {
 	id       uint64
-	class    Class
+	class    RequestClass
 	sent     time.Duration
 	deadline time.Duration
 	tries    int
@@ -128,15 +128,15 @@
 func (l *ledger) now() time.Duration { return l.world.net.Now() }
 
 // ask notes a new request.
-func (l *ledger) ask(class Class) *request {
+func (l *ledger) ask(class RequestClass) *request {
 	asked := l.probe(class)
 	asked.probe = false
-	l.window(asked).Asked++
+	l.window(asked).Requests++
 	return asked
 }
 
 // probe notes a request that only tests which configuration is in force.
-func (l *ledger) probe(class Class) *request {
+func (l *ledger) probe(class RequestClass) *request {
 	l.next++
 	asked := &request{id: l.next, class: class, sent: l.now(), deadline: l.now() + class.Timeout, probe: true}
 	l.requests[asked.id] = asked
@@ -151,7 +151,7 @@
 	return l.windows[index]
 }
 
-func (l *ledger) class(id uint64) Class {
+func (l *ledger) class(id uint64) RequestClass {
 	if known, exists := l.requests[id]; exists {
 		return known.class
 	}
@@ -168,8 +168,8 @@
 	}
 	window := l.window(answered)
 	window.Served++
-	if l.now()-answered.sent <= answered.class.Target {
-		window.InTarget++
+	if l.now()-answered.sent <= answered.class.TargetLatency {
+		window.WithinTarget++
 	}
 }
 
@@ -192,7 +192,7 @@
 		return
 	}
 	known.runs++
-	if known.runs > 1 && !known.class.Repeatable {
+	if known.runs > 1 && !known.class.Retryable {
 		l.doubleRuns++
 	}
 }
--- a/bench/flownet/client.go
+++ b/bench/flownet/client.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Wake implements simnet.Handler.
-func (c *clientHost) Wake(time.Duration, uint32) {}
+// HandleTimer implements simnet.Handler.
+func (c *clientHost) HandleTimer(time.Duration, uint32) {}
 
 // Receive implements simnet.Handler.
 func (c *clientHost) Receive(_ time.Duration, _ simnet.NodeID, received datagram) {
@@ -192,7 +192,7 @@
 	}
 }
 
-func (f *clientFlow) pieces() byte { return byte(max(f.request.class.Pieces, 1)) }
+func (f *clientFlow) pieces() byte { return byte(max(f.request.class.RequestPackets, 1)) }
 
 // sendPiece sends a piece of the request and repeats it until the endpoint has
 // acknowledged it or begun to answer.
@@ -215,7 +215,7 @@
 	f.sending++
 	number := f.sending
 	w := f.host.world
-	w.net.At(w.net.Now()+f.request.class.Pause, func() {
+	w.net.At(w.net.Now()+f.request.class.PacketInterval, func() {
 		if !f.done {
 			f.sendPiece(number, firstRepeat)
 		}
@@ -237,7 +237,7 @@
 	f.done = true
 	delete(f.host.flows, f.key.Client.Port)
 	w := f.host.world
-	again := f.request.tries < maximumTries && (notRun || f.request.class.Repeatable)
+	again := f.request.tries < maximumTries && (notRun || f.request.class.Retryable)
 	if again && w.net.Now()+retryDelay < f.request.deadline {
 		w.net.At(w.net.Now()+retryDelay, func() { f.host.try(f.request) })
 		return
--- a/bench/flownet/confirm.go
+++ b/bench/flownet/confirmation.go
@@ -7,7 +7,7 @@
 )
 
 func (n *balancerNode) wantConfirmation() {
-	if n.world.options.Planted != PlantedUnconfirmed {
+	if n.world.options.Defect != DefectSkipConfirmation {
 		n.confirmer.Request()
 		return
 	}
@@ -48,7 +48,7 @@
 		return
 	}
 	n.confirmed = 0
-	planted := n.world.options.Planted
+	planted := n.world.options.Defect
 	reply.changes.Items = planted.filter(reply.changes.Items)
 	switch {
 	case reply.failure != nil:
--- a/bench/flownet/planted.go
+++ b/bench/flownet/defects.go
@@ -9,51 +9,51 @@
 	"github.com/vanetiller/vanetiller/internal/segment"
 )
 
-// Planted is a fault that is built into the daemons on purpose.
-type Planted uint8
+// Defect is a fault that is built into the daemons on purpose.
+type Defect uint8
 
 // The planted faults.
 const (
-	// PlantedNone: the daemons are as they are.
-	PlantedNone Planted = iota
-	// PlantedIgnoreLeaving: balancers do not learn that endpoints leave.
-	PlantedIgnoreLeaving
-	// PlantedOldConfiguration: balancers keep the first configuration.
-	PlantedOldConfiguration
-	// PlantedResetUnknown: balancers reset flows that they do not know.
-	PlantedResetUnknown
-	// PlantedAnyOwner: agents take every packet for their endpoint's.
-	PlantedAnyOwner
-	// PlantedAltered: agents change packets.
-	PlantedAltered
-	// PlantedUnconfirmed: balancers take their directory for current without asking
+	// DefectNone: the daemons are as they are.
+	DefectNone Defect = iota
+	// DefectIgnoreLeaving: balancers do not learn that endpoints leave.
+	DefectIgnoreLeaving
+	// DefectStaleConfiguration: balancers keep the first configuration.
+	DefectStaleConfiguration
+	// DefectResetUnknownFlows: balancers reset flows that they do not know.
+	DefectResetUnknownFlows
+	// DefectAcceptAllPackets: agents take every packet for their endpoint's.
+	DefectAcceptAllPackets
+	// DefectCorruptPackets: agents change packets.
+	DefectCorruptPackets
+	// DefectSkipConfirmation: balancers take their directory for current without asking
 	// the store.
-	PlantedUnconfirmed
-	// PlantedHastyDenial: restarted agents deny flows that they do not know.
-	PlantedHastyDenial
-	// PlantedEmptyUpdates: balancers tell each other that they know all changes, and not
+	DefectSkipConfirmation
+	// DefectDenyAfterRestart: restarted agents deny flows that they do not know.
+	DefectDenyAfterRestart
+	// DefectEmptyUpdates: balancers tell each other that they know all changes, and not
 	// what has changed; nor do they show it in their digests, which would make up for that.
-	PlantedEmptyUpdates
-	// PlantedIgnoreZones: balancers do not learn that zones are closed.
-	PlantedIgnoreZones
-	// PlantedStayClosed: balancers do not learn that zones are opened again.
-	PlantedStayClosed
-	// PlantedNoColdLimit: agents do not know what cold endpoints carry.
-	PlantedNoColdLimit
+	DefectEmptyUpdates
+	// DefectIgnoreClosedZones: balancers do not learn that zones are closed.
+	DefectIgnoreClosedZones
+	// DefectIgnoreReopenedZones: balancers do not learn that zones are opened again.
+	DefectIgnoreReopenedZones
+	// DefectNoColdStartLimit: agents do not know what cold endpoints carry.
+	DefectNoColdStartLimit
 )
 
 // filter takes from the store's items what a planted fault hides.
-func (p Planted) filter(items []directory.Item) []directory.Item {
+func (p Defect) filter(items []directory.Item) []directory.Item {
 	switch p {
-	case PlantedIgnoreLeaving:
+	case DefectIgnoreLeaving:
 		return slices.DeleteFunc(slices.Clone(items), func(item directory.Item) bool {
 			return item.EndpointID.Name != "" && (item.Endpoint == nil || item.Endpoint.Draining)
 		})
-	case PlantedIgnoreZones:
+	case DefectIgnoreClosedZones:
 		return slices.DeleteFunc(slices.Clone(items), func(item directory.Item) bool { return item.Zone != "" })
-	case PlantedStayClosed:
+	case DefectIgnoreReopenedZones:
 		return slices.DeleteFunc(slices.Clone(items), func(item directory.Item) bool { return item.Zone != "" && !item.ZoneClosed })
-	case PlantedOldConfiguration:
+	case DefectStaleConfiguration:
 		return slices.DeleteFunc(slices.Clone(items), func(item directory.Item) bool {
 			return item.Configuration != nil && item.Revision > 1
 		})
--- a/bench/flownet/spread.go
+++ b/bench/flownet/dissemination.go
@@ -46,7 +46,7 @@
 // tell sends updates in their encoded form, as balancers do.
 func (n *balancerNode) tell(outgoing []directory.Outgoing) {
 	for _, each := range outgoing {
-		if n.world.options.Planted == PlantedEmptyUpdates {
+		if n.world.options.Defect == DefectEmptyUpdates {
 			each.Update.State.Endpoints = nil
 			each.Update.State.ConfigurationVersion = 0
 		}
--- a/bench/flownet/endpoint.go
+++ b/bench/flownet/endpoint.go
@@ -97,8 +97,8 @@
 	return true
 }
 
-// Wake implements simnet.Handler.
-func (e *endpoint) Wake(time.Duration, uint32) {}
+// HandleTimer implements simnet.Handler.
+func (e *endpoint) HandleTimer(time.Duration, uint32) {}
 
 // Receive implements simnet.Handler.
 func (e *endpoint) Receive(_ time.Duration, _ simnet.NodeID, received datagram) {
@@ -179,7 +179,7 @@
 		e.work(known)
 		return
 	}
-	if len(e.waiting) >= e.side.service.Queue {
+	if len(e.waiting) >= e.side.service.QueueLimit {
 		known.answered = true
 		e.respondRefused(known)
 		return
@@ -221,7 +221,7 @@
 	e.working++
 	w.ledger.ran(e, known)
 	class := w.ledger.class(known.request)
-	duration := time.Duration(float64(class.Work) * (0.5 + w.random.Float64()) * e.slow)
+	duration := time.Duration(float64(class.MeanServiceTime) * (0.5 + w.random.Float64()) * e.slow)
 	if w.net.Now() < e.coldUntil {
 		duration = time.Duration(float64(duration) * coldFactor)
 	}
@@ -253,8 +253,8 @@
 
 func (e *endpoint) respond(known *heldFlow) {
 	class := e.side.world.ledger.class(known.request)
-	for part := range class.Answer {
-		data := binary.BigEndian.AppendUint64([]byte{answerServed, byte(part), byte(class.Answer)}, known.request)
+	for part := range class.ResponsePackets {
+		data := binary.BigEndian.AppendUint64([]byte{answerServed, byte(part), byte(class.ResponsePackets)}, known.request)
 		e.emit(known, segment.Acknowledge, known.answer+1+uint32(part), data)
 	}
 	e.repeat(known, 200*time.Millisecond)
@@ -280,8 +280,8 @@
 			return
 		}
 		class := w.ledger.class(known.request)
-		for part := range class.Answer {
-			data := binary.BigEndian.AppendUint64([]byte{answerServed, byte(part), byte(class.Answer)}, known.request)
+		for part := range class.ResponsePackets {
+			data := binary.BigEndian.AppendUint64([]byte{answerServed, byte(part), byte(class.ResponsePackets)}, known.request)
 			e.emit(known, segment.Acknowledge, known.answer+1+uint32(part), data)
 		}
 		e.repeat(known, 2*after)
--- a/bench/flownet/fault.go
+++ b/bench/flownet/events.go
@@ -185,14 +185,14 @@
 		Name: "added", IP: address.IP, Port: address.Port, WeightedServices: []directory.WeightedService{{Service: service.Name, Weight: 1}},
 	})
 	w.store.configure(routes)
-	w.probeRoute(Class{
-		Name: "probe", Service: service.Name, Address: address, Work: 5 * time.Millisecond, Answer: 1,
-		Target: time.Second, Timeout: time.Second, Repeatable: true,
+	w.probeRoute(RequestClass{
+		Name: "probe", Service: service.Name, Address: address, MeanServiceTime: 5 * time.Millisecond, ResponsePackets: 1,
+		TargetLatency: time.Second, Timeout: time.Second, Retryable: true,
 	})
 }
 
 // probeRoute sends requests to a route that was added, also after it is dropped.
-func (w *world) probeRoute(class Class) {
+func (w *world) probeRoute(class RequestClass) {
 	end := leadTime + w.options.Duration
 	var next func()
 	next = func() {
--- a/bench/flownet/flownet_test.go
+++ b/bench/flownet/flownet_test.go
@@ -17,22 +17,22 @@
 }
 
 func options(shape string, seed uint64) flownet.Options {
-	chosen, err := flownet.ShapeNamed(shape)
+	chosen, err := flownet.ScenarioByName(shape)
 	Expect(err).NotTo(HaveOccurred())
 	return flownet.Options{
-		Shape: chosen, Seed: seed, Duration: 20 * time.Second, Hash: flownet.HashSteady, Events: 12, Load: 1,
+		Shape: chosen, Seed: seed, Duration: 20 * time.Second, Hash: flownet.HashRendezvous, Events: 12, Load: 1,
 	}
 }
 
 var _ = Describe("Run", func() {
 	It("serves a calm run in whole and in time", func() {
-		for _, shape := range flownet.Shapes() {
+		for _, shape := range flownet.Scenarios() {
 			chosen := options(shape.Name, 1)
 			chosen.Events = 0
 			report := flownet.Run(chosen)
-			Expect(report.Broken()).To(BeZero(), fmt.Sprintf("%+v", report))
-			Expect(report.Served).To(BeNumerically(">", 0.999))
-			Expect(report.InTarget).To(BeNumerically(">", 0.99))
+			Expect(report.Violations()).To(BeZero(), fmt.Sprintf("%+v", report))
+			Expect(report.ServedShare).To(BeNumerically(">", 0.999))
+			Expect(report.WithinTargetShare).To(BeNumerically(">", 0.99))
 		}
 	})
 
@@ -51,9 +51,9 @@
 		for _, balancers := range []int{20, 60} {
 			chosen.Shape.Balancers = balancers
 			report := flownet.Run(chosen)
-			Expect(report.Broken()).To(BeZero(), fmt.Sprintf("%+v", report))
-			Expect(report.Served).To(BeNumerically(">", 0.999))
-			calls[balancers] = report.Calls["watch"] + report.Calls["poll"]
+			Expect(report.Violations()).To(BeZero(), fmt.Sprintf("%+v", report))
+			Expect(report.ServedShare).To(BeNumerically(">", 0.999))
+			calls[balancers] = report.StoreCalls["watch"] + report.StoreCalls["poll"]
 		}
 		Expect(calls[60]).To(BeNumerically("<", 3*calls[20]/2))
 	})
@@ -63,9 +63,9 @@
 		chosen.Events = 0
 		chosen.PowerLoss = true
 		report := flownet.Run(chosen)
-		Expect(report.Broken()).To(BeZero(), fmt.Sprintf("%+v", report))
-		Expect(report.Served).To(BeNumerically(">", 0.98))
-		Expect(report.Calls["watch"]+report.Calls["poll"]).To(BeNumerically("<", 4*60), fmt.Sprintf("%+v", report.Calls))
+		Expect(report.Violations()).To(BeZero(), fmt.Sprintf("%+v", report))
+		Expect(report.ServedShare).To(BeNumerically(">", 0.98))
+		Expect(report.StoreCalls["watch"]+report.StoreCalls["poll"]).To(BeNumerically("<", 4*60), fmt.Sprintf("%+v", report.StoreCalls))
 	})
 
 	DescribeTable("keeps to what cold endpoints carry, and closed zones empty, under random events", func(shape string, rate float64, seeds uint64) {
@@ -74,7 +74,7 @@
 			chosen.ColdRate = rate
 			chosen.Events = 20
 			report := flownet.Run(chosen)
-			Expect(report.Broken()).To(BeZero(), fmt.Sprintf("seed %d: %+v", seed, report))
+			Expect(report.Violations()).To(BeZero(), fmt.Sprintf("seed %d: %+v", seed, report))
 		}
 	},
 		Entry("casablanca, 8 a second", "casablanca", 8.0, uint64(6)),
@@ -90,13 +90,13 @@
 			chosen.Events = 0
 			chosen.Duration = 36 * time.Second
 			chosen.PowerLoss = true
-			chosen.ColdRate, chosen.Untold = rate, untold
+			chosen.ColdRate, chosen.ColdRateHidden = rate, untold
 			report := flownet.Run(chosen)
-			Expect(report.Broken()).To(BeZero(), fmt.Sprintf("%+v", report))
+			Expect(report.Violations()).To(BeZero(), fmt.Sprintf("%+v", report))
 			// Power is lost after two thirds of the time, at the end of a window.
 			back := len(report.Windows)*2/3 + 1
 			for _, window := range report.Windows[back+within/2:] {
-				Expect(window.Served).To(BeNumerically(">=", window.Asked*98/100), fmt.Sprintf("%+v", report.Windows))
+				Expect(window.Served).To(BeNumerically(">=", window.Requests*98/100), fmt.Sprintf("%+v", report.Windows))
 			}
 		}
 	},
@@ -112,30 +112,30 @@
 		Expect(flownet.Run(options("kolkata", 3))).To(Equal(flownet.Run(options("kolkata", 3))))
 	})
 
-	DescribeTable("keeps every promise under random events", func(shape string, hash flownet.Hash) {
+	DescribeTable("keeps every promise under random events", func(shape string, hash flownet.HashScheme) {
 		for seed := uint64(1); seed <= 6; seed++ {
 			chosen := options(shape, seed)
 			chosen.Hash = hash
 			report := flownet.Run(chosen)
-			Expect(report.Broken()).To(BeZero(), fmt.Sprintf("seed %d: %+v", seed, report))
-			Expect(report.Served).To(BeNumerically(">", 0.9), fmt.Sprintf("seed %d: %+v", seed, report))
+			Expect(report.Violations()).To(BeZero(), fmt.Sprintf("seed %d: %+v", seed, report))
+			Expect(report.ServedShare).To(BeNumerically(">", 0.9), fmt.Sprintf("seed %d: %+v", seed, report))
 		}
 	},
-		Entry("casablanca, steady hash", "casablanca", flownet.HashSteady),
+		Entry("casablanca, steady hash", "casablanca", flownet.HashRendezvous),
 		Entry("casablanca, modulo hash", "casablanca", flownet.HashModulo),
-		Entry("kolkata, steady hash", "kolkata", flownet.HashSteady),
+		Entry("kolkata, steady hash", "kolkata", flownet.HashRendezvous),
 		Entry("kolkata, modulo hash", "kolkata", flownet.HashModulo),
 		Entry("sahel, modulo hash", "sahel", flownet.HashModulo),
-		Entry("large, steady hash", "large", flownet.HashSteady),
+		Entry("large, steady hash", "large", flownet.HashRendezvous),
 	)
 
 	DescribeTable("loses next to nothing to planned work", func(shape string) {
 		for seed := uint64(1); seed <= 4; seed++ {
 			chosen := options(shape, seed)
-			chosen.Planned = true
+			chosen.PlannedOnly = true
 			report := flownet.Run(chosen)
-			Expect(report.Broken()).To(BeZero(), fmt.Sprintf("seed %d: %+v", seed, report))
-			Expect(report.Served).To(BeNumerically(">", 0.998), fmt.Sprintf("seed %d: %+v", seed, report))
+			Expect(report.Violations()).To(BeZero(), fmt.Sprintf("seed %d: %+v", seed, report))
+			Expect(report.ServedShare).To(BeNumerically(">", 0.998), fmt.Sprintf("seed %d: %+v", seed, report))
 		}
 	},
 		Entry("casablanca", "casablanca"),
@@ -143,22 +143,22 @@
 		Entry("sahel", "sahel"),
 	)
 
-	DescribeTable("needs every part of the proof that nobody holds a flow", func(planted flownet.Planted) {
+	DescribeTable("needs every part of the proof that nobody holds a flow", func(planted flownet.Defect) {
 		broken := 0
 		// Some 1 in 300 runs shows the fault; the search ends with the first.
 		for seed := uint64(1); seed <= 160 && broken == 0; seed++ {
-			for _, shape := range flownet.Shapes() {
+			for _, shape := range flownet.Scenarios() {
 				chosen := options(shape.Name, seed)
-				chosen.Planted = planted
+				chosen.Defect = planted
 				chosen.Hash = flownet.HashModulo
 				chosen.Events = 30
-				broken += flownet.Run(chosen).ResetOpen
+				broken += flownet.Run(chosen).OpenFlowResets
 			}
 		}
 		Expect(broken).To(BeNumerically(">", 0))
 	},
-		Entry("that the directory is current", flownet.PlantedUnconfirmed),
-		Entry("that restarted agents ask their endpoints", flownet.PlantedHastyDenial),
+		Entry("that the directory is current", flownet.DefectSkipConfirmation),
+		Entry("that restarted agents ask their endpoints", flownet.DefectDenyAfterRestart),
 	)
 
 	It("breaks promises with a stateless hash, so that the checks are shown to see them", func() {
@@ -166,8 +166,8 @@
 		for seed := uint64(1); seed <= 3; seed++ {
 			chosen := options("casablanca", seed)
 			chosen.Baseline = true
-			chosen.Planned = true
-			broken += flownet.Run(chosen).Broken()
+			chosen.PlannedOnly = true
+			broken += flownet.Run(chosen).Violations()
 		}
 		Expect(broken).To(BeNumerically(">", 0))
 	})
@@ -182,13 +182,13 @@
 			chosen.Events = 0
 			chosen.PowerLoss = true
 			held := flownet.Run(chosen)
-			chosen.Unbounded = true
+			chosen.DisableAgentQueue = true
 			unbounded := flownet.Run(chosen)
-			Expect(held.Broken()).To(BeZero())
-			heldWorst += held.WorstWindow / runs
-			heldInTarget += held.InTarget / runs
-			unboundedWorst += unbounded.WorstWindow / runs
-			unboundedInTarget += unbounded.InTarget / runs
+			Expect(held.Violations()).To(BeZero())
+			heldWorst += held.WorstWindowShare / runs
+			heldInTarget += held.WithinTargetShare / runs
+			unboundedWorst += unbounded.WorstWindowShare / runs
+			unboundedInTarget += unbounded.WithinTargetShare / runs
 		}
 		Expect(heldWorst).To(BeNumerically(">", unboundedWorst+0.1))
 		Expect(heldInTarget).To(BeNumerically(">", unboundedInTarget))
@@ -197,23 +197,23 @@
 		Entry("kolkata", "kolkata"),
 	)
 
-	DescribeTable("sees planted faults", func(planted flownet.Planted, broken func(flownet.Report) int) {
+	DescribeTable("sees planted faults", func(planted flownet.Defect, broken func(flownet.Report) int) {
 		found := 0
 		for seed := uint64(1); seed <= 16 && found == 0; seed++ {
 			chosen := options("casablanca", seed)
-			chosen.Planned = true
-			chosen.Planted = planted
+			chosen.PlannedOnly = true
+			chosen.Defect = planted
 			found += broken(flownet.Run(chosen))
 		}
 		Expect(found).To(BeNumerically(">", 0))
 	},
-		Entry("leaving endpoints ignored", flownet.PlantedIgnoreLeaving, func(r flownet.Report) int { return r.LateOpenings }),
-		Entry("an old configuration kept", flownet.PlantedOldConfiguration, func(r flownet.Report) int { return r.LateRoutes }),
-		Entry("unknown flows reset", flownet.PlantedResetUnknown, func(r flownet.Report) int { return r.ResetOpen }),
-		Entry("packets of other endpoints taken", flownet.PlantedAnyOwner, func(r flownet.Report) int { return r.Misrouted }),
-		Entry("closed zones ignored", flownet.PlantedIgnoreZones, func(r flownet.Report) int { return r.ClosedOpenings }),
-		Entry("updates without changes", flownet.PlantedEmptyUpdates, func(r flownet.Report) int { return r.LateOpenings + r.LateRoutes }),
-		Entry("packets changed", flownet.PlantedAltered, func(r flownet.Report) int { return r.Forged }),
+		Entry("leaving endpoints ignored", flownet.DefectIgnoreLeaving, func(r flownet.Report) int { return r.OpenedAfterDrain }),
+		Entry("an old configuration kept", flownet.DefectStaleConfiguration, func(r flownet.Report) int { return r.StaleRoutes }),
+		Entry("unknown flows reset", flownet.DefectResetUnknownFlows, func(r flownet.Report) int { return r.OpenFlowResets }),
+		Entry("packets of other endpoints taken", flownet.DefectAcceptAllPackets, func(r flownet.Report) int { return r.MisroutedFlows }),
+		Entry("closed zones ignored", flownet.DefectIgnoreClosedZones, func(r flownet.Report) int { return r.OpenedInClosedZone }),
+		Entry("updates without changes", flownet.DefectEmptyUpdates, func(r flownet.Report) int { return r.OpenedAfterDrain + r.StaleRoutes }),
+		Entry("packets changed", flownet.DefectCorruptPackets, func(r flownet.Report) int { return r.CorruptedPackets }),
 	)
 
 	It("sees cold endpoints that get more than they carry", func() {
@@ -221,25 +221,25 @@
 		for seed := uint64(1); seed <= 4; seed++ {
 			chosen := options("casablanca", seed)
 			chosen.ColdRate = 8
-			chosen.Planted = flownet.PlantedNoColdLimit
-			overrun += flownet.Run(chosen).Overrun
+			chosen.Defect = flownet.DefectNoColdStartLimit
+			overrun += flownet.Run(chosen).ColdOverloads
 		}
 		Expect(overrun).To(BeNumerically(">", 0))
 	})
 
 	It("sees zones that stay closed, by the flows that find no endpoint", func() {
-		refused := func(planted flownet.Planted) int {
+		refused := func(planted flownet.Defect) int {
 			total := 0
 			for seed := uint64(1); seed <= 4; seed++ {
 				chosen := options("casablanca", seed)
 				chosen.Duration = 80 * time.Second
 				chosen.Events = 60
-				chosen.Planned = true
-				chosen.Planted = planted
+				chosen.PlannedOnly = true
+				chosen.Defect = planted
 				total += flownet.Run(chosen).Decisions["no_endpoint"]
 			}
 			return total
 		}
-		Expect(refused(flownet.PlantedStayClosed)).To(BeNumerically(">", 10*refused(flownet.PlantedNone)))
+		Expect(refused(flownet.DefectIgnoreReopenedZones)).To(BeNumerically(">", 10*refused(flownet.DefectNone)))
 	})
 })
--- a/bench/flownet/run.go
+++ b/bench/flownet/run.go
@@ -7,50 +7,50 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// Hash is how the fabric chooses a balancer.
-type Hash string
+// HashScheme is how the fabric chooses a balancer.
+type HashScheme string
 
 // The ways of choosing a balancer.
 const (
-	// HashSteady moves only the flows of a balancer that comes or goes.
-	HashSteady Hash = "steady"
+	// HashRendezvous moves only the flows of a balancer that comes or goes.
+	HashRendezvous HashScheme = "steady"
 	// HashModulo moves nearly all flows.
-	HashModulo Hash = "modulo"
+	HashModulo HashScheme = "modulo"
 )
 
 // Options determine a run.
 type Options struct {
-	Shape    Shape
+	Shape    Scenario
 	Seed     uint64
 	Duration time.Duration
-	Hash     Hash
+	Hash     HashScheme
 	// Events is the number of events of the schedule.
 	Events int
-	// Planned leaves out all events but planned work.
-	Planned bool
+	// PlannedOnly leaves out all events but planned work.
+	PlannedOnly bool
 	// Load multiplies the traffic of the shape.
 	Load float64
 	// PowerLoss makes all machines lose power once, near the end.
 	PowerLoss bool
 	// ColdRate is how many requests a second an endpoint carries after a start, 0 for any
 	// number. One that gets too many fails. Untold is set if no configuration tells it.
-	ColdRate float64
-	Untold   bool
+	ColdRate       float64
+	ColdRateHidden bool
 	// Baseline replaces the product by a stateless hash, as negative control.
 	Baseline bool
-	// Planted makes the daemons break a promise on purpose, so that a test can
+	// Defect makes the daemons break a promise on purpose, so that a test can
 	// show that the ledger sees it.
-	Planted Planted
-	// Unbounded makes agents give all packets to their endpoints at once, for
+	Defect Defect
+	// DisableAgentQueue makes agents give all packets to their endpoints at once, for
 	// comparison.
-	Unbounded bool
+	DisableAgentQueue bool
 }
 
 func (o Options) newBalancer(config relay.BalancerConfig) balancerPart {
 	if o.Baseline {
 		return &hashBalancer{config: config}
 	}
-	if o.Planted == PlantedResetUnknown {
+	if o.Defect == DefectResetUnknownFlows {
 		return &resettingBalancer{relay.NewBalancer(config), config.Codec}
 	}
 	return relay.NewBalancer(config)
@@ -60,17 +60,17 @@
 	if o.Baseline {
 		return &hashAgent{config: config}
 	}
-	if o.Unbounded {
+	if o.DisableAgentQueue {
 		return &unboundedAgent{relay.NewAgent(config)}
 	}
-	switch o.Planted {
-	case PlantedAnyOwner:
+	switch o.Defect {
+	case DefectAcceptAllPackets:
 		return &greedyAgent{relay.NewAgent(config)}
-	case PlantedAltered:
+	case DefectCorruptPackets:
 		return &alteringAgent{relay.NewAgent(config)}
-	case PlantedHastyDenial:
+	case DefectDenyAfterRestart:
 		return &hastyAgent{relay.NewAgent(config)}
-	case PlantedNoColdLimit:
+	case DefectNoColdStartLimit:
 		return &eagerAgent{relay.NewAgent(config)}
 	}
 	return relay.NewAgent(config)
@@ -104,8 +104,8 @@
 }
 
 // scheduleRequests lets clients send the requests of a class at random times.
-func (w *world) scheduleRequests(class Class, end time.Duration) {
-	rate := class.PerSecond * w.options.Load
+func (w *world) scheduleRequests(class RequestClass, end time.Duration) {
+	rate := class.RequestsPerSecond * w.options.Load
 	var next func()
 	next = func() {
 		if w.net.Now() >= end {
@@ -121,7 +121,7 @@
 
 func (w *world) scheduleEvents(end time.Duration) {
 	kinds := faults()
-	if w.options.Planned {
+	if w.options.PlannedOnly {
 		kinds = slices.DeleteFunc(kinds, func(each fault) bool { return each.lasts > 0 })
 	}
 	span := end - leadTime - 2*quietTime
--- a/bench/flownet/world.go
+++ b/bench/flownet/simulation.go
@@ -73,9 +73,9 @@
 
 func newWorld(options Options) *world {
 	shape := options.Shape
-	layout := simnet.Layout{
+	layout := simnet.Topology{
 		WithinZone:   simnet.Link{Delay: 100 * time.Microsecond, Jitter: 50 * time.Microsecond, Loss: baseLoss},
-		BetweenZones: simnet.Link{Delay: shape.ZoneDelay, Jitter: 100 * time.Microsecond, Loss: baseLoss},
+		BetweenZones: simnet.Link{Delay: shape.InterZoneDelay, Jitter: 100 * time.Microsecond, Loss: baseLoss},
 	}
 	for _, zone := range shape.Zones {
 		layout.Zones = append(layout.Zones, simnet.Zone{Name: zone, Region: "region"})
--- a/bench/flownet/store.go
+++ b/bench/flownet/store.go
@@ -83,8 +83,8 @@
 	s.world.net.At(s.world.net.Now()+4*time.Millisecond+s.slow, func() { s.answer(from, call) })
 }
 
-// Wake implements simnet.Handler.
-func (s *store) Wake(time.Duration, uint32) {}
+// HandleTimer implements simnet.Handler.
+func (s *store) HandleTimer(time.Duration, uint32) {}
 
 func (s *store) answer(from simnet.NodeID, call storeCall) {
 	if s.world.turnedAway(from) {
@@ -201,7 +201,7 @@
 	s.version += 1 + uint64(s.world.random.IntN(3))
 	s.routes = routes
 	configuration := &directory.Configuration{Version: s.version, Routes: routes}
-	if options := s.world.options; options.ColdRate > 0 && !options.Untold {
+	if options := s.world.options; options.ColdRate > 0 && !options.ColdRateHidden {
 		for _, service := range options.Shape.Services {
 			configuration.ColdStarts = append(configuration.ColdStarts, directory.ColdStart{
 				Service: service.Name, Duration: coldTime, RequestsPerSecond: options.ColdRate,
--- a/bench/platform/history.go
+++ b/bench/platform/history.go
@@ -12,9 +12,9 @@
 	"github.com/vanetiller/vanetiller/bench/timing"
 )
 
-// QueryReader is the query member that names the reader of a document. Readers
+// ReaderParameter is the query member that names the reader of a document. Readers
 // without a name share one lag.
-const QueryReader = "reader"
+const ReaderParameter = "reader"
 
 type historyEntry[Document any] struct {
 	revision  Revision
@@ -75,5 +75,5 @@
 // the name of the reader only.
 func (f Faults) lag(r reader) time.Duration {
 	step := xxhash.Sum64String(r.name) % (lagSteps + 1)
-	return f.Skew * time.Duration(step) / lagSteps
+	return f.MaxReaderLag * time.Duration(step) / lagSteps
 }
--- a/bench/platform/platform.go
+++ b/bench/platform/platform.go
@@ -76,10 +76,10 @@
 	Stale bool
 	// Delay is added to every answer.
 	Delay time.Duration
-	// Skew is the longest time by which a reader sees a revision later than
+	// MaxReaderLag is the longest time by which a reader sees a revision later than
 	// other readers. Each reader, told apart by QueryReader, has its own
-	// lag between zero and Skew.
-	Skew time.Duration
+	// lag between zero and MaxReaderLag.
+	MaxReaderLag time.Duration
 }
 
 // Platform is safe for concurrent use.
@@ -211,7 +211,7 @@
 
 func decodeReader(_ context.Context, request *http.Request) (any, error) {
 	return reader{
-		name:  request.URL.Query().Get(QueryReader),
+		name:  request.URL.Query().Get(ReaderParameter),
 		known: request.Header.Get("If-None-Match"),
 	}, nil
 }
--- a/bench/platform/platform_test.go
+++ b/bench/platform/platform_test.go
@@ -111,7 +111,7 @@
 
 	It("shows a new revision to some readers before others", func() {
 		service := newPlatform()
-		service.SetFaults(platform.Faults{Skew: 1000 * time.Hour})
+		service.SetFaults(platform.Faults{MaxReaderLag: 1000 * time.Hour})
 		service.PublishTable(first)
 		service.PublishTable(second)
 		seen := make(map[platform.Revision]bool)
--- a/bench/relay/compare.go
+++ b/bench/relay/compare.go
@@ -12,16 +12,16 @@
 	"github.com/vanetiller/vanetiller/internal/lookup"
 )
 
-// Side is what was measured of one relay.
-type Side struct {
+// Measurement is what was measured of one relay.
+type Measurement struct {
 	// PacketsPerSecond is the median rate of sending over the rounds, with
 	// senders that offer more than can be relayed.
 	PacketsPerSecond float64
-	// Rounds are the rates of all rounds in order.
-	Rounds []float64
-	// Received is the share of the packets sent that reached a sink. The rest
+	// RoundRates are the rates of all rounds in order.
+	RoundRates []float64
+	// ReceivedShare is the share of the packets sent that reached a sink. The rest
 	// overran the sinks' receive queues.
-	Received float64
+	ReceivedShare float64
 	// DelayP50 and DelayP99 are percentiles of the time from sender to sink
 	// at Options.DelayRate.
 	DelayP50 time.Duration
@@ -33,8 +33,8 @@
 // Report is the outcome of a comparison.
 type Report struct {
 	Options  Options
-	Bare     Side
-	Balancer Side
+	Bare     Measurement
+	Balancer Measurement
 }
 
 // RelativeRate returns the balancer's rate as a share of the bare relay's.
@@ -126,11 +126,11 @@
 	return nil
 }
 
-func (m *measured) side() Side {
-	return Side{
+func (m *measured) side() Measurement {
+	return Measurement{
 		PacketsPerSecond: median(m.rates),
-		Rounds:           m.rates,
-		Received:         float64(m.received) / float64(m.sent),
+		RoundRates:       m.rates,
+		ReceivedShare:    float64(m.received) / float64(m.sent),
 		DelayP50:         time.Duration(m.delays.ValueAtPercentile(50)),
 		DelayP99:         time.Duration(m.delays.ValueAtPercentile(99)),
 		DelaySamples:     m.delays.TotalCount(),
--- a/bench/relay/relay_bench_test.go
+++ b/bench/relay/relay_bench_test.go
@@ -42,10 +42,10 @@
 	}
 }
 
-func reportSide(b *testing.B, name string, side relay.Side) {
+func reportSide(b *testing.B, name string, side relay.Measurement) {
 	b.ReportMetric(side.PacketsPerSecond, name+"-packets/s")
-	b.ReportMetric(side.Received, name+"-received")
+	b.ReportMetric(side.ReceivedShare, name+"-received")
 	b.ReportMetric(float64(side.DelayP50.Microseconds()), name+"-p50-us")
 	b.ReportMetric(float64(side.DelayP99.Microseconds()), name+"-p99-us")
-	b.Logf("%s: rounds of %.0f packets/s, %d delays", name, side.Rounds, side.DelaySamples)
+	b.Logf("%s: rounds of %.0f packets/s, %d delays", name, side.RoundRates, side.DelaySamples)
 }
--- a/bench/relay/relay_test.go
+++ b/bench/relay/relay_test.go
@@ -38,11 +38,11 @@
 		report, err := relay.Compare(ctx, options)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(report.Options).To(Equal(options))
-		for _, side := range []relay.Side{report.Bare, report.Balancer} {
-			Expect(side.Rounds).To(HaveLen(options.Rounds))
-			Expect(side.Rounds).To(HaveEach(BeNumerically(">", 0)))
-			Expect(side.PacketsPerSecond).To(BeNumerically("~", (side.Rounds[0]+side.Rounds[1])/2, 1e-6))
-			Expect(side.Received).To(And(BeNumerically(">", 0), BeNumerically("<=", 1)))
+		for _, side := range []relay.Measurement{report.Bare, report.Balancer} {
+			Expect(side.RoundRates).To(HaveLen(options.Rounds))
+			Expect(side.RoundRates).To(HaveEach(BeNumerically(">", 0)))
+			Expect(side.PacketsPerSecond).To(BeNumerically("~", (side.RoundRates[0]+side.RoundRates[1])/2, 1e-6))
+			Expect(side.ReceivedShare).To(And(BeNumerically(">", 0), BeNumerically("<=", 1)))
 			Expect(side.DelaySamples).To(BeNumerically(">", 0))
 			Expect(side.DelayP50).To(And(BeNumerically(">", 0), BeNumerically("<=", side.DelayP99)))
 		}
--- a/bench/simnet/fault.go
+++ b/bench/simnet/fault.go
@@ -37,9 +37,9 @@
 	n.nodes[id].stopped = false
 }
 
-// Cut keeps the zones of two regions from reaching each other, or with itself
+// Partition keeps the zones of two regions from reaching each other, or with itself
 // as the other region, the zones of one region.
-func (n *Network[M]) Cut(region, other string) { n.setCut(region, other, true) }
+func (n *Network[M]) Partition(region, other string) { n.setCut(region, other, true) }
 
 // Heal ends a Cut.
 func (n *Network[M]) Heal(region, other string) { n.setCut(region, other, false) }
@@ -56,15 +56,15 @@
 	}
 }
 
-// StartMeters sets all meters to zero, for instance when a fleet has started.
-func (n *Network[M]) StartMeters() {
+// ResetMeters sets all meters to zero, for instance when a fleet has started.
+func (n *Network[M]) ResetMeters() {
 	for _, metered := range n.nodes {
 		metered.meter = meter{}
 	}
 }
 
-// StopMeters keeps the meters as they are, whatever follows.
-func (n *Network[M]) StopMeters() { n.metering = false }
+// FreezeMeters keeps the meters as they are, whatever follows.
+func (n *Network[M]) FreezeMeters() { n.metering = false }
 
 // Usage returns the control traffic of a node.
 func (n *Network[M]) Usage(id NodeID) Usage { return n.nodes[id].meter.usage }
--- a/bench/simnet/network.go
+++ b/bench/simnet/network.go
@@ -19,16 +19,16 @@
 type Handler[M any] interface {
 	// Receive handles a datagram.
 	Receive(now time.Duration, from NodeID, message M)
-	// Wake handles a timer set with Schedule.
-	Wake(now time.Duration, timer uint32)
+	// HandleTimer handles a timer set with Schedule.
+	HandleTimer(now time.Duration, timer uint32)
 }
 
-// Class tells whether a datagram counts as control traffic.
-type Class uint8
+// TrafficClass tells whether a datagram counts as control traffic.
+type TrafficClass uint8
 
 // The classes of datagrams. Only Control is metered.
 const (
-	Control Class = iota
+	Control TrafficClass = iota
 	Payload
 )
 
@@ -42,7 +42,7 @@
 
 type event[M any] struct {
 	kind    eventKind
-	class   Class
+	class   TrafficClass
 	timer   uint32
 	epoch   uint32
 	from    NodeID
@@ -74,17 +74,17 @@
 	Delivered  uint64
 	Lost       uint64
 	Duplicated uint64
-	// Cut counts those sent between zones that cannot reach each other.
-	Cut uint64
-	// Unreceived counts those for stopped nodes and full sockets.
-	Unreceived uint64
+	// Partitioned counts those sent between zones that cannot reach each other.
+	Partitioned uint64
+	// Undelivered counts those for stopped nodes and full sockets.
+	Undelivered uint64
 	// Events counts everything that Run has handled.
 	Events uint64
 }
 
 // Network is a simulated network. It is not safe for concurrent use.
 type Network[M any] struct {
-	layout   Layout
+	layout   Topology
 	links    [][]Link
 	cut      [][]bool
 	random   *rand.Rand
@@ -98,7 +98,7 @@
 }
 
 // New returns a network without nodes. Equal seeds give equal runs.
-func New[M any](layout Layout, seed uint64) *Network[M] {
+func New[M any](layout Topology, seed uint64) *Network[M] {
 	created := &Network[M]{
 		layout:   layout,
 		random:   rand.New(rand.NewPCG(seed, uint64(len(layout.Zones)))),
@@ -131,14 +131,14 @@
 func (n *Network[M]) Zone(id NodeID) ZoneID { return n.nodes[id].zone }
 
 // Send transmits a datagram with a payload of the given size in bytes.
-func (n *Network[M]) Send(from, to NodeID, class Class, size int, message M) {
+func (n *Network[M]) Send(from, to NodeID, class TrafficClass, size int, message M) {
 	n.counters.Sent++
 	sender, receiver := n.nodes[from], n.nodes[to]
 	if n.metering && class == Control {
 		sender.meter.sent(n.now, size+HeaderSize)
 	}
 	if n.cut[sender.zone][receiver.zone] {
-		n.counters.Cut++
+		n.counters.Partitioned++
 		return
 	}
 	link := &n.links[sender.zone][receiver.zone]
@@ -206,7 +206,7 @@
 	receiver := n.nodes[handled.to]
 	if receiver.stopped {
 		if handled.kind == eventDatagram {
-			n.counters.Unreceived++
+			n.counters.Undelivered++
 		}
 		return
 	}
@@ -220,7 +220,7 @@
 func (n *Network[M]) deliver(receiver *node[M], handled event[M]) {
 	if handled.kind == eventTimer {
 		if handled.epoch == receiver.epoch {
-			receiver.handler.Wake(n.now, handled.timer)
+			receiver.handler.HandleTimer(n.now, handled.timer)
 		}
 		return
 	}
@@ -233,7 +233,7 @@
 
 func (n *Network[M]) hold(receiver *node[M], handled event[M]) {
 	if handled.kind == eventDatagram && len(receiver.held) >= heldDatagrams {
-		n.counters.Unreceived++
+		n.counters.Undelivered++
 		return
 	}
 	receiver.held = append(receiver.held, handled)
--- a/bench/simnet/network_test.go
+++ b/bench/simnet/network_test.go
@@ -26,10 +26,10 @@
 	r.messages = append(r.messages, message)
 }
 
-func (r *recorder) Wake(now time.Duration, _ uint32) { r.woken = append(r.woken, now) }
+func (r *recorder) HandleTimer(now time.Duration, _ uint32) { r.woken = append(r.woken, now) }
 
-func layoutWith(within simnet.Link) simnet.Layout {
-	return simnet.Layout{
+func layoutWith(within simnet.Link) simnet.Topology {
+	return simnet.Topology{
 		Zones: []simnet.Zone{
 			{Name: "a1", Region: "a"}, {Name: "a2", Region: "a"}, {Name: "b1", Region: "b"},
 		},
@@ -110,12 +110,12 @@
 		recorder := &recorder{}
 		near := network.AddNode(0, recorder)
 		far := network.AddNode(2, recorder)
-		network.Cut("a", "b")
+		network.Partition("a", "b")
 		network.Send(near, far, simnet.Control, payloadSize, 1)
 		network.Send(far, near, simnet.Control, payloadSize, 2)
 		network.Run(time.Second)
 		Expect(recorder.messages).To(BeEmpty())
-		Expect(network.Counters().Cut).To(BeEquivalentTo(2))
+		Expect(network.Counters().Partitioned).To(BeEquivalentTo(2))
 		network.Heal("a", "b")
 		network.Send(near, far, simnet.Control, payloadSize, 3)
 		network.Run(2 * time.Second)
@@ -147,7 +147,7 @@
 		p.network.Stop(p.receiver)
 		p.network.Send(p.sender, p.receiver, simnet.Control, payloadSize, 8)
 		p.network.Run(3 * time.Second)
-		Expect(p.network.Counters().Unreceived).To(BeEquivalentTo(1))
+		Expect(p.network.Counters().Undelivered).To(BeEquivalentTo(1))
 	})
 
 	It("counts bytes with headers and finds the worst window", func() {
@@ -191,7 +191,7 @@
 
 func (r *repeater) Receive(time.Duration, simnet.NodeID, int) {}
 
-func (r *repeater) Wake(time.Duration, uint32) {
+func (r *repeater) HandleTimer(time.Duration, uint32) {
 	r.network.Send(r.id, r.peer, simnet.Control, payloadSize, 0)
 	r.network.Schedule(r.id, 100*time.Millisecond, 0)
 }
--- a/bench/simnet/layout.go
+++ b/bench/simnet/topology.go
@@ -25,8 +25,8 @@
 	Region string
 }
 
-// Layout is the zones and the links between them.
-type Layout struct {
+// Topology is the zones and the links between them.
+type Topology struct {
 	Zones []Zone
 	// WithinZone, BetweenZones and BetweenRegions describe the links between
 	// nodes of one zone, of two zones of one region, and of two regions.
@@ -36,7 +36,7 @@
 }
 
 // Link returns the link from one zone to another.
-func (l Layout) Link(from, to ZoneID) Link {
+func (l Topology) Link(from, to ZoneID) Link {
 	switch {
 	case from == to:
 		return l.WithinZone
@@ -47,7 +47,7 @@
 }
 
 // ZonesOf returns the zones of a region in the order of the layout.
-func (l Layout) ZonesOf(region string) []ZoneID {
+func (l Topology) ZonesOf(region string) []ZoneID {
 	var zones []ZoneID
 	for index, zone := range l.Zones {
 		if zone.Region == region {
--- a/cmd/vanetiller-bench/commands.go
+++ b/cmd/vanetiller-bench/commands.go
@@ -32,7 +32,7 @@
 	var values parameters
 	flags := newFlagSet("run", &values, defaultDuration)
 	flags.BoolVar(&values.json, "json", false, "print only the line of JSON that otherwise follows the summary")
-	flags.StringVar(&values.hash, "hash", string(flownet.HashSteady), "`way` in which the fabric of the experiment platform chooses balancers: steady or modulo")
+	flags.StringVar(&values.hash, "hash", string(flownet.HashRendezvous), "`way` in which the fabric of the experiment platform chooses balancers: steady or modulo")
 	flags.BoolVar(&values.powerLoss, "power-loss", false, "let all machines of the experiment platform lose power once")
 	flags.BoolVar(&values.planned, "planned", false, "play only planned work in the experiment platform")
 	flags.BoolVar(&values.unbounded, "unbounded", false, "let agents of the experiment platform hold nothing back, for comparison")
--- a/cmd/vanetiller-bench/platform.go
+++ b/cmd/vanetiller-bench/platform.go
@@ -23,7 +23,7 @@
 
 // runPlatform plays one run and prints its report.
 func runPlatform(values parameters) int {
-	shape, err := flownet.ShapeNamed(values.shape)
+	shape, err := flownet.ScenarioByName(values.shape)
 	if err != nil {
 		return usageError(err)
 	}
@@ -31,13 +31,13 @@
 	if err != nil {
 		return usageError(err)
 	}
-	if values.hash != string(flownet.HashSteady) && values.hash != string(flownet.HashModulo) {
-		return usageError(errors.Errorf("-hash must be %s or %s", flownet.HashSteady, flownet.HashModulo))
+	if values.hash != string(flownet.HashRendezvous) && values.hash != string(flownet.HashModulo) {
+		return usageError(errors.Errorf("-hash must be %s or %s", flownet.HashRendezvous, flownet.HashModulo))
 	}
 	report := flownet.Run(flownet.Options{
-		Shape: shape, Seed: values.seed, Duration: values.duration, Hash: flownet.Hash(values.hash),
+		Shape: shape, Seed: values.seed, Duration: values.duration, Hash: flownet.HashScheme(values.hash),
 		Events: int(values.duration.Seconds() * platformEventRate), Load: 1,
-		PowerLoss: values.powerLoss, Planned: values.planned, Baseline: baseline != "", Unbounded: values.unbounded,
+		PowerLoss: values.powerLoss, PlannedOnly: values.planned, Baseline: baseline != "", DisableAgentQueue: values.unbounded,
 	})
 	if !values.json {
 		printPlatform(report)
@@ -48,7 +48,7 @@
 		return exitBroken
 	}
 	fmt.Println(string(encoded))
-	if report.Broken() > 0 {
+	if report.Violations() > 0 {
 		return exitBroken
 	}
 	return exitKept
@@ -58,19 +58,19 @@
 	table := tabwriter.NewWriter(os.Stdout, 0, tabWidth, tabPadding, ' ', 0)
 	fmt.Fprintf(table, "%s on %s, seed %d\n\n", report.Experiment, report.Shape, report.Seed)
 	fmt.Fprintf(table, "requests\t%d\t%.2f%% served, %.2f%% within their objective\n",
-		report.Asked, 100*report.Served, 100*report.InTarget)
-	fmt.Fprintf(table, "worst two seconds\t%.2f%%\twithin their objective\n\n", 100*report.WorstWindow)
+		report.Requests, 100*report.ServedShare, 100*report.WithinTargetShare)
+	fmt.Fprintf(table, "worst two seconds\t%.2f%%\twithin their objective\n\n", 100*report.WorstWindowShare)
 	for _, promise := range []struct {
 		name   string
 		broken int
 	}{
-		{"open flows are not reset", report.ResetOpen},
-		{"packets of open flows reach their endpoint", report.Misrouted},
-		{"requests that must not be repeated run once", report.DoubleRuns},
-		{"endpoints that leave get no new flows", report.LateOpenings},
-		{"configurations are in force in time", report.LateRoutes},
-		{"packets arrive as they were written", report.Forged},
-		{"answers belong to their requests", report.Mixed},
+		{"open flows are not reset", report.OpenFlowResets},
+		{"packets of open flows reach their endpoint", report.MisroutedFlows},
+		{"requests that must not be repeated run once", report.DuplicateExecutions},
+		{"endpoints that leave get no new flows", report.OpenedAfterDrain},
+		{"configurations are in force in time", report.StaleRoutes},
+		{"packets arrive as they were written", report.CorruptedPackets},
+		{"answers belong to their requests", report.MismatchedResponses},
 	} {
 		verdict := "kept"
 		if promise.broken > 0 {
