--- a/bench/fabric/accept.go
+++ b/bench/fabric/accept.go
@@ -1,4 +1,4 @@
-// This file recognises the packets with which agents accept TCP connections.
+// This file recognizes the packets with which agents accept TCP connections.
 
 package fabric
 
@@ -9,14 +9,14 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// AcceptedConnection is the acceptance of a TCP connection by an agent.
+// AcceptedConnection is a TCP connection that an agent accepted.
 type AcceptedConnection struct {
-	// Agent is the UDP address that the answer came from.
+	// Agent is the UDP address from which the answer came.
 	Agent netip.AddrPort
-	// Caller and Service are the ends of the connection.
+	// Caller and Service are the endpoints of the connection.
 	Caller  netip.AddrPort
 	Service netip.AddrPort
-	// Acknowledged tells apart successive connections between the same ends.
+	// Acknowledged distinguishes successive connections between the same endpoints.
 	Acknowledged uint32
 }
 
@@ -34,9 +34,9 @@
 	tcpFlagACK               = 0x10
 )
 
-// openingOf reads an answer whose IPv4 header has been checked. It returns
-// false for anything but a segment with SYN and ACK.
-func openingOf(agent netip.AddrPort, packet []byte) (AcceptedConnection, bool) {
+// parseAccept parses an answer whose IPv4 header has been checked. It returns false unless
+// the answer is a TCP segment with SYN and ACK and without RST.
+func parseAccept(agent netip.AddrPort, packet []byte) (AcceptedConnection, bool) {
 	header := int(packet[0]&ipv4HeaderLengthMask) * ipv4HeaderLengthUnit
 	if table.Protocol(packet[ipv4ProtocolOffset]) != table.ProtocolTCP || len(packet) < header+tcpMinimumHeader {
 		return AcceptedConnection{}, false
--- a/bench/fabric/fabric.go
+++ b/bench/fabric/fabric.go
@@ -1,6 +1,7 @@
-// Package fabric stands in for the network between callers and balancers. It
-// sprays the IPv4 packets of callers over all balancers, one packet at a time,
-// in Geneve over UDP, and delivers the answers of agents to the callers.
+// Package fabric simulates the network between callers and balancers for experiments with
+// real daemons. It sprays the IPv4 packets of callers over all balancers, choosing one for
+// each packet, in Geneve over UDP. It delivers the answers of agents to the callers. Seeded
+// impairments drop, duplicate and delay packets in both directions.
 package fabric
 
 import (
@@ -19,27 +20,25 @@
 	"github.com/vanetiller/vanetiller/internal/packet"
 )
 
-// Settings configures a Fabric.
+// Settings configure a Fabric.
 type Settings struct {
-	// Listen is the UDP address to which agents send answers; port 0 picks a
-	// free one.
+	// Listen is the UDP address to which agents send answers. Port 0 picks a free port.
 	Listen netip.AddrPort
-	// Requests disturbs packets from callers to balancers.
+	// Requests impairs packets from callers to balancers.
 	Requests Impairment
-	// Answers disturbs packets from agents to callers.
+	// Answers impairs packets from agents to callers.
 	Answers Impairment
-	// Seed determines which balancer each packet goes to and which packets
-	// are disturbed.
+	// Seed determines the balancer of each packet and which packets are impaired.
 	Seed uint64
-	// OnAccept, if set, is told of every acceptance of a TCP connection,
-	// before the answer is disturbed. It must not block.
+	// OnAccept, if set, is called when an agent accepts a TCP connection, before impairments
+	// affect the answer. It must not block.
 	OnAccept func(AcceptedConnection)
 }
 
-// Receiver takes an answer packet. It must not keep the slice.
+// Receiver handles an answer packet. It must not keep the slice.
 type Receiver = func(packet []byte)
 
-// Counters are the numbers of packets since the start.
+// Counters count packets since the start.
 type Counters struct {
 	Injected      uint64 `json:"injected"`
 	Sprayed       uint64 `json:"sprayed"`
@@ -59,11 +58,11 @@
 	answers, delivered, malformed, unknownCaller                           atomic.Uint64
 }
 
-// Fabric is safe for concurrent use.
+// Fabric is the simulated network. It is safe for concurrent use.
 type Fabric struct {
 	socket   *net.UDPConn
 	counters counters
-	observe  func(AcceptedConnection)
+	onAccept func(AcceptedConnection)
 
 	mutex     sync.Mutex
 	balancers []netip.AddrPort
@@ -82,18 +81,18 @@
 	answerSeedOffset = 1
 )
 
-// New opens the socket of a fabric. It fails when the address is taken.
+// New opens the socket of a fabric. It returns an error if the address is not available.
 func New(settings Settings) (*Fabric, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(settings.Listen))
 	if err != nil {
-		return nil, errors.Wrap(err, "fabric")
+		return nil, errors.Wrap(err, "fabric: open UDP socket")
 	}
 	if err := socket.SetReadBuffer(socketBufferSize); err != nil {
-		return nil, errors.Wrap(err, "fabric receive buffer")
+		return nil, errors.Wrap(err, "fabric: set size of receive buffer")
 	}
 	return &Fabric{
 		socket:    socket,
-		observe:   settings.OnAccept,
+		onAccept:  settings.OnAccept,
 		random:    rand.New(rand.NewPCG(settings.Seed, 0)),
 		requests:  NewImpairer(settings.Requests, settings.Seed),
 		answers:   NewImpairer(settings.Answers, settings.Seed+answerSeedOffset),
@@ -102,7 +101,7 @@
 	}, nil
 }
 
-// Address is the UDP address of the fabric.
+// Address returns the UDP address of the fabric.
 func (f *Fabric) Address() netip.AddrPort {
 	return f.socket.LocalAddr().(*net.UDPAddr).AddrPort()
 }
@@ -130,52 +129,52 @@
 	f.balancers = slices.DeleteFunc(f.balancers, func(listed netip.AddrPort) bool { return listed == balancer })
 }
 
-// Attach makes receiver get the answers to one caller address.
+// Attach registers the receiver of answers to a caller address.
 func (f *Fabric) Attach(caller netip.Addr, receiver Receiver) {
 	f.receiversMutex.Lock()
 	defer f.receiversMutex.Unlock()
 	f.receivers[caller] = receiver
 }
 
-// Inject sends one IPv4 packet of a caller to one of the balancers.
+// Inject sends one IPv4 packet of a caller to a random balancer.
 func (f *Fabric) Inject(packet []byte) {
 	f.counters.injected.Add(1)
-	fate, datagram, targets := f.prepare(packet)
-	f.count(fate)
+	decision, datagram, targets := f.chooseTargets(packet)
+	f.count(decision)
 	for _, target := range targets {
-		f.after(fate.Delay, func() { f.send(datagram, target) })
+		f.runAfter(decision.Delay, func() { f.send(datagram, target) })
 	}
 }
 
-// prepare decides what happens to a packet and which balancer gets each copy.
-func (f *Fabric) prepare(packet []byte) (Decision, []byte, []netip.AddrPort) {
+// chooseTargets decides the impairment of a packet and the balancer of each copy.
+func (f *Fabric) chooseTargets(packet []byte) (Decision, []byte, []netip.AddrPort) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	fate := f.requests.Next()
-	if fate.Copies > 0 && len(f.balancers) == 0 {
+	decision := f.requests.Next()
+	if decision.Copies > 0 && len(f.balancers) == 0 {
 		f.counters.noBalancer.Add(1)
-		return fate, nil, nil
+		return decision, nil, nil
 	}
-	targets := make([]netip.AddrPort, fate.Copies)
+	targets := make([]netip.AddrPort, decision.Copies)
 	for i := range targets {
 		targets[i] = f.balancers[f.random.IntN(len(f.balancers))]
 	}
-	return fate, f.encoder.AppendPlain(nil, packet), targets
+	return decision, f.encoder.AppendPlain(nil, packet), targets
 }
 
-func (f *Fabric) count(fate Decision) {
+func (f *Fabric) count(decision Decision) {
 	switch {
-	case fate.Copies == 0:
+	case decision.Copies == 0:
 		f.counters.lost.Add(1)
-	case fate.Copies > 1:
+	case decision.Copies > 1:
 		f.counters.duplicated.Add(1)
 	}
-	if fate.Delay > 0 {
+	if decision.Delay > 0 {
 		f.counters.reordered.Add(1)
 	}
 }
 
-func (f *Fabric) after(delay time.Duration, action func()) {
+func (f *Fabric) runAfter(delay time.Duration, action func()) {
 	if delay == 0 {
 		action()
 		return
@@ -203,29 +202,29 @@
 			return nil
 		}
 		if errors.Is(err, net.ErrClosed) {
-			return errors.Wrap(err, "fabric")
+			return errors.Wrap(err, "fabric: receive answer")
 		}
 		if err != nil {
 			continue
 		}
-		f.answer(decoder, agent, buffer[:size])
+		f.handleAnswer(decoder, agent, buffer[:size])
 	}
 }
 
-func (f *Fabric) answer(decoder *encap.Decoder, agent netip.AddrPort, data []byte) {
+func (f *Fabric) handleAnswer(decoder *encap.Decoder, agent netip.AddrPort, data []byte) {
 	f.counters.answers.Add(1)
 	datagram, outcome := decoder.Decode(data)
 	if outcome != encap.Decoded || datagram.Control {
 		f.counters.malformed.Add(1)
 		return
 	}
-	destination, valid := destinationOf(datagram.Packet)
+	destination, valid := destinationAddress(datagram.Packet)
 	if !valid {
 		f.counters.malformed.Add(1)
 		return
 	}
-	if opening, accepted := openingOf(agent, datagram.Packet); accepted && f.observe != nil {
-		f.observe(opening)
+	if connection, accepted := parseAccept(agent, datagram.Packet); accepted && f.onAccept != nil {
+		f.onAccept(connection)
 	}
 	f.receiversMutex.RLock()
 	receiver, attached := f.receivers[destination]
@@ -238,13 +237,13 @@
 }
 
 func (f *Fabric) deliver(receiver Receiver, packet []byte) {
-	fate := f.answers.Next()
-	f.count(fate)
-	if fate.Delay > 0 {
+	decision := f.answers.Next()
+	f.count(decision)
+	if decision.Delay > 0 {
 		packet = slices.Clone(packet)
 	}
-	for range fate.Copies {
-		f.after(fate.Delay, func() {
+	for range decision.Copies {
+		f.runAfter(decision.Delay, func() {
 			receiver(packet)
 			f.counters.delivered.Add(1)
 		})
@@ -257,14 +256,14 @@
 	ipv4Version           = 4
 )
 
-func destinationOf(packet []byte) (netip.Addr, bool) {
+func destinationAddress(packet []byte) (netip.Addr, bool) {
 	if len(packet) < ipv4HeaderSize || packet[0]>>4 != ipv4Version {
 		return netip.Addr{}, false
 	}
 	return netip.AddrFromSlice(packet[ipv4DestinationOffset:ipv4HeaderSize])
 }
 
-// Counters returns the numbers of packets so far.
+// Counters returns the current counts.
 func (f *Fabric) Counters() Counters {
 	return Counters{
 		Injected:      f.counters.injected.Load(),
--- a/bench/fabric/fabric_test.go
+++ b/bench/fabric/fabric_test.go
@@ -16,7 +16,7 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// ipv4Packet is a minimal IPv4 header from 198.51.100.1 to the destination.
+// ipv4Packet returns a minimal IPv4 header from 198.51.100.1 to the destination.
 func ipv4Packet(destination netip.Addr) []byte {
 	header := make([]byte, 20)
 	header[0] = 0x45
@@ -53,7 +53,7 @@
 var _ = Describe("Impairer", func() {
 	const packets = 100_000
 
-	type fates struct{ lost, duplicated, delayed int }
+	type impairedCounts struct{ lost, duplicated, delayed int }
 
 	sequence := func(settings fabric.Impairment, seed uint64) []fabric.Decision {
 		impairer := fabric.NewImpairer(settings, seed)
@@ -64,40 +64,40 @@
 		return sequence
 	}
 
-	count := func(sequence []fabric.Decision) fates {
-		var counted fates
-		for _, fate := range sequence {
-			switch fate.Copies {
+	count := func(sequence []fabric.Decision) impairedCounts {
+		var counted impairedCounts
+		for _, decision := range sequence {
+			switch decision.Copies {
 			case 0:
 				counted.lost++
 			case 2:
 				counted.duplicated++
 			}
-			if fate.Delay > 0 {
+			if decision.Delay > 0 {
 				counted.delayed++
 			}
 		}
 		return counted
 	}
 
-	DescribeTable("disturbs the set share of packets",
-		func(settings fabric.Impairment, expected fates) {
+	DescribeTable("impairs packets at the configured probabilities",
+		func(settings fabric.Impairment, expected impairedCounts) {
 			counted := count(sequence(settings, 7))
 			Expect(counted.lost).To(BeNumerically("~", expected.lost, packets/200))
 			Expect(counted.duplicated).To(BeNumerically("~", expected.duplicated, packets/200))
 			Expect(counted.delayed).To(BeNumerically("~", expected.delayed, packets/200))
 		},
-		Entry("nothing", fabric.Impairment{}, fates{}),
-		Entry("loss", fabric.Impairment{Loss: 0.1}, fates{lost: packets / 10}),
-		Entry("all lost", fabric.Impairment{Loss: 1}, fates{lost: packets}),
-		Entry("duplication", fabric.Impairment{Duplication: 0.2}, fates{duplicated: packets / 5}),
-		Entry("reordering", fabric.Impairment{Reordering: 0.3, ReorderingDelay: time.Millisecond}, fates{delayed: packets * 3 / 10}),
+		Entry("nothing", fabric.Impairment{}, impairedCounts{}),
+		Entry("loss", fabric.Impairment{Loss: 0.1}, impairedCounts{lost: packets / 10}),
+		Entry("all lost", fabric.Impairment{Loss: 1}, impairedCounts{lost: packets}),
+		Entry("duplication", fabric.Impairment{Duplication: 0.2}, impairedCounts{duplicated: packets / 5}),
+		Entry("reordering", fabric.Impairment{Reordering: 0.3, ReorderingDelay: time.Millisecond}, impairedCounts{delayed: packets * 3 / 10}),
 		Entry("a lost packet is neither duplicated nor delayed",
 			fabric.Impairment{Loss: 0.5, Duplication: 1, Reordering: 1, ReorderingDelay: time.Millisecond},
-			fates{lost: packets / 2, duplicated: packets / 2, delayed: packets / 2}),
+			impairedCounts{lost: packets / 2, duplicated: packets / 2, delayed: packets / 2}),
 	)
 
-	It("repeats itself for a seed and differs between seeds", func() {
+	It("repeats the sequence for the same seed and not for another", func() {
 		settings := fabric.Impairment{Loss: 0.1, Duplication: 0.1}
 		Expect(sequence(settings, 1)).To(Equal(sequence(settings, 1)))
 		Expect(sequence(settings, 1)).NotTo(Equal(sequence(settings, 2)))
@@ -107,7 +107,7 @@
 var _ = Describe("Fabric", func() {
 	caller := netip.MustParseAddr("203.0.113.9")
 
-	It("sprays packets over every balancer and stops using a removed one", func() {
+	It("sprays packets over all balancers and sends none to a removed balancer", func() {
 		created := startFabric(fabric.Settings{Seed: 3})
 		first, second := listen(), listen()
 		created.SetBalancers([]netip.AddrPort{addressOf(first), addressOf(second)})
@@ -131,7 +131,7 @@
 		Expect(created.Counters()).To(Equal(fabric.Counters{Injected: 65, Sprayed: 64, NoBalancer: 1}))
 	})
 
-	It("counts what it disturbs", func() {
+	It("counts lost and duplicated packets", func() {
 		created := startFabric(fabric.Settings{Requests: fabric.Impairment{Loss: 0.25, Duplication: 0.5}, Seed: 5})
 		created.AddBalancer(addressOf(listen()))
 		packet := ipv4Packet(caller)
@@ -144,7 +144,7 @@
 		Expect(counters.Sprayed).To(Equal(1000 - counters.Lost + counters.Duplicated))
 	})
 
-	DescribeTable("observes the acceptance of connections",
+	DescribeTable("reports an accepted connection only for a TCP segment with SYN and ACK",
 		func(protocol, flags byte, expected int) {
 			observed := make(chan fabric.AcceptedConnection, 1)
 			created := startFabric(fabric.Settings{OnAccept: func(opening fabric.AcceptedConnection) { observed <- opening }})
@@ -173,7 +173,7 @@
 		Entry("UDP", byte(17), byte(0x12), 0),
 	)
 
-	It("delivers answers to the caller they are for and counts the others", func() {
+	It("delivers answers to the caller they are addressed to and counts all others", func() {
 		created := startFabric(fabric.Settings{})
 		var received atomic.Value
 		created.Attach(caller, func(packet []byte) { received.Store(string(packet)) })
--- a/bench/fabric/impairment.go
+++ b/bench/fabric/impairment.go
@@ -1,5 +1,5 @@
-// This file implements the seeded decision what happens to one packet: lost,
-// duplicated, delayed or passed on.
+// This file implements the seeded decision whether a packet is dropped, duplicated,
+// delayed or forwarded unchanged.
 
 package fabric
 
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// Impairment sets the probabilities, from 0 to 1, with which packets are
-// disturbed. The zero value disturbs nothing.
+// Impairment sets the probabilities, from 0 to 1, of impairments. The zero value impairs
+// nothing.
 type Impairment struct {
 	// Loss is the probability that a packet is dropped.
 	Loss float64
 	// Duplication is the probability that a packet is sent twice.
 	Duplication float64
-	// Reordering is the probability that a packet is held back.
+	// Reordering is the probability that a packet is delayed, so that later ones overtake it.
 	Reordering float64
-	// ReorderingDelay is how long a held packet waits.
+	// ReorderingDelay is the delay of such a packet.
 	ReorderingDelay time.Duration
 }
 
-// Decision is what happens to one packet.
+// Decision is the impairment of one packet.
 type Decision struct {
-	// Copies is how many times the packet is sent; zero means lost.
+	// Copies is how many times the packet is sent. Zero drops it.
 	Copies int
-	// Delay is how long the packet is held back before it is sent.
+	// Delay is how long the packet is delayed before it is sent.
 	Delay time.Duration
 }
 
-// Impairer decides the fate of successive packets. The same seed and settings
-// give the same sequence. It is not safe for concurrent use.
+// Impairer decides the impairment of successive packets. The same seed and settings give the
+// same sequence. It is not safe for concurrent use.
 type Impairer struct {
 	settings Impairment
 	random   *rand.Rand
@@ -41,8 +41,8 @@
 	return &Impairer{settings: settings, random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Next decides the fate of the next packet. It always draws the same number
-// of random values, so that one probability does not shift the others.
+// Next decides the impairment of the next packet. It draws the same number of random values
+// for each packet, so that one probability does not affect the draws of the others.
 func (i *Impairer) Next() Decision {
 	loss := i.random.Float64()
 	duplication := i.random.Float64()
@@ -50,12 +50,12 @@
 	if loss < i.settings.Loss {
 		return Decision{}
 	}
-	fate := Decision{Copies: 1}
+	decision := Decision{Copies: 1}
 	if duplication < i.settings.Duplication {
-		fate.Copies = 2
+		decision.Copies = 2
 	}
 	if reordering < i.settings.Reordering {
-		fate.Delay = i.settings.ReorderingDelay
+		decision.Delay = i.settings.ReorderingDelay
 	}
-	return fate
+	return decision
 }
--- a/bench/platform/history.go
+++ b/bench/platform/history.go
@@ -1,5 +1,5 @@
-// This file implements the past revisions of a document and the faults that
-// decide which of them a reader sees.
+// This file implements the revisions of a document and the faults that determine
+// which of them a reader gets.
 
 package platform
 
@@ -12,8 +12,8 @@
 	"github.com/vanetiller/vanetiller/bench/timing"
 )
 
-// ReaderParameter is the query member that names the reader of a document. Readers
-// without a name share one lag.
+// ReaderParameter is the query parameter that identifies a reader. Readers without it share
+// one lag.
 const ReaderParameter = "reader"
 
 type historyEntry[Document any] struct {
@@ -22,11 +22,10 @@
 	document  Document
 }
 
-// history keeps every revision of one document.
+// history holds all revisions of one document.
 type history[Document any] struct {
 	entries []historyEntry[Document]
-	// frozen is the number of entries that readers see during a stale
-	// period; zero outside of one.
+	// frozen is the number of entries that are visible during a stale period, or zero.
 	frozen int
 }
 
@@ -43,8 +42,8 @@
 	}
 }
 
-// visible returns the newest entry published at or before the given time. The
-// first entry is visible from the start, so that a lag never hides everything.
+// visible returns the newest entry published at or before the given time. The first entry is
+// always visible, so that no lag hides the whole document.
 func (h *history[Document]) visible(until time.Time) (historyEntry[Document], bool) {
 	entries := h.entries
 	if h.frozen > 0 {
@@ -58,7 +57,7 @@
 	return historyEntry[Document]{}, false
 }
 
-// apply waits for the delay and fails when the service is down.
+// apply waits for Delay and returns an error if the service is down or ctx ends.
 func (f Faults) apply(ctx context.Context) error {
 	if !timing.Sleep(ctx, f.Delay) {
 		return ctx.Err()
@@ -71,9 +70,9 @@
 
 const lagSteps = 1000
 
-// lag is how much later than others a reader sees a revision. It depends on
-// the name of the reader only.
-func (f Faults) lag(r reader) time.Duration {
+// lag returns how much later a reader sees a revision than a reader without lag. It depends
+// only on the name of the reader.
+func (f Faults) lag(r readRequest) time.Duration {
 	step := xxhash.Sum64String(r.name) % (lagSteps + 1)
 	return f.MaxReaderLag * time.Duration(step) / lagSteps
 }
--- a/bench/platform/platform.go
+++ b/bench/platform/platform.go
@@ -1,6 +1,7 @@
-// Package platform stands in for the configuration service and the machine
-// list of the hosting platform: read-only HTTP with JSON, which can be down,
-// stale, slow, or show different revisions to different readers.
+// Package platform simulates the configuration service and the machine list of the hosting
+// platform for experiments with real daemons. It serves published tables and machine lists
+// as JSON over HTTP, read-only. Faults make it unavailable, stale or slow, or show different
+// revisions to different readers.
 package platform
 
 import (
@@ -20,13 +21,13 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// Paths of the two documents.
+// Paths of the documents.
 const (
 	PathConfiguration = "/v1/configuration"
 	PathMachines      = "/v1/machines"
 )
 
-// Revision numbers the states of one document, starting at 1.
+// Revision numbers the versions of one document, starting at 1.
 type Revision uint64
 
 // Configuration is the document at PathConfiguration.
@@ -35,25 +36,25 @@
 	Table    *table.Table `json:"table"`
 }
 
-// Role says what a machine does.
+// Role is the daemon that a machine runs.
 type Role string
 
-// The roles of machines.
+// Roles of machines.
 const (
 	RoleBalancer Role = "balancer"
 	RoleAgent    Role = "agent"
 )
 
-// State says whether a machine stays.
+// State tells whether a machine is about to be removed.
 type State string
 
-// The states of machines.
+// States of machines.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
 )
 
-// Machine is one line of the machine list.
+// Machine is one entry of the machine list.
 type Machine struct {
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
@@ -67,22 +68,20 @@
 	Machines []Machine `json:"machines"`
 }
 
-// Faults disturbs the service. The zero value disturbs nothing.
+// Faults selects faults of the service. The zero value selects none.
 type Faults struct {
-	// Down makes every request fail with the status 503.
+	// Down makes every request fail with status 503.
 	Down bool
-	// Stale makes requests see the revisions that were current when the
-	// fault began.
+	// Stale freezes the documents at the revisions that were current when it was set.
 	Stale bool
-	// Delay is added to every answer.
+	// Delay is added to the duration of every request.
 	Delay time.Duration
-	// MaxReaderLag is the longest time by which a reader sees a revision later than
-	// other readers. Each reader, told apart by QueryReader, has its own
-	// lag between zero and MaxReaderLag.
+	// MaxReaderLag is the maximum lag with which a reader sees a revision. Each reader,
+	// identified by ReaderParameter, has its own lag from zero to MaxReaderLag.
 	MaxReaderLag time.Duration
 }
 
-// Platform is safe for concurrent use.
+// Platform is the simulated service. It is safe for concurrent use.
 type Platform struct {
 	listener net.Listener
 	server   *http.Server
@@ -94,28 +93,28 @@
 	machines       history[Machines]
 }
 
-// New opens the socket of the service. It fails when the address is taken.
+// New opens the listening socket. It returns an error if the address is not available.
 func New(listen netip.AddrPort) (*Platform, error) {
 	listener, err := net.Listen("tcp4", listen.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "platform")
+		return nil, errors.Wrap(err, "platform: open listening socket")
 	}
 	platform := &Platform{listener: listener, now: time.Now}
 	platform.server = &http.Server{Handler: platform.Handler()}
 	return platform, nil
 }
 
-// Address is the TCP address of the service.
+// Address returns the TCP address of the service.
 func (p *Platform) Address() netip.AddrPort {
 	return p.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// URL returns the URL of one of the paths.
+// URL returns the URL of a path.
 func (p *Platform) URL(path string) string {
 	return "http://" + p.Address().String() + path
 }
 
-// Run serves until ctx ends and returns nil then.
+// Run serves requests until ctx ends and then returns nil.
 func (p *Platform) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { p.server.Close() })
 	defer stop()
@@ -123,10 +122,10 @@
 	if ctx.Err() != nil || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return errors.Wrap(err, "platform")
+	return errors.Wrap(err, "platform: serve HTTP")
 }
 
-// PublishTable makes a copy of the table the next revision.
+// PublishTable publishes a copy of the table as the next revision.
 func (p *Platform) PublishTable(current *table.Table) Revision {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -135,7 +134,7 @@
 	return revision
 }
 
-// PublishMachines makes the machine list the next revision.
+// PublishMachines publishes the machine list as the next revision.
 func (p *Platform) PublishMachines(machines []Machine) Revision {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -144,8 +143,8 @@
 	return revision
 }
 
-// SetFaults replaces the faults. A stale period starts at the call that sets
-// Stale and ends at the call that clears it.
+// SetFaults replaces the faults. A stale period starts with the call that sets Stale and ends
+// with the call that clears it.
 func (p *Platform) SetFaults(faults Faults) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -156,23 +155,23 @@
 	p.faults = faults
 }
 
-// reader is one request; the bench tells readers apart by an optional query
-// member, so that one reader keeps its lag over reconnects.
-type reader struct {
+// readRequest is one request for a document. Its name is the optional ReaderParameter, by
+// which a reader keeps its lag when it reconnects.
+type readRequest struct {
 	name string
-	// known is the entity tag that the reader holds, or empty.
-	known string
+	// entityTag is the value of If-None-Match, or empty.
+	entityTag string
 }
 
 type reply struct {
-	tag      string
-	known    bool
-	document any
+	entityTag  string
+	unmodified bool
+	document   any
 }
 
-var errDown = errors.New("platform is down")
+var errDown = errors.New("platform: document is unavailable")
 
-// Handler serves both documents.
+// Handler returns the HTTP handler of both documents.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+PathConfiguration, newServer(documentEndpoint(p, &p.configurations)))
@@ -184,8 +183,7 @@
 	return kithttp.NewServer(serve, decodeReader, encodeReply, kithttp.ServerErrorEncoder(encodeError))
 }
 
-// documentEndpoint answers with the revision of one document that the reader
-// is to see.
+// documentEndpoint returns the revision of a document that is visible to the reader.
 func documentEndpoint[Document any](p *Platform, documents *history[Document]) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		faults := p.currentFaults()
@@ -194,12 +192,12 @@
 		}
 		p.mutex.Lock()
 		defer p.mutex.Unlock()
-		visible, found := documents.visible(p.now().Add(-faults.lag(request.(reader))))
+		visible, found := documents.visible(p.now().Add(-faults.lag(request.(readRequest))))
 		if !found {
 			return nil, errDown
 		}
 		tag := strconv.Quote(strconv.FormatUint(uint64(visible.revision), 10))
-		return reply{tag, tag == request.(reader).known, visible.document}, nil
+		return reply{tag, tag == request.(readRequest).entityTag, visible.document}, nil
 	}
 }
 
@@ -210,16 +208,16 @@
 }
 
 func decodeReader(_ context.Context, request *http.Request) (any, error) {
-	return reader{
-		name:  request.URL.Query().Get(ReaderParameter),
-		known: request.Header.Get("If-None-Match"),
+	return readRequest{
+		name:      request.URL.Query().Get(ReaderParameter),
+		entityTag: request.Header.Get("If-None-Match"),
 	}, nil
 }
 
 func encodeReply(_ context.Context, writer http.ResponseWriter, response any) error {
 	answer := response.(reply)
-	writer.Header().Set("ETag", answer.tag)
-	if answer.known {
+	writer.Header().Set("ETag", answer.entityTag)
+	if answer.unmodified {
 		writer.WriteHeader(http.StatusNotModified)
 		return nil
 	}
--- a/bench/platform/platform_test.go
+++ b/bench/platform/platform_test.go
@@ -41,7 +41,7 @@
 	first := &table.Table{Version: 10}
 	second := &table.Table{Version: 11}
 
-	It("serves the newest table with its revision", func() {
+	It("serves the latest table with its revision after two were published", func() {
 		service := newPlatform()
 		service.PublishTable(first)
 		Expect(service.PublishTable(second)).To(Equal(platform.Revision(2)))
@@ -52,7 +52,7 @@
 		Expect(document).To(Equal(platform.Configuration{Revision: 2, Table: second}))
 	})
 
-	It("answers a reader that has the revision without the document", func() {
+	It("responds with status 304 and no body if the reader has the current revision", func() {
 		service := newPlatform()
 		service.PublishTable(first)
 		conditional := httptest.NewRequest(http.MethodGet, platform.PathConfiguration, http.NoBody)
@@ -67,7 +67,7 @@
 		Expect(recorder.Code).To(Equal(http.StatusOK))
 	})
 
-	It("serves the machine list in the form that daemons read", func() {
+	It("serves the machine list in the JSON form that daemons read", func() {
 		service := newPlatform()
 		service.PublishMachines([]platform.Machine{{
 			Name:    "balancer-1",
@@ -81,7 +81,7 @@
 			{"name":"balancer-1","address":"127.0.0.1:7000","role":"balancer","state":"leaving"}]}`))
 	})
 
-	DescribeTable("fails without a usable answer",
+	DescribeTable("responds with status 503 if no document is available",
 		func(prepare func(*platform.Platform), path string) {
 			service := newPlatform()
 			prepare(service)
@@ -99,7 +99,7 @@
 		Entry("machines before the first revision", func(*platform.Platform) {}, platform.PathMachines),
 	)
 
-	It("keeps showing the old revision while stale and catches up after", func() {
+	It("serves the old revision while stale and the latest one afterwards", func() {
 		service := newPlatform()
 		service.PublishTable(first)
 		service.SetFaults(platform.Faults{Stale: true})
@@ -109,13 +109,13 @@
 		Expect(revisionSeen(service, platform.PathConfiguration)).To(Equal(platform.Revision(2)))
 	})
 
-	It("shows a new revision to some readers before others", func() {
+	It("hides a new revision from readers that lag", func() {
 		service := newPlatform()
 		service.SetFaults(platform.Faults{MaxReaderLag: 1000 * time.Hour})
 		service.PublishTable(first)
 		service.PublishTable(second)
 		seen := make(map[platform.Revision]bool)
-		// The lag of each name is fixed; none of these names has lag zero.
+		// The lag depends on the name of the reader. None of these names has lag zero.
 		for _, name := range []string{"balancer-1", "balancer-2", "balancer-3"} {
 			seen[revisionSeen(service, platform.PathConfiguration+"?reader="+name)] = true
 		}
--- a/bench/relay/bare_relay.go
+++ b/bench/relay/bare_relay.go
@@ -12,8 +12,8 @@
 	"github.com/vanetiller/vanetiller/internal/balancer/udpfront"
 )
 
-// bareRelay sends every datagram that it receives to the next of a list of
-// destinations, unread and from the buffer that it was received in.
+// bareRelay forwards each datagram to the next destination in a list, without parsing or
+// copying it.
 type bareRelay struct {
 	front        *udpfront.Listener
 	destinations []netip.AddrPort
@@ -28,10 +28,10 @@
 	return &bareRelay{front: front, destinations: destinations, sent: sent}, nil
 }
 
-// Address returns the address that the relay receives on.
+// Address returns the address on which the relay receives.
 func (r *bareRelay) Address() netip.AddrPort { return r.front.Address() }
 
-// Run relays until ctx ends, then closes the sockets.
+// Run forwards datagrams until ctx ends, then closes the sockets.
 func (r *bareRelay) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, r.front.Close)
 	defer stop()
@@ -88,7 +88,7 @@
 	return addresses
 }
 
-// sendAll returns the number of messages that were sent.
+// sendAll sends all messages and returns the number sent.
 func sendAll(packets *ipv4.PacketConn, messages []ipv4.Message) (int, error) {
 	sent := 0
 	for sent < len(messages) {
--- a/bench/relay/compare.go
+++ b/bench/relay/compare.go
@@ -12,45 +12,45 @@
 	"github.com/vanetiller/vanetiller/internal/lookup"
 )
 
-// Measurement is what was measured of one relay.
+// Measurement is the result of one relay.
 type Measurement struct {
-	// PacketsPerSecond is the median rate of sending over the rounds, with
-	// senders that offer more than can be relayed.
+	// PacketsPerSecond is the median forwarding rate of the rounds. The senders offer more
+	// packets than the relay can forward.
 	PacketsPerSecond float64
-	// RoundRates are the rates of all rounds in order.
+	// RoundRates are the forwarding rates of all rounds in order.
 	RoundRates []float64
-	// ReceivedShare is the share of the packets sent that reached a sink. The rest
-	// overran the sinks' receive queues.
+	// ReceivedShare is the share of the forwarded packets that reached a sink. The others
+	// overflowed the receive buffers of the sinks.
 	ReceivedShare float64
-	// DelayP50 and DelayP99 are percentiles of the time from sender to sink
-	// at Options.DelayRate.
+	// DelayP50 and DelayP99 are percentiles of the delay from sender to sink at
+	// Options.DelayRate.
 	DelayP50 time.Duration
 	DelayP99 time.Duration
-	// DelaySamples is the number of packets behind the percentiles.
+	// DelaySamples is the number of packets from which the percentiles are computed.
 	DelaySamples int64
 }
 
-// Report is the outcome of a comparison.
+// Report is the result of a comparison.
 type Report struct {
 	Options  Options
 	Bare     Measurement
 	Balancer Measurement
 }
 
-// RelativeRate returns the balancer's rate as a share of the bare relay's.
+// RelativeRate returns the rate of the balancer divided by the rate of the bare relay.
 func (r Report) RelativeRate() float64 {
 	return r.Balancer.PacketsPerSecond / r.Bare.PacketsPerSecond
 }
 
-// AddedDelayP50 returns how much longer the median packet takes through the
-// balancer than through the bare relay.
+// AddedDelayP50 returns the median delay through the balancer minus that through the bare
+// relay.
 func (r Report) AddedDelayP50() time.Duration { return r.Balancer.DelayP50 - r.Bare.DelayP50 }
 
-// AddedDelayP99 is AddedDelayP50 for the 99th percentile.
+// AddedDelayP99 returns the same difference for the 99th percentile.
 func (r Report) AddedDelayP99() time.Duration { return r.Balancer.DelayP99 - r.Bare.DelayP99 }
 
-// measured collects the rounds of one relay.
-type measured struct {
+// accumulator collects the results of the rounds of one relay.
+type accumulator struct {
 	open     opener
 	rates    []float64
 	sent     int64
@@ -58,11 +58,11 @@
 	delays   *hdrhistogram.Histogram
 }
 
-// opener opens a relay to the sinks that counts what it sends.
+// opener opens a relay that forwards to the sinks and counts the packets that it sends.
 type opener func(sinks []netip.AddrPort, sent *packetCounter) (relay, error)
 
-// Compare measures both relays in turn. It fails if options are out of range,
-// a socket fails or ctx ends.
+// Compare measures both relays in alternating rounds. It returns an error if an option is
+// out of range, a socket operation fails or ctx ends.
 func Compare(ctx context.Context, options Options) (Report, error) {
 	if err := options.validate(); err != nil {
 		return Report{}, err
@@ -71,12 +71,12 @@
 	if err != nil {
 		return Report{}, err
 	}
-	bare := &measured{open: openBare(options), delays: newHistogram()}
-	balanced := &measured{open: openBalancer(options), delays: newHistogram()}
+	bare := &accumulator{open: openBare(options), delays: newHistogram()}
+	balanced := &accumulator{open: openBalancer(options), delays: newHistogram()}
 	for round := range options.Rounds {
-		// Alternating the order keeps a drift of the machine from favouring
-		// one side.
-		turns := []*measured{bare, balanced}
+		// The order alternates so that a drift in the load of the machine favors
+		// neither relay.
+		turns := []*accumulator{bare, balanced}
 		if round%2 == 1 {
 			slices.Reverse(turns)
 		}
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	return Report{Options: options, Bare: bare.side(), Balancer: balanced.side()}, nil
+	return Report{Options: options, Bare: bare.measurement(), Balancer: balanced.measurement()}, nil
 }
 
 func openBare(options Options) opener {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (m *measured) measureRound(ctx context.Context, options Options, datagrams [][]byte) error {
+func (m *accumulator) measureRound(ctx context.Context, options Options, datagrams [][]byte) error {
 	flooded, err := runRound(ctx, m.open, options, datagrams, flood)
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (m *measured) side() Measurement {
+func (m *accumulator) measurement() Measurement {
 	return Measurement{
 		PacketsPerSecond: median(m.rates),
 		RoundRates:       m.rates,
--- a/bench/relay/counter.go
+++ b/bench/relay/counter.go
@@ -6,8 +6,7 @@
 	"github.com/go-kit/kit/metrics"
 )
 
-// packetCounter is a go-kit counter of whole packets that can be read. Label
-// values are not told apart.
+// packetCounter is a readable go-kit counter of packets. It ignores label values.
 type packetCounter struct{ value atomic.Int64 }
 
 // With implements metrics.Counter.
--- a/bench/relay/options.go
+++ b/bench/relay/options.go
@@ -1,11 +1,10 @@
-// Package relay compares the balancer's data path with a bare UDP relay that
-// receives and sends the same batches over the same kind of sockets without
-// looking at them. What the balancer falls short of the bare relay is the price
-// of decoding, deciding and encapsulating.
+// Package relay measures the cost of the data path of the balancer: decoding, deciding and
+// encapsulating. It compares the packet rate and delay of the balancer with those of a bare
+// UDP relay, which forwards the same batches over the same kind of sockets without parsing
+// them. Its input is the size of the table and of the traffic.
 //
-// Senders, relay and sinks run in one process over loopback addresses. The two
-// relays take turns in short rounds, so that other load on the machine meets
-// both.
+// Senders, relay and sinks run in one process over loopback addresses. The two relays
+// alternate in short rounds, so that other load on the machine affects both.
 package relay
 
 import (
@@ -14,36 +13,36 @@
 	"github.com/pkg/errors"
 )
 
-// Options are the conditions of a comparison.
+// Options configure a comparison.
 type Options struct {
-	// Services and RowsPerService are the size of the table.
+	// Services and RowsPerService determine the size of the table.
 	Services       int
 	RowsPerService int
-	// Flows is the number of distinct packets sent in turn.
+	// Flows is the number of distinct packets, which are sent in turn.
 	Flows int
-	// Payload is the number of bytes behind the TCP header, at least 16.
+	// Payload is the number of bytes after the TCP header, at least stampSize.
 	Payload int
 	// Sockets is the number of sockets and goroutines of the relay.
 	Sockets int
-	// Senders is the number of goroutines that send; each uses
-	// socketsPerSender source ports.
+	// Senders is the number of sending goroutines. Each uses socketsPerSender source
+	// ports.
 	Senders int
-	// Sinks is the number of sockets and goroutines that receive.
+	// Sinks is the number of receiving sockets and goroutines.
 	Sinks int
-	// Rounds is how many times each relay runs for the rate and for the
-	// delay.
+	// Rounds is how many times each relay runs to measure the rate, and as many times again
+	// to measure the delay.
 	Rounds int
-	// RoundLength is how long a round sends.
+	// RoundLength is how long each round sends.
 	RoundLength time.Duration
-	// DelayRate is the number of packets a second sent by one sender while
-	// the delay is measured.
+	// DelayRate is the number of packets per second that one sender sends to measure the
+	// delay.
 	DelayRate int
-	// Seed seeds the choice of flows.
+	// Seed initializes the choice of flows.
 	Seed uint64
 }
 
-// DefaultOptions returns a comparison with one core a relay, which takes about
-// half a minute.
+// DefaultOptions returns a comparison with one core per relay, which takes about half a
+// minute.
 func DefaultOptions() Options {
 	return Options{
 		Services:       1500,
@@ -64,17 +63,17 @@
 	counts := []int{o.Services, o.RowsPerService, o.Flows, o.Sockets, o.Senders, o.Sinks, o.Rounds, o.DelayRate}
 	for _, count := range counts {
 		if count < 1 {
-			return errors.New("relay: every count and rate must be at least 1")
+			return errors.New("relay: counts and rates in the options must be at least 1")
 		}
 	}
 	if o.RowsPerService*o.Services > maximumRows || o.Services > maximumServices {
-		return errors.Errorf("relay: at most %d services and %d rows", maximumServices, maximumRows)
+		return errors.Errorf("relay: options exceed %d services or %d rows in total", maximumServices, maximumRows)
 	}
 	if o.Payload < stampSize || o.Payload > maximumPayload {
-		return errors.Errorf("relay: payload must be from %d to %d bytes", stampSize, maximumPayload)
+		return errors.Errorf("relay: payload size must be from %d to %d bytes", stampSize, maximumPayload)
 	}
 	if o.RoundLength <= 0 {
-		return errors.New("relay: the length of a round must be positive")
+		return errors.New("relay: round length must be positive")
 	}
 	return nil
 }
--- a/bench/relay/relay_bench_test.go
+++ b/bench/relay/relay_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/vanetiller/vanetiller/bench/relay"
 )
 
-// BenchmarkCompare reports the balancer beside the bare relay. Run it with
-// -benchtime 1x: one iteration is a whole comparison of about half a minute.
+// BenchmarkCompare reports the balancer beside the bare relay. Run it with -benchtime 1x,
+// because one iteration is a whole comparison of about half a minute.
 func BenchmarkCompare(b *testing.B) {
 	conditions := []struct{ sockets, agents, payload int }{
 		{sockets: 1, agents: 4, payload: 1000},
--- a/bench/relay/relay_test.go
+++ b/bench/relay/relay_test.go
@@ -33,7 +33,7 @@
 		DeferCleanup(func() { goleak.VerifyNone(GinkgoT(), ignored) })
 	})
 
-	It("measures both relays", func(ctx SpecContext) {
+	It("measures the rate and delay of both relays", func(ctx SpecContext) {
 		options := smallOptions()
 		report, err := relay.Compare(ctx, options)
 		Expect(err).NotTo(HaveOccurred())
@@ -49,25 +49,25 @@
 		Expect(report.RelativeRate()).To(Equal(report.Balancer.PacketsPerSecond / report.Bare.PacketsPerSecond))
 	})
 
-	It("stops when its context ends", func() {
+	It("returns the context error if the context has ended", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_, err := relay.Compare(ctx, smallOptions())
 		Expect(err).To(MatchError(context.Canceled))
 	})
 
-	DescribeTable("refuses options out of range",
+	DescribeTable("returns an error if an option is out of range",
 		func(change func(*relay.Options)) {
 			options := smallOptions()
 			change(&options)
 			_, err := relay.Compare(context.Background(), options)
 			Expect(err).To(MatchError(ContainSubstring("relay: ")))
 		},
-		Entry("no service", func(o *relay.Options) { o.Services = 0 }),
-		Entry("no sender", func(o *relay.Options) { o.Senders = 0 }),
+		Entry("zero services", func(o *relay.Options) { o.Services = 0 }),
+		Entry("zero senders", func(o *relay.Options) { o.Senders = 0 }),
 		Entry("too many rows", func(o *relay.Options) { o.RowsPerService = 1_000_000 }),
-		Entry("no room for a stamp", func(o *relay.Options) { o.Payload = 8 }),
+		Entry("a payload smaller than a time stamp", func(o *relay.Options) { o.Payload = 8 }),
 		Entry("a payload over the limit", func(o *relay.Options) { o.Payload = 9000 }),
-		Entry("no time", func(o *relay.Options) { o.RoundLength = 0 }),
+		Entry("a round length of zero", func(o *relay.Options) { o.RoundLength = 0 }),
 	)
 })
--- a/bench/relay/round.go
+++ b/bench/relay/round.go
@@ -15,17 +15,17 @@
 	Run(ctx context.Context) error
 }
 
-// pattern is how senders send.
-type pattern int
+// sendPattern is the traffic pattern of the senders.
+type sendPattern int
 
 const (
-	// flood: every sender sends as fast as it can.
-	flood pattern = iota
-	// pace: one sender sends stamped datagrams at an even rate.
+	// flood makes every sender send as fast as it can.
+	flood sendPattern = iota
+	// pace makes one sender send stamped datagrams at a constant rate.
 	pace
 )
 
-// roundResult is what one round of one relay gave.
+// roundResult is the result of one round of one relay.
 type roundResult struct {
 	sent     int64
 	received int64
@@ -33,23 +33,22 @@
 	delays   *hdrhistogram.Histogram
 }
 
-// settleTime is how long the sinks may go on receiving after the relay has
-// stopped.
+// settleTime is how long the sinks go on receiving after the relay has stopped.
 const settleTime = 50 * time.Millisecond
 
-// round is the processes of one round.
+// round holds the sinks, the relay and the senders of one round.
 type round struct {
-	options Options
-	clock   stampClock
-	sinks   []*sink
-	senders []*sender
-	under   relay
-	sent    *packetCounter
+	options        Options
+	clock          stampClock
+	sinks          []*sink
+	senders        []*sender
+	relayUnderTest relay
+	sent           *packetCounter
 }
 
-// runRound opens sinks, a relay and senders, lets them run for the length of a
-// round and closes them.
-func runRound(ctx context.Context, open opener, options Options, datagrams [][]byte, how pattern) (roundResult, error) {
+// runRound opens sinks, a relay and senders, runs them for the length of a round and closes
+// them.
+func runRound(ctx context.Context, open opener, options Options, datagrams [][]byte, how sendPattern) (roundResult, error) {
 	r := &round{options: options, clock: stampClock{time.Now()}, sent: &packetCounter{}}
 	defer r.close()
 	if err := r.openAll(open, datagrams, how); err != nil {
@@ -59,7 +58,7 @@
 	for _, receiver := range r.sinks {
 		sinkGroup.Go(receiver.run)
 	}
-	elapsed, err := r.relay(ctx, how)
+	elapsed, err := r.runSenders(ctx, how)
 	time.Sleep(settleTime)
 	r.close()
 	if sinkError := sinkGroup.Wait(); err == nil {
@@ -71,7 +70,7 @@
 	return r.result(elapsed), ctx.Err()
 }
 
-func (r *round) openAll(open opener, datagrams [][]byte, how pattern) error {
+func (r *round) openAll(open opener, datagrams [][]byte, how sendPattern) error {
 	var addresses []netip.AddrPort
 	for range r.options.Sinks {
 		opened, err := openSink(r.clock)
@@ -82,7 +81,7 @@
 		addresses = append(addresses, opened.address())
 	}
 	var err error
-	if r.under, err = open(addresses, r.sent); err != nil {
+	if r.relayUnderTest, err = open(addresses, r.sent); err != nil {
 		return err
 	}
 	senders := r.options.Senders
@@ -90,7 +89,7 @@
 		senders = 1
 	}
 	for range senders {
-		opened, err := openSender(r.under.Address(), datagrams)
+		opened, err := openSender(r.relayUnderTest.Address(), datagrams)
 		if err != nil {
 			return err
 		}
@@ -99,17 +98,19 @@
 	return nil
 }
 
-// firstPacketPoll is how often a round looks whether its relay has sent a datagram.
+// firstPacketPoll is the interval at which a round checks whether its relay has sent a
+// datagram.
 const firstPacketPoll = time.Millisecond
 
-// relay runs the senders through the relay and returns for how long it has sent. The round
-// begins with its first datagram, so that a busy machine which starts it late shortens no round.
-func (r *round) relay(parent context.Context, how pattern) (time.Duration, error) {
+// runSenders runs the senders and the relay, and returns how long the relay has sent. The
+// round starts with the first datagram that the relay sends. A late start on a busy machine
+// therefore does not shorten the round.
+func (r *round) runSenders(parent context.Context, how sendPattern) (time.Duration, error) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	started := time.Now()
 	var group errgroup.Group
-	group.Go(func() error { return r.under.Run(ctx) })
+	group.Go(func() error { return r.relayUnderTest.Run(ctx) })
 	for _, sending := range r.senders {
 		group.Go(func() error {
 			if how == pace {
@@ -135,7 +136,7 @@
 	}
 }
 
-// wait returns after a duration, or once ctx ends.
+// wait returns after the duration or when ctx ends.
 func wait(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -147,7 +148,7 @@
 
 func (r *round) close() {
 	for _, opened := range r.sinks {
-		// The only error is that the socket is closed already.
+		// Close fails only if the socket is already closed.
 		_ = opened.connection.Close()
 	}
 	for _, opened := range r.senders {
--- a/bench/relay/round_test.go
+++ b/bench/relay/round_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
-// lateRelay is a relay whose process gets no time at first.
+// lateRelay is a relay that starts to run after a delay, as on a busy machine.
 type lateRelay struct {
 	relay
 	delay time.Duration
@@ -21,7 +21,7 @@
 }
 
 var _ = ginkgo.Describe("round", func() {
-	ginkgo.It("lasts from its first datagram on, however late that is", func(ctx ginkgo.SpecContext) {
+	ginkgo.It("starts with the first datagram if the relay starts later than the round length", func(ctx ginkgo.SpecContext) {
 		options := DefaultOptions()
 		options.Services, options.RowsPerService, options.Flows = 3, 2, 100
 		options.RoundLength = 20 * time.Millisecond
--- a/bench/relay/sender.go
+++ b/bench/relay/sender.go
@@ -13,8 +13,8 @@
 	"github.com/vanetiller/vanetiller/internal/balancer/udpfront"
 )
 
-// socketsPerSender source ports let the kernel spread one sender's datagrams
-// over all sockets of the relay.
+// socketsPerSender is the number of source ports of a sender. Several ports let the kernel
+// distribute its datagrams over all sockets of the relay.
 const socketsPerSender = 16
 
 // sender sends datagrams to a relay from several source ports in turn.
@@ -23,7 +23,7 @@
 	messages    []ipv4.Message
 }
 
-// openSender copies the datagrams, whose payload ends with a stamp.
+// openSender copies the datagrams, because it writes time stamps into them.
 func openSender(destination netip.AddrPort, datagrams [][]byte) (*sender, error) {
 	opened := &sender{}
 	for range socketsPerSender {
@@ -47,12 +47,12 @@
 
 func (s *sender) close() {
 	for _, connection := range s.connections {
-		// The only error is that the socket is closed already.
+		// Close fails only if the socket is already closed.
 		_ = connection.Close()
 	}
 }
 
-// flood sends as fast as it can until ctx ends.
+// flood sends as fast as possible until ctx ends.
 func (s *sender) flood(ctx context.Context) error {
 	for next := 0; ctx.Err() == nil; next++ {
 		start := next * udpfront.BatchSize % len(s.messages)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// pace sends one stamped datagram at a time at an even rate until ctx ends.
+// pace sends single stamped datagrams at a constant rate until ctx ends.
 func (s *sender) pace(ctx context.Context, packetsPerSecond int, clock stampClock) error {
 	interval := time.Second / time.Duration(packetsPerSecond)
 	due := time.Now()
@@ -80,10 +80,10 @@
 	return nil
 }
 
-// stampMark tells a stamped datagram from others.
+// stampMark identifies stamped datagrams.
 const stampMark = 0x76616e6574696c65
 
-// stampClock stamps datagrams with the time since a start.
+// stampClock stamps datagrams with the time since its start.
 type stampClock struct{ start time.Time }
 
 func (c stampClock) stamp(datagram []byte) {
@@ -92,7 +92,7 @@
 	binary.BigEndian.PutUint64(field[8:], uint64(time.Since(c.start)))
 }
 
-// age returns how long ago a datagram was stamped, or false if it was not.
+// age returns the time since a datagram was stamped, or false if it has no stamp.
 func (c stampClock) age(datagram []byte) (time.Duration, bool) {
 	if len(datagram) < stampSize {
 		return 0, false
--- a/bench/relay/sink.go
+++ b/bench/relay/sink.go
@@ -18,7 +18,7 @@
 	histogramDigits = 3
 )
 
-// sink receives datagrams, counts them and records the age of stamped ones.
+// sink receives datagrams, counts them and records the delay of stamped ones.
 type sink struct {
 	connection *net.UDPConn
 	clock      stampClock
@@ -70,6 +70,6 @@
 	if !stamped {
 		return
 	}
-	// A longer delay than the histogram holds is kept as the longest.
+	// The histogram records a delay above its maximum as the maximum.
 	_ = s.delays.RecordValue(min(int64(age), int64(maximumDelay)))
 }
--- a/bench/relay/workload.go
+++ b/bench/relay/workload.go
@@ -19,18 +19,18 @@
 	maximumRows     = 60_000
 	maximumPayload  = 8_000
 	servicePort     = 443
-	// stampSize is the room for a send time at the end of a datagram.
+	// stampSize is the number of bytes of the time stamp at the end of a datagram.
 	stampSize = 16
 )
 
-// serviceAddress returns the virtual address of a service, in 10.0.0.0/8.
+// serviceAddress returns the virtual address of a service in 10.0.0.0/8.
 func serviceAddress(index int) netip.Addr {
 	var address [4]byte
 	binary.BigEndian.PutUint32(address[:], 10<<24|uint32(index+1))
 	return netip.AddrFrom4(address)
 }
 
-// sampleTable spreads the rows of every service over the sinks.
+// sampleTable returns a table that spreads the rows of every service over the sinks.
 func sampleTable(options Options, sinks []netip.AddrPort) *table.Table {
 	sample := &table.Table{Version: 1}
 	for service := range options.Services {
@@ -56,8 +56,8 @@
 	return sample
 }
 
-// sampleDatagrams returns what the fabric would send for random flows to
-// random services.
+// sampleDatagrams returns datagrams as the fabric sends them, for random flows to random
+// services.
 func sampleDatagrams(options Options) ([][]byte, error) {
 	random := rand.New(rand.NewPCG(options.Seed, 0))
 	encoder := encap.NewEncoder()
@@ -91,5 +91,5 @@
 	buffer := gopacket.NewSerializeBuffer()
 	payload := gopacket.Payload(make([]byte, options.Payload))
 	err := gopacket.SerializeLayers(buffer, gopacket.SerializeOptions{FixLengths: true}, ip, tcp, payload)
-	return buffer.Bytes(), errors.Wrap(err, "relay: sample packet")
+	return buffer.Bytes(), errors.Wrap(err, "relay: serialize sample packet")
 }
--- a/bench/simnet/fault.go
+++ b/bench/simnet/fault.go
@@ -1,12 +1,12 @@
-// This file implements faults of nodes and of links.
+// This file implements faults of nodes and of links between zones.
 
 package simnet
 
-// Pause stops a node from running; its datagrams and timers wait.
+// Pause suspends a node. Its datagrams and timers are held until Resume.
 func (n *Network[M]) Pause(id NodeID) { n.nodes[id].paused = true }
 
-// Resume lets a paused node go on. What waited is handled at once, in the order
-// in which it came, which is the worst case for decisions on an old view.
+// Resume continues a paused node. It handles the held events immediately, in their order of
+// arrival, before newer events. This is the worst case for decisions on outdated state.
 func (n *Network[M]) Resume(id NodeID) {
 	resumed := n.nodes[id]
 	resumed.paused = false
@@ -17,7 +17,7 @@
 	}
 }
 
-// Stop ends the process of a node; datagrams to it are lost.
+// Stop ends the process of a node. Datagrams to the node are lost.
 func (n *Network[M]) Stop(id NodeID) {
 	stopped := n.nodes[id]
 	stopped.stopped = true
@@ -26,22 +26,22 @@
 	stopped.epoch++
 }
 
-// Stopped reports whether a node has no process.
+// Stopped reports whether a node has no running process.
 func (n *Network[M]) Stopped(id NodeID) bool { return n.nodes[id].stopped }
 
-// Restart starts a new process on a node; the one before, if it still ran, is
-// gone with all its timers.
+// Restart starts a new process on a node. It ends the previous process, if that still runs,
+// and discards its timers.
 func (n *Network[M]) Restart(id NodeID, handler Handler[M]) {
 	n.Stop(id)
 	n.nodes[id].handler = handler
 	n.nodes[id].stopped = false
 }
 
-// Partition keeps the zones of two regions from reaching each other, or with itself
-// as the other region, the zones of one region.
+// Partition blocks all datagrams between the zones of two regions. If both are the same
+// region, it blocks those between the zones of that region.
 func (n *Network[M]) Partition(region, other string) { n.setCut(region, other, true) }
 
-// Heal ends a Cut.
+// Heal ends a partition.
 func (n *Network[M]) Heal(region, other string) { n.setCut(region, other, false) }
 
 func (n *Network[M]) setCut(region, other string, cut bool) {
@@ -56,15 +56,15 @@
 	}
 }
 
-// ResetMeters sets all meters to zero, for instance when a fleet has started.
+// ResetMeters sets all meters to zero, for example once a fleet has started.
 func (n *Network[M]) ResetMeters() {
 	for _, metered := range n.nodes {
 		metered.meter = meter{}
 	}
 }
 
-// FreezeMeters keeps the meters as they are, whatever follows.
+// FreezeMeters stops metering and keeps the current values.
 func (n *Network[M]) FreezeMeters() { n.metering = false }
 
-// Usage returns the control traffic of a node.
+// Usage returns the metered control traffic of a node.
 func (n *Network[M]) Usage(id NodeID) Usage { return n.nodes[id].meter.usage }
--- a/bench/simnet/meter.go
+++ b/bench/simnet/meter.go
@@ -1,4 +1,4 @@
-// This file implements the count of each node's traffic.
+// This file implements the metering of the control traffic of each node.
 
 package simnet
 
@@ -8,24 +8,23 @@
 const HeaderSize = 28
 
 const (
-	// WindowSeconds is the length, in seconds, of the window whose worst case is kept.
+	// WindowSeconds is the length of the sliding window of Usage.WorstWindowBytes in seconds.
 	WindowSeconds = 10
 	second        = time.Second
 )
 
-// Usage is the control traffic of one node since the meters were started, sent
-// and received together, headers included.
+// Usage is the control traffic of one node since ResetMeters, headers included.
 type Usage struct {
 	SentBytes         uint64
 	ReceivedBytes     uint64
 	SentDatagrams     uint64
 	ReceivedDatagrams uint64
-	// WorstWindowBytes is the largest number of bytes, sent and received, in
-	// 10 successive seconds.
+	// WorstWindowBytes is the maximum number of bytes sent and received in WindowSeconds
+	// successive seconds.
 	WorstWindowBytes uint64
 }
 
-// Bytes returns the bytes sent and received.
+// Bytes returns the total of bytes sent and received.
 func (u Usage) Bytes() uint64 { return u.SentBytes + u.ReceivedBytes }
 
 // meter counts the traffic of one node.
@@ -55,7 +54,7 @@
 	m.usage.WorstWindowBytes = max(m.usage.WorstWindowBytes, m.window)
 }
 
-// advance empties the seconds that have left the window.
+// advance moves the window to the current second and removes expired seconds from it.
 func (m *meter) advance(current int64) {
 	if current-m.second >= WindowSeconds {
 		m.seconds = [WindowSeconds]uint64{}
--- a/bench/simnet/network.go
+++ b/bench/simnet/network.go
@@ -1,10 +1,11 @@
-// Package simnet implements a simulated network in virtual time: nodes in zones
-// and regions exchange datagrams that are delayed, lost and duplicated, and set
-// timers; nodes can be paused, stopped and cut off.
+// Package simnet simulates a network in virtual time, for tests and experiments with the
+// logic of distributed nodes. Its input is a topology of zones and regions, a seed, and a
+// handler for each node. Nodes send datagrams, which are delayed, lost and duplicated, and
+// set timers. Nodes can be paused, stopped and restarted, and regions partitioned.
 //
-// Everything happens on the goroutine that calls Run, in an order that depends
-// on the seed only, so that equal runs have equal outcomes. There is no
-// goroutine and no real timer per node.
+// Run handles all events on the goroutine that calls it. Their order depends only on the
+// seed and the calls, so that equal runs have equal results. Nodes have no goroutines or
+// real timers of their own.
 package simnet
 
 import (
@@ -12,10 +13,10 @@
 	"time"
 )
 
-// NodeID is the position of a node in the order of AddNode.
+// NodeID is the index of a node in the order of AddNode.
 type NodeID int32
 
-// Handler is what a node does. Its methods may call the network's methods.
+// Handler implements the behavior of a node. Its methods may call methods of the network.
 type Handler[M any] interface {
 	// Receive handles a datagram.
 	Receive(now time.Duration, from NodeID, message M)
@@ -23,10 +24,10 @@
 	HandleTimer(now time.Duration, timer uint32)
 }
 
-// TrafficClass tells whether a datagram counts as control traffic.
+// TrafficClass tells control traffic from payload.
 type TrafficClass uint8
 
-// The classes of datagrams. Only Control is metered.
+// Classes of datagrams. Only Control is metered.
 const (
 	Control TrafficClass = iota
 	Payload
@@ -55,8 +56,8 @@
 type node[M any] struct {
 	handler Handler[M]
 	zone    ZoneID
-	// epoch counts the processes that the node has run; timers of earlier
-	// ones are void.
+	// epoch counts the processes that the node has run. Timers of earlier processes are
+	// discarded.
 	epoch   uint32
 	stopped bool
 	paused  bool
@@ -65,20 +66,21 @@
 	meter meter
 }
 
-// heldDatagrams is how many datagrams the socket of a paused node holds.
-const heldDatagrams = 512
+// maxHeldDatagrams limits the datagrams that are held for a paused node, like the receive
+// buffer of a socket.
+const maxHeldDatagrams = 512
 
-// Counters count what became of datagrams of both classes.
+// Counters count datagrams of both classes by outcome.
 type Counters struct {
 	Sent       uint64
 	Delivered  uint64
 	Lost       uint64
 	Duplicated uint64
-	// Partitioned counts those sent between zones that cannot reach each other.
+	// Partitioned counts datagrams that a partition blocked.
 	Partitioned uint64
-	// Undelivered counts those for stopped nodes and full sockets.
+	// Undelivered counts datagrams to stopped nodes and to paused nodes with a full buffer.
 	Undelivered uint64
-	// Events counts everything that Run has handled.
+	// Events counts all events that Run has handled.
 	Events uint64
 }
 
@@ -115,10 +117,10 @@
 	return created
 }
 
-// Now returns the virtual time since the beginning.
+// Now returns the virtual time since the start.
 func (n *Network[M]) Now() time.Duration { return n.now }
 
-// Counters returns what became of datagrams so far.
+// Counters returns the counts of datagrams so far.
 func (n *Network[M]) Counters() Counters { return n.counters }
 
 // AddNode adds a running node.
@@ -130,7 +132,7 @@
 // Zone returns the zone of a node.
 func (n *Network[M]) Zone(id NodeID) ZoneID { return n.nodes[id].zone }
 
-// Send transmits a datagram with a payload of the given size in bytes.
+// Send sends a datagram whose payload has the given size in bytes.
 func (n *Network[M]) Send(from, to NodeID, class TrafficClass, size int, message M) {
 	n.counters.Sent++
 	sender, receiver := n.nodes[from], n.nodes[to]
@@ -161,13 +163,13 @@
 	return link.Delay + time.Duration(n.random.Int64N(int64(link.Jitter)))
 }
 
-// Schedule wakes a node after a time with the given timer, unless it is stopped
-// or restarted before. A paused node is woken when it resumes.
+// Schedule calls HandleTimer of a node after the given time, unless the node is stopped or
+// restarted earlier. If the node is paused then, the call happens when it resumes.
 func (n *Network[M]) Schedule(id NodeID, after time.Duration, timer uint32) {
 	n.add(n.now+after, event[M]{kind: eventTimer, to: id, timer: timer, epoch: n.nodes[id].epoch})
 }
 
-// At runs an action at a virtual time, or at once if that has passed.
+// At runs an action at the given virtual time, or at the current time if that has passed.
 func (n *Network[M]) At(at time.Duration, action func()) {
 	n.add(max(at, n.now), event[M]{kind: eventAction, action: action})
 }
@@ -232,7 +234,7 @@
 }
 
 func (n *Network[M]) hold(receiver *node[M], handled event[M]) {
-	if handled.kind == eventDatagram && len(receiver.held) >= heldDatagrams {
+	if handled.kind == eventDatagram && len(receiver.held) >= maxHeldDatagrams {
 		n.counters.Undelivered++
 		return
 	}
--- a/bench/simnet/network_test.go
+++ b/bench/simnet/network_test.go
@@ -14,7 +14,7 @@
 
 const payloadSize = 100
 
-// recorder keeps the times of what it receives.
+// recorder records received messages and the times of messages and timers.
 type recorder struct {
 	received []time.Duration
 	messages []int
@@ -53,7 +53,7 @@
 	return pair{network, network.AddNode(0, recorder), network.AddNode(0, recorder), recorder}
 }
 
-// sendMany sends one datagram a millisecond.
+// sendMany sends one datagram per millisecond.
 func (p pair) sendMany(count int) {
 	for index := range count {
 		p.network.At(time.Duration(index)*time.Millisecond, func() {
@@ -66,7 +66,7 @@
 var _ = Describe("Network", func() {
 	const count = 20_000
 
-	It("delays within the bounds of the link and lets datagrams overtake", func() {
+	It("delays datagrams within the bounds of a link with jitter and reorders some", func() {
 		p := newPair(simnet.Link{Delay: 2 * time.Millisecond, Jitter: 4 * time.Millisecond}, 1)
 		p.sendMany(count)
 		Expect(p.recorder.received).To(HaveLen(count))
@@ -85,7 +85,7 @@
 		Expect(overtaken).To(BeNumerically(">", count/10))
 	})
 
-	It("loses and duplicates as often as the link says", func() {
+	It("loses and duplicates datagrams at the rates of the link", func() {
 		p := newPair(simnet.Link{Delay: time.Millisecond, Loss: 0.1, Duplication: 0.05}, 2)
 		p.sendMany(count)
 		counters := p.network.Counters()
@@ -94,7 +94,7 @@
 		Expect(counters.Delivered).To(Equal(counters.Sent - counters.Lost + counters.Duplicated))
 	})
 
-	It("takes the longer links between zones and regions", func() {
+	It("uses the links of the topology between zones and between regions", func() {
 		network := simnet.New[int](layoutWith(simnet.Link{}), 1)
 		recorder := &recorder{}
 		sender := network.AddNode(0, recorder)
@@ -105,7 +105,7 @@
 		Expect(recorder.received).To(Equal([]time.Duration{0, time.Millisecond, 50 * time.Millisecond}))
 	})
 
-	It("keeps cut regions apart until they are healed", func() {
+	It("blocks datagrams between partitioned regions until they are healed", func() {
 		network := simnet.New[int](layoutWith(simnet.Link{}), 1)
 		recorder := &recorder{}
 		near := network.AddNode(0, recorder)
@@ -122,7 +122,7 @@
 		Expect(recorder.messages).To(Equal([]int{3}))
 	})
 
-	It("holds what reaches a paused node and delivers it late", func() {
+	It("holds datagrams and timers of a paused node until it resumes", func() {
 		p := newPair(simnet.Link{Delay: time.Millisecond}, 1)
 		p.network.Pause(p.receiver)
 		p.network.Send(p.sender, p.receiver, simnet.Control, payloadSize, 7)
@@ -134,7 +134,7 @@
 		Expect(p.recorder.woken).To(Equal([]time.Duration{time.Second}))
 	})
 
-	It("voids the timers of a process that was replaced", func() {
+	It("discards the timers of a process that was replaced", func() {
 		p := newPair(simnet.Link{Delay: time.Millisecond}, 1)
 		replacement := &recorder{}
 		p.network.Schedule(p.receiver, time.Second, 0)
@@ -150,7 +150,7 @@
 		Expect(p.network.Counters().Undelivered).To(BeEquivalentTo(1))
 	})
 
-	It("counts bytes with headers and finds the worst window", func() {
+	It("meters control bytes with headers and their worst window", func() {
 		p := newPair(simnet.Link{}, 1)
 		send := func() { p.network.Send(p.sender, p.receiver, simnet.Control, payloadSize, 0) }
 		for _, at := range []time.Duration{0, 9 * time.Second, 15 * time.Second, 18 * time.Second, 40 * time.Second} {
@@ -167,7 +167,7 @@
 		Expect(p.network.Usage(p.sender).SentDatagrams).To(BeEquivalentTo(5))
 	})
 
-	It("repeats a run to the byte and differs with another seed", func() {
+	It("repeats a run exactly for the same seed and not for another", func() {
 		trace := func(seed uint64) string {
 			p := newPair(simnet.Link{Delay: time.Millisecond, Jitter: time.Millisecond, Loss: 0.2, Duplication: 0.2}, seed)
 			p.sendMany(1000)
@@ -182,7 +182,7 @@
 	})
 })
 
-// repeater answers each datagram and sets its timer again.
+// repeater sends a datagram at each timer and sets the timer again.
 type repeater struct {
 	network *simnet.Network[int]
 	id      simnet.NodeID
@@ -196,8 +196,8 @@
 	r.network.Schedule(r.id, 100*time.Millisecond, 0)
 }
 
-// BenchmarkEvents reports events a second with 1,100 nodes, each of which sends
-// ten datagrams a second of virtual time.
+// BenchmarkEvents measures events per second with 1,100 nodes, each of which sends ten
+// datagrams per second of virtual time.
 func BenchmarkEvents(b *testing.B) {
 	const nodes = 1100
 	network := simnet.New[int](layoutWith(simnet.Link{Delay: time.Millisecond, Jitter: time.Millisecond, Loss: 0.01}), 1)
--- a/bench/simnet/queue.go
+++ b/bench/simnet/queue.go
@@ -1,15 +1,15 @@
-// This file implements the queue of events, ordered by virtual time.
+// This file implements the priority queue of events, ordered by virtual time.
 
 package simnet
 
 import "time"
 
-// queueArity is the number of children of a heap node. Four touch fewer cache
-// lines than two in queues of hundreds of thousands of events.
+// queueArity is the number of children of a heap node. With hundreds of thousands of events,
+// four children touch fewer cache lines than two.
 const queueArity = 4
 
-// entry is the place of an event in time. Events of the same time keep the
-// order in which they were added, so that a run can be repeated.
+// entry is the position of an event in the queue. Events of the same time are handled in the
+// order in which they were added, so that a run is reproducible.
 type entry struct {
 	at    time.Duration
 	order uint64
@@ -52,16 +52,16 @@
 	moved := q.entries[last]
 	q.entries = q.entries[:last]
 	if last > 0 {
-		q.sink(moved)
+		q.siftDown(moved)
 	}
 	return removed
 }
 
-// sink places an entry, starting at the root.
-func (q *queue) sink(moved entry) {
+// siftDown places an entry in the heap, starting at the root.
+func (q *queue) siftDown(moved entry) {
 	position := 0
 	for {
-		child := q.leastChild(position)
+		child := q.earliestChild(position)
 		if child < 0 || !q.entries[child].before(moved) {
 			break
 		}
@@ -71,8 +71,8 @@
 	q.entries[position] = moved
 }
 
-// leastChild returns the earliest child of a position, or -1.
-func (q *queue) leastChild(position int) int {
+// earliestChild returns the index of the earliest child of a position, or -1 if it has none.
+func (q *queue) earliestChild(position int) int {
 	begin := position*queueArity + 1
 	if begin >= len(q.entries) {
 		return -1
--- a/bench/simnet/topology.go
+++ b/bench/simnet/topology.go
@@ -1,18 +1,18 @@
-// This file implements where nodes are and how far apart zones lie.
+// This file implements zones, regions and the links between them.
 
 package simnet
 
 import "time"
 
-// ZoneID is the position of a zone in a layout.
+// ZoneID is the index of a zone in a topology.
 type ZoneID int
 
-// Link describes the datagrams sent from one zone to another.
+// Link describes how datagrams travel from one zone to another.
 type Link struct {
-	// Delay is the shortest one-way delay.
+	// Delay is the minimum one-way delay.
 	Delay time.Duration
-	// Jitter is the largest addition to the delay; additions are uniform, so
-	// datagrams can overtake each other.
+	// Jitter is the upper bound of a uniformly distributed additional delay. It lets
+	// datagrams overtake each other.
 	Jitter time.Duration
 	// Loss and Duplication are probabilities from 0 to 1.
 	Loss        float64
@@ -25,11 +25,11 @@
 	Region string
 }
 
-// Topology is the zones and the links between them.
+// Topology describes the zones and the links between them.
 type Topology struct {
 	Zones []Zone
-	// WithinZone, BetweenZones and BetweenRegions describe the links between
-	// nodes of one zone, of two zones of one region, and of two regions.
+	// WithinZone is the link between nodes of one zone, BetweenZones between two zones
+	// of one region, and BetweenRegions between two regions.
 	WithinZone     Link
 	BetweenZones   Link
 	BetweenRegions Link
@@ -46,7 +46,7 @@
 	return l.BetweenRegions
 }
 
-// ZonesOf returns the zones of a region in the order of the layout.
+// ZonesOf returns the zones of a region in the order of the topology.
 func (l Topology) ZonesOf(region string) []ZoneID {
 	var zones []ZoneID
 	for index, zone := range l.Zones {
