--- a/bench/flownet/checker.go
+++ b/bench/flownet/checker.go
@@ -129,7 +129,7 @@
 
 func (c *checker) now() time.Duration { return c.world.net.Now() }
 
-// newRequest notes a new request.
+// newRequest returns a new request and counts it in its window.
 func (c *checker) newRequest(class RequestClass) *request {
 	asked := c.newProbe(class)
 	asked.probe = false
@@ -137,7 +137,7 @@
 	return asked
 }
 
-// newProbe notes a request that only tests which configuration is in force.
+// newProbe returns a request that only tests which configuration is in force.
 func (c *checker) newProbe(class RequestClass) *request {
 	c.lastRequestID++
 	asked := &request{id: c.lastRequestID, class: class, sent: c.now(), deadline: c.now() + class.Timeout, probe: true}
--- a/bench/flownet/flownet_test.go
+++ b/bench/flownet/flownet_test.go
@@ -84,13 +84,13 @@
 		Entry("large, 30 a second", "large", 30.0, uint64(1)),
 	)
 
-	DescribeTable("serves nearly all requests again soon after a power loss despite cold start limits", func(shape string, rate float64, untold bool, within int) {
+	DescribeTable("serves nearly all requests again soon after a power loss despite cold start limits", func(shape string, rate float64, rateHidden bool, within int) {
 		for seed := uint64(1); seed <= 3; seed++ {
 			chosen := options(shape, seed)
 			chosen.Events = 0
 			chosen.Duration = 36 * time.Second
 			chosen.PowerLoss = true
-			chosen.ColdRate, chosen.ColdRateHidden = rate, untold
+			chosen.ColdRate, chosen.ColdRateHidden = rate, rateHidden
 			report := flownet.Run(chosen)
 			Expect(report.Violations()).To(BeZero(), fmt.Sprintf("%+v", report))
 			// Power is lost after two thirds of the duration, at the end of a window.
