--- a/bench/fabric/fabric_test.go
+++ b/bench/fabric/fabric_test.go
@@ -147,7 +147,7 @@
 	DescribeTable("reports an accepted connection only for a TCP segment with SYN and ACK",
 		func(protocol, flags byte, expected int) {
 			observed := make(chan fabric.AcceptedConnection, 1)
-			created := startFabric(fabric.Settings{OnAccept: func(opening fabric.AcceptedConnection) { observed <- opening }})
+			created := startFabric(fabric.Settings{OnAccept: func(connection fabric.AcceptedConnection) { observed <- connection }})
 			agent := listen()
 			packet := append(ipv4Packet(caller), make([]byte, 20)...)
 			packet[9] = protocol
--- a/bench/flownet/agent.go
+++ b/bench/flownet/agent.go
@@ -109,27 +109,27 @@
 }
 
 // drain registers the endpoint as draining and removes it after the drain time.
-func (s *endpointHost) drain() {
-	if s.draining || s.removed {
+func (h *endpointHost) drain() {
+	if h.draining || h.removed {
 		return
 	}
-	s.draining = true
-	s.world.store.register(s)
-	s.world.checker.recordDeparture(s)
-	s.world.net.At(s.world.net.Now()+drainTime+2*time.Second, func() { s.leave() })
+	h.draining = true
+	h.world.store.register(h)
+	h.world.checker.recordDeparture(h)
+	h.world.net.At(h.world.net.Now()+drainTime+2*time.Second, func() { h.leave() })
 }
 
 // leave removes the entry of the endpoint. The endpoint and its agent stop after
 // drainTime, when its flows have ended.
-func (s *endpointHost) leave() {
-	if s.removed {
+func (h *endpointHost) leave() {
+	if h.removed {
 		return
 	}
-	s.removed = true
-	s.world.store.deregister(s)
-	s.world.checker.recordDeparture(s)
-	s.world.net.At(s.world.net.Now()+drainTime, func() {
-		s.world.net.Stop(s.endpoint.id)
-		s.world.net.Stop(s.agent.id)
+	h.removed = true
+	h.world.store.deregister(h)
+	h.world.checker.recordDeparture(h)
+	h.world.net.At(h.world.net.Now()+drainTime, func() {
+		h.world.net.Stop(h.endpoint.id)
+		h.world.net.Stop(h.agent.id)
 	})
 }
--- a/bench/flownet/checker.go
+++ b/bench/flownet/checker.go
@@ -175,12 +175,12 @@
 	}
 }
 
-func (c *checker) recordFailure(given *request, reason string) {
-	if given.finished {
+func (c *checker) recordFailure(failed *request, reason string) {
+	if failed.finished {
 		return
 	}
-	given.finished = true
-	if given.probe {
+	failed.finished = true
+	if failed.probe {
 		return
 	}
 	c.failureCauses[reason]++
--- a/bench/flownet/defects.go
+++ b/bench/flownet/defects.go
@@ -45,8 +45,8 @@
 )
 
 // filterItems removes the store items that a defect hides.
-func (p Defect) filterItems(items []directory.Item) []directory.Item {
-	switch p {
+func (d Defect) filterItems(items []directory.Item) []directory.Item {
+	switch d {
 	case DefectIgnoreLeaving:
 		return slices.DeleteFunc(slices.Clone(items), func(item directory.Item) bool {
 			return item.EndpointID.Name != "" && (item.Endpoint == nil || item.Endpoint.Draining)
--- a/bench/flownet/dissemination.go
+++ b/bench/flownet/dissemination.go
@@ -37,7 +37,7 @@
 		if !n.world.net.Stopped(other.id) && !n.world.isolated[other.ip] && !n.world.isolated[n.ip] {
 			n.lastSeen[other.id] = now
 		}
-		if heard, known := n.lastSeen[other.id]; known && now-heard < failureDelay && !other.removed {
+		if seen, known := n.lastSeen[other.id]; known && now-seen < failureDelay && !other.removed {
 			members = append(members, directory.Member{Peer: directory.Peer(other.id), Zone: other.zone})
 		}
 	}
--- a/bench/flownet/endpoint.go
+++ b/bench/flownet/endpoint.go
@@ -41,9 +41,9 @@
 	slowdown    float64
 }
 
-func newEndpoint(s *endpointHost) *endpoint {
-	created := &endpoint{host: s, flows: make(map[segment.FlowKey]*endpointFlow), slowdown: 1}
-	created.id = s.world.net.AddNode(simnet.ZoneID(s.zone), created)
+func newEndpoint(host *endpointHost) *endpoint {
+	created := &endpoint{host: host, flows: make(map[segment.FlowKey]*endpointFlow), slowdown: 1}
+	created.id = host.world.net.AddNode(simnet.ZoneID(host.zone), created)
 	return created
 }
 
@@ -65,7 +65,8 @@
 // cold.
 const announceDelay = 400 * time.Millisecond
 
-// startCold makes the endpoint cold, as after a start.
+// startCold makes the endpoint cold, as after a start. It registers the endpoint again after
+// announceDelay.
 func (e *endpoint) startCold() {
 	w := e.host.world
 	e.coldUntil = w.net.Now() + coldTime
@@ -229,9 +230,9 @@
 	if w.net.Now() < e.coldUntil {
 		duration = time.Duration(float64(duration) * coldSlowdown)
 	}
-	life := e.incarnation
+	incarnation := e.incarnation
 	w.net.At(w.net.Now()+duration, func() {
-		if e.incarnation == life {
+		if e.incarnation == incarnation {
 			e.finish(known)
 		}
 	})
@@ -276,12 +277,12 @@
 // acknowledges it or the delay exceeds maxRetransmitDelay.
 func (e *endpoint) scheduleRetransmit(known *endpointFlow, after time.Duration) {
 	w := e.host.world
-	life := e.incarnation
+	incarnation := e.incarnation
 	if after > maxRetransmitDelay {
 		return
 	}
 	w.net.At(w.net.Now()+after, func() {
-		if e.incarnation != life || known.acked {
+		if e.incarnation != incarnation || known.acked {
 			return
 		}
 		class := w.checker.class(known.request)
--- a/bench/flownet/events.go
+++ b/bench/flownet/events.go
@@ -172,10 +172,10 @@
 // servedOutside reports whether every service has a serving endpoint outside a zone.
 func (w *world) servedOutside(zone string) bool {
 	for _, service := range w.options.Shape.Services {
-		beside := slices.ContainsFunc(w.servingHosts(), func(s *endpointHost) bool {
+		served := slices.ContainsFunc(w.servingHosts(), func(s *endpointHost) bool {
 			return s.service.Name == service.Name && s.zoneName != zone
 		})
-		if !beside {
+		if !served {
 			return false
 		}
 	}
--- a/bench/flownet/flownet_test.go
+++ b/bench/flownet/flownet_test.go
@@ -77,11 +77,11 @@
 			Expect(report.Violations()).To(BeZero(), fmt.Sprintf("seed %d: %+v", seed, report))
 		}
 	},
-		Entry("casablanca, 8 a second", "casablanca", 8.0, uint64(6)),
-		Entry("casablanca, 20 a second", "casablanca", 20.0, uint64(6)),
-		Entry("kolkata, 12 a second", "kolkata", 12.0, uint64(6)),
-		Entry("sahel, 12 a second", "sahel", 12.0, uint64(6)),
-		Entry("large, 30 a second", "large", 30.0, uint64(1)),
+		Entry("casablanca, 8 requests per second", "casablanca", 8.0, uint64(6)),
+		Entry("casablanca, 20 requests per second", "casablanca", 20.0, uint64(6)),
+		Entry("kolkata, 12 requests per second", "kolkata", 12.0, uint64(6)),
+		Entry("sahel, 12 requests per second", "sahel", 12.0, uint64(6)),
+		Entry("large, 30 requests per second", "large", 30.0, uint64(1)),
 	)
 
 	DescribeTable("serves nearly all requests again soon after a power loss despite cold start limits", func(shape string, rate float64, rateHidden bool, within int) {
@@ -100,12 +100,12 @@
 			}
 		}
 	},
-		Entry("casablanca, 8 a second", "casablanca", 8.0, false, 4),
-		Entry("casablanca, 12 a second", "casablanca", 12.0, false, 4),
-		Entry("kolkata, 12 a second", "kolkata", 12.0, false, 4),
-		Entry("sahel, 5 a second", "sahel", 5.0, false, 4),
-		Entry("casablanca, 12 a second, rate not configured", "casablanca", 12.0, true, 8),
-		Entry("kolkata, 12 a second, rate not configured", "kolkata", 12.0, true, 8),
+		Entry("casablanca, 8 requests per second", "casablanca", 8.0, false, 4),
+		Entry("casablanca, 12 requests per second", "casablanca", 12.0, false, 4),
+		Entry("kolkata, 12 requests per second", "kolkata", 12.0, false, 4),
+		Entry("sahel, 5 requests per second", "sahel", 5.0, false, 4),
+		Entry("casablanca, 12 requests per second, rate not configured", "casablanca", 12.0, true, 8),
+		Entry("kolkata, 12 requests per second, rate not configured", "kolkata", 12.0, true, 8),
 	)
 
 	It("returns the same report for the same seed", func() {
@@ -121,12 +121,12 @@
 			Expect(report.ServedShare).To(BeNumerically(">", 0.9), fmt.Sprintf("seed %d: %+v", seed, report))
 		}
 	},
-		Entry("casablanca, steady hash", "casablanca", flownet.HashRendezvous),
+		Entry("casablanca, rendezvous hash", "casablanca", flownet.HashRendezvous),
 		Entry("casablanca, modulo hash", "casablanca", flownet.HashModulo),
-		Entry("kolkata, steady hash", "kolkata", flownet.HashRendezvous),
+		Entry("kolkata, rendezvous hash", "kolkata", flownet.HashRendezvous),
 		Entry("kolkata, modulo hash", "kolkata", flownet.HashModulo),
 		Entry("sahel, modulo hash", "sahel", flownet.HashModulo),
-		Entry("large, steady hash", "large", flownet.HashRendezvous),
+		Entry("large, rendezvous hash", "large", flownet.HashRendezvous),
 	)
 
 	DescribeTable("violates no guarantee and serves nearly all requests during planned work", func(shape string) {
@@ -177,22 +177,22 @@
 	// means of six runs.
 	DescribeTable("serves more requests within target after a power loss than without agent queues", func(shape string) {
 		const runs = 6
-		var heldWorst, heldInTarget, unboundedWorst, unboundedInTarget float64
+		var queuedWorst, queuedWithinTarget, unqueuedWorst, unqueuedWithinTarget float64
 		for seed := uint64(1); seed <= runs; seed++ {
 			chosen := options(shape, seed)
 			chosen.Events = 0
 			chosen.PowerLoss = true
-			held := flownet.Run(chosen)
+			queued := flownet.Run(chosen)
 			chosen.DisableAgentQueue = true
-			unbounded := flownet.Run(chosen)
-			Expect(held.Violations()).To(BeZero())
-			heldWorst += held.WorstWindowShare / runs
-			heldInTarget += held.WithinTargetShare / runs
-			unboundedWorst += unbounded.WorstWindowShare / runs
-			unboundedInTarget += unbounded.WithinTargetShare / runs
+			unqueued := flownet.Run(chosen)
+			Expect(queued.Violations()).To(BeZero())
+			queuedWorst += queued.WorstWindowShare / runs
+			queuedWithinTarget += queued.WithinTargetShare / runs
+			unqueuedWorst += unqueued.WorstWindowShare / runs
+			unqueuedWithinTarget += unqueued.WithinTargetShare / runs
 		}
-		Expect(heldWorst).To(BeNumerically(">", unboundedWorst+0.1))
-		Expect(heldInTarget).To(BeNumerically(">", unboundedInTarget))
+		Expect(queuedWorst).To(BeNumerically(">", unqueuedWorst+0.1))
+		Expect(queuedWithinTarget).To(BeNumerically(">", unqueuedWithinTarget))
 	},
 		Entry("casablanca", "casablanca"),
 		Entry("kolkata", "kolkata"),
@@ -218,18 +218,18 @@
 	)
 
 	It("reports overloads of cold endpoints if agents ignore the cold start limit", func() {
-		overrun := 0
+		overloads := 0
 		for seed := uint64(1); seed <= 4; seed++ {
 			chosen := options("casablanca", seed)
 			chosen.ColdRate = 8
 			chosen.Defect = flownet.DefectNoColdStartLimit
-			overrun += flownet.Run(chosen).ColdOverloads
+			overloads += flownet.Run(chosen).ColdOverloads
 		}
-		Expect(overrun).To(BeNumerically(">", 0))
+		Expect(overloads).To(BeNumerically(">", 0))
 	})
 
 	It("reports many more flows without an endpoint if balancers ignore that zones reopen", func() {
-		refused := func(defect flownet.Defect) int {
+		countWithoutEndpoint := func(defect flownet.Defect) int {
 			total := 0
 			for seed := uint64(1); seed <= 4; seed++ {
 				chosen := options("casablanca", seed)
@@ -241,6 +241,6 @@
 			}
 			return total
 		}
-		Expect(refused(flownet.DefectIgnoreReopenedZones)).To(BeNumerically(">", 10*refused(flownet.DefectNone)))
+		Expect(countWithoutEndpoint(flownet.DefectIgnoreReopenedZones)).To(BeNumerically(">", 10*countWithoutEndpoint(flownet.DefectNone)))
 	})
 })
--- a/bench/flownet/run.go
+++ b/bench/flownet/run.go
@@ -35,8 +35,8 @@
 	// PowerLoss makes all machines lose power once, after two thirds of the duration.
 	PowerLoss bool
 	// ColdRate is the number of requests a second that a freshly started endpoint can
-	// handle, or 0 for no limit. An endpoint that gets more crashes. ColdRateHidden leaves
-	// the rate out of the configuration.
+	// handle, or 0 for no limit. An endpoint that gets more than coldOverrun and coldSlack
+	// tolerate crashes. ColdRateHidden leaves the rate out of the configuration.
 	ColdRate       float64
 	ColdRateHidden bool
 	// Baseline replaces the product by a stateless hash. It serves as a negative control
--- a/bench/flownet/world.go
+++ b/bench/flownet/world.go
@@ -74,17 +74,17 @@
 
 func newWorld(options Options) *world {
 	shape := options.Shape
-	layout := simnet.Topology{
+	topology := simnet.Topology{
 		WithinZone:   simnet.Link{Delay: 100 * time.Microsecond, Jitter: 50 * time.Microsecond, Loss: baseLoss},
 		BetweenZones: simnet.Link{Delay: shape.InterZoneDelay, Jitter: 100 * time.Microsecond, Loss: baseLoss},
 	}
 	for _, zone := range shape.Zones {
-		layout.Zones = append(layout.Zones, simnet.Zone{Name: zone, Region: "region"})
+		topology.Zones = append(topology.Zones, simnet.Zone{Name: zone, Region: "region"})
 	}
 	created := &world{
 		options:  options,
 		random:   rand.New(rand.NewPCG(options.Seed, 77)),
-		net:      simnet.New[datagram](layout, options.Seed),
+		net:      simnet.New[datagram](topology, options.Seed),
 		codec:    segmenttest.Codec{Key: options.Seed*2 + 1},
 		nodes:    make(map[[4]byte]simnet.NodeID),
 		agents:   make(map[[4]byte]simnet.NodeID),
@@ -122,9 +122,9 @@
 func (w *world) zoneName(zone int) string { return w.options.Shape.Zones[zone] }
 
 // directoryEntry returns the directory entry that an endpoint registers in the store.
-func directoryEntry(s *endpointHost) *directory.Endpoint {
+func directoryEntry(host *endpointHost) *directory.Endpoint {
 	return &directory.Endpoint{
-		Service: s.service.Name, IP: s.ip, Port: endpointPort, Zone: s.zoneName, Slots: uint32(s.service.Slots), Draining: s.draining,
-		ColdRemaining: max(s.endpoint.coldUntil-s.world.net.Now(), 0),
+		Service: host.service.Name, IP: host.ip, Port: endpointPort, Zone: host.zoneName, Slots: uint32(host.service.Slots), Draining: host.draining,
+		ColdRemaining: max(host.endpoint.coldUntil-host.world.net.Now(), 0),
 	}
 }
--- a/bench/relay/bare_relay.go
+++ b/bench/relay/bare_relay.go
@@ -15,28 +15,28 @@
 // bareRelay forwards each datagram to the next destination in a list, without parsing or
 // copying it.
 type bareRelay struct {
-	front        *udpfront.Listener
+	listener     *udpfront.Listener
 	destinations []netip.AddrPort
 	sent         *packetCounter
 }
 
 func newBareRelay(listen netip.AddrPort, sockets int, destinations []netip.AddrPort, sent *packetCounter) (*bareRelay, error) {
-	front, err := udpfront.Listen(listen, sockets)
+	listener, err := udpfront.Listen(listen, sockets)
 	if err != nil {
 		return nil, err
 	}
-	return &bareRelay{front: front, destinations: destinations, sent: sent}, nil
+	return &bareRelay{listener: listener, destinations: destinations, sent: sent}, nil
 }
 
 // Address returns the address on which the relay receives.
-func (r *bareRelay) Address() netip.AddrPort { return r.front.Address() }
+func (r *bareRelay) Address() netip.AddrPort { return r.listener.Address() }
 
 // Run forwards datagrams until ctx ends, then closes the sockets.
 func (r *bareRelay) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, r.front.Close)
+	stop := context.AfterFunc(ctx, r.listener.Close)
 	defer stop()
 	var group errgroup.Group
-	for _, connection := range r.front.Connections() {
+	for _, connection := range r.listener.Connections() {
 		group.Go(func() error { return r.serve(connection) })
 	}
 	return group.Wait()
--- a/bench/relay/options.go
+++ b/bench/relay/options.go
@@ -20,7 +20,7 @@
 	RowsPerService int
 	// Flows is the number of distinct packets, which are sent in turn.
 	Flows int
-	// Payload is the number of bytes after the TCP header, at least stampSize.
+	// Payload is the number of bytes after the TCP header, at least 16 (stampSize).
 	Payload int
 	// Sockets is the number of sockets and goroutines of the relay.
 	Sockets int
--- a/bench/relay/relay_bench_test.go
+++ b/bench/relay/relay_bench_test.go
@@ -37,15 +37,15 @@
 			b.Fatal(err)
 		}
 		b.ReportMetric(report.RelativeRate(), "relative-rate")
-		reportSide(b, "bare", report.Bare)
-		reportSide(b, "balancer", report.Balancer)
+		reportMeasurement(b, "bare", report.Bare)
+		reportMeasurement(b, "balancer", report.Balancer)
 	}
 }
 
-func reportSide(b *testing.B, name string, side relay.Measurement) {
-	b.ReportMetric(side.PacketsPerSecond, name+"-packets/s")
-	b.ReportMetric(side.ReceivedShare, name+"-received")
-	b.ReportMetric(float64(side.DelayP50.Microseconds()), name+"-p50-us")
-	b.ReportMetric(float64(side.DelayP99.Microseconds()), name+"-p99-us")
-	b.Logf("%s: rounds of %.0f packets/s, %d delays", name, side.RoundRates, side.DelaySamples)
+func reportMeasurement(b *testing.B, name string, measurement relay.Measurement) {
+	b.ReportMetric(measurement.PacketsPerSecond, name+"-packets/s")
+	b.ReportMetric(measurement.ReceivedShare, name+"-received")
+	b.ReportMetric(float64(measurement.DelayP50.Microseconds()), name+"-p50-us")
+	b.ReportMetric(float64(measurement.DelayP99.Microseconds()), name+"-p99-us")
+	b.Logf("%s: rounds of %.0f packets/s, %d delays", name, measurement.RoundRates, measurement.DelaySamples)
 }
--- a/bench/relay/relay_test.go
+++ b/bench/relay/relay_test.go
@@ -38,13 +38,13 @@
 		report, err := relay.Compare(ctx, options)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(report.Options).To(Equal(options))
-		for _, side := range []relay.Measurement{report.Bare, report.Balancer} {
-			Expect(side.RoundRates).To(HaveLen(options.Rounds))
-			Expect(side.RoundRates).To(HaveEach(BeNumerically(">", 0)))
-			Expect(side.PacketsPerSecond).To(BeNumerically("~", (side.RoundRates[0]+side.RoundRates[1])/2, 1e-6))
-			Expect(side.ReceivedShare).To(And(BeNumerically(">", 0), BeNumerically("<=", 1)))
-			Expect(side.DelaySamples).To(BeNumerically(">", 0))
-			Expect(side.DelayP50).To(And(BeNumerically(">", 0), BeNumerically("<=", side.DelayP99)))
+		for _, measurement := range []relay.Measurement{report.Bare, report.Balancer} {
+			Expect(measurement.RoundRates).To(HaveLen(options.Rounds))
+			Expect(measurement.RoundRates).To(HaveEach(BeNumerically(">", 0)))
+			Expect(measurement.PacketsPerSecond).To(BeNumerically("~", (measurement.RoundRates[0]+measurement.RoundRates[1])/2, 1e-6))
+			Expect(measurement.ReceivedShare).To(And(BeNumerically(">", 0), BeNumerically("<=", 1)))
+			Expect(measurement.DelaySamples).To(BeNumerically(">", 0))
+			Expect(measurement.DelayP50).To(And(BeNumerically(">", 0), BeNumerically("<=", measurement.DelayP99)))
 		}
 		Expect(report.RelativeRate()).To(Equal(report.Balancer.PacketsPerSecond / report.Bare.PacketsPerSecond))
 	})
--- a/bench/relay/sender.go
+++ b/bench/relay/sender.go
@@ -23,7 +23,8 @@
 	messages    []ipv4.Message
 }
 
-// openSender copies the datagrams, because it writes time stamps into them.
+// openSender opens the sockets of a sender. It copies the datagrams, because pace writes a
+// time stamp at the end of their payload.
 func openSender(destination netip.AddrPort, datagrams [][]byte) (*sender, error) {
 	opened := &sender{}
 	for range socketsPerSender {
--- a/bench/simnet/fault.go
+++ b/bench/simnet/fault.go
@@ -39,19 +39,19 @@
 
 // Partition blocks all datagrams between the zones of two regions. If both are the same
 // region, it blocks those between the zones of that region.
-func (n *Network[M]) Partition(region, other string) { n.setCut(region, other, true) }
+func (n *Network[M]) Partition(region, other string) { n.setPartitioned(region, other, true) }
 
 // Heal ends a partition.
-func (n *Network[M]) Heal(region, other string) { n.setCut(region, other, false) }
+func (n *Network[M]) Heal(region, other string) { n.setPartitioned(region, other, false) }
 
-func (n *Network[M]) setCut(region, other string, cut bool) {
-	for _, from := range n.layout.ZonesOf(region) {
-		for _, to := range n.layout.ZonesOf(other) {
+func (n *Network[M]) setPartitioned(region, other string, partitioned bool) {
+	for _, from := range n.topology.ZonesOf(region) {
+		for _, to := range n.topology.ZonesOf(other) {
 			if from == to {
 				continue
 			}
-			n.cut[from][to] = cut
-			n.cut[to][from] = cut
+			n.partitioned[from][to] = partitioned
+			n.partitioned[to][from] = partitioned
 		}
 	}
 }
--- a/bench/simnet/network.go
+++ b/bench/simnet/network.go
@@ -86,33 +86,33 @@
 
 // Network is a simulated network. It is not safe for concurrent use.
 type Network[M any] struct {
-	layout   Topology
-	links    [][]Link
-	cut      [][]bool
-	random   *rand.Rand
-	now      time.Duration
-	queue    queue
-	slots    []event[M]
-	free     []int32
-	nodes    []*node[M]
-	metering bool
-	counters Counters
+	topology    Topology
+	links       [][]Link
+	partitioned [][]bool
+	random      *rand.Rand
+	now         time.Duration
+	queue       queue
+	slots       []event[M]
+	free        []int32
+	nodes       []*node[M]
+	metering    bool
+	counters    Counters
 }
 
 // New returns a network without nodes. Equal seeds give equal runs.
-func New[M any](layout Topology, seed uint64) *Network[M] {
+func New[M any](topology Topology, seed uint64) *Network[M] {
 	created := &Network[M]{
-		layout:   layout,
-		random:   rand.New(rand.NewPCG(seed, uint64(len(layout.Zones)))),
+		topology: topology,
+		random:   rand.New(rand.NewPCG(seed, uint64(len(topology.Zones)))),
 		metering: true,
 	}
-	for from := range layout.Zones {
-		links := make([]Link, len(layout.Zones))
+	for from := range topology.Zones {
+		links := make([]Link, len(topology.Zones))
 		for to := range links {
-			links[to] = layout.Link(ZoneID(from), ZoneID(to))
+			links[to] = topology.Link(ZoneID(from), ZoneID(to))
 		}
 		created.links = append(created.links, links)
-		created.cut = append(created.cut, make([]bool, len(layout.Zones)))
+		created.partitioned = append(created.partitioned, make([]bool, len(topology.Zones)))
 	}
 	return created
 }
@@ -139,7 +139,7 @@
 	if n.metering && class == Control {
 		sender.meter.sent(n.now, size+HeaderSize)
 	}
-	if n.cut[sender.zone][receiver.zone] {
+	if n.partitioned[sender.zone][receiver.zone] {
 		n.counters.Partitioned++
 		return
 	}
--- a/bench/simnet/network_test.go
+++ b/bench/simnet/network_test.go
@@ -28,7 +28,7 @@
 
 func (r *recorder) HandleTimer(now time.Duration, _ uint32) { r.woken = append(r.woken, now) }
 
-func layoutWith(within simnet.Link) simnet.Topology {
+func topologyWith(within simnet.Link) simnet.Topology {
 	return simnet.Topology{
 		Zones: []simnet.Zone{
 			{Name: "a1", Region: "a"}, {Name: "a2", Region: "a"}, {Name: "b1", Region: "b"},
@@ -48,7 +48,7 @@
 }
 
 func newPair(link simnet.Link, seed uint64) pair {
-	network := simnet.New[int](layoutWith(link), seed)
+	network := simnet.New[int](topologyWith(link), seed)
 	recorder := &recorder{}
 	return pair{network, network.AddNode(0, recorder), network.AddNode(0, recorder), recorder}
 }
@@ -95,7 +95,7 @@
 	})
 
 	It("uses the links of the topology between zones and between regions", func() {
-		network := simnet.New[int](layoutWith(simnet.Link{}), 1)
+		network := simnet.New[int](topologyWith(simnet.Link{}), 1)
 		recorder := &recorder{}
 		sender := network.AddNode(0, recorder)
 		for zone := range 3 {
@@ -106,7 +106,7 @@
 	})
 
 	It("blocks datagrams between partitioned regions until they are healed", func() {
-		network := simnet.New[int](layoutWith(simnet.Link{}), 1)
+		network := simnet.New[int](topologyWith(simnet.Link{}), 1)
 		recorder := &recorder{}
 		near := network.AddNode(0, recorder)
 		far := network.AddNode(2, recorder)
@@ -200,7 +200,7 @@
 // datagrams per second of virtual time.
 func BenchmarkEvents(b *testing.B) {
 	const nodes = 1100
-	network := simnet.New[int](layoutWith(simnet.Link{Delay: time.Millisecond, Jitter: time.Millisecond, Loss: 0.01}), 1)
+	network := simnet.New[int](topologyWith(simnet.Link{Delay: time.Millisecond, Jitter: time.Millisecond, Loss: 0.01}), 1)
 	for index := range nodes {
 		handler := &repeater{network: network, peer: simnet.NodeID((index + 1) % nodes)}
 		handler.id = network.AddNode(0, handler)
--- a/bench/simnet/topology.go
+++ b/bench/simnet/topology.go
@@ -36,20 +36,20 @@
 }
 
 // Link returns the link from one zone to another.
-func (l Topology) Link(from, to ZoneID) Link {
+func (t Topology) Link(from, to ZoneID) Link {
 	switch {
 	case from == to:
-		return l.WithinZone
-	case l.Zones[from].Region == l.Zones[to].Region:
-		return l.BetweenZones
+		return t.WithinZone
+	case t.Zones[from].Region == t.Zones[to].Region:
+		return t.BetweenZones
 	}
-	return l.BetweenRegions
+	return t.BetweenRegions
 }
 
 // ZonesOf returns the zones of a region in the order of the topology.
-func (l Topology) ZonesOf(region string) []ZoneID {
+func (t Topology) ZonesOf(region string) []ZoneID {
 	var zones []ZoneID
-	for index, zone := range l.Zones {
+	for index, zone := range t.Zones {
 		if zone.Region == region {
 			zones = append(zones, ZoneID(index))
 		}
