--- a/bench/experiment/acceptances.go
+++ b/bench/experiment/acceptances.go
@@ -39,7 +39,7 @@
 }
 
 // observe records an acceptance. Retransmissions by the same agent count once.
-func (a *acceptances) observe(at time.Time, opening fabric.Opening) {
+func (a *acceptances) observe(at time.Time, opening fabric.AcceptedConnection) {
 	key := connection{opening.Caller, opening.Service, opening.Acknowledged}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/bench/experiment/apply.go
+++ b/bench/experiment/apply.go
@@ -75,11 +75,11 @@
 	case EventAgentResume:
 		return c.endpointByName(event.Target).process.Resume()
 	case EventPlatformDown:
-		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.RevisionSkew, Down: true})
+		c.platform.SetFaults(platform.Faults{MaxReaderLag: c.options.Experiment.RevisionSkew, Down: true})
 	case EventPlatformStale:
-		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.RevisionSkew, Stale: true})
+		c.platform.SetFaults(platform.Faults{MaxReaderLag: c.options.Experiment.RevisionSkew, Stale: true})
 	case EventPlatformRecover:
-		c.platform.SetFaults(platform.Faults{Skew: c.options.Experiment.RevisionSkew})
+		c.platform.SetFaults(platform.Faults{MaxReaderLag: c.options.Experiment.RevisionSkew})
 	}
 	return nil
 }
--- a/bench/experiment/export_test.go
+++ b/bench/experiment/export_test.go
@@ -33,7 +33,7 @@
 	for _, exported := range acceptances {
 		agent := netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(len(backendOf)+1))
 		backendOf[agent] = exported.Backend
-		observed.acceptances.observe(exported.At, fabric.Opening{
+		observed.acceptances.observe(exported.At, fabric.AcceptedConnection{
 			Agent: agent, Caller: exported.Caller, Acknowledged: exported.Acknowledged,
 		})
 	}
--- a/bench/experiment/members.go
+++ b/bench/experiment/members.go
@@ -103,7 +103,7 @@
 // derives how late the reader sees each revision.
 func (c *Cluster) readerURL(path, reader string) string {
 	query := url.Values{}
-	query.Set(platform.QueryReader, reader)
+	query.Set(platform.ReaderParameter, reader)
 	return c.platform.URL(path) + "?" + query.Encode()
 }
 
--- a/bench/flownet/run.go
+++ b/bench/flownet/run.go
@@ -7,88 +7,92 @@
 	"github.com/vanetiller/vanetiller/internal/relay"
 )
 
-// Hash is how the fabric chooses a balancer.
-type Hash string
+// HashScheme selects how the fabric maps a flow to a balancer.
+type HashScheme string
 
-// The ways of choosing a balancer.
+// Hash schemes of the fabric.
 const (
-	// HashSteady moves only the flows of a balancer that comes or goes.
-	HashSteady Hash = "steady"
-	// HashModulo moves nearly all flows.
-	HashModulo Hash = "modulo"
+	// HashRendezvous uses rendezvous hashing: if a balancer is added or removed, only
+	// the flows of that balancer move.
+	HashRendezvous HashScheme = "steady"
+	// HashModulo takes the hash modulo the number of balancers: if a balancer is added or
+	// removed, nearly all flows move.
+	HashModulo HashScheme = "modulo"
 )
 
-// Options determine a run.
+// Options configure a run.
 type Options struct {
-	Shape    Shape
+	Shape    Scenario
 	Seed     uint64
 	Duration time.Duration
-	Hash     Hash
-	// Events is the number of events of the schedule.
+	Hash     HashScheme
+	// Events is the number of scheduled events.
 	Events int
-	// Planned leaves out all events but planned work.
-	Planned bool
-	// Load multiplies the traffic of the shape.
+	// PlannedOnly restricts the schedule to planned work and leaves out faults.
+	PlannedOnly bool
+	// Load multiplies the request rates of the scenario.
 	Load float64
-	// PowerLoss makes all machines lose power once, near the end.
+	// PowerLoss makes all machines lose power once, after two thirds of the duration.
 	PowerLoss bool
-	// ColdRate is how many requests a second an endpoint carries after a start, 0 for any
-	// number. One that gets too many fails. Untold is set if no configuration tells it.
-	ColdRate float64
-	Untold   bool
-	// Baseline replaces the product by a stateless hash, as negative control.
+	// ColdRate is the number of requests a second that a freshly started endpoint can
+	// handle, or 0 for no limit. An endpoint that gets more than coldOverrun and coldSlack
+	// tolerate crashes. ColdRateHidden leaves the rate out of the configuration.
+	ColdRate       float64
+	ColdRateHidden bool
+	// Baseline replaces the product by a stateless hash. It serves as a negative control
+	// of the checker.
 	Baseline bool
-	// Planted makes the daemons break a promise on purpose, so that a test can
-	// show that the ledger sees it.
-	Planted Planted
-	// Unbounded makes agents give all packets to their endpoints at once, for
+	// Defect makes the daemons violate a guarantee on purpose, so that a test can show
+	// that the checker detects it.
+	Defect Defect
+	// DisableAgentQueue makes agents pass all packets to their endpoints at once, for
 	// comparison.
-	Unbounded bool
+	DisableAgentQueue bool
 }
 
-func (o Options) newBalancer(config relay.BalancerConfig) balancerPart {
+func (o Options) newBalancer(config relay.BalancerConfig) balancerLogic {
 	if o.Baseline {
 		return &hashBalancer{config: config}
 	}
-	if o.Planted == PlantedResetUnknown {
+	if o.Defect == DefectResetUnknownFlows {
 		return &resettingBalancer{relay.NewBalancer(config), config.Codec}
 	}
 	return relay.NewBalancer(config)
 }
 
-func (o Options) newAgent(config relay.AgentConfig) agentPart {
+func (o Options) newAgent(config relay.AgentConfig) agentLogic {
 	if o.Baseline {
 		return &hashAgent{config: config}
 	}
-	if o.Unbounded {
-		return &unboundedAgent{relay.NewAgent(config)}
+	if o.DisableAgentQueue {
+		return &unqueuedAgent{relay.NewAgent(config)}
 	}
-	switch o.Planted {
-	case PlantedAnyOwner:
-		return &greedyAgent{relay.NewAgent(config)}
-	case PlantedAltered:
-		return &alteringAgent{relay.NewAgent(config)}
-	case PlantedHastyDenial:
-		return &hastyAgent{relay.NewAgent(config)}
-	case PlantedNoColdLimit:
-		return &eagerAgent{relay.NewAgent(config)}
+	switch o.Defect {
+	case DefectAcceptAllPackets:
+		return &acceptAllAgent{relay.NewAgent(config)}
+	case DefectCorruptPackets:
+		return &corruptingAgent{relay.NewAgent(config)}
+	case DefectDenyAfterRestart:
+		return &denyingAgent{relay.NewAgent(config)}
+	case DefectNoColdStartLimit:
+		return &noColdLimitAgent{relay.NewAgent(config)}
 	}
 	return relay.NewAgent(config)
 }
 
 const (
-	// leadTime passes before traffic begins, tailTime after it ends.
+	// leadTime is the time before traffic begins, tailTime the time after it ends.
 	leadTime = 2 * time.Second
 	tailTime = 6 * time.Second
-	// quietTime passes at both ends of the traffic without events.
+	// quietTime is the time without events at the start and at the end of the traffic.
 	quietTime = 2 * time.Second
-	// powerLossTime is how long machines stay without power.
+	// powerLossTime is how long machines are without power.
 	powerLossTime = 800 * time.Millisecond
-	// windowLength is the length of a window of a report.
+	// windowLength is the length of a report window.
 	windowLength = 2 * time.Second
 )
 
-// Run plays one run.
+// Run simulates one run and returns its report.
 func Run(options Options) Report {
 	w := newWorld(options)
 	end := leadTime + options.Duration
@@ -103,16 +107,17 @@
 	return w.report()
 }
 
-// scheduleRequests lets clients send the requests of a class at random times.
-func (w *world) scheduleRequests(class Class, end time.Duration) {
-	rate := class.PerSecond * w.options.Load
+// scheduleRequests makes clients send the requests of a class, with exponentially
+// distributed intervals.
+func (w *world) scheduleRequests(class RequestClass, end time.Duration) {
+	rate := class.RequestsPerSecond * w.options.Load
 	var next func()
 	next = func() {
 		if w.net.Now() >= end {
 			return
 		}
-		host, _ := pick(w, w.clients)
-		host.try(w.ledger.ask(class))
+		host, _ := pickRandom(w, w.clients)
+		host.startAttempt(w.checker.newRequest(class))
 		gap := time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
 		w.net.At(w.net.Now()+gap, next)
 	}
@@ -120,20 +125,20 @@
 }
 
 func (w *world) scheduleEvents(end time.Duration) {
-	kinds := faults()
-	if w.options.Planned {
-		kinds = slices.DeleteFunc(kinds, func(each fault) bool { return each.lasts > 0 })
+	kinds := eventKinds()
+	if w.options.PlannedOnly {
+		kinds = slices.DeleteFunc(kinds, func(each scheduledEvent) bool { return each.duration > 0 })
 	}
 	span := end - leadTime - 2*quietTime
 	for range w.options.Events {
 		at := leadTime + quietTime + time.Duration(w.random.Int64N(int64(span)))
-		chosen, _ := pick(w, kinds)
+		chosen, _ := pickRandom(w, kinds)
 		w.net.At(at, func() {
-			if chosen.lasts > 0 {
-				w.disturb(chosen.lasts)
+			if chosen.duration > 0 {
+				w.suspendTimeBounds(chosen.duration)
 			}
-			w.ledger.decisions["event: "+chosen.name]++
-			chosen.act(w)
+			w.checker.decisions["event: "+chosen.name]++
+			chosen.apply(w)
 		})
 	}
 }
--- a/bench/flownet/world.go
+++ b/bench/flownet/world.go
@@ -11,23 +11,24 @@
 	"github.com/vanetiller/vanetiller/internal/segment/segmenttest"
 )
 
-// The ports of the emulated machines.
+// Ports of the simulated machines.
 const (
 	packetPort   = 8100
 	peerPort     = 7000
 	endpointPort = 9000
 )
 
-// datagram is everything that nodes send each other.
+// datagram is any message between two nodes. Exactly one of the fields after from is
+// set, depending on the kind of message.
 type datagram struct {
-	// port is where it arrives: packetPort or peerPort at daemons, endpointPort
+	// port is the destination port: packetPort or peerPort at daemons, endpointPort
 	// at endpoints.
 	port uint16
-	// from is the address it was sent from.
+	// from is the address of the sender.
 	from segment.Address
-	// packet is set for packets of flows, message for those between daemons,
-	// call or reply for those of the store, and the others for what balancers
-	// tell each other.
+	// packet is a packet of a flow, and message a message between daemons. call and
+	// reply are a store call and its reply. The remaining fields carry the directory
+	// between balancers.
 	packet  []byte
 	message *relay.Message
 	call    *storeCall
@@ -40,56 +41,56 @@
 
 type network = simnet.Network[datagram]
 
-// world is one run.
+// world holds the state of one simulation run.
 type world struct {
 	options Options
 	random  *rand.Rand
 	net     *network
 	codec   segmenttest.Codec
-	ledger  *ledger
+	checker *checker
 	fabric  *fabric
 	store   *store
 
-	balancers []*balancerNode
-	sides     []*side
-	clients   []*clientHost
-	nodes     map[[4]byte]simnet.NodeID
-	agents    map[[4]byte]simnet.NodeID
-	// cutOff are the machines that no other daemon reaches.
-	cutOff   map[[4]byte]bool
-	machines uint16
-	// disturbed is until when promises with a time bound do not hold.
-	disturbed time.Duration
+	balancers     []*balancerNode
+	endpointHosts []*endpointHost
+	clients       []*clientHost
+	nodes         map[[4]byte]simnet.NodeID
+	agents        map[[4]byte]simnet.NodeID
+	// isolated holds the machines that other daemons cannot reach.
+	isolated     map[[4]byte]bool
+	machineCount uint16
+	// suspendedUntil is the time until which guarantees with a time bound are not checked.
+	suspendedUntil time.Duration
 }
 
-// calm reports whether promises with a time bound hold.
-func (w *world) calm() bool { return w.net.Now() > w.disturbed }
+// timeBoundsApply reports whether guarantees with a time bound are checked now.
+func (w *world) timeBoundsApply() bool { return w.net.Now() > w.suspendedUntil }
 
-// disturb suspends promises with a time bound until some time after a fault
-// that lasts as given.
-func (w *world) disturb(lasts time.Duration) {
-	w.disturbed = max(w.disturbed, w.net.Now()+lasts+contactTime)
+// suspendTimeBounds suspends the check of guarantees with a time bound for the
+// duration of a fault plus contactTime, in which the daemons regain contact.
+func (w *world) suspendTimeBounds(lasts time.Duration) {
+	w.suspendedUntil = max(w.suspendedUntil, w.net.Now()+lasts+contactTime)
 }
 
 func newWorld(options Options) *world {
 	shape := options.Shape
-	layout := simnet.Layout{
+	topology := simnet.Topology{
 		WithinZone:   simnet.Link{Delay: 100 * time.Microsecond, Jitter: 50 * time.Microsecond, Loss: baseLoss},
-		BetweenZones: simnet.Link{Delay: shape.ZoneDelay, Jitter: 100 * time.Microsecond, Loss: baseLoss},
+		BetweenZones: simnet.Link{Delay: shape.InterZoneDelay, Jitter: 100 * time.Microsecond, Loss: baseLoss},
 	}
 	for _, zone := range shape.Zones {
-		layout.Zones = append(layout.Zones, simnet.Zone{Name: zone, Region: "region"})
+		topology.Zones = append(topology.Zones, simnet.Zone{Name: zone, Region: "region"})
 	}
 	created := &world{
-		options: options,
-		random:  rand.New(rand.NewPCG(options.Seed, 77)),
-		net:     simnet.New[datagram](layout, options.Seed),
-		codec:   segmenttest.Codec{Key: options.Seed*2 + 1},
-		nodes:   make(map[[4]byte]simnet.NodeID),
-		agents:  make(map[[4]byte]simnet.NodeID),
-		cutOff:  make(map[[4]byte]bool),
+		options:  options,
+		random:   rand.New(rand.NewPCG(options.Seed, 77)),
+		net:      simnet.New[datagram](topology, options.Seed),
+		codec:    segmenttest.Codec{Key: options.Seed*2 + 1},
+		nodes:    make(map[[4]byte]simnet.NodeID),
+		agents:   make(map[[4]byte]simnet.NodeID),
+		isolated: make(map[[4]byte]bool),
 	}
-	created.ledger = newLedger(created)
+	created.checker = newChecker(created)
 	created.fabric = newFabric(created)
 	created.store = newStore(created)
 	created.populate()
@@ -104,7 +105,7 @@
 	}
 	for _, service := range shape.Services {
 		for index := range service.Endpoints {
-			w.addSide(service, index%len(shape.Zones), true)
+			w.addEndpointHost(service, index%len(shape.Zones), true)
 		}
 	}
 	for zone := range shape.Zones {
@@ -112,18 +113,18 @@
 	}
 }
 
-// machine returns the address of a new machine.
-func (w *world) machine() [4]byte {
-	w.machines++
-	return [4]byte{10, 0, byte(w.machines >> 8), byte(w.machines)}
+// newMachineAddress returns the IP address of a new machine.
+func (w *world) newMachineAddress() [4]byte {
+	w.machineCount++
+	return [4]byte{10, 0, byte(w.machineCount >> 8), byte(w.machineCount)}
 }
 
 func (w *world) zoneName(zone int) string { return w.options.Shape.Zones[zone] }
 
-// entryOf returns what an endpoint announces.
-func entryOf(s *side) *directory.Endpoint {
+// directoryEntry returns the directory entry that an endpoint registers in the store.
+func directoryEntry(host *endpointHost) *directory.Endpoint {
 	return &directory.Endpoint{
-		Service: s.service.Name, IP: s.ip, Port: endpointPort, Zone: s.zoneName, Slots: uint32(s.service.Slots), Draining: s.draining,
-		ColdRemaining: max(s.endpoint.coldUntil-s.world.net.Now(), 0),
+		Service: host.service.Name, IP: host.ip, Port: endpointPort, Zone: host.zoneName, Slots: uint32(host.service.Slots), Draining: host.draining,
+		ColdRemaining: max(host.endpoint.coldUntil-host.world.net.Now(), 0),
 	}
 }
--- a/bench/relay/relay_bench_test.go
+++ b/bench/relay/relay_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/vanetiller/vanetiller/bench/relay"
 )
 
-// BenchmarkCompare reports the balancer beside the bare relay. Run it with
-// -benchtime 1x: one iteration is a whole comparison of about half a minute.
+// BenchmarkCompare reports the balancer beside the bare relay. Run it with -benchtime 1x,
+// because one iteration is a whole comparison of about half a minute.
 func BenchmarkCompare(b *testing.B) {
 	conditions := []struct{ sockets, agents, payload int }{
 		{sockets: 1, agents: 4, payload: 1000},
@@ -37,15 +37,15 @@
 			b.Fatal(err)
 		}
 		b.ReportMetric(report.RelativeRate(), "relative-rate")
-		reportSide(b, "bare", report.Bare)
-		reportSide(b, "balancer", report.Balancer)
+		reportMeasurement(b, "bare", report.Bare)
+		reportMeasurement(b, "balancer", report.Balancer)
 	}
 }
 
-func reportSide(b *testing.B, name string, side relay.Side) {
-	b.ReportMetric(side.PacketsPerSecond, name+"-packets/s")
-	b.ReportMetric(side.Received, name+"-received")
-	b.ReportMetric(float64(side.DelayP50.Microseconds()), name+"-p50-us")
-	b.ReportMetric(float64(side.DelayP99.Microseconds()), name+"-p99-us")
-	b.Logf("%s: rounds of %.0f packets/s, %d delays", name, side.Rounds, side.DelaySamples)
+func reportMeasurement(b *testing.B, name string, measurement relay.Measurement) {
+	b.ReportMetric(measurement.PacketsPerSecond, name+"-packets/s")
+	b.ReportMetric(measurement.ReceivedShare, name+"-received")
+	b.ReportMetric(float64(measurement.DelayP50.Microseconds()), name+"-p50-us")
+	b.ReportMetric(float64(measurement.DelayP99.Microseconds()), name+"-p99-us")
+	b.Logf("%s: rounds of %.0f packets/s, %d delays", name, measurement.RoundRates, measurement.DelaySamples)
 }
