--- a/bench/backend/recorder.go
+++ b/bench/backend/recorder.go
@@ -11,8 +11,10 @@
 // Recorder records the flows and requests of all back ends of an experiment. It is safe for
 // concurrent use.
 type Recorder struct {
-	mutex        sync.Mutex
-	flows        map[string][]FirstContact
+	mutex sync.Mutex
+	// flows holds the first contacts by flow ID.
+	flows map[string][]FirstContact
+	// executions counts the executions by the request ID of the submission.
 	executions   map[string]int
 	misdelivered int
 }
@@ -30,7 +32,8 @@
 	Misdelivered int
 }
 
-// FirstContact is the time at which a back end first received or accepted a flow.
+// FirstContact names a back end and the time at which it first received a request of a flow, or at
+// which its agent first accepted the flow.
 type FirstContact struct {
 	Backend string
 	At      time.Time
@@ -53,10 +56,10 @@
 }
 
 // recordExecution records one execution of a submission.
-func (r *Recorder) recordExecution(request string) {
+func (r *Recorder) recordExecution(submission string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.executions[request]++
+	r.executions[submission]++
 }
 
 func (r *Recorder) recordMisdelivery() {
@@ -88,10 +91,10 @@
 }
 
 // HasRun reports whether a submission has been executed.
-func (r *Recorder) HasRun(request string) bool {
+func (r *Recorder) HasRun(submission string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.executions[request] > 0
+	return r.executions[submission] > 0
 }
 
 // Totals returns the violations detected so far.
--- a/bench/experiment/apply.go
+++ b/bench/experiment/apply.go
@@ -147,7 +147,7 @@
 			c.recordFault("%v", err)
 		}
 	})
-	c.limitExit(process, shutdownDelay+balancerExitLimit)
+	c.requireExitWithin(process, shutdownDelay+balancerExitLimit)
 	return nil
 }
 
@@ -195,7 +195,7 @@
 	member.state = platform.StateLeaving
 	c.publishMachines()
 	c.expectExit(member.process, exitPlanned)
-	c.limitExit(member.process, agentExitLimit)
+	c.requireExitWithin(member.process, agentExitLimit)
 	c.startDrain(member.row.Name)
 	return member.process.Terminate()
 }
--- a/bench/experiment/exits.go
+++ b/bench/experiment/exits.go
@@ -9,14 +9,15 @@
 	"github.com/vanetiller/vanetiller/bench/fleet"
 )
 
-// expectExit records that the run ends a process, and how.
+// expectExit records in which way the experiment ends a process. watchExit compares the exit with it.
 func (c *Cluster) expectExit(process *fleet.Process, kind expectedExit) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.expectedExits[process] = kind
 }
 
-// watchExit records a fault if a process exits in another way than expected.
+// watchExit starts a goroutine that waits for a process to exit and records a fault if the exit was
+// not expected or happened in another way.
 func (c *Cluster) watchExit(process *fleet.Process) {
 	go func() {
 		<-process.Done()
@@ -30,13 +31,14 @@
 		case kind == exitPlanned && exit.Code != 0:
 			c.recordFault("%s exited with code %d, not 0, after a planned stop", process.Name(), exit.Code)
 		case kind == exitKilled && exit.Signal != syscall.SIGKILL:
-			c.recordFault("%s exited with code %d before it was killed", process.Name(), exit.Code)
+			c.recordFault("%s exited with code %d, expected SIGKILL", process.Name(), exit.Code)
 		}
 	}()
 }
 
-// limitExit records a fault if a process is still running after the limit.
-func (c *Cluster) limitExit(process *fleet.Process, limit time.Duration) {
+// requireExitWithin returns at once. It records a fault if a process is still running after the
+// limit.
+func (c *Cluster) requireExitWithin(process *fleet.Process, limit time.Duration) {
 	time.AfterFunc(limit, func() {
 		if process.Running() {
 			c.recordFault("%s is still running %s after the start of its planned stop", process.Name(), limit)
--- a/bench/experiment/load.go
+++ b/bench/experiment/load.go
@@ -15,12 +15,13 @@
 )
 
 const (
+	// rampTime is the time over which the callers of a service are started.
 	rampTime = 3 * time.Second
 	// failurePause is how long a caller waits after a flow that did not complete.
 	failurePause = 200 * time.Millisecond
 	// meanSubmitPause is the mean wait between two submissions of a caller.
 	meanSubmitPause = 500 * time.Millisecond
-	// lengthSpread is the largest share by which the number of pieces of a flow is reduced.
+	// lengthSpread is the largest fraction of the pieces of a flow that is left out at random.
 	lengthSpread = 0.5
 )
 
@@ -30,8 +31,10 @@
 	seed   uint64
 	// stopping is closed when no new flow may start.
 	stopping chan struct{}
-	active   sync.WaitGroup
-	open     atomic.Int64
+	// active counts the running callers.
+	active sync.WaitGroup
+	// open is the number of flows that are running.
+	open atomic.Int64
 
 	mutex   sync.Mutex
 	results []caller.Result
@@ -92,7 +95,7 @@
 	}
 }
 
-// newPlan returns a plan for a flow. The length varies, so that flows do not end in step.
+// newPlan returns a plan for a flow. Its length is random, so that flows do not all end at once.
 func newPlan(service ServiceShape, flows Flows, id string, random *rand.Rand) caller.Plan {
 	factor := 1 - lengthSpread + random.Float64()*lengthSpread
 	return caller.Plan{
@@ -121,8 +124,8 @@
 	l.results = append(l.results, result)
 }
 
-// finished returns the results so far.
-func (l *load) finished() []caller.Result {
+// resultsSoFar returns the results so far.
+func (l *load) resultsSoFar() []caller.Result {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.results[:len(l.results):len(l.results)]
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -48,7 +48,7 @@
 	}
 	cluster.saveMetrics(ctx)
 	cluster.Stop()
-	results := load.finished()
+	results := load.resultsSoFar()
 	if err := cluster.writeTrace(results); err != nil {
 		return Report{}, err
 	}
--- a/internal/cluster/admin.go
+++ b/internal/cluster/admin.go
@@ -14,7 +14,8 @@
 	"github.com/vanetiller/vanetiller/internal/table"
 )
 
-// surveyTimeout is longer than any survey takes.
+// surveyTimeout is how long a caller waits for the result of a survey. A survey takes at most
+// ReportAttempts times ReportTimeout of the dissemination, 6.6 s by default.
 const surveyTimeout = 10 * time.Second
 
 // memberLive is the state that the API shows for a live member.
@@ -29,6 +30,7 @@
 // nameList holds names sorted by address.
 type nameList []MachineName
 
+// lookup returns the name of a machine, or its address and port if it is not listed.
 func (l nameList) lookup(address membership.Address) string {
 	endpoint := address.AddrPort()
 	position, exists := slices.BinarySearchFunc(l, endpoint.Addr(), func(named MachineName, wanted netip.Addr) int {
@@ -40,20 +42,21 @@
 	return l[position].Name
 }
 
-// SetMachines replaces the platform's list of machines. It provides the names under which
-// members are shown and additional seeds. It does not affect the membership. A member
-// without a name is shown by its address.
+// SetMachines replaces the platform's list of machines. The list gives members the names that
+// the API shows, and its machines become seeds in addition to the configured ones. It does not
+// change the membership. A member that is not listed is shown by its address.
 func (n *Node) SetMachines(listed []MachineName) {
 	sorted := slices.Clone(listed)
 	slices.SortFunc(sorted, func(a, b MachineName) int { return a.Address.Compare(b.Address) })
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.names = sorted
-	n.members.SetSeeds(n.seedsWith(listed))
+	n.members.SetSeeds(n.mergeSeeds(listed))
 }
 
-// seedsWith returns the seeds of the settings and the machines that are not among them.
-func (n *Node) seedsWith(listed []MachineName) []membership.Address {
+// mergeSeeds returns the configured seeds, followed by the listed machines that are not
+// configured as seeds.
+func (n *Node) mergeSeeds(listed []MachineName) []membership.Address {
 	seeds := slices.Clone(n.seeds)
 	for _, machine := range listed {
 		address, isIPv4 := membership.AddressOf(netip.AddrPortFrom(machine.Address, n.config.Listen.Port()))
@@ -64,12 +67,12 @@
 	return seeds
 }
 
-// statusList holds the last status received from each daemon.
-type statusList struct {
+// statusByMember holds the last status received from each daemon.
+type statusByMember struct {
 	byAddress map[membership.Address]dissemination.Status
 }
 
-func (l *statusList) set(from membership.Address, status dissemination.Status) {
+func (l *statusByMember) set(from membership.Address, status dissemination.Status) {
 	if l.byAddress == nil {
 		l.byAddress = make(map[membership.Address]dissemination.Status)
 	}
@@ -77,7 +80,7 @@
 }
 
 // retain removes the status of daemons that are not members.
-func (l *statusList) retain(members []membership.Member) {
+func (l *statusByMember) retain(members []membership.Member) {
 	kept := make(map[membership.Address]dissemination.Status, len(members))
 	for _, member := range members {
 		if status, known := l.byAddress[member.Identity.Address]; known {
@@ -93,8 +96,8 @@
 	result  chan dissemination.Survey
 }
 
-// survey finds out which members have applied a version. It returns false if there is no
-// result.
+// survey finds out which members have applied a version. It returns false if the survey does
+// not start or has no result within surveyTimeout.
 func (n *Node) survey(version table.Version) (dissemination.Survey, bool) {
 	result := make(chan dissemination.Survey, 1)
 	if !n.startSurvey(pendingSurvey{version: version, result: result}) {
@@ -110,12 +113,13 @@
 	}
 }
 
-func (n *Node) startSurvey(begun pendingSurvey) bool {
+func (n *Node) startSurvey(pending pendingSurvey) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	// The survey is registered before it starts, since that of a single process ends at once.
-	n.pendingSurveys = append(n.pendingSurveys, begun)
-	effects, err := n.disseminator.Survey(n.now(), begun.version)
+	// The survey is registered before it starts, because in a cluster
+	// of one process it ends before executeDissemination returns.
+	n.pendingSurveys = append(n.pendingSurveys, pending)
+	effects, err := n.disseminator.Survey(n.now(), pending.version)
 	if err != nil {
 		n.pendingSurveys = n.pendingSurveys[:len(n.pendingSurveys)-1]
 		return false
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -54,7 +54,7 @@
 	membersChanged bool
 	nextPeerUpdate time.Duration
 	pendingSurveys []pendingSurvey
-	statuses       statusList
+	statuses       statusByMember
 	names          nameList
 }
 
--- a/internal/daemon/command_test.go
+++ b/internal/daemon/command_test.go
@@ -75,7 +75,7 @@
 		Entry("settings file that does not exist", "no such file", "-settings", "/nonexistent/settings.toml"),
 	)
 
-	It("accepts settings that are valid with their overrides", func() {
+	It("accepts settings that command-line flags make valid", func() {
 		path := writeSettings(strings.Replace(agentSettings, `zone = "zone-1"`, "", 1))
 		checked := runCommand("-settings", path, "-check", "-zone", "zone-2", "-log-level", "warn")
 		Expect(checked).To(Equal(commandResult{daemon.ExitSuccess, path + ": settings are valid\n", ""}))
--- a/internal/dissemination/suite_test.go
+++ b/internal/dissemination/suite_test.go
@@ -9,8 +9,8 @@
 	"github.com/onsi/gomega"
 )
 
-// scheduleSeed makes the random schedules the same in each run. Other schedules can be
-// tried with -rapid.seed.
+// scheduleSeed makes the random schedules of faults and changes the same in each run.
+// Other schedules can be tried with -rapid.seed.
 const scheduleSeed = "20261202"
 
 func TestMain(m *testing.M) {
--- a/internal/relay/reachability.go
+++ b/internal/relay/reachability.go
@@ -7,10 +7,9 @@
 )
 
 const (
-	// pingDelay is the time without any response to opening packets after which agents are pinged.
+	// pingDelay is how long opening packets may stay unanswered before agents are pinged.
 	pingDelay = 250 * time.Millisecond
-	// isolationDelay is how long pings may stay unanswered before the balancer counts as cut off from
-	// all agents.
+	// isolationDelay is how long pings may stay unanswered before the balancer counts as isolated.
 	isolationDelay = 500 * time.Millisecond
 	// pingInterval is the time between two rounds of pings.
 	pingInterval = 150 * time.Millisecond
@@ -19,10 +18,10 @@
 )
 
 // reachability tracks whether a balancer can reach any agent. The fabric should not send packets to
-// a balancer that cannot: it would lose every new flow.
+// an isolated balancer, because that balancer loses every new flow.
 type reachability struct {
-	// awaiting is set if an opening packet was sent and no agent has responded since. awaitingSince
-	// is when that began.
+	// awaiting is set if an opening packet was sent and no agent has replied since. awaitingSince
+	// is the time at which awaiting was set.
 	awaiting      bool
 	awaitingSince time.Duration
 	pinging       bool
@@ -44,7 +43,7 @@
 	b.reachability = reachability{lastPinged: b.reachability.lastPinged}
 }
 
-// expectAgentReply records that an agent is expected to respond.
+// expectAgentReply records that an agent is expected to reply.
 func (b *Balancer) expectAgentReply(now time.Duration) {
 	if !b.reachability.awaiting {
 		b.reachability.awaiting = true
@@ -52,7 +51,8 @@
 	}
 }
 
-// checkReachability pings agents while none responds.
+// checkReachability pings agents while none replies, and marks the balancer as isolated if the pings
+// stay unanswered for isolationDelay.
 func (b *Balancer) checkReachability(now time.Duration) {
 	r := &b.reachability
 	if !r.awaiting || now-r.awaitingSince < pingDelay {
@@ -83,6 +83,7 @@
 	return b.reachability.nextPing
 }
 
+// pingAgents pings up to maxPingedAgents agents, starting after the agent that was pinged last.
 func (b *Balancer) pingAgents() {
 	all := b.snapshot.All()
 	for range min(len(all), maxPingedAgents) {
--- a/internal/relaydaemon/peers.go
+++ b/internal/relaydaemon/peers.go
@@ -30,9 +30,11 @@
 	server     *http.Server
 	client     *http.Client
 	fetcher    *directory.PeerFetcher[membership.Address]
-	// storeRate is how many calls per second the store accepts from all balancers together.
+	// storeRate is the number of calls per second that the store accepts from all balancers
+	// together.
 	storeRate float64
-	// confirmLimiter bounds the confirmations on behalf of other balancers.
+	// confirmLimiter limits how often the store is asked to confirm the directory on behalf of
+	// other balancers.
 	confirmLimiter *rate.Limiter
 	// fetcherSignal makes runFetcher check for due fetches. membersChanged is set when the
 	// membership has changed since the last call of updateMembers.
@@ -43,7 +45,7 @@
 
 func newPeerExchange(config *settings.Settings, role *balancerRole) (*peerExchange, error) {
 	balancerConfig := config.Relay.Balancer
-	created := &peerExchange{
+	exchange := &peerExchange{
 		role:           role,
 		storeRate:      float64(balancerConfig.StoreRate),
 		fetcherSignal:  make(chan struct{}, 1),
@@ -55,29 +57,29 @@
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	seeds := otherSeeds(balancerConfig)
-	created.fetcher = directory.NewPeerFetcher(role.replica, timingOf(balancerConfig), seeds, random)
+	exchange.fetcher = directory.NewPeerFetcher(role.replica, timingOf(balancerConfig), seeds, random)
 	var err error
-	created.membership, err = transport.New(transport.Config{
+	exchange.membership, err = transport.New(transport.Config{
 		Listen:     balancerConfig.Exchange,
 		Membership: membership.DefaultConfig(selfIdentity(config), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		OnEvent:    created.handleMembershipEvent,
+		OnEvent:    exchange.handleMembershipEvent,
 		Logger:     role.executor.recorder.logger,
 	})
 	if err != nil {
 		return nil, err
 	}
-	created.membership.SetSeeds(seeds)
-	created.listener, err = net.Listen("tcp4", balancerConfig.Exchange.String())
+	exchange.membership.SetSeeds(seeds)
+	exchange.listener, err = net.Listen("tcp4", balancerConfig.Exchange.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "listen on exchange address")
 	}
-	created.server = &http.Server{Handler: created.handler(), ReadTimeout: fetchTimeout, WriteTimeout: fetchTimeout}
-	return created, nil
+	exchange.server = &http.Server{Handler: exchange.handler(), ReadTimeout: fetchTimeout, WriteTimeout: fetchTimeout}
+	return exchange, nil
 }
 
-// selfIdentity returns the identity of this process in the membership. The zone is its index
-// among the sorted names of all zones, 0 if it is not among them. The incarnation is the start
-// time in milliseconds.
+// selfIdentity returns the identity of this process in the membership. The zone is the index of
+// its name among the sorted names of all configured zones, or 0 if it is not
+// configured. The incarnation is the start time in milliseconds.
 func selfIdentity(config *settings.Settings) membership.Identity {
 	zones := slices.Sorted(slices.Values(config.Relay.Balancer.Zones))
 	return membership.Identity{
@@ -97,7 +99,7 @@
 	return seeds
 }
 
-// setSeeds replaces the seeds, the balancers to ask where no member is known.
+// setSeeds replaces the seeds, which are the balancers to contact while no member is known.
 func (p *peerExchange) setSeeds(config *settings.RelayBalancer) {
 	seeds := otherSeeds(config)
 	p.membership.SetSeeds(seeds)
--- a/internal/requestqueue/scheduler.go
+++ b/internal/requestqueue/scheduler.go
@@ -22,14 +22,14 @@
 
 // Scheduler decides which waiting request is served next.
 type Scheduler interface {
-	// Next chooses the request that gets a slot now. There must be at least one.
+	// Next chooses the request that gets a slot now. waiting must not be empty.
 	Next(now time.Duration, capacity Capacity, waiting []Request) Choice
 }
 
 // NewestFirst serves requests that can be in time before all others, by priority and then the
 // newest first. Serving the oldest first would make all requests late under overload (adaptive
-// LIFO: Maurer, "Fail at Scale", ACM Queue 2015). The other requests follow by priority and
-// then by the time at which their clients give up.
+// LIFO: Maurer, "Fail at Scale", ACM Queue 2015). The other requests are served after them, by
+// priority and then by the deadline of the client.
 type NewestFirst struct{}
 
 // Next implements Scheduler.
@@ -50,27 +50,28 @@
 
 // The thresholds of EarliestDue, as multiples of the processing time.
 const (
-	// lastChance: a late request whose client gives up within this time may be lost unless it
-	// is started now. The next slot usually becomes free earlier, but processing times and
-	// waits vary.
-	lastChance = 2
-	// safeSlack is the slack that all requests in time must have to be served by due date.
-	// It covers requests that are yet to arrive and varying processing times.
-	safeSlack = 0.5
-	// ampleSlack is the slack that they must have for a late request to be served before
-	// them, so that they are still in time after it.
-	ampleSlack = 2
+	// lastChanceFactor: a late request that would expire with this multiple of the processing
+	// time counts as about to expire and may be started early. The next slot usually becomes
+	// free in time, but processing times and waits vary.
+	lastChanceFactor = 2
+	// safeSlackFactor is the slack that every in-time request must have. With less, the newest
+	// request is served first instead of the one with the earliest due date. The slack covers
+	// requests that are yet to arrive and varying processing times.
+	safeSlackFactor = 0.5
+	// ampleSlackFactor is the slack that every in-time request must have before a late request
+	// is served first, so that the in-time requests are still in time after it.
+	ampleSlackFactor = 2
 )
 
 // EarliestDue serves requests by priority, and within one priority as follows:
 //
-// While all requests that can be in time fit, they are served by due date (earliest due date:
-// Jackson, 1955), so that none becomes late because of one that could have waited. Once they
-// do not fit, the newest is served first.
+// While all requests that can be in time can be served before they are due, they are served by
+// due date (earliest due date: Jackson, 1955), so that no request becomes late because one
+// that is due later was served before it. Otherwise the newest is served first.
 //
 // Late requests whose clients are about to give up are served before those that can be in time
-// if all of the latter have ample slack (slack stealing: Lehoczky and Ramos-Thuel, 1992), and
-// otherwise after them.
+// if all requests in time have ample slack (slack stealing: Lehoczky and Ramos-Thuel, 1992),
+// and otherwise after them.
 //
 // All other late requests are served last, regardless of their priority.
 type EarliestDue struct{}
@@ -80,12 +81,12 @@
 	inTime, givingUp := mostUrgent(now, capacity, waiting)
 	slices.SortStableFunc(inTime, func(a, b int) int { return cmp.Compare(waiting[a].due(), waiting[b].due()) })
 	switch {
-	case len(givingUp) > 0 && allInTime(now+ampleSlack*capacity.ProcessingTime, capacity, waiting, inTime):
+	case len(givingUp) > 0 && allInTime(now+ampleSlackFactor*capacity.ProcessingTime, capacity, waiting, inTime):
 		index := slices.MinFunc(givingUp, func(a, b int) int { return cmp.Compare(waiting[a].deadline(), waiting[b].deadline()) })
 		return Choice{index, ReasonLastChance}
 	case len(inTime) == 0:
 		return NewestFirst{}.Next(now, capacity, waiting)
-	case allInTime(now+scale(capacity.ProcessingTime, safeSlack), capacity, waiting, inTime):
+	case allInTime(now+scale(capacity.ProcessingTime, safeSlackFactor), capacity, waiting, inTime):
 		return Choice{inTime[0], ReasonEarliestDue}
 	}
 	newest := slices.MaxFunc(inTime, func(a, b int) int { return cmp.Compare(waiting[a].StartedAt, waiting[b].StartedAt) })
@@ -115,7 +116,7 @@
 	urgent := -1
 	for index, request := range waiting {
 		isInTime := request.Timeliness(now, capacity.ProcessingTime) == InTime
-		if !isInTime && request.Timeliness(now, lastChance*capacity.ProcessingTime) != Expired {
+		if !isInTime && request.Timeliness(now, lastChanceFactor*capacity.ProcessingTime) != Expired {
 			continue
 		}
 		if urgent < 0 || int(request.Priority) < urgent {
@@ -124,6 +125,7 @@
 		}
 		switch {
 		case int(request.Priority) > urgent:
+			// A request of a less urgent priority is skipped.
 		case isInTime:
 			inTime = append(inTime, index)
 		default:
@@ -133,7 +135,7 @@
 	return inTime, givingUp
 }
 
-// minIndex returns the index of the smallest request, the first of equal ones.
+// minIndex returns the index of the smallest request. Of equal requests it returns the first.
 func minIndex(waiting []Request, compare func(a, b Request) int) int {
 	least := 0
 	for index := range waiting {
