--- a/bench/flownet/agent.go
+++ b/bench/flownet/agent.go
@@ -62,7 +62,7 @@
 	w := n.host.world
 	n.logic = w.options.newAgent(relay.AgentConfig{
 		Service: n.host.service.Name, Codec: w.codec, StartedWithEndpoint: first, FlowLifetime: time.Minute, FlowLimit: 10_000,
-		ColdStartLimit: relay.ColdStartLimit{Overrun: coldOverrun, Slack: coldSlack}, OutlierLimits: outlier.DefaultConfig(),
+		ColdStartLimit: relay.ColdStartLimit{Overrun: coldOverrun, Slack: coldSlack}, OutlierDetection: outlier.DefaultConfig(),
 		QueuePolicy: requestqueue.Policy{Discipline: queueDiscipline},
 	})
 	w.net.Schedule(n.id, tickInterval, tickTimer)
--- a/bench/flownet/balancer.go
+++ b/bench/flownet/balancer.go
@@ -18,8 +18,8 @@
 
 const (
 	tickInterval = 10 * time.Millisecond
-	// balancerStopTime and agentStopTime are how long processes serve on after they are told
-	// to stop.
+	// balancerStopTime and agentStopTime are how long processes keep serving after a stop
+	// request.
 	balancerStopTime = 1500 * time.Millisecond
 	agentStopTime    = 4500 * time.Millisecond
 	// restartDelay is the time from the end of a stopped process to its restart.
--- a/bench/flownet/client.go
+++ b/bench/flownet/client.go
@@ -143,7 +143,7 @@
 		flow.fail("reset", !flow.open)
 		return
 	}
-	if !c.world.codec.Sealed(received.packet) {
+	if !c.world.codec.ChecksumValid(received.packet) {
 		c.world.checker.corruptedAtClient++
 		return
 	}
--- a/bench/flownet/endpoint.go
+++ b/bench/flownet/endpoint.go
@@ -109,7 +109,7 @@
 	w := e.host.world
 	header, outcome := w.codec.Decode(received.packet)
 	answer := header.Flags.Has(segment.Synchronize | segment.Acknowledge)
-	if outcome != segment.Decoded || !w.codec.Sealed(received.packet) || header.Flags.Has(segment.Returned) || answer {
+	if outcome != segment.Decoded || !w.codec.ChecksumValid(received.packet) || header.Flags.Has(segment.Returned) || answer {
 		w.checker.recordCorruptPacket(e)
 		return
 	}
@@ -191,7 +191,7 @@
 	e.queue = append(e.queue, known)
 }
 
-// acknowledge tells the client that a packet of a multi-packet request has arrived.
+// acknowledge sends the client an acknowledgment of one packet of a multi-packet request.
 func (e *endpoint) acknowledge(known *endpointFlow, received piece) {
 	data := binary.BigEndian.AppendUint64([]byte{answerPiece, received.number, received.count}, received.request)
 	if received.count > 1 {
--- a/bench/platform/platform.go
+++ b/bench/platform/platform.go
@@ -45,7 +45,7 @@
 	RoleAgent    Role = "agent"
 )
 
-// State tells whether a machine is about to be removed.
+// State is the lifecycle state of a machine: in service or about to be removed.
 type State string
 
 // States of machines.
--- a/bench/simnet/network.go
+++ b/bench/simnet/network.go
@@ -24,7 +24,7 @@
 	HandleTimer(now time.Duration, timer uint32)
 }
 
-// TrafficClass tells control traffic from payload.
+// TrafficClass distinguishes control traffic from payload.
 type TrafficClass uint8
 
 // Classes of datagrams. Only Control is metered.
--- a/bench/soak/daemon.go
+++ b/bench/soak/daemon.go
@@ -161,7 +161,7 @@
 	_ = d.process.Resume()
 }
 
-// reload tells the process to reload its settings, unless it is paused.
+// reload makes the process reload its settings, unless it is paused.
 func (d *daemon) reload() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/cmd/vanetillerctl/server_test.go
+++ b/cmd/vanetillerctl/server_test.go
@@ -230,7 +230,7 @@
 }
 
 var _ = Describe("vanetillerctl if a change is not decided", func() {
-	DescribeTable("returns an exit status that tells whether the change may be applied",
+	DescribeTable("returns an exit status that indicates whether the change may be applied",
 		func(status int, reason string, handler http.HandlerFunc) {
 			result := newTestServer(handleChanges(handler)).execute("drain", "1", "-reason", "r", "-id", "c1")
 			Expect(result.Status).To(Equal(status))
--- a/internal/adminapi/api.go
+++ b/internal/adminapi/api.go
@@ -174,7 +174,7 @@
 	Zone   string `json:"zone"`
 	Closed bool   `json:"closed"`
 	// Since is the table version that closed the zone, 0 if it is open. VersionStatus
-	// tells which members have applied that version.
+	// counts the members that have applied that version and names the others.
 	Since         table.Version          `json:"since,omitempty"`
 	VersionStatus *VersionStatusResponse `json:"reach,omitempty"`
 	// Backends is the number of rows visible to the caller.
--- a/internal/adminapi/convert.go
+++ b/internal/adminapi/convert.go
@@ -15,7 +15,7 @@
 
 // MaxIDLength is the maximum length of a change identifier, in bytes. It leaves
 // room for the team name, which prefixes the identifier in the log.
-const MaxIDLength = changelog.MaximumTextLength - table.MaxNameLength - len(idSeparator)
+const MaxIDLength = changelog.MaxTextLength - table.MaxNameLength - len(idSeparator)
 
 const idSeparator = "/"
 
@@ -42,8 +42,8 @@
 	if len(m.ID) > MaxIDLength || !idPattern.MatchString(m.ID) {
 		return invalidRequest("id must have 1 to %d letters, digits, dots, hyphens or underscores and begin with a letter or digit", MaxIDLength)
 	}
-	if m.Reason == "" || len(m.Reason) > changelog.MaximumTextLength {
-		return invalidRequest("reason must have 1 to %d bytes", changelog.MaximumTextLength)
+	if m.Reason == "" || len(m.Reason) > changelog.MaxTextLength {
+		return invalidRequest("reason must have 1 to %d bytes", changelog.MaxTextLength)
 	}
 	if m.BaseVersion == nil {
 		return invalidRequest("base_version is required")
--- a/internal/adminapi/logstore.go
+++ b/internal/adminapi/logstore.go
@@ -26,7 +26,7 @@
 	Outcome *changelog.Outcome
 }
 
-// ProposalStatus tells whether a proposal was committed to the log.
+// ProposalStatus indicates whether a proposal was committed to the log.
 type ProposalStatus uint8
 
 // The statuses of a proposal.
--- a/internal/adminapi/store.go
+++ b/internal/adminapi/store.go
@@ -12,7 +12,7 @@
 
 // SubmitResult is the result of submitting a change to a Store.
 type SubmitResult struct {
-	// Decided reports whether Outcome is known. If not, MayApply tells whether
+	// Decided reports whether Outcome is known. If not, MayApply reports whether
 	// the change can still be applied.
 	Decided bool
 	Outcome changelog.Outcome
--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -63,9 +63,9 @@
 	return true
 }
 
-// ownerIsObsolete reports whether the remembered owner of a flow can no longer be
-// trusted: its agent is down, or it sent an opening packet back because it
-// restarted and lost its flows.
+// ownerIsObsolete reports whether the recorded owner of a flow is out of date: its
+// agent is down, or it sent an opening packet back because it restarted and lost
+// its flows.
 func (m *Machine) ownerIsObsolete(record flowRecord, packet Packet) bool {
 	passedBack := packet.opensFlow() && packet.Routing.Hops >= roundTripHops
 	return passedBack || !m.history.current.view.consideredAlive(record.owner)
--- a/internal/changelog/change.go
+++ b/internal/changelog/change.go
@@ -13,9 +13,9 @@
 //
 //msgp:limit arrays:1048576
 
-// MaximumTextLength is the maximum length of the identifier, author and reason
+// MaxTextLength is the maximum length of the identifier, author and reason
 // of a change, in bytes.
-const MaximumTextLength = 256
+const MaxTextLength = 256
 
 // ChangeID identifies a change. The author of the change chooses it, and a retry
 // of the change has the same identifier.
--- a/internal/changelog/state.go
+++ b/internal/changelog/state.go
@@ -11,7 +11,7 @@
 )
 
 // identifierRule is the refusal for a change with an invalid identifier.
-var identifierRule = fmt.Sprintf("identifier must have 1 to %d bytes", MaximumTextLength)
+var identifierRule = fmt.Sprintf("identifier must have 1 to %d bytes", MaxTextLength)
 
 // Limits bounds the outcomes and records in the state. All processes must use the
 // same limits, since the state is deterministic.
@@ -77,7 +77,7 @@
 	if outcome, known := s.outcomes[change.ID]; known {
 		return outcome
 	}
-	if change.ID == "" || len(change.ID) > MaximumTextLength {
+	if change.ID == "" || len(change.ID) > MaxTextLength {
 		return refusedOutcome(change.ID, s.Version(), tableError("change", identifierRule))
 	}
 	if err := s.checkChange(change); err != nil {
@@ -92,8 +92,8 @@
 
 // checkChange checks the author, reason and version preconditions of a change.
 func (s *State) checkChange(change *Change) error {
-	if len(change.Author) > MaximumTextLength || len(change.Reason) > MaximumTextLength {
-		return tableError("change", fmt.Sprintf("author and reason must have at most %d bytes", MaximumTextLength))
+	if len(change.Author) > MaxTextLength || len(change.Reason) > MaxTextLength {
+		return tableError("change", fmt.Sprintf("author and reason must have at most %d bytes", MaxTextLength))
 	}
 	if change.BaseVersion < s.snapshot.OutcomesDroppedThrough {
 		return tableError("version", fmt.Sprintf(
--- a/internal/relay/agent.go
+++ b/internal/relay/agent.go
@@ -24,8 +24,8 @@
 	FlowLimit int
 	// ColdStartLimit is how far the requests for a cold endpoint may exceed its rate.
 	ColdStartLimit ColdStartLimit
-	// OutlierLimits are the limits of outlier detection for the endpoint.
-	OutlierLimits outlier.Config
+	// OutlierDetection configures outlier detection for the endpoint.
+	OutlierDetection outlier.Config
 	// QueuePolicy decides which waiting request is served first.
 	QueuePolicy requestqueue.Policy
 }
@@ -148,7 +148,7 @@
 		surveys:   make(map[segment.FlowKey]*agentSurvey),
 		balancers: make(map[segment.Address]knownBalancer),
 		coldStart: newColdStartLimiter(config.ColdStartLimit),
-		detector:  outlier.NewDetector(config.OutlierLimits),
+		detector:  outlier.NewDetector(config.OutlierDetection),
 		queue:     newRequestQueue(config.QueuePolicy),
 	}
 }
--- a/internal/relay/coldstart_test.go
+++ b/internal/relay/coldstart_test.go
@@ -23,7 +23,7 @@
 func newColdAgent(startedWithEndpoint bool, limit relay.ColdStartLimit) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
 		Service: service, Codec: codec, StartedWithEndpoint: startedWithEndpoint, FlowLifetime: flowLifetime, FlowLimit: 100000, ColdStartLimit: limit,
-		OutlierLimits: outlier.DefaultConfig(),
+		OutlierDetection: outlier.DefaultConfig(),
 	})
 }
 
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -155,7 +155,7 @@
 func newAgentWith(startedWithEndpoint bool, policy requestqueue.Policy) *relay.Agent {
 	return relay.NewAgent(relay.AgentConfig{
 		Service: service, Codec: codec, StartedWithEndpoint: startedWithEndpoint, FlowLifetime: flowLifetime, FlowLimit: 1000,
-		OutlierLimits: outlier.DefaultConfig(), QueuePolicy: policy,
+		OutlierDetection: outlier.DefaultConfig(), QueuePolicy: policy,
 	})
 }
 
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -204,7 +204,8 @@
 	// Sequence is the initial sequence number of the client in messages about an opening packet,
 	// and the number of the survey in messages about a survey.
 	Sequence uint32
-	// Acknowledgment and Flags are those of the client's packet for which the owner is sought.
+	// Acknowledgment and Flags are those of the client's packet, in messages that look up the
+	// owner of its flow.
 	Acknowledgment uint32
 	Flags          segment.Flags
 	// LastResort is set in an offer if no other endpoint takes the flow, and in a return if the
--- a/internal/relaydaemon/agent.go
+++ b/internal/relaydaemon/agent.go
@@ -30,7 +30,7 @@
 		FlowLifetime:        config.FlowLifetime,
 		FlowLimit:           config.FlowLimit,
 		ColdStartLimit:      relay.ColdStartLimit{Overrun: config.Agent.ColdOverrun, Slack: config.Agent.ColdSlack},
-		OutlierLimits:       config.Agent.OutlierDetection,
+		OutlierDetection:    config.Agent.OutlierDetection,
 		QueuePolicy:         config.Agent.QueuePolicy,
 	})
 	created := &agentRole{
--- a/internal/requestqueue/fairshare.go
+++ b/internal/requestqueue/fairshare.go
@@ -12,7 +12,7 @@
 type FairShare struct {
 	scheduler Scheduler
 	share     float64
-	// credit is the number of slots that each priority is owed. Only priorities that wait
+	// credit is the deficit counter of each priority, in slots. Only priorities that wait
 	// beside a more urgent one have an entry.
 	credit map[uint8]float64
 }
@@ -32,18 +32,19 @@
 	return choice
 }
 
-// choose prefers a priority that is owed a slot to the choice of the wrapped scheduler.
+// choose prefers a priority with a credit of at least one slot to the choice of the wrapped
+// scheduler.
 func (f *FairShare) choose(now time.Duration, capacity Capacity, waiting []Request, lessUrgent []uint8) Choice {
 	choice := f.scheduler.Next(now, capacity, waiting)
 	for _, priority := range lessUrgent {
 		if f.credit[priority] < 1 {
 			continue
 		}
-		owed := nextAmong(f.scheduler, now, capacity, waiting, indicesOf(waiting, priority)).Index
-		if owed == choice.Index {
+		index := nextAmong(f.scheduler, now, capacity, waiting, indicesOf(waiting, priority)).Index
+		if index == choice.Index {
 			return choice
 		}
-		return Choice{owed, ReasonFairShare}
+		return Choice{index, ReasonFairShare}
 	}
 	return choice
 }
@@ -62,8 +63,8 @@
 
 // charge deducts one slot from the credit of a priority, if it has any.
 func (f *FairShare) charge(priority uint8) {
-	if owed, exists := f.credit[priority]; exists {
-		f.credit[priority] = max(owed-1, 0)
+	if credit, exists := f.credit[priority]; exists {
+		f.credit[priority] = max(credit-1, 0)
 	}
 }
 
--- a/internal/requestqueue/requestqueue_test.go
+++ b/internal/requestqueue/requestqueue_test.go
@@ -139,7 +139,7 @@
 	)
 
 	// secondChoice returns the second choice with a fair share of one half. The less urgent
-	// priority is owed a slot for the first time then.
+	// priority then has a credit of one slot for the first time.
 	secondChoice := func(waiting ...requestqueue.Request) requestqueue.Choice {
 		scheduler := requestqueue.NewFairShare(requestqueue.NewestFirst{}, 0.5)
 		scheduler.Next(2*time.Second, capacity, []requestqueue.Request{request(1900*ms, 1), request(1900*ms, 2)})
@@ -185,7 +185,7 @@
 	It("divides the share equally among several less urgent priorities", func() {
 		for _, priority := range []uint8{1, 2} {
 			Expect(countOf(requestqueue.NewFairShare(requestqueue.NewestFirst{}, 0.5), priority, 0, 1, 2)).
-				To(BeNumerically("~", 25, 1), "both are owed a slot at the same time, and one of them has not received it")
+				To(BeNumerically("~", 25, 1), "both reach a credit of one slot at the same time, and one of them has not been served yet")
 		}
 	})
 
--- a/internal/segment/segmenttest/codec.go
+++ b/internal/segment/segmenttest/codec.go
@@ -48,8 +48,8 @@
 	return packet
 }
 
-// Sealed reports whether the checksum of the packet is valid.
-func (c Codec) Sealed(packet []byte) bool {
+// ChecksumValid reports whether the checksum of the packet is valid.
+func (c Codec) ChecksumValid(packet []byte) bool {
 	return binary.BigEndian.Uint64(packet[offsetChecksum:]) == c.checksum(packet)
 }
 
