--- a/internal/segment/segmenttest/codec.go
+++ b/internal/segment/segmenttest/codec.go
@@ -1,4 +1,4 @@
-// Package segmenttest implements a packet encoding for tests and for the emulator. Packets
+// Package segmenttest implements a packet encoding for tests and for the flow simulation. Packets
 // are protected by a keyed checksum. The encoding differs from that of any platform, so that
 // code which passes tests with it depends on no platform.
 package segmenttest
